--- a/crates/daemon/src/net/change.rs
+++ b/crates/daemon/src/net/change.rs
@@ -1,5 +1,5 @@
 //! Changes of configuration, as far as they are not the sockets': the transaction's machine, what is in force,
-//! the history on disk, and the answers to control calls. The proxy puts a generation in force and tells here.
+//! the history on disk, and the answers to control calls. The pooler puts a generation in force and tells here.
 
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
--- a/crates/daemon/src/net/mod.rs
+++ b/crates/daemon/src/net/mod.rs
@@ -12,7 +12,7 @@
 mod event_loop;
 mod outbox;
 mod peers;
-mod proxy;
+mod pooler;
 mod registry;
 mod servers;
 mod sessions;
@@ -32,7 +32,7 @@
 pub(crate) use change::words;
 pub(crate) use control::Bound;
 pub(crate) use control_instance::serve as serve_control;
-pub(crate) use proxy::{serve, Operator};
+pub(crate) use pooler::{serve, Operator};
 
 /// Share of the shortest aim of a write for which one waits, at the most, until others know of it and it may be sent.
 const HOLD_OF_AIM: f64 = 0.5;
@@ -60,7 +60,7 @@
     value: Vec<u8>,
 }
 
-/// What the connections tell the proxy.
+/// What the connections tell the pooler.
 #[derive(Debug)]
 pub(crate) enum Event {
     /// A client's command is a query.
--- a/crates/daemon/src/net/proxy.rs
+++ b/crates/daemon/src/net/pooler.rs
@@ -6,7 +6,7 @@
 mod guard;
 mod handover;
 mod in_flight;
-mod life;
+mod process_lifecycle;
 mod sharing;
 mod sources;
 mod trace;
@@ -20,7 +20,7 @@
 use buffer::Budget;
 use config::{Config, ListSource};
 use exchange::{Answer, Query, Statement};
-use lifecycle::Input as Lived;
+use lifecycle::Input as LifecycleInput;
 use mio::net::TcpListener;
 use mio::{Interest, Poll, Waker};
 use operator::Effective;
@@ -49,7 +49,7 @@
 use crate::numbers::{Assigned, Named, Numbers};
 use handover::{FromPredecessor, Inherited, ToSuccessor};
 use in_flight::{Access, InFlight};
-use life::{Life, PidFile};
+use process_lifecycle::{PidFile, ProcessLifecycle};
 use sharing::Shared;
 
 /// The exit code of a successor that has failed its first seconds and handed back.
@@ -63,7 +63,7 @@
 
 /// Whom a final answer is owed to.
 #[derive(Clone, Copy, Debug)]
-enum Owed {
+enum ReplyTarget {
     Client(Slot),
     /// An ordinary client, whose session answers by itself once it is on a server.
     Session(Slot),
@@ -72,7 +72,7 @@
 /// A request that its client, or an attempt, has not done with yet.
 struct Request {
     /// Whom its final answer is owed to; none once that is given or the client has left.
-    client: Option<Owed>,
+    client: Option<ReplyTarget>,
     statement: Rc<Statement>,
     /// What was done and received for it: asked before anything more is done.
     history: History,
@@ -97,7 +97,7 @@
     }
 }
 
-struct Proxy {
+struct Pooler {
     policy: Policy,
     clients: Clients,
     servers: Servers,
@@ -138,7 +138,7 @@
     /// How long after the wish to end all that comes must have been answered, and when that is (seconds).
     kill_after: f64,
     kill_at: f64,
-    life: Life,
+    life: ProcessLifecycle,
     /// Hand-overs to a successor, and from the daemon before this one.
     successor: Option<ToSuccessor>,
     predecessor: Option<FromPredecessor>,
@@ -161,24 +161,24 @@
     let mut poll = Poll::new()?;
     let reactor = Reactor::new(&poll)?;
     let mut context = Context { reactor, events: Default::default(), counters: Counters::default() };
-    let mut proxy = Proxy::new(config, path, operator, &mut context)?;
-    event_loop::run(&mut poll, &mut proxy, &mut context)?;
-    proxy.part(&context);
+    let mut pooler = Pooler::new(config, path, operator, &mut context)?;
+    event_loop::run(&mut poll, &mut pooler, &mut context)?;
+    pooler.part(&context);
     logging::info!(event = "ended", "{} ends: {}", config.name, context.counters);
-    Ok(match proxy.life.stage() {
-        _ if proxy.yielded => HANDED_BACK,
+    Ok(match pooler.life.stage() {
+        _ if pooler.yielded => HANDED_BACK,
         lifecycle::Stage::Ended(code) => code,
         _ => lifecycle::OWED,
     })
 }
 
-impl Proxy {
+impl Pooler {
     fn new(
         config: &Config,
         path: &Path,
         operator: Option<Operator>,
         context: &mut Context,
-    ) -> io::Result<Proxy> {
+    ) -> io::Result<Pooler> {
         let invalid = |fault: String| io::Error::new(io::ErrorKind::InvalidInput, fault);
         let now = context.reactor.now();
         let mut loud = Vec::new();
@@ -214,7 +214,7 @@
             None => PidFile::take(path),
         });
         let pid = pid.transpose()?;
-        let terms = life::terms(opening.as_ref().map(|_| &effective.document.daemon));
+        let terms = process_lifecycle::terms(opening.as_ref().map(|_| &effective.document.daemon));
         let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP, SIGUSR1])?;
         context.reactor.registry.register(&mut signals, Source::Signals.into(), Interest::READABLE)?;
         // Most clients have one attempt out, so half the sockets are enough for the db machines' side. Where clients send
@@ -272,7 +272,7 @@
         });
         let sessions = sessions.transpose()?;
         let coordination = Coordination::new(&effective, config, context).map_err(invalid)?;
-        let (fresh, begun) = Life::new(terms, pid, config.seed, context);
+        let (fresh, begun) = ProcessLifecycle::new(terms, pid, config.seed, context);
         let list = inherited.as_ref().and_then(Inherited::list);
         let (index, saved) = list
             .filter(|(index, _)| *index >= config.known.index)
@@ -282,7 +282,7 @@
         let (predecessor, comes) =
             predecessor.transpose()?.map_or((None, Vec::new()), |(from, does)| (Some(from), does));
         let pushed = config.source == ListSource::Pushed;
-        let mut proxy = Proxy {
+        let mut pooler = Pooler {
             policy,
             sessions,
             clients: Clients::new(listener, clients, (budget.clone(), config.seed), context)?,
@@ -317,20 +317,20 @@
             predecessor,
             yielded: false,
         };
-        proxy.carry_on(begun, context);
-        if proxy.predecessor.is_some() {
-            proxy.pause(true, context);
+        pooler.carry_on(begun, context);
+        if pooler.predecessor.is_some() {
+            pooler.pause(true, context);
         }
-        proxy.live(Lived::Bound, context);
+        pooler.live(LifecycleInput::Bound, context);
         context.events.push_back(Event::Members(ListKind::Saved, saved));
-        proxy.drain(context);
-        proxy.inherit(context);
-        proxy.taken(comes, context);
-        proxy.intend(&effective, context);
-        proxy.source(&effective, context);
-        proxy.follow(context);
-        proxy.drain(context);
-        Ok(proxy)
+        pooler.drain(context);
+        pooler.inherit(context);
+        pooler.taken(comes, context);
+        pooler.intend(&effective, context);
+        pooler.source(&effective, context);
+        pooler.follow(context);
+        pooler.drain(context);
+        Ok(pooler)
     }
 
     /// Takes event after event, each only when all that follows from the one before it is carried out.
@@ -412,7 +412,8 @@
                     trace::sent(&id, number, &member, timeout);
                     self.sends(&id, &member, number);
                     let Some(request) = self.requests.get_mut(&id) else { continue };
-                    if let (Some(Owed::Session(slot)), Some(sessions)) = (request.client, &mut self.sessions)
+                    if let (Some(ReplyTarget::Session(slot)), Some(sessions)) =
+                        (request.client, &mut self.sessions)
                     {
                         request.out.push((number, None));
                         // Nothing is written for it before the session is on a connection, which ends this.
@@ -426,7 +427,7 @@
                 }
                 Action::Cancel { id, attempt } => {
                     let request = self.requests.get(&id);
-                    if let (Some(Owed::Session(slot)), Some(sessions)) =
+                    if let (Some(ReplyTarget::Session(slot)), Some(sessions)) =
                         (request.and_then(|request| request.client), &mut self.sessions)
                     {
                         sessions.withdraw(slot, attempt, context);
@@ -490,7 +491,7 @@
         };
         let rules = self.policy.rules(class, now + arrival.left);
         let request = Request {
-            client: Some(Owed::Client(client)),
+            client: Some(ReplyTarget::Client(client)),
             statement: Rc::new(query.statement),
             history: History::new(rules),
             out: Vec::new(),
@@ -562,7 +563,7 @@
             own: None,
         };
         let request = Request {
-            client: Some(Owed::Session(slot)),
+            client: Some(ReplyTarget::Session(slot)),
             statement: Rc::new(Statement::new("".into(), 0..0)),
             history: History::new(self.policy.rules(number, f64::INFINITY)),
             out: Vec::new(),
@@ -643,14 +644,14 @@
                 changes.note(now, (request.class, request.group), request.repeat, bad, now - request.taken);
             }
             match client {
-                Owed::Client(client) => {
+                ReplyTarget::Client(client) => {
                     if let Some((command, released)) = self.in_flight.finish(client, id) {
                         let released = released.into_iter().map(|id| Event::Released(client, id));
                         context.events.extend(released);
                         self.clients.answer(client, command, answer, context);
                     }
                 }
-                Owed::Session(slot) => {
+                ReplyTarget::Session(slot) => {
                     self.sessions.iter_mut().for_each(|sessions| sessions.refused(slot, &answer, context));
                 }
             }
@@ -749,7 +750,7 @@
             if signal == SIGUSR1 {
                 logging::info!(event = "counters", left_out = self.log.left_out(), "{}", context.counters);
             } else if signal == SIGHUP {
-                self.live(Lived::Reload(life::monotonic_us()), context);
+                self.live(LifecycleInput::Reload(process_lifecycle::monotonic_us()), context);
             } else {
                 if !self.life.stage().ends() {
                     logging::info!(event = "ending", "asked to end");
@@ -761,13 +762,13 @@
                 }
                 // What is owed is counted now: a third one ends it at once.
                 self.age(context);
-                self.live(Lived::Stop, context);
+                self.live(LifecycleInput::Stop, context);
             }
         }
     }
 }
 
-impl Handler for Proxy {
+impl Handler for Pooler {
     fn ready(&mut self, source: Source, half_closed: bool, context: &mut Context) {
         self.refresh_list(context);
         match source {
--- a/crates/daemon/src/net/proxy/calls.rs
+++ b/crates/daemon/src/net/pooler/calls.rs
@@ -3,12 +3,12 @@
 use ::control::{Call, Code, Response};
 use transaction::Input;
 
-use super::{Proxy, ToSuccessor};
+use super::{Pooler, ToSuccessor};
 use crate::files;
 use crate::net::event_loop::Slot;
 use crate::net::Context;
 
-impl Proxy {
+impl Pooler {
     /// Answers a control call, at once or once the transaction has come so far.
     pub(super) fn called(&mut self, caller: Slot, call: Call, context: &mut Context) {
         let successor = self.successor.as_ref().is_some_and(ToSuccessor::is_busy);
--- a/crates/daemon/src/net/proxy/configuration.rs
+++ b/crates/daemon/src/net/pooler/configuration.rs
@@ -5,7 +5,7 @@
 use operator::Effective;
 use transaction::{Action as Step, Input, Notice, SPARES};
 
-use super::{advice, life, pooled, Proxy, ToSuccessor};
+use super::{advice, pooled, process_lifecycle, Pooler, ToSuccessor};
 use crate::files;
 use crate::net::change;
 use crate::net::event_loop::{Due, Slot};
@@ -13,7 +13,7 @@
 use crate::net::Context;
 use crate::numbers::Assigned;
 
-impl Proxy {
+impl Pooler {
     /// Reads the configuration again. Of the platform's only discovery's address is taken: the rest is what
     /// requests in hand were taken in under, and holds from the next start. The operator's file goes through a
     /// transaction. A file that cannot be used changes nothing.
@@ -153,7 +153,7 @@
         self.servers.set_limits(sockets - sockets / 2, effective.keepalive, connect_timeout);
         self.budget.resize(effective.memory / 2);
         (self.probe_timeout, self.retry_after) = (connect_timeout, retry_after);
-        self.life.set_terms(life::terms(Some(&effective.document.daemon)));
+        self.life.set_terms(process_lifecycle::terms(Some(&effective.document.daemon)));
         self.log.set(effective.document.log.level);
         if let Some(control) = &mut self.control {
             control.set_idle(effective.document.control.idle_s);
--- a/crates/daemon/src/net/proxy/guard.rs
+++ b/crates/daemon/src/net/pooler/guard.rs
@@ -6,7 +6,7 @@
 use routing::interface::{MemberId, Outcome, Report, RequestId};
 use routing::permission::Denial;
 
-use super::{Owed, Proxy};
+use super::{Pooler, ReplyTarget};
 use crate::net::{Context, Ended, Event, Task};
 
 /// What the list's source has sent is looked for at least so often while there is anything to do (seconds). After the process was
@@ -21,7 +21,7 @@
     logging::error!(event = "rule.violation", id = &**id, denial = denial.name(), "not done: a fault");
 }
 
-impl Proxy {
+impl Pooler {
     /// Takes in what the list's source has sent by now, unless that was just done: nothing is begun on an older list.
     pub(super) fn refresh_list(&mut self, context: &mut Context) {
         let now = context.reactor.now();
@@ -40,7 +40,7 @@
         let Some(request) = self.requests.get(id) else { return Err(Denial::Answered) };
         request.history.may_begin(now)?;
         match request.client {
-            Some(Owed::Client(client)) if self.clients.has_left(client, now - CLIENT_FRESH) => {
+            Some(ReplyTarget::Client(client)) if self.clients.has_left(client, now - CLIENT_FRESH) => {
                 Err(Denial::ClientGone)
             }
             _ => Ok(()),
@@ -65,7 +65,7 @@
             }
             _ => violation(&id, denial, context),
         }
-        if let (Denial::ClientGone, Some(Owed::Client(client))) = (denial, request.client) {
+        if let (Denial::ClientGone, Some(ReplyTarget::Client(client))) = (denial, request.client) {
             context.events.push_back(Event::Gone(client));
         }
         context.events.push_back(Event::Ended(Box::new(Ended {
--- a/crates/daemon/src/net/proxy/handover.rs
+++ b/crates/daemon/src/net/pooler/handover.rs
@@ -14,7 +14,7 @@
     Act, Do, Fault, Giver, Heard, Known, Member, Place, Say, Seen, Snapshot, Taker, Trial, LONGEST,
     LONGEST_LINE, OLDEST, PATIENCE, VERSION,
 };
-use lifecycle::{Input as Lived, Stage};
+use lifecycle::{Input as LifecycleInput, Stage};
 use listing::Listing;
 use mio::net::UnixStream;
 use mio::Interest;
@@ -25,7 +25,7 @@
     SendAncillaryMessage, SendFlags,
 };
 
-use super::{Controls, Proxy};
+use super::{Controls, Pooler};
 use crate::net::control::Bound;
 use crate::net::event_loop::{Due, Source};
 use crate::net::outbox::Outbox;
@@ -226,7 +226,7 @@
     }
 }
 
-impl Proxy {
+impl Pooler {
     /// Takes over what the old daemon knew, once the members are listed.
     pub(super) fn inherit(&mut self, context: &mut Context) {
         let known = match self.predecessor.as_mut().and_then(|predecessor| predecessor.known.take()) {
@@ -343,7 +343,7 @@
                 Act::Succeeded => {
                     logging::info!(event = "handover.over", "the successor stands");
                     self.registry.iter_mut().for_each(|registry| registry.leave(context));
-                    self.live(Lived::Succeeded, context);
+                    self.live(LifecycleInput::Succeeded, context);
                 }
                 Act::Hang => self.successor.iter_mut().for_each(|successor| successor.conn = None),
                 Act::Timer(at) => context.reactor.timer(at, Due::Handover),
@@ -450,7 +450,7 @@
                     logging::error!(event = "handover.yielded", "hands back to the old daemon: {why}");
                     self.yielded = true;
                     self.pause(true, context);
-                    self.live(Lived::Succeeded, context);
+                    self.live(LifecycleInput::Succeeded, context);
                 }
                 Do::Stand => self.stand(context),
                 Do::Timer(at) => context.reactor.timer(at, Due::Handover),
--- a/crates/daemon/src/net/proxy/life.rs
+++ b/crates/daemon/src/net/pooler/process_lifecycle.rs
@@ -11,7 +11,7 @@
 use lifecycle::{notify, Action, Input, Machine, Owed, Stage, Terms};
 use routing::interface::{self, RequestId};
 
-use super::{Owed as Whom, Proxy};
+use super::{Pooler, ReplyTarget};
 use crate::net::event_loop::Due;
 use crate::net::sessions::Sessions;
 use crate::net::Context;
@@ -94,7 +94,7 @@
 }
 
 /// The machine, and whom it speaks to.
-pub(super) struct Life {
+pub(super) struct ProcessLifecycle {
     machine: Machine,
     manager: Option<Manager>,
     pid: Option<PidFile>,
@@ -115,9 +115,14 @@
     })
 }
 
-impl Life {
+impl ProcessLifecycle {
     /// A life that begins.
-    pub fn new(terms: Terms, pid: Option<PidFile>, seed: u64, context: &mut Context) -> (Life, Vec<Action>) {
+    pub fn new(
+        terms: Terms,
+        pid: Option<PidFile>,
+        seed: u64,
+        context: &mut Context,
+    ) -> (ProcessLifecycle, Vec<Action>) {
         let mut actions = Vec::new();
         let machine = Machine::new(terms, context.reactor.now(), &mut actions);
         let manager = std::env::var("NOTIFY_SOCKET").ok().filter(|name| !name.is_empty()).and_then(|name| {
@@ -128,7 +133,7 @@
                 })
                 .ok()
         });
-        (Life { machine, manager, pid, rng: fastrand::Rng::with_seed(seed ^ 0x11fe) }, actions)
+        (ProcessLifecycle { machine, manager, pid, rng: fastrand::Rng::with_seed(seed ^ 0x11fe) }, actions)
     }
 
     pub fn stage(&self) -> Stage {
@@ -173,7 +178,7 @@
     time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000
 }
 
-impl Proxy {
+impl Pooler {
     /// What is owed now.
     pub(super) fn owed(&self) -> Owed {
         let mut owed = Owed::default();
@@ -292,7 +297,8 @@
             logging::warn!(event = "ending.cut", requests = out.len(), "cut off: the time to drain is over");
         }
         for id in out {
-            let session = self.requests.get(&id).is_some_and(|r| matches!(r.client, Some(Whom::Session(_))));
+            let session =
+                self.requests.get(&id).is_some_and(|r| matches!(r.client, Some(ReplyTarget::Session(_))));
             // It has reached a server: whether it ran there is not known.
             self.answer(&id, if session { Answer::Refused(0.0) } else { Answer::Failed }, context);
             self.tell(interface::Event::Gone { id: id.clone() }, context);
--- a/crates/daemon/src/net/proxy/sharing.rs
+++ b/crates/daemon/src/net/pooler/sharing.rs
@@ -5,7 +5,7 @@
 use routing::interface::{self, Arrival, Conclusion, Consistency, MemberId, Outcome, RequestId};
 use routing::Policy;
 
-use super::Proxy;
+use super::Pooler;
 use crate::net::coordination::{Coordination, WriteTicket};
 use crate::net::event_loop::Due;
 use crate::net::Context;
@@ -32,7 +32,7 @@
     }
 }
 
-impl Proxy {
+impl Pooler {
     /// A request of a session has come. Hands the arrival back where it goes on at once.
     pub(super) fn share(
         &mut self,
--- a/crates/daemon/src/net/proxy/sources.rs
+++ b/crates/daemon/src/net/pooler/sources.rs
@@ -4,11 +4,11 @@
 use operator::{Effective, Override};
 use routing::interface::{self, Entry, ListKind, Phase};
 
-use super::{Lived, Proxy};
+use super::{LifecycleInput, Pooler};
 use crate::net::registry::{Known, Registry, Who};
 use crate::net::Context;
 
-impl Proxy {
+impl Pooler {
     /// The list tells something. It is a fact: with an operator's file his intents are laid over it, and no
     /// change that is under way holds it back.
     pub(super) fn listed(&mut self, kind: ListKind, listings: Vec<Listing>, context: &mut Context) {
@@ -40,7 +40,7 @@
         self.tell(interface::Event::Members { kind, entries }, context);
         if any {
             self.clients.serve(context);
-            self.live(Lived::Listed, context);
+            self.live(LifecycleInput::Listed, context);
         }
     }
 
--- a/crates/daemon/src/net/servers.rs
+++ b/crates/daemon/src/net/servers.rs
@@ -517,7 +517,7 @@
     }
 
     /// Gives up an attempt: the machine learns of it by the end of the connection. Guards against one that has
-    /// just ended, its end still on the way to the proxy, while its connection carries another request already.
+    /// just ended, its end still on the way to the pooler, while its connection carries another request already.
     pub fn cancel(&mut self, slot: Slot, id: &RequestId, attempt: usize, context: &mut Context) {
         let task = self.conns.get_mut(slot).and_then(|conn| conn.job.as_ref()).map(|job| &job.task);
         if matches!(task, Some(Task::Attempt(of, number, _)) if of == id && *number == attempt) {
