--- a/crates/daemon/src/net/clients.rs
+++ b/crates/daemon/src/net/clients.rs
@@ -294,9 +294,11 @@
                 logging::error!(event = "rule.violation", denial = "answer_owed", "a connection is closed");
             }
             // What it has asked and nobody has looked at yet is not begun.
-            context.events.retain(|event| !matches!(event, Event::Asked(client, ..) if *client == slot));
+            context
+                .events
+                .retain(|event| !matches!(event, Event::QueryReceived(client, ..) if *client == slot));
             if !free {
-                context.events.push_back(Event::Gone(slot));
+                context.events.push_back(Event::ClientLeft(slot));
             }
             self.connections.remove(slot);
         }
--- a/crates/daemon/src/net/clients/connection.rs
+++ b/crates/daemon/src/net/clients/connection.rs
@@ -340,7 +340,7 @@
                 self.stage = Stage::Open;
             }
             Startup::Cancel(key) => {
-                context.events.push_back(Event::Cancel(key));
+                context.events.push_back(Event::CancelRequested(key));
                 return Err(Over::Peer);
             }
             Startup::Unknown => self.fatal(code::UNSUPPORTED, "unknown protocol", slot, context)?,
@@ -392,7 +392,7 @@
                 query.statement.granted(charge);
                 self.asked = true;
                 context.counters.pipelined += u64::from(!self.pipeline.is_empty());
-                context.events.push_back(Event::Asked(slot, self.pipeline.begin(), query));
+                context.events.push_back(Event::QueryReceived(slot, self.pipeline.begin(), query));
             }
             Err(what) => {
                 context.counters.malformed += 1;
--- a/crates/daemon/src/net/control.rs
+++ b/crates/daemon/src/net/control.rs
@@ -119,7 +119,7 @@
                 match Request::read(&line) {
                     Ok(request) => {
                         conn.waits = true;
-                        context.events.push_back(Event::Called(slot, Box::new(request.call)));
+                        context.events.push_back(Event::ControlCallReceived(slot, Box::new(request.call)));
                     }
                     Err(fault) => conn.last_word(Code::Malformed, fault, context.reactor.now())?,
                 }
--- a/crates/daemon/src/net/discovery.rs
+++ b/crates/daemon/src/net/discovery.rs
@@ -139,7 +139,7 @@
         if kind.is_news() {
             self.trouble = None;
         }
-        context.events.push_back(Event::Members(kind, Vec::new()));
+        context.events.push_back(Event::ListReceived(kind, Vec::new()));
     }
 
     fn lost(&mut self, why: Broken, kind: ListKind, context: &mut Context) {
@@ -201,7 +201,7 @@
         if counts {
             self.trouble = None;
             let kind = if news.whole { ListKind::Full } else { ListKind::Incremental };
-            context.events.push_back(Event::Members(kind, news.listings));
+            context.events.push_back(Event::ListReceived(kind, news.listings));
         }
         Ok(())
     }
--- a/crates/daemon/src/net/mod.rs
+++ b/crates/daemon/src/net/mod.rs
@@ -39,7 +39,7 @@
 
 /// Something to send to a db machine.
 #[derive(Clone, Debug)]
-pub(crate) enum Task {
+pub(crate) enum ServerTask {
     /// An attempt of a request, by its number.
     Attempt(RequestId, usize, Rc<Statement>),
     /// A question about the machine itself.
@@ -48,8 +48,8 @@
 
 /// How a task ended.
 #[derive(Debug)]
-pub(crate) struct Ended {
-    task: Task,
+pub(crate) struct TaskResult {
+    task: ServerTask,
     member: MemberId,
     outcome: Outcome,
     /// Since it was sent (seconds).
@@ -64,26 +64,26 @@
 #[derive(Debug)]
 pub(crate) enum Event {
     /// A client's command is a query.
-    Asked(Slot, CommandNumber, Box<Query>),
+    QueryReceived(Slot, CommandNumber, Box<Query>),
     /// A request has waited for earlier ones of its connection, which have their answers now.
-    Released(Slot, RequestId),
-    Gone(Slot),
+    RequestReleased(Slot, RequestId),
+    ClientLeft(Slot),
     /// On a connection of its own a client has asked for its requests to be cancelled, by this key.
-    Cancel((u32, u32)),
-    Ended(Box<Ended>),
-    Members(ListKind, Vec<Listing>),
+    CancelRequested((u32, u32)),
+    TaskEnded(Box<TaskResult>),
+    ListReceived(ListKind, Vec<Listing>),
     /// An ordinary client's session wants a server, ...
-    Wanted(Slot, Box<sessions::Wanted>),
+    ServerRequested(Slot, Box<sessions::ServerRequest>),
     /// ... is on one, ...
-    Begun(RequestId),
+    SessionAttached(RequestId),
     /// ... no longer wants one, ...
-    Left(RequestId),
+    ServerRequestAbandoned(RequestId),
     /// ... or is no longer on one.
-    Parted(Box<sessions::Parted>),
+    SessionDetached(Box<sessions::Detachment>),
     /// A server has told an ordinary client's connection whether it is the primary.
-    Role(MemberId, bool),
+    RoleReported(MemberId, bool),
     /// A control connection asks.
-    Called(Slot, Box<Call>),
+    ControlCallReceived(Slot, Box<Call>),
 }
 
 /// What every callback is handed.
--- a/crates/daemon/src/net/pooler.rs
+++ b/crates/daemon/src/net/pooler.rs
@@ -42,8 +42,8 @@
 use super::event_loop::{self, Due, Handler, Reactor, Slot, Source};
 use super::registry::Registry;
 use super::servers::Servers;
-use super::sessions::{Parted, Sessions, Wanted};
-use super::{Context, Ended, Event, Task};
+use super::sessions::{Detachment, ServerRequest, Sessions};
+use super::{Context, Event, ServerTask, TaskResult};
 use crate::counters::{count, Counters};
 use crate::files;
 use crate::numbers::{Assigned, Named, Numbers};
@@ -322,7 +322,7 @@
             pooler.pause(true, context);
         }
         pooler.live(LifecycleInput::Bound, context);
-        context.events.push_back(Event::Members(ListKind::Saved, saved));
+        context.events.push_back(Event::ListReceived(ListKind::Saved, saved));
         pooler.drain(context);
         pooler.inherit(context);
         pooler.taken(comes, context);
@@ -337,10 +337,12 @@
     fn drain(&mut self, context: &mut Context) {
         while let Some(event) = context.events.pop_front() {
             match event {
-                Event::Asked(client, command, query) => self.asked((client, command), *query, context),
-                Event::Released(client, id) => self.released(client, &id, context),
-                Event::Gone(client) => self.gone(client, context),
-                Event::Cancel(key) => {
+                Event::QueryReceived(client, command, query) => {
+                    self.asked((client, command), *query, context)
+                }
+                Event::RequestReleased(client, id) => self.released(client, &id, context),
+                Event::ClientLeft(client) => self.gone(client, context),
+                Event::CancelRequested(key) => {
                     // One that has not been taken in yet, or is answered already, is none to cancel.
                     let client = self.clients.of_key(key).filter(|client| self.in_flight.has(*client));
                     if let Some(client) = client {
@@ -348,17 +350,17 @@
                         self.clients.cancelled(client, context);
                     }
                 }
-                Event::Ended(ended) => self.ended(*ended, context),
-                Event::Members(kind, listings) => self.listed(kind, listings, context),
-                Event::Wanted(slot, wanted) => self.wanted(slot, *wanted, context),
-                Event::Begun(id) => {
+                Event::TaskEnded(ended) => self.ended(*ended, context),
+                Event::ListReceived(kind, listings) => self.listed(kind, listings, context),
+                Event::ServerRequested(slot, wanted) => self.wanted(slot, *wanted, context),
+                Event::SessionAttached(id) => {
                     if let Some(request) = self.requests.get_mut(&id) {
                         request.client = None;
                         request.history.close();
                     }
                     self.tell(interface::Event::Started { id }, context);
                 }
-                Event::Left(id) => {
+                Event::ServerRequestAbandoned(id) => {
                     if let Some(request) = self.requests.get_mut(&id) {
                         context.counters.gone += 1;
                         request.client = None;
@@ -366,12 +368,12 @@
                     self.tell(interface::Event::Gone { id: id.clone() }, context);
                     self.forget(&id, context.reactor.now());
                 }
-                Event::Role(member, primary) => {
+                Event::RoleReported(member, primary) => {
                     let report = interface::Report { position: None, primary: Some(primary) };
                     self.tell(interface::Event::Probed { member, outcome: Outcome::Ok, report }, context);
                 }
-                Event::Parted(parted) => self.parted(*parted, context),
-                Event::Called(caller, call) => self.called(caller, *call, context),
+                Event::SessionDetached(parted) => self.parted(*parted, context),
+                Event::ControlCallReceived(caller, call) => self.called(caller, *call, context),
             }
         }
     }
@@ -421,7 +423,7 @@
                         sessions.give(slot, &id, number, &member, timeout, context);
                         continue;
                     }
-                    let task = Task::Attempt(id, number, request.statement.clone());
+                    let task = ServerTask::Attempt(id, number, request.statement.clone());
                     let limits = (timeout, request.history.write_by());
                     request.out.push((number, self.servers.send(task, &member, limits, context)));
                 }
@@ -440,7 +442,12 @@
                 Action::Timer { at, cookie } => context.reactor.timer(at, Due::Policy(cookie)),
                 Action::Probe { member } => {
                     context.counters.probed += 1;
-                    self.servers.send(Task::Probe, &member, (self.probe_timeout, f64::INFINITY), context);
+                    self.servers.send(
+                        ServerTask::Probe,
+                        &member,
+                        (self.probe_timeout, f64::INFINITY),
+                        context,
+                    );
                 }
                 Action::LetGo { member } => self.servers.let_go(&member),
                 Action::Withhold { member } => self.servers.withhold(&member, context),
@@ -537,8 +544,8 @@
     }
 
     /// A session of an ordinary client wants a server: one request, whatever it does with it.
-    fn wanted(&mut self, slot: Slot, wanted: Wanted, context: &mut Context) {
-        let Wanted { id, class, tenant, group } = wanted;
+    fn wanted(&mut self, slot: Slot, wanted: ServerRequest, context: &mut Context) {
+        let ServerRequest { id, class, tenant, group } = wanted;
         let Some(&Named { number, id: counted, consistency, .. }) =
             self.classes.iter().find(|c| c.name == class)
         else {
@@ -581,8 +588,8 @@
     }
 
     /// A session is no longer on the server that it was given, or never came to be.
-    fn parted(&mut self, parted: Parted, context: &mut Context) {
-        let Parted { id, attempt, member, outcome, elapsed, primary } = parted;
+    fn parted(&mut self, parted: Detachment, context: &mut Context) {
+        let Detachment { id, attempt, member, outcome, elapsed, primary } = parted;
         count(&mut context.counters.attempts, outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
         // One that was withdrawn may be told of after the next was begun.
@@ -646,7 +653,7 @@
             match client {
                 ReplyTarget::Client(client) => {
                     if let Some((command, released)) = self.in_flight.finish(client, id) {
-                        let released = released.into_iter().map(|id| Event::Released(client, id));
+                        let released = released.into_iter().map(|id| Event::RequestReleased(client, id));
                         context.events.extend(released);
                         self.clients.answer(client, command, answer, context);
                     }
@@ -676,9 +683,9 @@
         }
     }
 
-    fn ended(&mut self, ended: Ended, context: &mut Context) {
-        let Ended { task, member, outcome, elapsed, position, primary, report, value } = ended;
-        let Task::Attempt(id, attempt, _) = task else {
+    fn ended(&mut self, ended: TaskResult, context: &mut Context) {
+        let TaskResult { task, member, outcome, elapsed, position, primary, report, value } = ended;
+        let ServerTask::Attempt(id, attempt, _) = task else {
             count(&mut context.counters.probes, outcome);
             return self.tell(interface::Event::Probed { member, outcome, report }, context);
         };
--- a/crates/daemon/src/net/pooler/guard.rs
+++ b/crates/daemon/src/net/pooler/guard.rs
@@ -7,7 +7,7 @@
 use routing::permission::Denial;
 
 use super::{Pooler, ReplyTarget};
-use crate::net::{Context, Ended, Event, Task};
+use crate::net::{Context, Event, ServerTask, TaskResult};
 
 /// What the list's source has sent is looked for at least so often while there is anything to do (seconds). After the process was
 /// held up its news may lie behind any number of requests, and what they tell counts as known since they arrived.
@@ -66,10 +66,10 @@
             _ => violation(&id, denial, context),
         }
         if let (Denial::ClientGone, Some(ReplyTarget::Client(client))) = (denial, request.client) {
-            context.events.push_back(Event::Gone(client));
+            context.events.push_back(Event::ClientLeft(client));
         }
-        context.events.push_back(Event::Ended(Box::new(Ended {
-            task: Task::Attempt(id, attempt, request.statement.clone()),
+        context.events.push_back(Event::TaskEnded(Box::new(TaskResult {
+            task: ServerTask::Attempt(id, attempt, request.statement.clone()),
             member,
             outcome: Outcome::Moot,
             elapsed: 0.0,
--- a/crates/daemon/src/net/registry.rs
+++ b/crates/daemon/src/net/registry.rs
@@ -425,9 +425,9 @@
         if !std::mem::replace(&mut self.told, true) {
             (self.held, self.standing) = (None, BTreeSet::new());
             let all = self.members.all().cloned().collect();
-            context.events.push_back(Event::Members(ListKind::Full, all));
+            context.events.push_back(Event::ListReceived(ListKind::Full, all));
         } else if !changes.is_empty() {
-            context.events.push_back(Event::Members(ListKind::Incremental, changes));
+            context.events.push_back(Event::ListReceived(ListKind::Incremental, changes));
         }
     }
 
@@ -455,11 +455,11 @@
         match notice {
             Notice::Lost(why) => {
                 logging::warn!(event = "registry.lost", "the last list holds: {why}");
-                context.events.push_back(Event::Members(ListKind::Failed, Vec::new()));
+                context.events.push_back(Event::ListReceived(ListKind::Failed, Vec::new()));
             }
             Notice::Following(revision) => {
                 logging::info!(event = "registry.following", revision, "the registry is followed");
-                context.events.push_back(Event::Members(ListKind::Incremental, Vec::new()));
+                context.events.push_back(Event::ListReceived(ListKind::Incremental, Vec::new()));
             }
             Notice::Compacted(revision) => {
                 logging::info!(
--- a/crates/daemon/src/net/servers.rs
+++ b/crates/daemon/src/net/servers.rs
@@ -12,7 +12,7 @@
 use routing::interface::{ListKind, MemberId, Outcome, Phase, Report, RequestId};
 
 use super::event_loop::{Due, Slot, Slots, Source};
-use super::{Context, Ended, Event, Task};
+use super::{Context, Event, ServerTask, TaskResult};
 use crate::counters::Counters;
 
 const USER: &str = "app";
@@ -47,7 +47,7 @@
 
 /// What is being carried out over a connection.
 struct Job {
-    task: Task,
+    task: ServerTask,
     sent: f64,
     give_up: f64,
     /// Nothing of it is written from then on.
@@ -248,10 +248,10 @@
                     return self.spoil();
                 }
                 match self.job.as_ref().map(|job| &job.task) {
-                    Some(Task::Probe) if kind == b'D' => {
+                    Some(ServerTask::Probe) if kind == b'D' => {
                         self.reply.report = pgwire::column(&message.body).and_then(report);
                     }
-                    Some(Task::Probe) => {}
+                    Some(ServerTask::Probe) => {}
                     // Guards against many answers that are each within their bound and together are not.
                     _ if self.held.set(self.reply.value.len() + message.body.len()).is_err() => {
                         return Step::Broken(Outcome::Error);
@@ -280,8 +280,8 @@
     fn ask(&mut self, now: f64) -> bool {
         let Some(job) = self.job.as_ref().filter(|job| now < job.write_by) else { return false };
         let sql = match &job.task {
-            Task::Attempt(_, _, statement) => statement.with_patience(job.give_up - now),
-            Task::Probe => ASK_LOAD.to_vec(),
+            ServerTask::Attempt(_, _, statement) => statement.with_patience(job.give_up - now),
+            ServerTask::Probe => ASK_LOAD.to_vec(),
         };
         (self.stage, self.until) = (Stage::Busy, job.give_up);
         (self.reply, self.begun) = (Reply::default(), false);
@@ -377,7 +377,7 @@
     /// Begins an attempt or a probe; its end is told by an event. The connection that it is on, if any.
     pub fn send(
         &mut self,
-        task: Task,
+        task: ServerTask,
         member: &MemberId,
         (timeout, write_by): (f64, f64),
         context: &mut Context,
@@ -520,7 +520,7 @@
     /// just ended, its end still on the way to the pooler, while its connection carries another request already.
     pub fn cancel(&mut self, slot: Slot, id: &RequestId, attempt: usize, context: &mut Context) {
         let task = self.conns.get_mut(slot).and_then(|conn| conn.job.as_ref()).map(|job| &job.task);
-        if matches!(task, Some(Task::Attempt(of, number, _)) if of == id && *number == attempt) {
+        if matches!(task, Some(ServerTask::Attempt(of, number, _)) if of == id && *number == attempt) {
             self.settle(slot, Step::Broken(Outcome::Cancelled), context);
         }
     }
@@ -551,9 +551,10 @@
 
 /// Tells of the end of a job.
 fn ended(job: Job, member: &MemberId, outcome: Outcome, reply: Reply, context: &mut Context) {
-    let unreadable = matches!(job.task, Task::Probe) && outcome == Outcome::Ok && reply.report.is_none();
+    let unreadable =
+        matches!(job.task, ServerTask::Probe) && outcome == Outcome::Ok && reply.report.is_none();
     context.counters.unreadable += u64::from(unreadable || reply.odd);
-    context.events.push_back(Event::Ended(Box::new(Ended {
+    context.events.push_back(Event::TaskEnded(Box::new(TaskResult {
         task: job.task,
         member: member.clone(),
         outcome,
@@ -600,7 +601,7 @@
         stream.set_nonblocking(true).unwrap();
         let budget = Budget::new(1 << 20);
         let text = format!("/* d=10 */ {}", "x".repeat(bytes));
-        let task = Task::Attempt("1".into(), 0, Rc::new(Statement::new(text.into(), 5..7)));
+        let task = ServerTask::Attempt("1".into(), 0, Rc::new(Statement::new(text.into(), 5..7)));
         let mut conn = Conn {
             member: "s-1".into(),
             address: listener.local_addr().unwrap(),
--- a/crates/daemon/src/net/sessions.rs
+++ b/crates/daemon/src/net/sessions.rs
@@ -36,7 +36,7 @@
 
 /// What a session needs a server for, placed.
 #[derive(Debug)]
-pub(crate) struct Wanted {
+pub(crate) struct ServerRequest {
     pub id: RequestId,
     pub class: String,
     pub tenant: String,
@@ -45,7 +45,7 @@
 
 /// How a session's use of a server ended.
 #[derive(Debug)]
-pub(crate) struct Parted {
+pub(crate) struct Detachment {
     pub id: RequestId,
     pub attempt: usize,
     pub member: MemberId,
--- a/crates/daemon/src/net/sessions/assignment.rs
+++ b/crates/daemon/src/net/sessions/assignment.rs
@@ -11,7 +11,7 @@
 use super::client::Step;
 use super::members::Member;
 use super::server::{role, Backend, ServerState};
-use super::{Parted, Sessions, Wanted};
+use super::{Detachment, ServerRequest, Sessions};
 use crate::net::event_loop::{Due, Slot};
 use crate::net::{Context, Event};
 
@@ -53,8 +53,8 @@
         let id: RequestId = format!("session-{}-{}", slot.number(), self.requests).into();
         let (tenant, group, primary) = (route.tenant.clone(), route.group, route.primary);
         conn.wanted = Some(Waiting { id: id.clone(), tenant, group, primary });
-        let wanted = Wanted { id, class: route.class, tenant: route.tenant, group };
-        context.events.push_back(Event::Wanted(slot, Box::new(wanted)));
+        let wanted = ServerRequest { id, class: route.class, tenant: route.tenant, group };
+        context.events.push_back(Event::ServerRequested(slot, Box::new(wanted)));
         self.probe_for_primary(context);
     }
 
@@ -71,8 +71,9 @@
         let now = context.reactor.now();
         let Some(conn) = self.conns.get_mut(slot) else {
             let (id, member) = (id.clone(), member.clone());
-            let parted = Parted { id, attempt, member, outcome: Outcome::Moot, elapsed: 0.0, primary: None };
-            return context.events.push_back(Event::Parted(Box::new(parted)));
+            let parted =
+                Detachment { id, attempt, member, outcome: Outcome::Moot, elapsed: 0.0, primary: None };
+            return context.events.push_back(Event::SessionDetached(Box::new(parted)));
         };
         let tenant = conn.wanted.as_ref().map(|wanted| wanted.tenant.clone()).unwrap_or_default();
         conn.job = Some(Job {
@@ -158,7 +159,7 @@
         (backend.state, backend.client, conn.backend) = (ServerState::Used, Some(slot), Some(place));
         job.begun = true;
         conn.wanted = None;
-        context.events.push_back(Event::Begun(job.id.clone()));
+        context.events.push_back(Event::SessionAttached(job.id.clone()));
         let mut actions = Vec::new();
         session.attach(backend.remote.take().unwrap_or_default(), &mut actions);
         if let Step::Over = self.act(slot, actions, context) {
@@ -222,8 +223,8 @@
             _ if primary.is_some() => self.learn(&member, primary, context),
             _ => {}
         }
-        let parted = Parted { id, attempt, member, outcome, elapsed: busy, primary };
-        context.events.push_back(Event::Parted(Box::new(parted)));
+        let parted = Detachment { id, attempt, member, outcome, elapsed: busy, primary };
+        context.events.push_back(Event::SessionDetached(Box::new(parted)));
     }
 
     /// A session's connection is taken from it, or has ended.
--- a/crates/daemon/src/net/sessions/client.rs
+++ b/crates/daemon/src/net/sessions/client.rs
@@ -242,7 +242,7 @@
     pub(super) fn remove(&mut self, slot: Slot, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         if let Some(wanted) = conn.wanted.take() {
-            context.events.push_back(Event::Left(wanted.id));
+            context.events.push_back(Event::ServerRequestAbandoned(wanted.id));
         }
         let ended = conn.session.as_mut().and_then(|session| session.gone());
         match ended {
--- a/crates/daemon/src/net/sessions/members.rs
+++ b/crates/daemon/src/net/sessions/members.rs
@@ -76,7 +76,7 @@
     pub(super) fn learn(&mut self, member: &MemberId, primary: Option<bool>, context: &mut Context) {
         let Some(known) = self.members.get_mut(member) else { return };
         if let Some(primary) = primary.filter(|_| known.primary != primary) {
-            context.events.push_back(Event::Role(member.clone(), primary));
+            context.events.push_back(Event::RoleReported(member.clone(), primary));
         }
         known.primary = primary;
     }
