--- a/crates/daemon/src/cli/config.rs
+++ b/crates/daemon/src/cli/config.rs
@@ -236,15 +236,15 @@
             print!("{}", schema::defaults());
             ExitCode::SUCCESS
         }
-        Command::Check(Check { file, config, json }) => check(&file, config, json),
+        Command::Check(Check { file, config, json }) => check_file(&file, config, json),
         Command::Diff(Diff { old, new, json }) => diff(&old, &new, json),
         Command::Plan(Plan { file, socket, json }) => match text(&file) {
-            Ok(text) => ask(socket, Call::Plan { text }, json),
+            Ok(text) => run_call(socket, Call::Plan { text }, json),
             Err(fault) => fail(&fault),
         },
         Command::Apply(args) => apply(args),
         Command::Confirm(Confirm { generation, socket, json }) => {
-            ask(socket, Call::Confirm { generation }, json)
+            run_call(socket, Call::Confirm { generation }, json)
         }
         Command::Rollback(Rollback { to, allow, socket, json }) => {
             // Undone is what was asked for here: that is no failure.
@@ -257,8 +257,8 @@
                 Err(fault) => fail(&fault),
             }
         }
-        Command::Status(Status { socket, json }) => ask(socket, Call::Status {}, json),
-        Command::History(History { socket, json }) => ask(socket, Call::History {}, json),
+        Command::Status(Status { socket, json }) => run_call(socket, Call::Status {}, json),
+        Command::History(History { socket, json }) => run_call(socket, Call::History {}, json),
         Command::Show(Show { socket }) => match call(socket, Call::Show {}) {
             Ok(response) => {
                 print!("{}", response.text.unwrap_or_default());
@@ -267,7 +267,7 @@
             Err(fault) => fail(&fault),
         },
         Command::Sign(Sign { file, key }) => {
-            let signed = files::key(&key).and_then(|key| {
+            let signed = files::read_key(&key).and_then(|key| {
                 let text = text(&file)?;
                 bundle::sign(&text, &key).map_err(|fault| fault.to_string())
             });
@@ -280,7 +280,7 @@
             }
         }
         Command::Verify(Verify { file, key }) => {
-            let keys = key.iter().map(|path| files::key(path)).collect::<Result<Vec<_>, String>>();
+            let keys = key.iter().map(|path| files::read_key(path)).collect::<Result<Vec<_>, String>>();
             match keys.and_then(|keys| Ok((text(&file)?, keys))) {
                 Err(fault) => fail(&fault),
                 Ok((text, keys)) => match bundle::verify(&text, &keys) {
@@ -300,12 +300,12 @@
 
 /// A file's text, once it is sure to be an operator's file.
 fn text(file: &Path) -> Result<String, String> {
-    files::document(file).map(|(text, _)| text)
+    files::read_document(file).map(|(text, _)| text)
 }
 
 /// Whether a file can be used.
-pub(super) fn check(file: &Path, platform: Option<PathBuf>, json: bool) -> ExitCode {
-    let document = match files::document(file) {
+pub(super) fn check_file(file: &Path, platform: Option<PathBuf>, json: bool) -> ExitCode {
+    let document = match files::read_document(file) {
         Ok((_, document)) => document,
         Err(fault) => {
             if json {
@@ -340,7 +340,7 @@
 }
 
 fn diff(old: &Path, new: &Path, json: bool) -> ExitCode {
-    match files::document(old).and_then(|old| Ok((old.1, files::document(new)?.1))) {
+    match files::read_document(old).and_then(|old| Ok((old.1, files::read_document(new)?.1))) {
         Ok((old, new)) => {
             let differences = old.differences(&new);
             let mut response = Response::new(Code::Ok, format!("{} values differ", differences.len()));
@@ -401,7 +401,7 @@
 }
 
 /// Makes a call, prints the answer and ends as it says.
-pub(super) fn ask(socket: Option<PathBuf>, request: Call, json: bool) -> ExitCode {
+pub(super) fn run_call(socket: Option<PathBuf>, request: Call, json: bool) -> ExitCode {
     match call(socket, request) {
         Ok(response) => ended(&response, json),
         Err(fault) => fail(&fault),
--- a/crates/daemon/src/cli/control.rs
+++ b/crates/daemon/src/cli/control.rs
@@ -30,7 +30,7 @@
 
 /// Runs the command.
 pub(super) fn run(args: Args) -> ExitCode {
-    let served = files::document(&args.operator)
+    let served = files::read_document(&args.operator)
         .and_then(|(_, document)| crate::net::serve_control(&document, &args.name, args.listen));
     match served {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/daemon/src/cli/fleet.rs
+++ b/crates/daemon/src/cli/fleet.rs
@@ -18,7 +18,7 @@
 
 use super::fail;
 use crate::files;
-use crate::net::Bound;
+use crate::net::OwnedListener;
 
 /// How often processes and calls are looked at, and how often each instance that serves is asked how it goes.
 const TURN: Duration = Duration::from_millis(50);
@@ -284,7 +284,7 @@
 
     fn read(platform: &Path, operator: &Path, program: PathBuf) -> Result<Files, String> {
         let config = super::read(platform)?;
-        let (text, document) = files::document(operator)?;
+        let (text, document) = files::read_document(operator)?;
         let named = |fault: &dyn std::fmt::Display| format!("{}: {fault}", operator.display());
         if document.change.require_signature {
             return Err(named(&"change.require_signature: each instance's file differs from the signed one"));
@@ -292,7 +292,8 @@
         if document.listen.is_some() {
             return Err(named(&"listen: each instance has an address of its own, from the fleet's file"));
         }
-        operator::Effective::new(&config, document).map_err(|c| named(&crate::net::words(&c)))?;
+        operator::Effective::new(&config, document)
+            .map_err(|c| named(&crate::net::describe_conflicts(&c)))?;
         let json = files::read(platform, 64 * 1024 * 1024)?;
         Ok(Files {
             platform: serde_json::from_slice(&json).map_err(|error| error.to_string())?,
@@ -326,7 +327,7 @@
         let port = settings.listen.port() + n as u16;
         platform["listen"] = SocketAddr::new(settings.listen.ip(), port).to_string().into();
         let mut seed = [0; 8];
-        files::random(&mut seed)?;
+        files::fill_random(&mut seed)?;
         platform["seed"] = format!("{:016x}", u64::from_le_bytes(seed)).into();
         let mut operator = self.operator.clone();
         for (table, key, file) in
@@ -615,7 +616,7 @@
     }
 
     /// Takes the calls that wait.
-    fn serve(&mut self, bound: &Bound) {
+    fn serve(&mut self, bound: &OwnedListener) {
         while let Ok((stream, _)) = bound.listener.accept() {
             let stream = UnixStream::from(stream);
             let bounded =
@@ -643,7 +644,7 @@
     let folder = socket.parent().map_or_else(PathBuf::new, Path::to_path_buf);
     fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     // Bound first: two supervisors of one fleet would undo each other's work.
-    let bound = Bound::new(&socket).map_err(|error| format!("{}: {error}", socket.display()))?;
+    let bound = OwnedListener::new(&socket).map_err(|error| format!("{}: {error}", socket.display()))?;
     let mut fleet = Fleet::new(file)?;
     println!("fleet: looks after {} instances", fleet.settings.instances);
     while !fleet.supervisor.is_over() {
--- a/crates/daemon/src/cli/mod.rs
+++ b/crates/daemon/src/cli/mod.rs
@@ -1,12 +1,12 @@
 //! The command line.
 
-mod caller;
 mod config;
 mod control;
 mod fleet;
 mod peers;
 mod print;
 mod registry;
+mod registry_client;
 mod route;
 mod users;
 
@@ -16,7 +16,7 @@
 use ::config::{Config, Meaning};
 use argh::FromArgs;
 
-use crate::net::Operator;
+use crate::net::OperatorOptions;
 
 /// dewferry: a pooler that sends each read and write of a replicated database where it belongs.
 #[derive(FromArgs)]
@@ -116,7 +116,7 @@
                         "--take-over without --operator: it names the socket of the running daemon".into()
                     );
                 }
-                let operator = operator.map(|file| Operator { file, state, take_over });
+                let operator = operator.map(|file| OperatorOptions { file, state, take_over });
                 crate::net::serve(&config, &path, operator).map_err(|error| format!("cannot serve: {error}"))
             }) {
                 Ok(code) => return ExitCode::from(code),
@@ -131,14 +131,14 @@
         Command::Route(args) => return route::run(args),
         Command::Users(args) => return users::run(args),
         Command::Sessions(Sessions { socket, json }) => {
-            return config::ask(socket, ::control::Call::Sessions {}, json);
+            return config::run_call(socket, ::control::Call::Sessions {}, json);
         }
         Command::Version(Version {}) => {
             println!("dewferry {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
         Command::CheckConfig(CheckConfig { config, operator: Some(file), json }) => {
-            return config::check(&file, config, json);
+            return config::check_file(&file, config, json);
         }
         Command::CheckConfig(CheckConfig { config, operator: None, json }) => {
             load(config).and_then(|(_, config)| meant(&config, json))
--- a/crates/daemon/src/cli/registry.rs
+++ b/crates/daemon/src/cli/registry.rs
@@ -16,8 +16,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use super::caller::{now, turned_down, Caller, LONGEST};
 use super::fail;
+use super::registry_client::{describe_refusal, now, RegistryClient, MAX_ANSWER_BYTES};
 use crate::dial::guard;
 use crate::files;
 
@@ -185,8 +185,8 @@
     result.unwrap_or_else(|fault| fail(&fault))
 }
 
-fn understood(caller: &mut Caller) -> Result<(View, Members), String> {
-    let view = caller.read()?;
+fn understood(caller: &mut RegistryClient) -> Result<(View, Members), String> {
+    let view = caller.read_view()?;
     let mut members = Members::default();
     members.take(&caller.settings.prefix, &view, None);
     Ok((view, members))
@@ -209,7 +209,7 @@
 }
 
 fn view(operator: &Path, json: bool) -> Result<ExitCode, String> {
-    let (view, members) = understood(&mut Caller::of(operator)?)?;
+    let (view, members) = understood(&mut RegistryClient::from_operator_file(operator)?)?;
     if json {
         let list: Vec<_> = members.all().map(object).collect();
         println!("{}", json!({"revision": view.revision, "members": list}));
@@ -222,10 +222,10 @@
 }
 
 fn check(operator: &Path, json: bool) -> Result<ExitCode, String> {
-    let mut caller = Caller::of(operator)?;
+    let mut caller = RegistryClient::from_operator_file(operator)?;
     let (_, members) = understood(&mut caller)?;
     let (good, bad) = (members.all().count(), members.poisoned().count());
-    let warning = caller.warning();
+    let warning = caller.expiry_warning();
     if json {
         let poisoned: BTreeMap<&str, &str> = members.poisoned().collect();
         println!("{}", json!({"understood": good, "not_understood": poisoned, "warning": warning}));
@@ -254,8 +254,8 @@
     dry_run: bool,
     json: bool,
 ) -> Result<ExitCode, String> {
-    let mut caller = Caller::of(operator)?;
-    let view = caller.read()?;
+    let mut caller = RegistryClient::from_operator_file(operator)?;
+    let view = caller.read_view()?;
     let prefix = &caller.settings.prefix;
     if view.get(format!("{prefix}/members/{member}").as_bytes()).is_none() {
         return Err(format!("{member}: no member of that name is listed"));
@@ -282,9 +282,9 @@
 }
 
 /// Has changes written in one transaction; false where somebody else has been there meanwhile.
-fn written(caller: &mut Caller, changes: &[Change]) -> Result<bool, String> {
+fn written(caller: &mut RegistryClient, changes: &[Change]) -> Result<bool, String> {
     let answer = caller.call(wire::TXN, &wire::write_if(changes))?;
-    wire::written(&answer).map_err(turned_down)
+    wire::written(&answer).map_err(describe_refusal)
 }
 
 /// All members and drains, as they are exported and imported.
@@ -301,8 +301,8 @@
 }
 
 fn export(operator: &Path) -> Result<ExitCode, String> {
-    let mut caller = Caller::of(operator)?;
-    let view = caller.read()?;
+    let mut caller = RegistryClient::from_operator_file(operator)?;
+    let view = caller.read_view()?;
     let mut whole = Whole { revision: view.revision, ..Whole::default() };
     let (members, drains) =
         (format!("{}/members/", caller.settings.prefix), format!("{}/drains/", caller.settings.prefix));
@@ -330,7 +330,7 @@
 
 fn import(args: &Import) -> Result<ExitCode, String> {
     let named = |fault: String| format!("{}: {fault}", args.file.display());
-    let bytes = files::read(&args.file, LONGEST)?;
+    let bytes = files::read(&args.file, MAX_ANSWER_BYTES)?;
     let whole: Whole = serde_json::from_slice(&bytes).map_err(|error| named(error.to_string()))?;
     let mut values = BTreeMap::new();
     for (name, value) in &whole.members {
@@ -341,8 +341,8 @@
     if let Some(name) = whole.drains.keys().find(|name| !values.contains_key(*name)) {
         return Err(named(format!("drains.{name}: no member of that name in the file")));
     }
-    let mut caller = Caller::of(&args.operator)?;
-    let view = caller.read()?;
+    let mut caller = RegistryClient::from_operator_file(&args.operator)?;
+    let view = caller.read_view()?;
     let prefix = caller.settings.prefix.clone();
     let drains = whole.drains.into_iter().map(|(name, note)| (name, note.into_bytes())).collect();
     let (mut changes, mut gone) = (Vec::new(), 0);
@@ -411,7 +411,7 @@
 
 /// Follows the list with the same machine as a pooler does.
 fn watch(args: &Watch) -> Result<ExitCode, String> {
-    let mut caller = Caller::of(&args.operator)?;
+    let mut caller = RegistryClient::from_operator_file(&args.operator)?;
     let settings = caller.settings.clone();
     let seed = now().to_bits() ^ u64::from(std::process::id());
     let endpoints = Endpoints::new(settings.endpoints.len(), Pace::default(), seed, now());
@@ -419,7 +419,7 @@
     let guard = Guard { share: 1.0, ..guard(&settings) };
     let prefix = format!("{}/", settings.prefix).into_bytes();
     let mut sync = Sync::new(prefix.clone(), endpoints, guard, View::default());
-    let (mut members, budget) = (Members::default(), Budget::new(4 * LONGEST));
+    let (mut members, budget) = (Members::default(), Budget::new(4 * MAX_ANSWER_BYTES));
     let begun = Instant::now();
     let mut inputs = vec![Input::Start];
     let mut open = None;
@@ -433,7 +433,7 @@
                     inputs.push(token.map_or(Input::Broken(call), |token| Input::Token(call, Ok(token))));
                 }
                 Action::Read(call, at, range) => {
-                    let answer = caller.exchange(at, wire::RANGE, &range.body());
+                    let answer = caller.call_endpoint(at, wire::RANGE, &range.body());
                     inputs.push(
                         answer.map_or(Input::Broken(call), |body| Input::Page(call, wire::page(&body))),
                     );
@@ -441,7 +441,9 @@
                 Action::Watch(call, at, revision) => {
                     let body = wire::watch(&prefix, &wire::after(&prefix), revision);
                     match caller.connect(at, wire::WATCH, &body, &budget) {
-                        Ok(link) => open = Some((call, link, Answer::default(), Lines::new(LONGEST))),
+                        Ok(link) => {
+                            open = Some((call, link, Answer::default(), Lines::new(MAX_ANSWER_BYTES)))
+                        }
                         Err(_) => inputs.push(Input::Broken(call)),
                     }
                 }
@@ -470,7 +472,7 @@
         match &mut open {
             None => std::thread::sleep(wait),
             Some((call, (patient, link), answer, lines)) => {
-                let turned = patient.wait(wait).and_then(|()| patient.turn(link));
+                let turned = patient.set_timeout(wait).and_then(|()| patient.turn(link));
                 let told = turned.and_then(|fill| {
                     while let Some(piece) = answer.next(&mut link.inbox).map_err(|f| f.words().to_string())? {
                         if let Piece::Body(bytes) = piece {
--- a/crates/daemon/src/cli/route.rs
+++ b/crates/daemon/src/cli/route.rs
@@ -69,8 +69,9 @@
 
 fn explain(args: &Explain) -> Result<(), String> {
     let (_, platform) = load(args.config.clone())?;
-    let document = files::document(&args.operator)?.1;
-    let effective = Effective::new(&platform, document).map_err(|conflicts| crate::net::words(&conflicts))?;
+    let document = files::read_document(&args.operator)?.1;
+    let effective = Effective::new(&platform, document)
+        .map_err(|conflicts| crate::net::describe_conflicts(&conflicts))?;
     let scan = sql::scan(&args.sql);
     let reads = pooling::only_reads(&scan);
     let route = effective.routes().route(&Ask {
--- a/crates/daemon/src/cli/users.rs
+++ b/crates/daemon/src/cli/users.rs
@@ -86,7 +86,7 @@
 }
 
 fn add(name: &str, file: &Path) -> Result<ExitCode, String> {
-    let mut users = if file.exists() { files::users(file)? } else { Users::default() };
+    let mut users = if file.exists() { files::read_users(file)? } else { Users::default() };
     let mut password = String::new();
     let read = std::io::stdin().take(LONGEST + 1).read_to_string(&mut password);
     read.map_err(|error| format!("the password: {error}"))?;
@@ -99,7 +99,7 @@
         return Err(format!("the password: accepted: one line of 1 to {LONGEST} printable ASCII characters"));
     }
     let mut salt = [0; 16];
-    files::random(&mut salt)?;
+    files::fill_random(&mut salt)?;
     if !users.put(name, Verifier::new(password, &salt, ITERATIONS)) {
         return Err(format!("{name:?}: accepted: a name of at most 63 bytes that does not begin with #"));
     }
@@ -109,7 +109,7 @@
 }
 
 fn remove(name: &str, file: &Path) -> Result<ExitCode, String> {
-    let mut users = files::users(file)?;
+    let mut users = files::read_users(file)?;
     if !users.remove(name) {
         eprintln!("dewferry: {name}: no such user");
         return Ok(ExitCode::from(1));
@@ -120,7 +120,7 @@
 }
 
 fn list(file: &Path, json: bool) -> Result<ExitCode, String> {
-    let users = files::users(file)?;
+    let users = files::read_users(file)?;
     if json {
         println!("{}", json!({"users": users.names().collect::<Vec<_>>()}));
     } else {
--- a/crates/daemon/src/dial.rs
+++ b/crates/daemon/src/dial.rs
@@ -15,7 +15,7 @@
 const DAY: f64 = 86_400.0;
 
 /// Makes links to the endpoints of one registry.
-pub(crate) struct Dial {
+pub(crate) struct Dialer {
     settings: Settings,
     /// What sessions are made from; none before the files were read, or without TLS.
     client: Option<Client>,
@@ -25,13 +25,13 @@
     warn: f64,
 }
 
-impl Dial {
-    pub fn new(settings: &Settings) -> Dial {
-        Dial { settings: settings.clone(), client: None, doubted: false, warn: f64::NEG_INFINITY }
+impl Dialer {
+    pub fn new(settings: &Settings) -> Dialer {
+        Dialer { settings: settings.clone(), client: None, doubted: false, warn: f64::NEG_INFINITY }
     }
 
     /// A link to an endpoint, with a call in it that is to go. Reads files where they have not been read.
-    pub fn call(
+    pub fn link_with_request(
         &mut self,
         endpoint: SocketAddr,
         path: &str,
@@ -62,20 +62,20 @@
     }
 
     /// The body of a call for a token.
-    pub fn login(&self) -> Result<Vec<u8>, String> {
+    pub fn login_body(&self) -> Result<Vec<u8>, String> {
         let (user, file) =
             self.settings.user.as_ref().zip(self.settings.password_file.as_ref()).ok_or("no user")?;
-        Ok(wire::login(user, &files::password(file)?))
+        Ok(wire::login(user, &files::read_password(file)?))
     }
 
     /// A link made here has failed at the other side's hands: the files are read anew before the next, since they
     /// may have been replaced by then.
-    pub fn doubt(&mut self) {
+    pub fn mark_files_stale(&mut self) {
         self.doubted = true;
     }
 
     /// A warning of a certificate that runs out, once a day.
-    pub fn warning(&mut self, now: f64) -> Option<String> {
+    pub fn expiry_warning(&mut self, now: f64) -> Option<String> {
         let (which, end) = self.client.as_ref().and_then(Client::ends)?;
         if now < self.warn {
             return None;
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -46,7 +46,7 @@
 }
 
 /// Reads the operator's file.
-pub(crate) fn document(path: &Path) -> Result<(String, Document), String> {
+pub(crate) fn read_document(path: &Path) -> Result<(String, Document), String> {
     let bytes = read(path, LONGEST)?;
     let named = |fault: String| {
         let place = format!("{}: ", path.display());
@@ -67,7 +67,7 @@
 }
 
 /// Reads a key file for signatures.
-pub(crate) fn key(path: &Path) -> Result<Key, String> {
+pub(crate) fn read_key(path: &Path) -> Result<Key, String> {
     let named = |fault: String| format!("{}: {fault}", path.display());
     let bytes = private(path, bundle::LONGEST_KEY)?;
     let text = String::from_utf8(bytes).map_err(|_| named(bundle::Fault::Key.to_string()))?;
@@ -75,7 +75,7 @@
 }
 
 /// Reads the key files of instances that talk.
-pub(crate) fn peer_keys(paths: &[PathBuf]) -> Result<replication::Keys, String> {
+pub(crate) fn read_peer_keys(paths: &[PathBuf]) -> Result<replication::Keys, String> {
     let named = |path: &Path, fault: &str| format!("{}: {fault}", path.display());
     let mut texts = Vec::new();
     for path in paths {
@@ -92,7 +92,7 @@
 }
 
 /// Reads a password: the file's only line.
-pub(crate) fn password(path: &Path) -> Result<String, String> {
+pub(crate) fn read_password(path: &Path) -> Result<String, String> {
     let text = String::from_utf8(private(path, LONGEST_PASSWORD)?).unwrap_or_default();
     let line = text.strip_suffix('\n').unwrap_or(&text);
     if line.is_empty() || line.chars().any(char::is_control) {
@@ -124,14 +124,14 @@
 }
 
 /// Reads a file of users.
-pub(crate) fn users(path: &Path) -> Result<scram::Users, String> {
+pub(crate) fn read_users(path: &Path) -> Result<scram::Users, String> {
     let text = String::from_utf8(private(path, scram::LONGEST)?);
     let text = text.map_err(|_| format!("{}: not UTF-8", path.display()))?;
     scram::Users::read(&text).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
 /// Fills bytes with what nobody can foretell.
-pub(crate) fn random(bytes: &mut [u8]) -> Result<(), String> {
+pub(crate) fn fill_random(bytes: &mut [u8]) -> Result<(), String> {
     let read = File::open("/dev/urandom").and_then(|mut file| file.read_exact(bytes));
     read.map_err(|error| format!("/dev/urandom: {error}"))
 }
@@ -168,10 +168,10 @@
 }
 
 /// Whether a file's text may be taken under the change policy in force.
-pub(crate) fn signed(text: &str, policy: &operator::ChangePolicy) -> Result<(), String> {
+pub(crate) fn check_signature(text: &str, policy: &operator::ChangePolicy) -> Result<(), String> {
     if !policy.require_signature {
         return Ok(());
     }
-    let keys = policy.keys.iter().map(|path| key(path)).collect::<Result<Vec<Key>, String>>()?;
+    let keys = policy.keys.iter().map(|path| read_key(path)).collect::<Result<Vec<Key>, String>>()?;
     bundle::verify(text, &keys).map(drop).map_err(|fault| fault.to_string())
 }
--- a/crates/daemon/src/net/change.rs
+++ b/crates/daemon/src/net/change.rs
@@ -21,7 +21,7 @@
 const LOOK_BACK: f64 = 15.0;
 
 /// What a daemon comes up on.
-pub(crate) struct Opening {
+pub(crate) struct StartupConfig {
     pub path: PathBuf,
     pub effective: Effective,
     start: Start,
@@ -41,8 +41,8 @@
     platform: &Config,
     now: f64,
     loud: &mut Vec<String>,
-) -> Result<Opening, String> {
-    let read = files::document(path);
+) -> Result<StartupConfig, String> {
+    let read = files::read_document(path);
     let dir = state.or_else(|| read.as_ref().ok().and_then(|(_, document)| document.state.dir.clone()));
     let (mut store, history) = match &dir {
         None => (None, History::default()),
@@ -54,13 +54,13 @@
     };
     let confirmed = history.confirmed().map(|generation| generation.document.clone());
     let fits = |document: Document| -> Result<Document, String> {
-        let conflicts = |c: Vec<Conflict>| words(&c);
+        let conflicts = |c: Vec<Conflict>| describe_conflicts(&c);
         Effective::new(platform, document.clone()).map(|_| document).map_err(conflicts)
     };
     // The file must be signed where the last confirmed one, or it itself, asks for that.
     let file = read.and_then(|(text, document)| {
         let policy = confirmed.as_ref().map_or(&document.change, |confirmed| &confirmed.change);
-        files::signed(&text, policy).map_err(|fault| format!("{}: {fault}", path.display()))?;
+        files::check_signature(&text, policy).map_err(|fault| format!("{}: {fault}", path.display()))?;
         fits(document).map_err(|fault| format!("{}: {fault}", path.display()))
     });
     if let (Err(fault), None) = (&file, &confirmed) {
@@ -70,25 +70,26 @@
     let start = history.start(file, now);
     loud.extend(start.loud.clone());
     let effective = Effective::new(platform, (*start.generation.document).clone());
-    let effective = effective
-        .map_err(|c| format!("generation {} no longer fits: {}", start.generation.number, words(&c)))?;
+    let effective = effective.map_err(|c| {
+        format!("generation {} no longer fits: {}", start.generation.number, describe_conflicts(&c))
+    })?;
     if let Some(store) = &mut store {
         store.record(&start.records)?;
     }
     let mut history = history;
     start.records.iter().for_each(|record| history.take(record));
-    let kept = store.as_ref().and_then(Store::kept);
-    Ok(Opening { kept, path: path.to_path_buf(), effective, start, history, store, taken })
+    let kept = store.as_ref().and_then(Store::stored_view);
+    Ok(StartupConfig { kept, path: path.to_path_buf(), effective, start, history, store, taken })
 }
 
 /// Conflicts in words, a line each.
-pub(crate) fn words(conflicts: &[Conflict]) -> String {
+pub(crate) fn describe_conflicts(conflicts: &[Conflict]) -> String {
     conflicts.iter().map(Conflict::to_string).collect::<Vec<_>>().join("\n")
 }
 
 /// All that changes have to do with.
 pub(crate) struct Changes {
-    pub machine: Machine,
+    pub transaction: Machine,
     pub health: Health,
     pub roster: Roster,
     /// Inputs that wait for the machine: what its actions bring about comes after them.
@@ -98,42 +99,42 @@
     pub path: PathBuf,
     /// What the operator's file said when it was last taken: a SIGHUP for the platform's sake must not bring
     /// back what a control call has replaced since.
-    pub taken: Option<Digest>,
+    pub accepted_digest: Option<Digest>,
     /// The view of a registry that was kept, in bytes, until it is used.
-    pub kept: Option<Vec<u8>>,
+    pub stored_view: Option<Vec<u8>>,
     writer: Option<Writer>,
     /// Since when the present generation is in force (Unix seconds).
-    pub since: f64,
+    pub in_force_since: f64,
 }
 
 /// A change that has been read and laid over the platform's word.
-pub(crate) struct Read {
+pub(crate) struct CheckedChange {
     differences: Vec<Difference>,
     findings: Vec<Finding>,
 }
 
 impl Changes {
     pub fn new(
-        opening: Opening,
+        opening: StartupConfig,
         platform: Config,
         waker: impl FnOnce() -> std::io::Result<mio::Waker>,
         now: f64,
     ) -> std::io::Result<Changes> {
-        let Opening { path, effective, start, history, store, taken, kept } = opening;
+        let StartupConfig { path, effective, start, history, store, taken, kept } = opening;
         let most = effective.document.state.max_kb as usize * 1024;
         let writer = store.map(|store| store.spawn(waker()?, most)).transpose()?;
         Ok(Changes {
-            machine: Machine::new(history, start.generation),
+            transaction: Machine::new(history, start.generation),
             health: Health::new(now, LOOK_BACK),
             roster: Roster::default(),
             inputs: VecDeque::new(),
             effective,
             platform,
             path,
-            taken,
-            kept,
+            accepted_digest: taken,
+            stored_view: kept,
             writer,
-            since: now,
+            in_force_since: now,
         })
     }
 
@@ -141,7 +142,7 @@
     pub fn persist(&mut self, step: u64, record: &transaction::Record) {
         let result = match &mut self.writer {
             None => Ok(()),
-            Some(writer) => match writer.append(step, record, self.machine.history()) {
+            Some(writer) => match writer.append(step, record, self.transaction.history()) {
                 // Its end is told by the disk.
                 Ok(()) => return,
                 Err(fault) => Err(fault),
@@ -156,28 +157,28 @@
     }
 
     /// A successor that may have written has failed: what is on disk is this daemon's again.
-    pub fn reclaim(&mut self) {
+    pub fn rewrite_history(&mut self) {
         if let Some(writer) = &mut self.writer {
-            writer.reclaim(self.machine.history());
+            writer.rewrite_history(self.transaction.history());
         }
     }
 
     /// Whether a registry's view can be kept now: there is a folder, and none is being written.
-    pub fn can_keep(&self) -> bool {
-        self.writer.as_ref().is_some_and(|writer| !writer.keeps())
+    pub fn can_store_view(&self) -> bool {
+        self.writer.as_ref().is_some_and(|writer| !writer.is_storing_view())
     }
 
     /// Has a registry's view kept.
-    pub fn keep(&mut self, bytes: Vec<u8>) {
+    pub fn store_view(&mut self, bytes: Vec<u8>) {
         if let Some(writer) = &self.writer {
-            writer.keep(bytes);
+            writer.store_view(bytes);
         }
     }
 
     /// Takes up what the disk has done; faults of the log as a whole.
-    pub fn written(&mut self) -> Vec<String> {
+    pub fn collect_writes(&mut self) -> Vec<String> {
         let mut faults = Vec::new();
-        while let Some((step, result)) = self.writer.as_mut().and_then(Writer::done) {
+        while let Some((step, result)) = self.writer.as_mut().and_then(Writer::next_result) {
             if step > 0 {
                 self.inputs.push_back(Input::Persisted { step, result });
             } else if let Err(fault) = result {
@@ -188,7 +189,7 @@
     }
 
     /// Lays a document over the platform's word and looks at what it would do now.
-    pub fn read(&self, document: Document, view: &View) -> Result<Read, Vec<Finding>> {
+    pub fn check_document(&self, document: Document, view: &View) -> Result<CheckedChange, Vec<Finding>> {
         let effective = Effective::new(&self.platform, document).map_err(|conflicts| {
             let finding =
                 |c: &Conflict| Finding { code: "conflict", severity: Severity::Error, what: c.to_string() };
@@ -202,23 +203,23 @@
             let unusable = |what: String| Finding { code: "registry-files", severity: Severity::Error, what };
             let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
             findings.extend(files::registry_tls(registry, now.as_secs_f64()).err().map(unusable));
-            let password = registry.password_file.as_ref().map(|file| files::password(file));
+            let password = registry.password_file.as_ref().map(|file| files::read_password(file));
             findings.extend(password.and_then(Result::err).map(unusable));
         }
         let pool = &effective.document.pool;
         if *pool != self.effective.document.pool {
             let unusable = |what: String| Finding { code: "pool-files", severity: Severity::Error, what };
-            let users = pool.users.as_ref().map(|file| files::users(file));
+            let users = pool.users.as_ref().map(|file| files::read_users(file));
             findings.extend(users.and_then(Result::err).map(unusable));
             let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
             findings.extend(files::pool_tls(pool, now.as_secs_f64()).err().map(unusable));
         }
-        Ok(Read { differences, findings })
+        Ok(CheckedChange { differences, findings })
     }
 
     /// What a file would do.
     pub fn plan(&self, document: Document, view: &View) -> Response {
-        match self.read(document, view) {
+        match self.check_document(document, view) {
             Err(findings) => Response::new(Code::Refused, "does not fit").with_findings(&findings),
             Ok(read) => {
                 let stands = transaction::refused(&read.findings, &[]);
@@ -250,7 +251,7 @@
             (None, Confirm::Manual) => Mode::Manual(policy.confirm_within_s),
             (None, Confirm::Auto) => Mode::Auto(policy.probation_s),
         };
-        let findings = match self.read(document.clone(), view) {
+        let findings = match self.check_document(document.clone(), view) {
             Ok(read) => read.findings,
             Err(findings) => findings,
         };
@@ -259,16 +260,23 @@
     }
 
     /// Counts how a request ended.
-    pub fn note(&mut self, now: f64, (class, group): (u16, u32), repeat: bool, bad: Option<Bad>, took: f64) {
+    pub fn record_request(
+        &mut self,
+        now: f64,
+        (class, group): (u16, u32),
+        repeat: bool,
+        bad: Option<Bad>,
+        took: f64,
+    ) {
         self.health.note(now, class, group, repeat, bad, took);
     }
 
     /// What has become worse since the change on probation, if anything.
-    pub fn worse(&self, now: f64, name: impl Fn(u16) -> String) -> Option<String> {
-        if !matches!(self.machine.stage(), Stage::Probation(_)) {
+    pub fn find_regression(&self, now: f64, name: impl Fn(u16) -> String) -> Option<String> {
+        if !matches!(self.transaction.stage(), Stage::Probation(_)) {
             return None;
         }
-        let policy = &self.machine.base().document.change;
+        let policy = &self.transaction.base().document.change;
         let rules = Rules {
             significance: policy.significance,
             worse_by: policy.worse_by,
@@ -283,8 +291,8 @@
 
     /// What is in force and under way.
     pub fn status(&self, requests: usize, life: lifecycle::Stage, counters: &Counters) -> Response {
-        let current = self.machine.current();
-        let (stage, until) = match self.machine.stage() {
+        let current = self.transaction.current();
+        let (stage, until) = match self.transaction.stage() {
             Stage::Idle => ("idle", None),
             Stage::Staging => ("staging", None),
             Stage::Applying => ("applying", None),
@@ -298,8 +306,8 @@
             generation: current.number,
             digest: current.digest.to_string(),
             note: current.note.clone(),
-            since: self.since,
-            confirmed: self.machine.base().number,
+            since: self.in_force_since,
+            confirmed: self.transaction.base().number,
             stage: stage.into(),
             until,
             life: life.words().into(),
@@ -311,7 +319,7 @@
             requests,
             overrides: self.effective.document.overrides.len(),
             lasting: self.writer.is_some(),
-            last: self.machine.entries().next_back(),
+            last: self.transaction.entries().next_back(),
         };
         Response { status: Some(status), ..Response::new(Code::Ok, format!("generation {}", current.number)) }
     }
--- a/crates/daemon/src/net/clients.rs
+++ b/crates/daemon/src/net/clients.rs
@@ -11,9 +11,9 @@
 use mio::Interest;
 use routing::permission::Denial;
 
-use super::event_loop::{Due, Slot, Slots, Source};
+use super::event_loop::{Slot, Slots, Source, TimerKind};
 use super::{Context, Event};
-use connection::{Connection, Over};
+use connection::{CloseReason, Connection};
 
 pub(crate) use pipeline::CommandNumber;
 
@@ -58,8 +58,12 @@
         (budget, seed): (Budget, u64),
         context: &mut Context,
     ) -> io::Result<Clients> {
-        context.reactor.registry.register(&mut listener, Source::Listener.into(), Interest::READABLE)?;
-        context.reactor.timer(context.reactor.now() + SWEEP, Due::Rested);
+        context.reactor.registry.register(
+            &mut listener,
+            Source::ClientListener.into(),
+            Interest::READABLE,
+        )?;
+        context.reactor.set_timer(context.reactor.now() + SWEEP, TimerKind::ClientSweep);
         let (listener, connections) = (Some(listener), Slots::new());
         Ok(Clients {
             listener,
@@ -85,7 +89,7 @@
     }
 
     /// Whether another process takes in who comes to the listener.
-    pub fn pause(&mut self, paused: bool, context: &mut Context) {
+    pub fn set_paused(&mut self, paused: bool, context: &mut Context) {
         self.paused = paused;
         self.accept(context);
     }
@@ -132,7 +136,7 @@
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => {
                     // No descriptor or no memory: what waits is taken in when there is some again.
-                    context.reactor.timer(now + ACCEPT_AGAIN, Due::Accept);
+                    context.reactor.set_timer(now + ACCEPT_AGAIN, TimerKind::Accept);
                     return self.complain(now, &format!("cannot accept: {error}"));
                 }
             }
@@ -150,7 +154,7 @@
         while let Some(slot) = longest(&self.connections, Connection::is_idle) {
             let connection = self.connections.get_mut(slot)?;
             let active = connection.active;
-            let result = connection.turn(slot, self.serving, context);
+            let result = connection.process(slot, self.serving, context);
             if result.is_ok() && connection.is_idle() {
                 connection.active = active;
                 return Some(slot);
@@ -169,21 +173,25 @@
 
     /// Where new clients come in, of the two addresses at most.
     pub fn listen_on(&mut self, mut listener: TcpListener, context: &mut Context) -> io::Result<()> {
-        context.reactor.registry.register(&mut listener, Source::Listener.into(), Interest::READABLE)?;
+        context.reactor.registry.register(
+            &mut listener,
+            Source::ClientListener.into(),
+            Interest::READABLE,
+        )?;
         self.previous = self.listener.replace(listener);
         self.accept(context);
         Ok(())
     }
 
     /// Back to the address before, which has never been let go.
-    pub fn listen_again(&mut self) {
+    pub fn revert_listener(&mut self) {
         if self.previous.is_some() {
             std::mem::swap(&mut self.listener, &mut self.previous);
         }
     }
 
     /// Lets go of the address before; who waits there is taken in first, and open connections live on.
-    pub fn let_go(&mut self, context: &mut Context) {
+    pub fn close_previous_listener(&mut self, context: &mut Context) {
         self.accept(context);
         self.previous = None;
     }
@@ -195,7 +203,7 @@
         while self.connections.len() > self.limit + self.lingerers() {
             let Some(slot) = self.longest_idle(context) else { break };
             self.linger(slot, context);
-            context.counters.rested += 1;
+            context.counters.idle_clients_closed += 1;
         }
         if std::mem::replace(&mut self.full, false) {
             self.accept(context);
@@ -203,9 +211,9 @@
     }
 
     /// Closes those that have rested for too long, the one that did for longest first.
-    pub fn sweep(&mut self, context: &mut Context) {
+    pub fn close_idle(&mut self, context: &mut Context) {
         let now = context.reactor.now();
-        context.reactor.timer(now + SWEEP, Due::Rested);
+        context.reactor.set_timer(now + SWEEP, TimerKind::ClientSweep);
         loop {
             let rest = match self.connections.len() - self.lingerers() {
                 places if places > self.limit / 2 => IDLE_TIMEOUT_CROWDED,
@@ -213,13 +221,13 @@
                 _ => return,
             };
             // Those who have not asked yet have their own time limit.
-            let rested = |connection: &Connection| connection.has_rested(now, rest);
+            let rested = |connection: &Connection| connection.idle_longer_than(now, rest);
             let Some(slot) = longest(&self.connections, rested) else { return };
             // A request that has come meanwhile is taken up: it is no longer at rest then.
-            self.ready(slot, context);
+            self.on_ready(slot, context);
             if self.connections.get(slot).is_some_and(Connection::is_idle) {
                 self.linger(slot, context);
-                context.counters.rested += 1;
+                context.counters.idle_clients_closed += 1;
             }
         }
     }
@@ -243,20 +251,20 @@
             return;
         }
         context.counters.clients += 1;
-        self.ready(slot, context);
+        self.on_ready(slot, context);
     }
 
     /// A connection may be read from or written to.
-    pub fn ready(&mut self, slot: Slot, context: &mut Context) {
+    pub fn on_ready(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
-        let result = connection.turn(slot, self.serving, context);
+        let result = connection.process(slot, self.serving, context);
         self.settle(slot, result, context);
     }
 
     /// A client has ended its sending, or its connection is reset: it waits for nothing any more.
-    pub fn half_closed(&mut self, slot: Slot, context: &mut Context) {
+    pub fn on_half_closed(&mut self, slot: Slot, context: &mut Context) {
         self.connections.get_mut(slot).into_iter().for_each(|connection| connection.half_closed = true);
-        self.ready(slot, context);
+        self.on_ready(slot, context);
     }
 
     /// Whether a client has ended its connection, as far as can be seen now; one that was heard of since then is not looked at.
@@ -265,7 +273,7 @@
     }
 
     /// The connection that has been given this key, by which its request may be cancelled.
-    pub fn of_key(&self, (number, secret): (u32, u32)) -> Option<Slot> {
+    pub fn find_by_key(&self, (number, secret): (u32, u32)) -> Option<Slot> {
         let own = |(slot, connection): &(Slot, &Connection)| {
             slot.number() as u32 == number && connection.has_secret(secret)
         };
@@ -273,23 +281,23 @@
     }
 
     /// The requests of a connection have been cancelled by its client, which is told so.
-    pub fn cancelled(&mut self, slot: Slot, context: &mut Context) {
+    pub fn finish_cancelled(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
-        connection.cancelled();
-        self.ready(slot, context);
+        connection.finish_cancelled();
+        self.on_ready(slot, context);
     }
 
     /// Ends a connection that is over, or that is between requests while all are to end.
-    fn settle(&mut self, slot: Slot, result: Result<(), Over>, context: &mut Context) {
+    fn settle(&mut self, slot: Slot, result: Result<(), CloseReason>, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let free = connection.is_free();
         // An answer that is still to be written is, but not for ever: whoever does not read would keep the end.
         let closing = self.listener.is_none() && connection.can_close();
         let result =
             if closing && result.is_ok() { connection.linger(slot, self.serving, context) } else { result };
-        connection.watch(slot, context);
+        connection.update_timeout(slot, context);
         if let Err(over) = result {
-            if over == Over::Here && !free {
+            if over == CloseReason::Local && !free {
                 context.counters.violations.count(Denial::AnswerOwed);
                 logging::error!(event = "rule.violation", denial = "answer_owed", "a connection is closed");
             }
@@ -320,12 +328,12 @@
         };
         if connection.answer(number, answer) {
             *counter += 1;
-            self.ready(slot, context);
+            self.on_ready(slot, context);
         }
     }
 
     /// From now on queries can be carried out: those who asked are told.
-    pub fn serve(&mut self, context: &mut Context) {
+    pub fn start_serving(&mut self, context: &mut Context) {
         if std::mem::replace(&mut self.serving, true) {
             return;
         }
@@ -333,8 +341,8 @@
         let unready: Vec<Slot> = unready.map(|(slot, _)| slot).collect();
         for slot in unready {
             let Some(connection) = self.connections.get_mut(slot) else { continue };
-            connection.serve();
-            self.ready(slot, context);
+            connection.answer_unready();
+            self.on_ready(slot, context);
         }
     }
 
@@ -345,29 +353,29 @@
         (self.listener, self.previous) = (None, None);
         let all: Vec<Slot> = self.connections.iter().map(|(slot, _)| slot).collect();
         for slot in all {
-            self.ready(slot, context);
+            self.on_ready(slot, context);
         }
     }
 
     /// A connection has more to read, or what is due from its client may be overdue.
-    pub fn due(&mut self, slot: Slot, context: &mut Context) {
+    pub fn on_timer(&mut self, slot: Slot, context: &mut Context) {
         let now = context.reactor.now();
-        if self.connections.get(slot).is_some_and(Connection::has_more) {
-            self.ready(slot, context);
+        if self.connections.get(slot).is_some_and(Connection::has_unread) {
+            self.on_ready(slot, context);
         }
         // Guards a request that has come in this instant: it is taken up before it is looked at what is overdue.
         if self.connections.get(slot).is_some_and(|connection| connection.is_overdue(now)) {
-            self.ready(slot, context);
+            self.on_ready(slot, context);
         }
         let Some(connection) = self.connections.get_mut(slot) else { return };
         // Timers are not withdrawn: this one may belong to what the client has done meanwhile.
         let result = if connection.is_ending() {
-            if !connection.is_over(now) {
+            if !connection.linger_expired(now) {
                 return;
             }
-            Err(Over::Here)
+            Err(CloseReason::Local)
         } else if connection.is_overdue(now) {
-            connection.overdue(slot, self.serving, context)
+            connection.end_overdue(slot, self.serving, context)
         } else {
             return;
         };
--- a/crates/daemon/src/net/clients/connection.rs
+++ b/crates/daemon/src/net/clients/connection.rs
@@ -8,8 +8,8 @@
 use mio::net::TcpStream;
 use pgwire::{code, Asked, FrameError, Message, Startup};
 
-use super::pipeline::{Afterwards, CommandNumber, Pipeline};
-use crate::net::event_loop::{Due, Slot};
+use super::pipeline::{AfterReply, CommandNumber, Pipeline};
+use crate::net::event_loop::{Slot, TimerKind};
 use crate::net::{Context, Event};
 
 /// How long a connection that is ended from here is still read from, what comes being thrown away (seconds): a lingering close,
@@ -43,16 +43,16 @@
 
 /// The connection is of no further use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Over {
+pub(super) enum CloseReason {
     /// Its client has ended it, or does not read.
     Peer,
     /// It is ended from here.
-    Here,
+    Local,
 }
 
-impl From<Overflow> for Over {
-    fn from(_: Overflow) -> Over {
-        Over::Here
+impl From<Overflow> for CloseReason {
+    fn from(_: Overflow) -> CloseReason {
+        CloseReason::Local
     }
 }
 
@@ -106,27 +106,27 @@
     }
 
     /// Reads, understands and writes as far as it goes without waiting.
-    pub fn turn(&mut self, slot: Slot, serving: bool, context: &mut Context) -> Result<(), Over> {
+    pub fn process(&mut self, slot: Slot, serving: bool, context: &mut Context) -> Result<(), CloseReason> {
         self.active = context.reactor.now();
         self.more = false;
         self.turn_once(slot, serving, context)?;
         // Its end may lie behind more unread bytes than a buffer holds: nothing more is begun for a client that has gone.
         if self.half_closed && self.pipeline.is_waiting() {
-            return Err(Over::Peer);
+            return Err(CloseReason::Peer);
         }
         Ok(())
     }
 
-    fn turn_once(&mut self, slot: Slot, serving: bool, context: &mut Context) -> Result<(), Over> {
+    fn turn_once(&mut self, slot: Slot, serving: bool, context: &mut Context) -> Result<(), CloseReason> {
         while self.stage != Stage::Ending {
-            let fill = self.inbox.fill(&mut self.stream).map_err(|_| Over::Peer)?;
+            let fill = self.inbox.fill(&mut self.stream).map_err(|_| CloseReason::Peer)?;
             if fill == Fill::Ended {
-                return Err(Over::Peer);
+                return Err(CloseReason::Peer);
             }
             let before = self.inbox.len();
             self.understand(slot, serving, context)?;
             if self.more {
-                context.reactor.timer(self.active, Due::Client(slot));
+                context.reactor.set_timer(self.active, TimerKind::Client(slot));
                 return Ok(());
             }
             // The event is edge-triggered: what a full buffer left in the socket must be read now that there
@@ -146,23 +146,23 @@
 
     /// Throws away what comes on a connection that lingers, a buffer at a time with a pause between: guards the loop against a
     /// sender that does not stop.
-    fn discard(&mut self, slot: Slot, context: &mut Context) -> Result<(), Over> {
+    fn discard(&mut self, slot: Slot, context: &mut Context) -> Result<(), CloseReason> {
         self.flush()?;
-        let fill = self.inbox.fill(&mut self.stream).map_err(|_| Over::Peer)?;
+        let fill = self.inbox.fill(&mut self.stream).map_err(|_| CloseReason::Peer)?;
         if fill == Fill::Ended {
-            return Err(Over::Peer);
+            return Err(CloseReason::Peer);
         }
         self.inbox.skip(self.inbox.len());
         if fill == Fill::Full {
             self.more = true;
-            context.reactor.timer(self.active + DISCARD, Due::Client(slot));
+            context.reactor.set_timer(self.active + DISCARD, TimerKind::Client(slot));
         }
         Ok(())
     }
 
     /// Takes message by message. The next is looked at only when the replies so far are written: a client
     /// that sends and does not read gets no further than its buffers.
-    fn understand(&mut self, slot: Slot, serving: bool, context: &mut Context) -> Result<(), Over> {
+    fn understand(&mut self, slot: Slot, serving: bool, context: &mut Context) -> Result<(), CloseReason> {
         for _ in 0..TURN {
             if !self.deliver(slot, context)? || !self.pipeline.takes_commands() {
                 return Ok(());
@@ -190,7 +190,11 @@
     }
 
     /// Takes the client's first message; false while it is not there in full.
-    fn take_startup(&mut self, slot: Slot, context: &mut Context) -> Result<Result<bool, FrameError>, Over> {
+    fn take_startup(
+        &mut self,
+        slot: Slot,
+        context: &mut Context,
+    ) -> Result<Result<bool, FrameError>, CloseReason> {
         match pgwire::startup(&mut self.inbox) {
             Ok(Some(first)) => self.startup(first, slot, context).map(|()| Ok(true)),
             Ok(None) => Ok(Ok(false)),
@@ -204,7 +208,7 @@
         slot: Slot,
         serving: bool,
         context: &mut Context,
-    ) -> Result<Result<bool, FrameError>, Over> {
+    ) -> Result<Result<bool, FrameError>, CloseReason> {
         match pgwire::message(&mut self.inbox) {
             Ok(Some(message)) => self.message(message, slot, serving, context).map(|()| Ok(true)),
             Ok(None) => Ok(Ok(false)),
@@ -213,7 +217,7 @@
     }
 
     /// Writes the replies that are known, in the order of their commands; true when all that could be was written.
-    fn deliver(&mut self, slot: Slot, context: &mut Context) -> Result<bool, Over> {
+    fn deliver(&mut self, slot: Slot, context: &mut Context) -> Result<bool, CloseReason> {
         loop {
             // One reply at a time: each has the whole of the buffer to itself.
             if !self.flush()? {
@@ -229,9 +233,9 @@
                 ))?;
             }
             match reply.afterwards {
-                Afterwards::Continue => {}
-                Afterwards::Linger => self.end(slot, LINGER, context),
-                Afterwards::Close => return Err(Over::Peer),
+                AfterReply::Continue => {}
+                AfterReply::Linger => self.end(slot, LINGER, context),
+                AfterReply::Close => return Err(CloseReason::Peer),
             }
         }
     }
@@ -242,7 +246,7 @@
     }
 
     /// Whether the connection has lingered for as long as it may.
-    pub fn is_over(&self, now: f64) -> bool {
+    pub fn linger_expired(&self, now: f64) -> bool {
         now >= self.ends_at
     }
 
@@ -268,7 +272,7 @@
     }
 
     /// Whether it has asked something, is at rest, and has been for so long (seconds).
-    pub fn has_rested(&self, now: f64, rest: f64) -> bool {
+    pub fn idle_longer_than(&self, now: f64, rest: f64) -> bool {
         self.asked && self.is_idle() && now >= self.active + rest
     }
 
@@ -286,7 +290,7 @@
     }
 
     /// Whether there may be more to read, which no event will announce.
-    pub fn has_more(&self) -> bool {
+    pub fn has_unread(&self) -> bool {
         self.more
     }
 
@@ -304,12 +308,12 @@
     }
 
     /// Looks whether something is due from the client, and has that looked at again when its time is up.
-    pub fn watch(&mut self, slot: Slot, context: &mut Context) {
+    pub fn update_timeout(&mut self, slot: Slot, context: &mut Context) {
         if !self.owes() {
             self.owing = None;
         } else if self.owing.is_none() {
             self.owing = Some(self.active);
-            context.reactor.timer(self.active + PROMPT, Due::Client(slot));
+            context.reactor.set_timer(self.active + PROMPT, TimerKind::Client(slot));
         }
     }
 
@@ -320,19 +324,24 @@
 
     /// Ends a connection whose client has not sent or read in time. A message that does not end is answered; one that was never
     /// begun is not, since the end of a connection is no answer to a request that crosses it.
-    pub fn overdue(&mut self, slot: Slot, serving: bool, context: &mut Context) -> Result<(), Over> {
-        context.counters.overdue += 1;
+    pub fn end_overdue(
+        &mut self,
+        slot: Slot,
+        serving: bool,
+        context: &mut Context,
+    ) -> Result<(), CloseReason> {
+        context.counters.clients_timed_out += 1;
         if !self.outbox.is_empty() {
-            return Err(Over::Peer);
+            return Err(CloseReason::Peer);
         }
         if self.inbox.is_empty() {
             return self.linger(slot, serving, context);
         }
         self.fatal(code::VIOLATION, "message not completed in time", slot, context)?;
-        self.turn(slot, serving, context)
+        self.process(slot, serving, context)
     }
 
-    fn startup(&mut self, first: Startup, slot: Slot, context: &mut Context) -> Result<(), Over> {
+    fn startup(&mut self, first: Startup, slot: Slot, context: &mut Context) -> Result<(), CloseReason> {
         match first {
             Startup::Encryption => self.outbox.push(b"N")?,
             Startup::Session => {
@@ -341,7 +350,7 @@
             }
             Startup::Cancel(key) => {
                 context.events.push_back(Event::CancelRequested(key));
-                return Err(Over::Peer);
+                return Err(CloseReason::Peer);
             }
             Startup::Unknown => self.fatal(code::UNSUPPORTED, "unknown protocol", slot, context)?,
         }
@@ -354,9 +363,9 @@
         slot: Slot,
         serving: bool,
         context: &mut Context,
-    ) -> Result<(), Over> {
+    ) -> Result<(), CloseReason> {
         match message.kind {
-            b'X' => self.pipeline.reply_last(Vec::new(), Afterwards::Close),
+            b'X' => self.pipeline.reply_last(Vec::new(), AfterReply::Close),
             b'S' => {
                 self.skipping = false;
                 self.pipeline.reply(pgwire::ready());
@@ -402,9 +411,15 @@
     }
 
     /// Says what is wrong, behind the replies that are owed, and ends the connection once that is read.
-    fn fatal(&mut self, code: &str, what: &str, slot: Slot, context: &mut Context) -> Result<(), Over> {
+    fn fatal(
+        &mut self,
+        code: &str,
+        what: &str,
+        slot: Slot,
+        context: &mut Context,
+    ) -> Result<(), CloseReason> {
         context.counters.malformed += 1;
-        self.pipeline.reply_last(pgwire::error("FATAL", code, what, None), Afterwards::Linger);
+        self.pipeline.reply_last(pgwire::error("FATAL", code, what, None), AfterReply::Linger);
         self.deliver(slot, context).map(|_| ())
     }
 
@@ -412,20 +427,20 @@
     /// is taken up any more.
     fn end(&mut self, slot: Slot, within: f64, context: &mut Context) {
         (self.stage, self.ends_at) = (Stage::Ending, context.reactor.now() + within);
-        context.reactor.timer(self.ends_at, Due::Client(slot));
+        context.reactor.set_timer(self.ends_at, TimerKind::Client(slot));
     }
 
     /// Ends a connection on which nothing is owed.
-    pub fn linger(&mut self, slot: Slot, serving: bool, context: &mut Context) -> Result<(), Over> {
+    pub fn linger(&mut self, slot: Slot, serving: bool, context: &mut Context) -> Result<(), CloseReason> {
         let within = if self.outbox.is_empty() { LINGER_IDLE } else { LINGER };
         self.end(slot, within, context);
-        self.turn(slot, serving, context)
+        self.process(slot, serving, context)
     }
 
     /// Writes what there is to write; true when all is written.
-    fn flush(&mut self) -> Result<bool, Over> {
+    fn flush(&mut self) -> Result<bool, CloseReason> {
         let before = self.outbox.len();
-        let written = self.outbox.drain(&mut self.stream).map_err(|_| Over::Peer)?;
+        let written = self.outbox.drain(&mut self.stream).map_err(|_| CloseReason::Peer)?;
         if !written && self.outbox.len() < before && self.stage != Stage::Ending {
             // Who reads slowly reads all the same: its time starts anew.
             self.owing = None;
@@ -456,7 +471,7 @@
     }
 
     /// Tells the client that all its commands that were being carried out are cancelled.
-    pub fn cancelled(&mut self) {
+    pub fn finish_cancelled(&mut self) {
         self.pipeline.finish_running(&error(code::CANCELLED, "cancelled on request", None));
     }
 
@@ -466,7 +481,7 @@
     }
 
     /// The pooler can serve from now on.
-    pub fn serve(&mut self) {
+    pub fn answer_unready(&mut self) {
         self.asked = true;
         self.pipeline.finish_unready(&empty());
     }
--- a/crates/daemon/src/net/clients/pipeline.rs
+++ b/crates/daemon/src/net/clients/pipeline.rs
@@ -7,7 +7,7 @@
 
 /// Most commands of a connection that have no reply yet or whose reply waits for an earlier one. Guards against a client that
 /// sends without end: what it sends beyond that stays unread, and the system's window closes.
-pub(super) const MOST_COMMANDS: usize = 64;
+pub(super) const MAX_COMMANDS: usize = 64;
 
 /// The number of a command on its connection; numbers grow and are not used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -21,7 +21,7 @@
 
 /// What becomes of the connection once a reply is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Afterwards {
+pub(super) enum AfterReply {
     /// It goes on.
     Continue,
     /// It is given time to read the reply, then closed.
@@ -33,7 +33,7 @@
 /// A reply that can be written.
 pub(super) struct Reply {
     pub bytes: Vec<u8>,
-    pub afterwards: Afterwards,
+    pub afterwards: AfterReply,
     /// What the bytes take of the memory for buffers while they wait.
     charge: Option<Charge>,
 }
@@ -64,7 +64,7 @@
 
     /// Whether another command may be taken.
     pub fn takes_commands(&self) -> bool {
-        !self.closing && self.places.len() < MOST_COMMANDS
+        !self.closing && self.places.len() < MAX_COMMANDS
     }
 
     /// Whether a command is being carried out, or waits until the pooler can serve.
@@ -94,11 +94,11 @@
 
     /// Queues a reply that is known at once.
     pub fn reply(&mut self, bytes: Vec<u8>) {
-        self.push(Place::Ready(Reply { bytes, afterwards: Afterwards::Continue, charge: None }));
+        self.push(Place::Ready(Reply { bytes, afterwards: AfterReply::Continue, charge: None }));
     }
 
     /// Queues the last reply of the connection.
-    pub fn reply_last(&mut self, bytes: Vec<u8>, afterwards: Afterwards) {
+    pub fn reply_last(&mut self, bytes: Vec<u8>, afterwards: AfterReply) {
         self.closing = true;
         self.push(Place::Ready(Reply { bytes, afterwards, charge: None }));
     }
@@ -112,7 +112,7 @@
     pub fn finish(&mut self, number: CommandNumber, bytes: Vec<u8>, charge: Option<Charge>) -> bool {
         let place = self.places.iter_mut().find(|(of, _)| *of == number).map(|(_, place)| place);
         let Some(place) = place.filter(|place| matches!(place, Place::Running)) else { return false };
-        *place = Place::Ready(Reply { bytes, afterwards: Afterwards::Continue, charge });
+        *place = Place::Ready(Reply { bytes, afterwards: AfterReply::Continue, charge });
         true
     }
 
@@ -151,7 +151,7 @@
     fn replace(&mut self, bytes: &[u8], which: impl Fn(&Place) -> bool) {
         for (_, place) in self.places.iter_mut().filter(|(_, place)| which(place)) {
             let bytes = bytes.to_vec();
-            *place = Place::Ready(Reply { bytes, afterwards: Afterwards::Continue, charge: None });
+            *place = Place::Ready(Reply { bytes, afterwards: AfterReply::Continue, charge: None });
         }
     }
 }
--- a/crates/daemon/src/net/clients/pipeline/tests.rs
+++ b/crates/daemon/src/net/clients/pipeline/tests.rs
@@ -32,13 +32,13 @@
 #[test]
 fn no_command_is_taken_beyond_the_bound_or_behind_the_last_reply() {
     let mut pipeline = Pipeline::default();
-    let numbers: Vec<CommandNumber> = (0..MOST_COMMANDS).map(|_| pipeline.begin()).collect();
+    let numbers: Vec<CommandNumber> = (0..MAX_COMMANDS).map(|_| pipeline.begin()).collect();
     assert!(!pipeline.takes_commands());
     assert!(pipeline.finish(numbers[0], Vec::new(), None));
     assert!(!pipeline.takes_commands(), "a reply that is not written holds its place");
     assert!(pipeline.next_reply().is_some());
     assert!(pipeline.takes_commands());
-    pipeline.reply_last(Vec::new(), Afterwards::Close);
+    pipeline.reply_last(Vec::new(), AfterReply::Close);
     assert!(!pipeline.takes_commands());
     pipeline.finish_running(b"");
     written(&mut pipeline);
--- a/crates/daemon/src/net/control.rs
+++ b/crates/daemon/src/net/control.rs
@@ -10,7 +10,7 @@
 use mio::net::{UnixListener, UnixStream};
 use mio::Interest;
 
-use super::event_loop::{Due, Slot, Slots, Source};
+use super::event_loop::{Slot, Slots, Source, TimerKind};
 use super::outbox::Outbox;
 use super::{Context, Event};
 
@@ -34,32 +34,32 @@
 }
 
 /// The socket and all connections on it.
-pub(crate) struct Controls {
-    bound: Bound,
+pub(crate) struct ControlSocket {
+    bound: OwnedListener,
     conns: Slots<Conn>,
     idle: f64,
 }
 
-impl Controls {
+impl ControlSocket {
     /// Listens at a path; only the owner's processes can connect. A socket that a daemon left behind when it
     /// was killed is taken over, one that answers is not.
-    pub fn new(path: &Path, idle: f64, context: &mut Context) -> io::Result<Controls> {
-        Controls::over(Bound::new(path)?, idle, context)
+    pub fn new(path: &Path, idle: f64, context: &mut Context) -> io::Result<ControlSocket> {
+        ControlSocket::over(OwnedListener::new(path)?, idle, context)
     }
 
     /// Listens at a path in place of a daemon that answers there still.
-    pub fn succeed(path: &Path, idle: f64, context: &mut Context) -> io::Result<Controls> {
-        Controls::over(Bound::instead(path)?, idle, context)
+    pub fn replace(path: &Path, idle: f64, context: &mut Context) -> io::Result<ControlSocket> {
+        ControlSocket::over(OwnedListener::replace(path)?, idle, context)
     }
 
-    fn over(mut bound: Bound, idle: f64, context: &mut Context) -> io::Result<Controls> {
-        let token = Source::Control.into();
+    fn over(mut bound: OwnedListener, idle: f64, context: &mut Context) -> io::Result<ControlSocket> {
+        let token = Source::ControlListener.into();
         context.reactor.registry.register(&mut bound.listener, token, Interest::READABLE)?;
-        Ok(Controls { bound, conns: Slots::new(), idle })
+        Ok(ControlSocket { bound, conns: Slots::new(), idle })
     }
 
     /// Closes a connection that is silent for so long (seconds), from now on.
-    pub fn set_idle(&mut self, idle: f64) {
+    pub fn set_idle_timeout(&mut self, idle: f64) {
         self.idle = idle;
     }
 
@@ -91,18 +91,19 @@
             };
             let slot = self.conns.insert(conn);
             let Some(conn) = self.conns.get_mut(slot) else { return };
-            let (token, both) = (Source::Caller(slot).into(), Interest::READABLE | Interest::WRITABLE);
+            let (token, both) =
+                (Source::ControlConnection(slot).into(), Interest::READABLE | Interest::WRITABLE);
             if context.reactor.registry.register(&mut conn.stream, token, both).is_err() {
                 self.conns.remove(slot);
                 continue;
             }
-            context.reactor.timer(heard + self.idle, Due::Caller(slot));
-            self.ready(slot, context);
+            context.reactor.set_timer(heard + self.idle, TimerKind::ControlConnection(slot));
+            self.on_ready(slot, context);
         }
     }
 
     /// A connection may be read from or written to.
-    pub fn ready(&mut self, slot: Slot, context: &mut Context) {
+    pub fn on_ready(&mut self, slot: Slot, context: &mut Context) {
         if self.turn(slot, context).is_err() {
             self.conns.remove(slot);
         }
@@ -150,12 +151,12 @@
         let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.waits) else { return };
         (conn.waits, conn.heard) = (false, now);
         conn.outbox.push(&response.line());
-        context.reactor.timer(now + self.idle, Due::Caller(slot));
-        self.ready(slot, context);
+        context.reactor.set_timer(now + self.idle, TimerKind::ControlConnection(slot));
+        self.on_ready(slot, context);
     }
 
     /// A connection may have been silent for long enough.
-    pub fn due(&mut self, slot: Slot, context: &mut Context) {
+    pub fn on_timer(&mut self, slot: Slot, context: &mut Context) {
         let now = context.reactor.now();
         let until = match self.conns.get_mut(slot) {
             Some(conn) if !conn.waits => conn.heard + self.idle,
@@ -164,34 +165,34 @@
         if now >= until {
             self.conns.remove(slot);
         } else {
-            context.reactor.timer(until, Due::Caller(slot));
+            context.reactor.set_timer(until, TimerKind::ControlConnection(slot));
         }
     }
 }
 
 /// A listener at a path, which goes with it.
-pub(crate) struct Bound {
+pub(crate) struct OwnedListener {
     pub listener: UnixListener,
     path: PathBuf,
     /// The file that was made: another may have taken its place.
     file: Option<(u64, u64)>,
 }
 
-impl Bound {
+impl OwnedListener {
     /// Listens at a path that no other process answers at; a file that one has left behind is taken over.
-    pub fn new(path: &Path) -> io::Result<Bound> {
+    pub fn new(path: &Path) -> io::Result<OwnedListener> {
         if path.exists() {
             if std::os::unix::net::UnixStream::connect(path).is_ok() {
                 return Err(io::Error::new(ErrorKind::AddrInUse, "another daemon answers there"));
             }
             std::fs::remove_file(path)?;
         }
-        Bound::instead(path)
+        OwnedListener::replace(path)
     }
 
     /// Listens at a path whoever answers there until now. Bound inside a folder that only the owner may enter, and
     /// moved out once its mode is set: at no time can another user connect.
-    pub fn instead(path: &Path) -> io::Result<Bound> {
+    pub fn replace(path: &Path) -> io::Result<OwnedListener> {
         let name = path.file_name().ok_or(ErrorKind::InvalidInput)?;
         let private = path.with_extension(format!("{}.new", std::process::id()));
         std::fs::DirBuilder::new().mode(0o700).create(&private)?;
@@ -202,7 +203,7 @@
             Ok(listener)
         });
         let _ = std::fs::remove_dir_all(&private);
-        Ok(Bound { listener: bound?, path: path.to_path_buf(), file: file(path) })
+        Ok(OwnedListener { listener: bound?, path: path.to_path_buf(), file: file(path) })
     }
 }
 
@@ -211,7 +212,7 @@
     std::fs::symlink_metadata(path).ok().map(|metadata| (metadata.dev(), metadata.ino()))
 }
 
-impl Drop for Bound {
+impl Drop for OwnedListener {
     fn drop(&mut self) {
         if self.file.is_some() && file(&self.path) == self.file {
             let _ = std::fs::remove_file(&self.path);
--- a/crates/daemon/src/net/control_instance.rs
+++ b/crates/daemon/src/net/control_instance.rs
@@ -12,7 +12,7 @@
 use signal_hook_mio::v1_0::Signals;
 
 use super::datagrams;
-use super::directory::{millis, placement, terms, Drops, Routes};
+use super::directory::{millis, placement, terms, DropLog, Routes};
 use super::event_loop::Reactor;
 use crate::files;
 
@@ -31,7 +31,7 @@
     socket: UdpSocket,
     routes: Routes,
     reactor: Reactor,
-    drops: Drops,
+    drops: DropLog,
     silent: bool,
 }
 
@@ -54,7 +54,7 @@
     registry.register(&mut signals, SIGNALS, Interest::READABLE).map_err(failed)?;
     let now = millis(reactor.now());
     let me = ProcessId::new(name, now);
-    let keys = files::peer_keys(&settings.keys)?;
+    let keys = files::read_peer_keys(&settings.keys)?;
     let replica = Replica::new(me, keys, terms(settings), placement(settings)?, now);
     let replica = replica.ok_or_else(|| format!("--name {name}: not in peers.control"))?;
     logging::info!(
@@ -63,7 +63,7 @@
         "control instance {name} listens on {listen}; it answers once leases of an earlier start are over"
     );
     let routes = Routes::new(settings);
-    let drops = Drops::default();
+    let drops = DropLog::default();
     let mut instance =
         ControlInstance { name: name.into(), replica, socket, routes, reactor, drops, silent: true };
     instance.run(&mut poll, &mut signals).map_err(failed)
@@ -108,7 +108,7 @@
     fn send(&mut self) {
         for (to, bytes) in self.replica.take_out() {
             // What does not go out is as lost as what does not arrive.
-            let _ = self.socket.send_to(&bytes, self.routes.way_to(to));
+            let _ = self.socket.send_to(&bytes, self.routes.resolve(to));
         }
     }
 
--- a/crates/daemon/src/net/coordination.rs
+++ b/crates/daemon/src/net/coordination.rs
@@ -46,18 +46,18 @@
     }
 
     /// Datagrams may be read.
-    pub fn ready(&mut self, context: &mut Context) {
+    pub fn on_ready(&mut self, context: &mut Context) {
         match self {
-            Coordination::Peers(peers) => peers.ready(context),
-            Coordination::Directory(directory) => directory.ready(context),
+            Coordination::Peers(peers) => peers.on_ready(context),
+            Coordination::Directory(directory) => directory.on_ready(context),
         }
     }
 
     /// The time has come for something.
-    pub fn due(&mut self, context: &mut Context) {
+    pub fn on_timer(&mut self, context: &mut Context) {
         match self {
-            Coordination::Peers(peers) => peers.due(context),
-            Coordination::Directory(directory) => directory.due(context),
+            Coordination::Peers(peers) => peers.on_timer(context),
+            Coordination::Directory(directory) => directory.on_timer(context),
         }
     }
 
@@ -66,41 +66,41 @@
         self.peers().into_iter().for_each(|peers| peers.accept(context));
     }
 
-    pub fn stream(&mut self, slot: Slot, context: &mut Context) {
-        self.peers().into_iter().for_each(|peers| peers.stream(slot, context));
+    pub fn on_stream_ready(&mut self, slot: Slot, context: &mut Context) {
+        self.peers().into_iter().for_each(|peers| peers.on_stream_ready(slot, context));
     }
 
     /// Sends what there is to send.
-    pub fn carry_out(&mut self, context: &mut Context) {
+    pub fn send_pending(&mut self, context: &mut Context) {
         match self {
-            Coordination::Peers(peers) => peers.carry_out(context),
-            Coordination::Directory(directory) => directory.carry_out(context),
+            Coordination::Peers(peers) => peers.send_pending(context),
+            Coordination::Directory(directory) => directory.send_pending(context),
         }
     }
 
     /// What a session's read needs, as a position (Unix seconds); infinite where only the primary will do.
-    pub fn need(&mut self, now: f64, session: &str) -> f64 {
+    pub fn required_position(&mut self, now: f64, session: &str) -> f64 {
         match self {
-            Coordination::Peers(peers) => peers.need(now, session),
-            Coordination::Directory(directory) => directory.need(now, session),
+            Coordination::Peers(peers) => peers.required_position(now, session),
+            Coordination::Directory(directory) => directory.required_position(now, session),
         }
     }
 
     /// A write of a session has come, with so much time left (seconds). None at a bound: it must not be sent.
-    pub fn write_begins(&mut self, now: f64, session: &str, left: f64) -> Option<WriteTicket> {
+    pub fn begin_write(&mut self, now: f64, session: &str, left: f64) -> Option<WriteTicket> {
         match self {
             Coordination::Peers(peers) => Some(WriteTicket::Peers(peers.node.write_begins(now, session))),
             Coordination::Directory(directory) => {
-                directory.write_begins(now, session, left).map(WriteTicket::Directory)
+                directory.begin_write(now, session, left).map(WriteTicket::Directory)
             }
         }
     }
 
     /// How long a write waits for leave to be sent (seconds).
-    pub fn hold(&self) -> f64 {
+    pub fn max_write_hold(&self) -> f64 {
         match self {
-            Coordination::Peers(peers) => peers.hold(),
-            Coordination::Directory(directory) => directory.hold(),
+            Coordination::Peers(peers) => peers.max_write_hold(),
+            Coordination::Directory(directory) => directory.max_write_hold(),
         }
     }
 
@@ -116,24 +116,24 @@
     }
 
     /// Whether to wait for leave to be sent is in vain.
-    pub fn is_hopeless(&mut self, now: f64, ticket: WriteTicket) -> bool {
+    pub fn cannot_be_sent(&mut self, now: f64, ticket: WriteTicket) -> bool {
         match (self, ticket) {
             (Coordination::Peers(peers), _) => peers.node.hopeless(now),
             (Coordination::Directory(directory), WriteTicket::Directory(ticket)) => {
-                directory.is_hopeless(now, ticket)
+                directory.cannot_be_sent(now, ticket)
             }
             _ => true,
         }
     }
 
     /// A write was committed at that position (Unix seconds).
-    pub fn write_committed(&mut self, now: f64, ticket: WriteTicket, position: f64) {
+    pub fn record_commit(&mut self, now: f64, ticket: WriteTicket, position: f64) {
         match (self, ticket) {
             (Coordination::Peers(peers), WriteTicket::Peers(ticket)) => {
                 peers.node.write_ends(now, ticket, Some(position));
             }
             (Coordination::Directory(directory), WriteTicket::Directory(ticket)) => {
-                directory.write_committed(now, ticket, position);
+                directory.record_commit(now, ticket, position);
             }
             _ => {}
         }
@@ -151,21 +151,21 @@
     }
 
     /// When a write can no longer be answered as served (Unix seconds).
-    pub fn answerable_until(&self, ticket: WriteTicket) -> f64 {
+    pub fn answer_deadline(&self, ticket: WriteTicket) -> f64 {
         match (self, ticket) {
             (Coordination::Directory(directory), WriteTicket::Directory(ticket)) => {
-                directory.answerable_until(ticket)
+                directory.answer_deadline(ticket)
             }
             _ => f64::INFINITY,
         }
     }
 
     /// A write is done with.
-    pub fn forget(&mut self, now: f64, ticket: WriteTicket) {
+    pub fn end_write(&mut self, now: f64, ticket: WriteTicket) {
         match (self, ticket) {
             (Coordination::Peers(peers), WriteTicket::Peers(ticket)) => peers.node.forget(now, ticket),
             (Coordination::Directory(directory), WriteTicket::Directory(ticket)) => {
-                directory.forget(now, ticket);
+                directory.end_write(now, ticket);
             }
             _ => {}
         }
@@ -180,10 +180,10 @@
     }
 
     /// This instance ends: the others are told.
-    pub fn farewell(&mut self, now: impl Fn() -> f64) {
+    pub fn announce_shutdown(&mut self, now: impl Fn() -> f64) {
         match self {
-            Coordination::Peers(peers) => peers.farewell(now),
-            Coordination::Directory(directory) => directory.farewell(),
+            Coordination::Peers(peers) => peers.announce_shutdown(now),
+            Coordination::Directory(directory) => directory.announce_shutdown(),
         }
     }
 }
--- a/crates/daemon/src/net/directory.rs
+++ b/crates/daemon/src/net/directory.rs
@@ -12,10 +12,10 @@
 use mio::Interest;
 use operator::Effective;
 
-use super::event_loop::{Due, EarliestTimer, Source};
-use super::{datagrams, Context, HOLD_OF_AIM};
+use super::event_loop::{EarliestTimer, Source, TimerKind};
+use super::{datagrams, Context, WRITE_HOLD_AIM_SHARE};
 use crate::files;
-pub(crate) use settings::{millis, placement, terms, Drops, Routes};
+pub(crate) use settings::{millis, placement, terms, DropLog, Routes};
 
 /// The session directory, as the daemon holds it.
 pub(crate) struct Directory {
@@ -25,7 +25,7 @@
     timer: EarliestTimer,
     hold: f64,
     begun: f64,
-    drops: Drops,
+    drops: DropLog,
     terms: Terms,
     /// Groups of control instances, and how many of them had a quorum when that was last looked at.
     groups: usize,
@@ -41,13 +41,13 @@
     ) -> Result<Option<Directory>, String> {
         let settings = &effective.document.peers;
         let Some(listen) = settings.listen.filter(|_| !settings.control.is_empty()) else { return Ok(None) };
-        let keys = files::peer_keys(&settings.keys)?;
+        let keys = files::read_peer_keys(&settings.keys)?;
         let placement = placement(settings)?;
         let now = context.reactor.now();
         let named = |error: io::Error| format!("peers.listen: {listen}: {error}");
         let mut socket = UdpSocket::bind(listen).map_err(named)?;
         let registry = &context.reactor.registry;
-        registry.register(&mut socket, Source::Peers.into(), Interest::READABLE).map_err(named)?;
+        registry.register(&mut socket, Source::PeerDatagrams.into(), Interest::READABLE).map_err(named)?;
         let me = ProcessId::new(&config.name, millis(now));
         let groups = placement.groups();
         logging::info!(
@@ -65,24 +65,24 @@
             socket,
             routes: Routes::new(settings),
             timer: EarliestTimer::default(),
-            hold: HOLD_OF_AIM * effective.shortest_aim_of_writes(),
+            hold: WRITE_HOLD_AIM_SHARE * effective.shortest_aim_of_writes(),
             begun: now,
-            drops: Drops::default(),
+            drops: DropLog::default(),
             terms,
             groups,
             with_quorum: 0,
         };
-        directory.due(context);
+        directory.on_timer(context);
         Ok(Some(directory))
     }
 
     /// How long a write waits for leave to be sent (seconds).
-    pub fn hold(&self) -> f64 {
+    pub fn max_write_hold(&self) -> f64 {
         self.hold
     }
 
     /// Datagrams may be read.
-    pub fn ready(&mut self, context: &mut Context) {
+    pub fn on_ready(&mut self, context: &mut Context) {
         let client = &mut self.client;
         let now = || millis(context.reactor.now());
         // What is dropped is counted by the client, and logged from there.
@@ -91,44 +91,44 @@
         };
         if datagrams::receive(&self.socket, &mut take) {
             // The rest is read once the others have had their turn.
-            context.reactor.timer(context.reactor.now(), Due::Peers);
+            context.reactor.set_timer(context.reactor.now(), TimerKind::Peers);
         }
-        self.carry_out(context);
+        self.send_pending(context);
     }
 
     /// The time has come for something.
-    pub fn due(&mut self, context: &mut Context) {
+    pub fn on_timer(&mut self, context: &mut Context) {
         let now = context.reactor.now();
-        self.timer.has_come(now);
+        self.timer.fired(now);
         self.client.tick(millis(now));
         self.report(now);
-        self.ready(context);
+        self.on_ready(context);
     }
 
     /// Sends what there is to send, and sets the timer.
-    pub fn carry_out(&mut self, context: &mut Context) {
+    pub fn send_pending(&mut self, context: &mut Context) {
         self.send();
-        let due = self.client.next_due() as f64 / settings::MILLISECONDS;
-        self.timer.set(due, Due::Peers, &mut context.reactor);
+        let due = self.client.next_due() as f64 / settings::MILLIS_PER_SECOND;
+        self.timer.set(due, TimerKind::Peers, &mut context.reactor);
     }
 
     fn send(&mut self) {
         for (to, bytes) in self.client.take_out() {
             // What does not go out is as lost as what does not arrive.
-            let _ = self.socket.send_to(&bytes, self.routes.way_to(to));
+            let _ = self.socket.send_to(&bytes, self.routes.resolve(to));
         }
     }
 
     /// What a session's read needs, as a position (Unix seconds); infinite where only the primary will do.
-    pub fn need(&mut self, now: f64, session: &str) -> f64 {
+    pub fn required_position(&mut self, now: f64, session: &str) -> f64 {
         match self.client.need(millis(now), SessionKey::new(session)) {
-            Need::From(position) => position as f64 / settings::MILLISECONDS,
+            Need::From(position) => position as f64 / settings::MILLIS_PER_SECOND,
             Need::Primary(_) => f64::INFINITY,
         }
     }
 
     /// A write of a session has come, with so much time left (seconds). None at a bound: it must not be sent.
-    pub fn write_begins(&mut self, now: f64, session: &str, left: f64) -> Option<Ticket> {
+    pub fn begin_write(&mut self, now: f64, session: &str, left: f64) -> Option<Ticket> {
         self.client.write_begins(millis(now), SessionKey::new(session), millis(left))
     }
 
@@ -139,15 +139,15 @@
 
     /// Whether a write that may not be sent will not be in a while: its session's group has had no quorum for longer than a
     /// start takes.
-    pub fn is_hopeless(&mut self, now: f64, ticket: Ticket) -> bool {
-        let starts = now < self.begun + self.terms.lease as f64 / settings::MILLISECONDS;
+    pub fn cannot_be_sent(&mut self, now: f64, ticket: Ticket) -> bool {
+        let starts = now < self.begun + self.terms.lease as f64 / settings::MILLIS_PER_SECOND;
         !starts && self.client.waits_for(millis(now), ticket) == Some(Why::NoQuorum)
     }
 
     /// A write was committed at that position (Unix seconds).
-    pub fn write_committed(&mut self, now: f64, ticket: Ticket, position: f64) {
+    pub fn record_commit(&mut self, now: f64, ticket: Ticket, position: f64) {
         // A position that is cut off to milliseconds would let a read see less than the write.
-        let position = (position * settings::MILLISECONDS).ceil() as u64;
+        let position = (position * settings::MILLIS_PER_SECOND).ceil() as u64;
         self.client.write_ends(millis(now), ticket, WriteEnd::Committed(position));
     }
 
@@ -157,12 +157,12 @@
     }
 
     /// When a write can no longer be answered (Unix seconds).
-    pub fn answerable_until(&self, ticket: Ticket) -> f64 {
-        self.client.deadline(ticket) as f64 / settings::MILLISECONDS
+    pub fn answer_deadline(&self, ticket: Ticket) -> f64 {
+        self.client.deadline(ticket) as f64 / settings::MILLIS_PER_SECOND
     }
 
     /// A write is done with.
-    pub fn forget(&mut self, now: f64, ticket: Ticket) {
+    pub fn end_write(&mut self, now: f64, ticket: Ticket) {
         self.client.forget(millis(now), ticket);
     }
 
@@ -177,7 +177,7 @@
             Question::Session(name) => {
                 let need = match self.client.need(millis(now), SessionKey::new(name)) {
                     Need::From(position) => {
-                        format!("a replica that has come to {:.3}", position as f64 / settings::MILLISECONDS)
+                        format!("a replica that has come to {:.3}", position as f64 / settings::MILLIS_PER_SECOND)
                     }
                     Need::Primary(why) => format!("the primary: {}", words(why)),
                 };
@@ -224,7 +224,7 @@
     }
 
     /// This pooler ends: its leases are given back, unless a write is under way.
-    pub fn farewell(&mut self) {
+    pub fn announce_shutdown(&mut self) {
         if self.client.leave() {
             self.send();
         }
--- a/crates/daemon/src/net/directory/settings.rs
+++ b/crates/daemon/src/net/directory/settings.rs
@@ -7,13 +7,13 @@
 use operator::Peers;
 
 /// Milliseconds of a second.
-pub(crate) const MILLISECONDS: f64 = 1e3;
+pub(crate) const MILLIS_PER_SECOND: f64 = 1e3;
 /// Dropped datagrams are told at most this often (seconds).
 const DROPS_EVERY: f64 = 10.0;
 
 /// Seconds in milliseconds.
 pub(crate) fn millis(seconds: f64) -> Millis {
-    (seconds * MILLISECONDS) as Millis
+    (seconds * MILLIS_PER_SECOND) as Millis
 }
 
 /// The control instances and their groups.
@@ -51,19 +51,19 @@
     }
 
     /// Where to send what is meant for that address.
-    pub fn way_to(&self, address: SocketAddr) -> SocketAddr {
+    pub fn resolve(&self, address: SocketAddr) -> SocketAddr {
         self.0.get(&address).copied().unwrap_or(address)
     }
 }
 
 /// What has been told of datagrams that were dropped.
 #[derive(Default)]
-pub(crate) struct Drops {
+pub(crate) struct DropLog {
     told: BTreeMap<Fault, u64>,
     next: f64,
 }
 
-impl Drops {
+impl DropLog {
     /// Tells the log of drops since the last time, in one line, at most every ten seconds.
     pub fn report(&mut self, now: f64, faults: &BTreeMap<Fault, u64>) {
         if now < self.next {
--- a/crates/daemon/src/net/discovery.rs
+++ b/crates/daemon/src/net/discovery.rs
@@ -10,7 +10,7 @@
 use mio::Interest;
 use routing::interface::ListKind;
 
-use super::event_loop::{Due, Slot, Slots, Source};
+use super::event_loop::{Slot, Slots, Source, TimerKind};
 use super::{Context, Event};
 
 /// Memory for the buffers of all connections to discovery (bytes), of its own: what clients and machines take of theirs must not
@@ -64,7 +64,7 @@
     }
 
     /// Where the list is pushed, sees to it that there is a watch: nobody else will ask for one.
-    pub fn follow(&mut self, context: &mut Context) {
+    pub fn follow_pushed(&mut self, context: &mut Context) {
         self.step(context, |follower, now, out| follower.follow(now, out));
     }
 
@@ -73,17 +73,17 @@
     }
 
     /// The version of the list that is held.
-    pub fn index(&self) -> u64 {
+    pub fn list_version(&self) -> u64 {
         self.follower.index()
     }
 
     /// Watches the list at another address from now on; the watch that is open is kept until that has answered.
-    pub fn move_to(&mut self, address: SocketAddr, context: &mut Context) {
+    pub fn set_address(&mut self, address: SocketAddr, context: &mut Context) {
         if self.address != address {
             // Calls at the address before are given up: what has been written to them counts.
-            self.read(context);
+            self.read_pending(context);
             self.address = address;
-            self.listen_afresh(context);
+            self.resubscribe(context);
         }
     }
 
@@ -93,12 +93,12 @@
     }
 
     /// Opens the watch and asks for the whole list.
-    pub fn listen_afresh(&mut self, context: &mut Context) {
+    pub fn resubscribe(&mut self, context: &mut Context) {
         self.step(context, |follower, now, out| follower.listen_afresh(now, out));
     }
 
     /// Opens the watch from the list held.
-    pub fn listen(&mut self, context: &mut Context) {
+    pub fn subscribe(&mut self, context: &mut Context) {
         self.step(context, |follower, now, out| follower.listen(now, out));
     }
 
@@ -127,7 +127,7 @@
                         logging::info!(event = "discovery.closed", line, lived_s, answered = watch.answered);
                     }
                 }
-                Step::Timer(at) => context.reactor.timer(at, Due::Discovery),
+                Step::Timer(at) => context.reactor.set_timer(at, TimerKind::Discovery),
                 Step::Unchanged => self.tell(ListKind::Incremental, context),
                 Step::Failed(why) => self.lost(why, ListKind::Failed, context),
                 Step::Silent(why) => self.lost(why, ListKind::Silent, context),
@@ -162,7 +162,7 @@
     }
 
     /// A watch may be read from or written to.
-    pub fn ready(&mut self, slot: Slot, context: &mut Context) {
+    pub fn on_ready(&mut self, slot: Slot, context: &mut Context) {
         let Some(watch) = self.watches.get_mut(slot) else { return };
         let (line, mut pieces) = (watch.line, Vec::new());
         let mut result = watch.turn(&mut pieces);
@@ -207,15 +207,15 @@
     }
 
     /// Takes in what has arrived on every connection, whether or not its event has been taken up.
-    pub fn read(&mut self, context: &mut Context) {
+    pub fn read_pending(&mut self, context: &mut Context) {
         let open: Vec<Slot> = self.watches.iter().map(|(slot, _)| slot).collect();
-        open.into_iter().for_each(|slot| self.ready(slot, context));
+        open.into_iter().for_each(|slot| self.on_ready(slot, context));
     }
 
     /// Looks whether discovery has been silent for too long.
-    pub fn due(&mut self, context: &mut Context) {
+    pub fn on_timer(&mut self, context: &mut Context) {
         // What has arrived by now still counts, though its event has not been taken up yet.
-        self.read(context);
+        self.read_pending(context);
         self.step(context, |follower, now, out| follower.due(now, out));
     }
 }
--- a/crates/daemon/src/net/event_loop.rs
+++ b/crates/daemon/src/net/event_loop.rs
@@ -33,7 +33,7 @@
     }
 
     /// The slot of a number.
-    pub fn of(number: u64) -> Slot {
+    pub fn from_number(number: u64) -> Slot {
         Slot { index: number as u32, generation: (number >> 32) as u32 }
     }
 }
@@ -81,26 +81,26 @@
 /// What an event of the poll belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
-    Listener,
+    ClientListener,
     Signals,
     Client(Slot),
     Server(Slot),
     Discovery(Slot),
-    Control,
-    Caller(Slot),
+    ControlListener,
+    ControlConnection(Slot),
     Registry(Slot),
     Disk,
     /// The listener for ordinary clients, their connections, and those to the servers behind them.
-    Pooled,
+    SessionListener,
     /// The listener for a successor, its connection, and that to the daemon before this one.
     SuccessorListener,
     Successor,
     Predecessor,
-    Pool(Slot),
-    Backend(Slot),
+    SessionClient(Slot),
+    SessionServer(Slot),
     /// The sockets towards other instances, and the streams to and from them.
-    Peers,
-    PeersListener,
+    PeerDatagrams,
+    PeerListener,
     PeerStream(Slot),
 }
 
@@ -115,24 +115,24 @@
         // Those that there is one of share a kind, told apart by the place of the index.
         let one = |index| Slot { index, generation: 0 };
         let (kind, Slot { index, generation }) = match source {
-            Source::Listener => (0, one(0)),
+            Source::ClientListener => (0, one(0)),
             Source::Signals => (0, one(1)),
-            Source::Control => (0, one(2)),
+            Source::ControlListener => (0, one(2)),
             Source::Disk => (0, one(3)),
-            Source::Pooled => (0, one(4)),
+            Source::SessionListener => (0, one(4)),
             Source::SuccessorListener => (0, one(5)),
             Source::Successor => (0, one(6)),
             Source::Predecessor => (0, one(7)),
-            Source::Peers => (0, one(8)),
-            Source::PeersListener => (0, one(9)),
+            Source::PeerDatagrams => (0, one(8)),
+            Source::PeerListener => (0, one(9)),
             Source::PeerStream(slot) => (0, Slot { index: slot.index + SINGLE, ..slot }),
             Source::Client(slot) => (1, slot),
             Source::Server(slot) => (2, slot),
             Source::Discovery(slot) => (3, slot),
-            Source::Caller(slot) => (4, slot),
+            Source::ControlConnection(slot) => (4, slot),
             Source::Registry(slot) => (5, slot),
-            Source::Pool(slot) => (6, slot),
-            Source::Backend(slot) => (7, slot),
+            Source::SessionClient(slot) => (6, slot),
+            Source::SessionServer(slot) => (7, slot),
         };
         Token(kind << 61 | (generation as usize) << 32 | index as usize)
     }
@@ -142,49 +142,49 @@
     fn from(Token(token): Token) -> Source {
         let slot = Slot { index: token as u32, generation: (token >> 32) as u32 & GENERATIONS };
         match (token >> 61, slot.index) {
-            (0, 0) => Source::Listener,
+            (0, 0) => Source::ClientListener,
             (0, 1) => Source::Signals,
-            (0, 2) => Source::Control,
+            (0, 2) => Source::ControlListener,
             (0, 3) => Source::Disk,
-            (0, 4) => Source::Pooled,
+            (0, 4) => Source::SessionListener,
             (0, 5) => Source::SuccessorListener,
             (0, 6) => Source::Successor,
             (0, 7) => Source::Predecessor,
-            (0, 8) => Source::Peers,
+            (0, 8) => Source::PeerDatagrams,
             (0, index) if index >= SINGLE => Source::PeerStream(Slot { index: index - SINGLE, ..slot }),
-            (0, _) => Source::PeersListener,
+            (0, _) => Source::PeerListener,
             (1, _) => Source::Client(slot),
             (2, _) => Source::Server(slot),
             (3, _) => Source::Discovery(slot),
-            (4, _) => Source::Caller(slot),
+            (4, _) => Source::ControlConnection(slot),
             (5, _) => Source::Registry(slot),
-            (6, _) => Source::Pool(slot),
-            _ => Source::Backend(slot),
+            (6, _) => Source::SessionClient(slot),
+            _ => Source::SessionServer(slot),
         }
     }
 }
 
 /// What a timer belongs to. Timers are not withdrawn: whoever is told looks whether it still matters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Due {
+pub(crate) enum TimerKind {
     Policy(u64),
     Accept,
-    Rested,
+    ClientSweep,
     Client(Slot),
     /// A request of a client may have waited for earlier ones for long enough.
     InFlight(Slot),
     Server(Slot),
     Discovery,
-    Caller(Slot),
+    ControlConnection(Slot),
     Registry,
     /// A change of configuration is to be looked at.
-    Change,
+    ConfigChange,
     /// The daemon's life goes on.
-    Life,
+    Lifecycle,
     Handover,
     /// A session of an ordinary client has its turn.
     Session(Slot),
-    Pools,
+    SessionSweep,
     /// Other instances are to be asked, answered or looked at.
     Peers,
 }
@@ -193,7 +193,7 @@
     at: f64,
     /// Keeps timers of the same time in the order in which they were set.
     number: u64,
-    due: Due,
+    due: TimerKind,
 }
 
 impl Ord for Timer {
@@ -237,7 +237,7 @@
         self.epoch + self.start.elapsed().as_secs_f64()
     }
 
-    pub fn timer(&mut self, at: f64, due: Due) {
+    pub fn set_timer(&mut self, at: f64, due: TimerKind) {
         self.timers_set += 1;
         self.timers.push(Reverse(Timer { at, number: self.timers_set, due }));
     }
@@ -250,7 +250,7 @@
 
     /// What came due by `now`. A timer that is set meanwhile waits for the next round, so that sockets are
     /// looked at in between.
-    fn due(&mut self, now: f64) -> Option<Due> {
+    fn due(&mut self, now: f64) -> Option<TimerKind> {
         if self.timers.peek().is_none_or(|Reverse(next)| next.at > now) {
             return None;
         }
@@ -270,17 +270,17 @@
 
 impl EarliestTimer {
     /// A timer of the owner's has gone off.
-    pub fn has_come(&mut self, now: f64) {
+    pub fn fired(&mut self, now: f64) {
         if self.0 <= now {
             self.0 = f64::INFINITY;
         }
     }
 
     /// Has the owner told at that time, or before.
-    pub fn set(&mut self, at: f64, due: Due, reactor: &mut Reactor) {
+    pub fn set(&mut self, at: f64, due: TimerKind, reactor: &mut Reactor) {
         if at < self.0 {
             self.0 = at;
-            reactor.timer(at, due);
+            reactor.set_timer(at, due);
         }
     }
 }
@@ -289,9 +289,9 @@
 pub(crate) trait Handler {
     /// A source may be read from or written to. Where it is a connection `half_closed` by its peer, what that still sends lies
     /// before the end and is all that will come.
-    fn ready(&mut self, source: Source, half_closed: bool, context: &mut Context);
+    fn on_ready(&mut self, source: Source, half_closed: bool, context: &mut Context);
     /// A timer came due.
-    fn due(&mut self, due: Due, context: &mut Context);
+    fn on_timer(&mut self, due: TimerKind, context: &mut Context);
     /// Whether there is nothing left to wait for.
     fn finished(&self) -> bool;
 }
@@ -307,16 +307,16 @@
         }
         let woke = context.reactor.now();
         if let Some(patience) = patience {
-            context.counters.loop_took(woke - asked - patience.as_secs_f64());
+            context.counters.record_loop_time(woke - asked - patience.as_secs_f64());
         }
         for event in &events {
-            handler.ready(event.token().into(), event.is_read_closed(), context);
+            handler.on_ready(event.token().into(), event.is_read_closed(), context);
         }
         let now = context.reactor.now();
         while let Some(due) = context.reactor.due(now) {
-            handler.due(due, context);
+            handler.on_timer(due, context);
         }
-        context.counters.loop_took(context.reactor.now() - woke);
+        context.counters.record_loop_time(context.reactor.now() - woke);
     }
     Ok(())
 }
--- a/crates/daemon/src/net/mod.rs
+++ b/crates/daemon/src/net/mod.rs
@@ -29,13 +29,13 @@
 use clients::CommandNumber;
 use event_loop::{Reactor, Slot};
 
-pub(crate) use change::words;
-pub(crate) use control::Bound;
+pub(crate) use change::describe_conflicts;
+pub(crate) use control::OwnedListener;
 pub(crate) use control_instance::serve as serve_control;
-pub(crate) use pooler::{serve, Operator};
+pub(crate) use pooler::{serve, OperatorOptions};
 
 /// Share of the shortest aim of a write for which one waits, at the most, until others know of it and it may be sent.
-const HOLD_OF_AIM: f64 = 0.5;
+const WRITE_HOLD_AIM_SHARE: f64 = 0.5;
 
 /// Something to send to a db machine.
 #[derive(Clone, Debug)]
--- a/crates/daemon/src/net/peers.rs
+++ b/crates/daemon/src/net/peers.rs
@@ -17,8 +17,8 @@
 use routing::interface::Phase;
 use routing::peer_reports::{Observation, PeerReport};
 
-use super::event_loop::{Due, EarliestTimer, Slot, Source};
-use super::{datagrams, Context, HOLD_OF_AIM};
+use super::event_loop::{EarliestTimer, Slot, Source, TimerKind};
+use super::{datagrams, Context, WRITE_HOLD_AIM_SHARE};
 use crate::files;
 use disk::Disk;
 use streams::Streams;
@@ -54,13 +54,13 @@
     ) -> Result<Option<Peers>, String> {
         let settings = &effective.document.peers;
         let Some(listen) = settings.listen else { return Ok(None) };
-        let keys = files::peer_keys(&settings.keys)?;
+        let keys = files::read_peer_keys(&settings.keys)?;
         let named = |error: io::Error| format!("peers.listen: {listen}: {error}");
         let mut socket = UdpSocket::bind(listen).map_err(named)?;
         let mut listener = TcpListener::bind(listen).map_err(named)?;
         let registry = &context.reactor.registry;
-        registry.register(&mut socket, Source::Peers.into(), Interest::READABLE).map_err(named)?;
-        registry.register(&mut listener, Source::PeersListener.into(), Interest::READABLE).map_err(named)?;
+        registry.register(&mut socket, Source::PeerDatagrams.into(), Interest::READABLE).map_err(named)?;
+        registry.register(&mut listener, Source::PeerListener.into(), Interest::READABLE).map_err(named)?;
         let now = context.reactor.now();
         let (mut disk, kept) = match settings.dir.as_deref().map(Disk::open) {
             Some(Ok((disk, kept))) => (Some(disk), Some(kept)),
@@ -96,7 +96,7 @@
             me.name
         );
         let node = Node::new(me, keys, terms, config.seed ^ start, now, kept);
-        let hold = (HOLD_OF_LEASE * lease).min(HOLD_OF_AIM * aim);
+        let hold = (HOLD_OF_LEASE * lease).min(WRITE_HOLD_AIM_SHARE * aim);
         let mut peers = Peers {
             node,
             socket,
@@ -106,46 +106,46 @@
             next_beat: now,
             hold,
         };
-        peers.due(context);
+        peers.on_timer(context);
         Ok(Some(peers))
     }
 
     /// How long a write waits for leave to be sent (seconds).
-    pub fn hold(&self) -> f64 {
+    pub fn max_write_hold(&self) -> f64 {
         self.hold
     }
 
     /// Datagrams may be read.
-    pub fn ready(&mut self, context: &mut Context) {
+    pub fn on_ready(&mut self, context: &mut Context) {
         let node = &mut self.node;
         let now = || context.reactor.now();
         if datagrams::receive(&self.socket, |_, bytes| node.receive(now(), bytes)) {
             // The rest is read once the others have had their turn.
-            context.reactor.timer(context.reactor.now(), Due::Peers);
+            context.reactor.set_timer(context.reactor.now(), TimerKind::Peers);
         }
-        self.carry_out(context);
+        self.send_pending(context);
     }
 
     /// The time has come for something.
-    pub fn due(&mut self, context: &mut Context) {
+    pub fn on_timer(&mut self, context: &mut Context) {
         let now = context.reactor.now();
-        self.timer.has_come(now);
+        self.timer.fired(now);
         self.node.tick(now);
-        self.streams.due(now, &mut self.node);
-        self.ready(context);
+        self.streams.on_timer(now, &mut self.node);
+        self.on_ready(context);
     }
 
     pub fn accept(&mut self, context: &mut Context) {
         self.streams.accept(context);
     }
 
-    pub fn stream(&mut self, slot: Slot, context: &mut Context) {
-        self.streams.ready(slot, &mut self.node, context);
-        self.carry_out(context);
+    pub fn on_stream_ready(&mut self, slot: Slot, context: &mut Context) {
+        self.streams.on_ready(slot, &mut self.node, context);
+        self.send_pending(context);
     }
 
     /// Sends what there is to send, writes what there is to write, and sets the timer.
-    pub fn carry_out(&mut self, context: &mut Context) {
+    pub fn send_pending(&mut self, context: &mut Context) {
         for (name, to) in self.node.to_stream(context.reactor.now()) {
             self.streams.open(name, to, &mut self.node, context);
         }
@@ -162,11 +162,11 @@
             noticed(&notice);
         }
         let due = self.node.next_due().min(self.next_beat);
-        self.timer.set(due, Due::Peers, &mut context.reactor);
+        self.timer.set(due, TimerKind::Peers, &mut context.reactor);
     }
 
     /// Whether it is time to tell how members look.
-    pub fn beats(&mut self, now: f64) -> bool {
+    pub fn take_report_due(&mut self, now: f64) -> bool {
         let beats = now >= self.next_beat;
         if beats {
             self.next_beat = now + BEAT;
@@ -175,7 +175,7 @@
     }
 
     /// What the list says of members.
-    pub fn list<'a>(
+    pub fn report_list<'a>(
         &mut self,
         now: f64,
         (source, version): (u64, u64),
@@ -185,17 +185,17 @@
     }
 
     /// Tells how members look to this instance.
-    pub fn tell(&mut self, now: f64, found: &[Observation]) {
+    pub fn report_observations(&mut self, now: f64, found: &[Observation]) {
         reports::tell_views(&mut self.node, now, found);
     }
 
     /// What the others say of members, for the decisions.
-    pub fn heard(&self, now: f64, found: &[Observation]) -> Vec<PeerReport> {
+    pub fn peer_reports(&self, now: f64, found: &[Observation]) -> Vec<PeerReport> {
         reports::heard(&self.node, now, found)
     }
 
     /// What a session's read needs, as a position; infinite where only the primary will do.
-    pub fn need(&mut self, now: f64, session: &str) -> f64 {
+    pub fn required_position(&mut self, now: f64, session: &str) -> f64 {
         match self.node.need(now, session) {
             Need::From(position) => position,
             Need::Primary(_) => f64::INFINITY,
@@ -272,9 +272,9 @@
     }
 
     /// This instance ends: the others are told, and given a moment to read what it stated last.
-    pub fn farewell(&mut self, now: impl Fn() -> f64) {
+    pub fn announce_shutdown(&mut self, now: impl Fn() -> f64) {
         let begun = Instant::now();
-        let mut bytes = [0; datagrams::LONGEST];
+        let mut bytes = [0; datagrams::MAX_DATAGRAM_BYTES];
         loop {
             let done = self.node.leave(now());
             for (to, bytes) in self.node.take_out() {
--- a/crates/daemon/src/net/peers/streams.rs
+++ b/crates/daemon/src/net/peers/streams.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    pub fn ready(&mut self, slot: Slot, node: &mut Node, context: &mut Context) {
+    pub fn on_ready(&mut self, slot: Slot, node: &mut Node, context: &mut Context) {
         let Some(stream) = self.all.get_mut(slot) else { return };
         if stream.turn(context.reactor.now(), node).is_err() {
             self.end(slot, node);
@@ -91,7 +91,7 @@
     }
 
     /// Time passes: what waited for room goes on, and what does not move ends.
-    pub fn due(&mut self, now: f64, node: &mut Node) {
+    pub fn on_timer(&mut self, now: f64, node: &mut Node) {
         let slots: Vec<Slot> = self.all.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
             let Some(stream) = self.all.get_mut(slot) else { continue };
--- a/crates/daemon/src/net/pooler.rs
+++ b/crates/daemon/src/net/pooler.rs
@@ -36,29 +36,29 @@
 
 use super::change::{self, Changes};
 use super::clients::{Clients, CommandNumber};
-use super::control::{Bound, Controls};
+use super::control::{ControlSocket, OwnedListener};
 use super::coordination::Coordination;
 use super::discovery::Discovery;
-use super::event_loop::{self, Due, Handler, Reactor, Slot, Source};
+use super::event_loop::{self, Handler, Reactor, Slot, Source, TimerKind};
 use super::registry::Registry;
 use super::servers::Servers;
 use super::sessions::{Detachment, ServerRequest, Sessions};
 use super::{Context, Event, ServerTask, TaskResult};
-use crate::counters::{count, Counters};
+use crate::counters::{count_outcome, Counters};
 use crate::files;
-use crate::numbers::{Assigned, Named, Numbers};
-use handover::{FromPredecessor, Inherited, ToSuccessor};
+use crate::numbers::{ActiveClass, NumberedSettings, Numbers};
+use handover::{InheritedState, PredecessorHandover, SuccessorHandover};
 use in_flight::{Access, InFlight};
 use process_lifecycle::{PidFile, ProcessLifecycle};
-use sharing::Shared;
+use sharing::SharingState;
 
 /// The exit code of a successor that has failed its first seconds and handed back.
-const HANDED_BACK: u8 = 5;
+const EXIT_HANDED_BACK: u8 = 5;
 
 /// The platform counts the longest deadline as no longer than this when it kills what was asked to end, waits so much more, and
 /// an answer needs some of that (seconds).
-const LONGEST_DEADLINE: f64 = 3.0;
-const KILL_MORE: f64 = 0.7;
+const MAX_DEADLINE: f64 = 3.0;
+const KILL_GRACE: f64 = 0.7;
 const KILL_MARGIN: f64 = 0.15;
 
 /// Whom a final answer is owed to.
@@ -72,28 +72,28 @@
 /// A request that its client, or an attempt, has not done with yet.
 struct Request {
     /// Whom its final answer is owed to; none once that is given or the client has left.
-    client: Option<ReplyTarget>,
+    reply_target: Option<ReplyTarget>,
     statement: Rc<Statement>,
     /// What was done and received for it: asked before anything more is done.
     history: History,
     /// The attempts that are out, each until its end is handled: its number and its connection, if it has one.
     /// More than one where the settings allow second copies; never more than `max_attempts`.
-    out: Vec<(usize, Option<Slot>)>,
+    attempts_in_flight: Vec<(usize, Option<Slot>)>,
     /// What it counts under: the lasting number of its class, its group, whether it is a repeat, its tenant.
     class: u16,
     group: u32,
     repeat: bool,
     tenant: usize,
-    taken: f64,
+    arrived_at: f64,
     consistency: Consistency,
     /// What it has to do with other instances.
-    shared: Shared,
+    sharing: SharingState,
 }
 
 impl Request {
     /// The connection of an attempt that is out.
     fn slot_of(&self, attempt: usize) -> Option<Slot> {
-        self.out.iter().find(|(number, _)| *number == attempt).and_then(|(_, slot)| *slot)
+        self.attempts_in_flight.iter().find(|(number, _)| *number == attempt).and_then(|(_, slot)| *slot)
     }
 }
 
@@ -108,7 +108,7 @@
     registry: Option<Registry>,
     /// Other instances, where the operator's file says how they reach this one, and the requests that wait for them.
     coordination: Option<Coordination>,
-    sharing: Vec<RequestId>,
+    awaiting_peers: Vec<RequestId>,
     /// When what the list's source has sent was last looked for (seconds).
     list_read_at: f64,
     seed: u64,
@@ -118,17 +118,17 @@
     /// Which requests each platform client waits for.
     in_flight: InFlight,
     /// The classes and tenants that new requests are of.
-    classes: Vec<Named>,
+    classes: Vec<ActiveClass>,
     tenants: Vec<(String, usize)>,
     numbers: Numbers,
     budget: Budget,
     /// Changes through the operator's file; none where there is no such file.
     changes: Option<Box<Changes>>,
-    control: Option<Controls>,
+    control: Option<ControlSocket>,
     log: logging::Handle,
     /// Where clients are told to connect, and where they were told before a change that may still be undone.
     listen: SocketAddr,
-    listened: Option<SocketAddr>,
+    previous_listen: Option<SocketAddr>,
     zones: Vec<String>,
     probe_timeout: f64,
     /// Where the configuration is read again from.
@@ -138,16 +138,16 @@
     /// How long after the wish to end all that comes must have been answered, and when that is (seconds).
     kill_after: f64,
     kill_at: f64,
-    life: ProcessLifecycle,
+    lifecycle: ProcessLifecycle,
     /// Hand-overs to a successor, and from the daemon before this one.
-    successor: Option<ToSuccessor>,
-    predecessor: Option<FromPredecessor>,
+    successor: Option<SuccessorHandover>,
+    predecessor: Option<PredecessorHandover>,
     /// Whether this one has failed its first seconds as a successor.
-    yielded: bool,
+    handed_back: bool,
 }
 
 /// The operator's side of a daemon.
-pub(crate) struct Operator {
+pub(crate) struct OperatorOptions {
     /// The operator's file.
     pub file: PathBuf,
     /// The folder of the history, where the file's word for it is not to be relied on.
@@ -157,16 +157,16 @@
 }
 
 /// Serves until told to end.
-pub(crate) fn serve(config: &Config, path: &Path, operator: Option<Operator>) -> io::Result<u8> {
+pub(crate) fn serve(config: &Config, path: &Path, operator: Option<OperatorOptions>) -> io::Result<u8> {
     let mut poll = Poll::new()?;
     let reactor = Reactor::new(&poll)?;
     let mut context = Context { reactor, events: Default::default(), counters: Counters::default() };
     let mut pooler = Pooler::new(config, path, operator, &mut context)?;
     event_loop::run(&mut poll, &mut pooler, &mut context)?;
-    pooler.part(&context);
+    pooler.announce_shutdown(&context);
     logging::info!(event = "ended", "{} ends: {}", config.name, context.counters);
-    Ok(match pooler.life.stage() {
-        _ if pooler.yielded => HANDED_BACK,
+    Ok(match pooler.lifecycle.stage() {
+        _ if pooler.handed_back => EXIT_HANDED_BACK,
         lifecycle::Stage::Ended(code) => code,
         _ => lifecycle::OWED,
     })
@@ -176,7 +176,7 @@
     fn new(
         config: &Config,
         path: &Path,
-        operator: Option<Operator>,
+        operator: Option<OperatorOptions>,
         context: &mut Context,
     ) -> io::Result<Pooler> {
         let invalid = |fault: String| io::Error::new(io::ErrorKind::InvalidInput, fault);
@@ -186,7 +186,7 @@
             Some(operator) => Some(ask(operator, now).map_err(invalid)?),
             None => None,
         };
-        let lock = inherited.as_mut().and_then(Inherited::state);
+        let lock = inherited.as_mut().and_then(InheritedState::take_state_lock);
         let opening = operator
             .map(|operator| change::open(&operator.file, (operator.state, lock), config, now, &mut loud));
         let opening = opening.transpose().map_err(invalid)?;
@@ -194,34 +194,36 @@
             Some(opening) => opening.effective.clone(),
             // Nothing but the platform's word, which has been checked with it.
             None => Effective::new(config, Default::default())
-                .map_err(|conflicts| invalid(change::words(&conflicts)))?,
+                .map_err(|conflicts| invalid(change::describe_conflicts(&conflicts)))?,
         };
         let log = logging::start(effective.document.log.level, effective.document.log.format);
         for line in loud {
             logging::error!(event = "config.loud", "{line}");
         }
         let mut numbers = Numbers::default();
-        let Assigned { settings, classes, tenants } =
+        let NumberedSettings { settings, classes, tenants } =
             numbers.assign(&effective, |_| false).map_err(invalid)?;
         let (connect_timeout, keepalive) = (settings.connect_timeout, effective.keepalive);
-        let retry_after = advice(&settings);
+        let retry_after = max_retry_after(&settings);
         let kill_after = kill_after(&settings);
         let policy = Policy::new(settings, config.seed).map_err(|fault| invalid(fault.to_string()))?;
         // Before anything is bound: who holds it has the rest as well.
         let daemon = &effective.document.daemon;
-        let pid = daemon.pid_file.as_ref().map(|path| match inherited.as_mut().and_then(Inherited::pid) {
-            Some(file) => Ok(PidFile::inherit(file, path)),
-            None => PidFile::take(path),
+        let pid = daemon.pid_file.as_ref().map(|path| {
+            match inherited.as_mut().and_then(InheritedState::take_pid_file) {
+                Some(file) => Ok(PidFile::inherit(file, path)),
+                None => PidFile::take(path),
+            }
         });
         let pid = pid.transpose()?;
-        let terms = process_lifecycle::terms(opening.as_ref().map(|_| &effective.document.daemon));
+        let terms = process_lifecycle::lifecycle_limits(opening.as_ref().map(|_| &effective.document.daemon));
         let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP, SIGUSR1])?;
         context.reactor.registry.register(&mut signals, Source::Signals.into(), Interest::READABLE)?;
         // Most clients have one attempt out, so half the sockets are enough for the db machines' side. Where clients send
         // commands ahead or second copies are allowed these may be short; then an attempt ends as never sent, which costs
         // nothing but itself.
         // Half the memory is for buffers, statements and values, whoever needs them at the time.
-        let sockets = effective.sockets.saturating_sub(SPARES + pooled(&effective));
+        let sockets = effective.sockets.saturating_sub(SPARES + session_sockets(&effective));
         let clients = sockets / 2;
         if clients == 0 {
             return Err(io::Error::new(io::ErrorKind::InvalidInput, "too few sockets"));
@@ -231,24 +233,24 @@
         // A successor has these once it stands; until then the daemon before it does.
         let own = inherited.is_none();
         let successor = daemon.handover.as_ref().filter(|_| own).map(|path| {
-            let bound = Bound::new(path).and_then(|bound| ToSuccessor::new(bound, context));
+            let bound = OwnedListener::new(path).and_then(|bound| SuccessorHandover::new(bound, context));
             bound.map_err(|error| io::Error::new(error.kind(), format!("{}: {error}", path.display())))
         });
         let successor = successor.transpose()?;
         let controls = control.socket.as_ref().filter(|_| own).map(|path| {
-            Controls::new(path, control.idle_s, context)
+            ControlSocket::new(path, control.idle_s, context)
                 .map_err(|error| io::Error::new(error.kind(), format!("{}: {error}", path.display())))
         });
         // All that can be asked of it is there once the log says that it listens.
         let control = controls.transpose()?;
         // Sockets that a service manager has bound come before any other: it says where it wants to be called.
         let mut activated = listenfd::ListenFd::from_env();
-        let mut bind = |inherited: &mut Option<Inherited>, pool: bool, address: SocketAddr| {
+        let mut bind = |inherited: &mut Option<InheritedState>, pool: bool, address: SocketAddr| {
             if let Some(listener) = activated.take_tcp_listener(usize::from(pool))? {
                 listener.set_nonblocking(true)?;
                 return Ok(TcpListener::from_std(listener));
             }
-            match inherited.as_mut().and_then(|inherited| inherited.listener(pool, address)) {
+            match inherited.as_mut().and_then(|inherited| inherited.take_listener(pool, address)) {
                 Some(listener) => Ok(listener),
                 None => TcpListener::bind(address),
             }
@@ -273,12 +275,12 @@
         let sessions = sessions.transpose()?;
         let coordination = Coordination::new(&effective, config, context).map_err(invalid)?;
         let (fresh, begun) = ProcessLifecycle::new(terms, pid, config.seed, context);
-        let list = inherited.as_ref().and_then(Inherited::list);
+        let list = inherited.as_ref().and_then(InheritedState::list);
         let (index, saved) = list
             .filter(|(index, _)| *index >= config.known.index)
             .unwrap_or_else(|| (config.known.index, config.known.listings.clone()));
         let trial_s = effective.document.daemon.trial_s;
-        let predecessor = inherited.map(|inherited| FromPredecessor::new(inherited, trial_s, context));
+        let predecessor = inherited.map(|inherited| PredecessorHandover::new(inherited, trial_s, context));
         let (predecessor, comes) =
             predecessor.transpose()?.map_or((None, Vec::new()), |(from, does)| (Some(from), does));
         let pushed = config.source == ListSource::Pushed;
@@ -290,7 +292,7 @@
             discovery: Discovery::new(effective.discovery, index, pushed),
             registry: None,
             coordination,
-            sharing: Vec::new(),
+            awaiting_peers: Vec::new(),
             list_read_at: f64::NEG_INFINITY,
             seed: config.seed,
             name: config.name.clone(),
@@ -305,89 +307,93 @@
             control,
             log,
             listen: effective.listen,
-            listened: None,
+            previous_listen: None,
             zones: effective.zones.clone(),
             probe_timeout: connect_timeout,
             path: path.to_path_buf(),
             retry_after,
             kill_after,
             kill_at: f64::INFINITY,
-            life: fresh,
+            lifecycle: fresh,
             successor,
             predecessor,
-            yielded: false,
+            handed_back: false,
         };
-        pooler.carry_on(begun, context);
+        pooler.carry_out_lifecycle(begun, context);
         if pooler.predecessor.is_some() {
-            pooler.pause(true, context);
+            pooler.set_paused(true, context);
         }
-        pooler.live(LifecycleInput::Bound, context);
+        pooler.advance_lifecycle(LifecycleInput::Bound, context);
         context.events.push_back(Event::ListReceived(ListKind::Saved, saved));
-        pooler.drain(context);
-        pooler.inherit(context);
-        pooler.taken(comes, context);
-        pooler.intend(&effective, context);
-        pooler.source(&effective, context);
-        pooler.follow(context);
-        pooler.drain(context);
+        pooler.handle_events(context);
+        pooler.adopt_predecessor_state(context);
+        pooler.carry_out_handover(comes, context);
+        pooler.apply_overrides(&effective, context);
+        pooler.select_list_source(&effective, context);
+        pooler.follow_pushed_list(context);
+        pooler.handle_events(context);
         Ok(pooler)
     }
 
     /// Takes event after event, each only when all that follows from the one before it is carried out.
-    fn drain(&mut self, context: &mut Context) {
+    fn handle_events(&mut self, context: &mut Context) {
         while let Some(event) = context.events.pop_front() {
             match event {
                 Event::QueryReceived(client, command, query) => {
-                    self.asked((client, command), *query, context)
+                    self.handle_query((client, command), *query, context)
                 }
-                Event::RequestReleased(client, id) => self.released(client, &id, context),
-                Event::ClientLeft(client) => self.gone(client, context),
+                Event::RequestReleased(client, id) => self.handle_release(client, &id, context),
+                Event::ClientLeft(client) => self.handle_client_left(client, context),
                 Event::CancelRequested(key) => {
                     // One that has not been taken in yet, or is answered already, is none to cancel.
-                    let client = self.clients.of_key(key).filter(|client| self.in_flight.has(*client));
+                    let client =
+                        self.clients.find_by_key(key).filter(|client| self.in_flight.has_requests(*client));
                     if let Some(client) = client {
-                        self.gone(client, context);
-                        self.clients.cancelled(client, context);
+                        self.handle_client_left(client, context);
+                        self.clients.finish_cancelled(client, context);
                     }
                 }
-                Event::TaskEnded(ended) => self.ended(*ended, context),
-                Event::ListReceived(kind, listings) => self.listed(kind, listings, context),
-                Event::ServerRequested(slot, wanted) => self.wanted(slot, *wanted, context),
+                Event::TaskEnded(ended) => self.handle_task_result(*ended, context),
+                Event::ListReceived(kind, listings) => self.apply_list(kind, listings, context),
+                Event::ServerRequested(slot, wanted) => self.handle_server_request(slot, *wanted, context),
                 Event::SessionAttached(id) => {
                     if let Some(request) = self.requests.get_mut(&id) {
-                        request.client = None;
+                        request.reply_target = None;
                         request.history.close();
                     }
-                    self.tell(interface::Event::Started { id }, context);
+                    self.notify_policy(interface::Event::Started { id }, context);
                 }
                 Event::ServerRequestAbandoned(id) => {
                     if let Some(request) = self.requests.get_mut(&id) {
-                        context.counters.gone += 1;
-                        request.client = None;
+                        context.counters.requests_abandoned += 1;
+                        request.reply_target = None;
                     }
-                    self.tell(interface::Event::Gone { id: id.clone() }, context);
-                    self.forget(&id, context.reactor.now());
+                    self.notify_policy(interface::Event::Gone { id: id.clone() }, context);
+                    self.remove_if_finished(&id, context.reactor.now());
                 }
                 Event::RoleReported(member, primary) => {
                     let report = interface::Report { position: None, primary: Some(primary) };
-                    self.tell(interface::Event::Probed { member, outcome: Outcome::Ok, report }, context);
+                    self.notify_policy(
+                        interface::Event::Probed { member, outcome: Outcome::Ok, report },
+                        context,
+                    );
                 }
-                Event::SessionDetached(parted) => self.parted(*parted, context),
-                Event::ControlCallReceived(caller, call) => self.called(caller, *call, context),
+                Event::SessionDetached(parted) => self.handle_detachment(*parted, context),
+                Event::ControlCallReceived(caller, call) => self.handle_control_call(caller, *call, context),
             }
         }
     }
 
     /// Follows a list that is pushed, unless the operator's file has one of its own or names a registry.
-    fn follow(&mut self, context: &mut Context) {
+    fn follow_pushed_list(&mut self, context: &mut Context) {
         let fixed = self.changes.as_ref().is_some_and(|changes| changes.roster.is_fixed());
         if !fixed && self.registry.is_none() {
-            self.discovery.follow(context);
+            self.discovery.follow_pushed(context);
         }
     }
 
     /// Tells the policy and carries out its actions in their order.
-    fn tell(&mut self, event: interface::Event, context: &mut Context) {
+    fn notify_policy(&mut self, event: interface::Event, context: &mut Context) {
         let actions = self.decide(event, context);
         self.carry_out(actions, context);
     }
@@ -406,42 +412,44 @@
                     let Some(request) = self.requests.get_mut(&id) else { continue };
                     let number = request.history.begin(context.reactor.now());
                     if let Err(denial) = permitted {
-                        request.out.push((number, None));
-                        self.withhold(id, number, member, denial, context);
+                        request.attempts_in_flight.push((number, None));
+                        self.end_unsent_attempt(id, number, member, denial, context);
                         continue;
                     }
-                    context.counters.sent += 1;
+                    context.counters.attempts_sent += 1;
                     trace::sent(&id, number, &member, timeout);
-                    self.sends(&id, &member, number);
+                    self.record_attempt_target(&id, &member, number);
                     let Some(request) = self.requests.get_mut(&id) else { continue };
                     if let (Some(ReplyTarget::Session(slot)), Some(sessions)) =
-                        (request.client, &mut self.sessions)
+                        (request.reply_target, &mut self.sessions)
                     {
-                        request.out.push((number, None));
+                        request.attempts_in_flight.push((number, None));
                         // Nothing is written for it before the session is on a connection, which ends this.
                         request.history.end(number, Evidence::NeverRan);
-                        sessions.give(slot, &id, number, &member, timeout, context);
+                        sessions.assign_server(slot, &id, number, &member, timeout, context);
                         continue;
                     }
                     let task = ServerTask::Attempt(id, number, request.statement.clone());
                     let limits = (timeout, request.history.write_by());
-                    request.out.push((number, self.servers.send(task, &member, limits, context)));
+                    request
+                        .attempts_in_flight
+                        .push((number, self.servers.send(task, &member, limits, context)));
                 }
                 Action::Cancel { id, attempt } => {
                     let request = self.requests.get(&id);
                     if let (Some(ReplyTarget::Session(slot)), Some(sessions)) =
-                        (request.and_then(|request| request.client), &mut self.sessions)
+                        (request.and_then(|request| request.reply_target), &mut self.sessions)
                     {
-                        sessions.withdraw(slot, attempt, context);
+                        sessions.withdraw_attempt(slot, attempt, context);
                     } else if let Some(slot) = request.and_then(|request| request.slot_of(attempt)) {
                         self.servers.cancel(slot, &id, attempt, context);
                     }
                 }
                 Action::Refuse { id, backoff } => self.answer(&id, Answer::Refused(backoff), context),
                 Action::Fail { id } => self.answer(&id, Answer::Failed, context),
-                Action::Timer { at, cookie } => context.reactor.timer(at, Due::Policy(cookie)),
+                Action::Timer { at, cookie } => context.reactor.set_timer(at, TimerKind::Policy(cookie)),
                 Action::Probe { member } => {
-                    context.counters.probed += 1;
+                    context.counters.probes_sent += 1;
                     self.servers.send(
                         ServerTask::Probe,
                         &member,
@@ -449,21 +457,26 @@
                         context,
                     );
                 }
-                Action::LetGo { member } => self.servers.let_go(&member),
-                Action::Withhold { member } => self.servers.withhold(&member, context),
+                Action::LetGo { member } => self.servers.close_idle(&member),
+                Action::Withhold { member } => self.servers.cancel_unsent(&member, context),
                 // With a list of the operator's own there may be no discovery at all.
                 Action::Listen if self.changes.as_ref().is_some_and(|changes| changes.roster.is_fixed()) => {}
                 // A registry is followed by itself, whether or not it is asked for.
                 Action::Listen if self.registry.is_some() => {}
-                Action::Listen => self.discovery.listen(context),
-                Action::Denied { id, denial } => guard::violation(&id, denial, context),
+                Action::Listen => self.discovery.subscribe(context),
+                Action::Denied { id, denial } => guard::report_violation(&id, denial, context),
                 Action::Explain(explanation) => trace::given_up(&explanation, &self.numbers),
                 Action::Log(text) => logging::info!(event = "decided", "{text}"),
             }
         }
     }
 
-    fn asked(&mut self, (client, command): (Slot, CommandNumber), query: Query, context: &mut Context) {
+    fn handle_query(
+        &mut self,
+        (client, command): (Slot, CommandNumber),
+        query: Query,
+        context: &mut Context,
+    ) {
         let id = RequestId::from(query.id);
         let named = self.classes.iter().find(|class| class.name == query.class);
         let invalid = match named {
@@ -473,11 +486,13 @@
             Some(_) if self.requests.contains_key(&id) => Some("this id is in use"),
             Some(_) => None,
         };
-        let (Some(&Named { number: class, id: counted, consistency, .. }), None) = (named, invalid) else {
+        let (Some(&ActiveClass { number: class, stable_id: counted, consistency, .. }), None) =
+            (named, invalid)
+        else {
             let answer = Answer::Invalid(invalid.unwrap_or_default());
             return self.clients.answer(client, command, answer, context);
         };
-        context.counters.taken += 1;
+        context.counters.requests += 1;
         let now = context.reactor.now();
         let sessions = matches!(consistency, Consistency::Write | Consistency::Session);
         let tenant = self.tenants.iter().find(|(name, _)| *name == query.tenant).map(|(_, number)| *number);
@@ -498,61 +513,61 @@
         };
         let rules = self.policy.rules(class, now + arrival.left);
         let request = Request {
-            client: Some(ReplyTarget::Client(client)),
+            reply_target: Some(ReplyTarget::Client(client)),
             statement: Rc::new(query.statement),
             history: History::new(rules),
-            out: Vec::new(),
+            attempts_in_flight: Vec::new(),
             class: counted,
             group: query.group,
             repeat: query.repeat,
             tenant,
-            taken: now,
+            arrived_at: now,
             consistency,
-            shared: Shared::default(),
+            sharing: SharingState::default(),
         };
         self.requests.insert(id, request);
         match self.in_flight.insert((client, command), access, arrival, now) {
-            Ok(arrival) => self.begin(arrival, consistency, context),
-            Err(until) => context.reactor.timer(until, Due::InFlight(client)),
+            Ok(arrival) => self.begin_request(arrival, consistency, context),
+            Err(until) => context.reactor.set_timer(until, TimerKind::InFlight(client)),
         }
     }
 
     /// A request is to be carried out.
-    fn begin(&mut self, arrival: Arrival, consistency: Consistency, context: &mut Context) {
-        self.beside(context);
-        if let Some(arrival) = self.share(arrival, consistency, context) {
-            self.tell(interface::Event::Arrival(arrival), context);
+    fn begin_request(&mut self, arrival: Arrival, consistency: Consistency, context: &mut Context) {
+        self.invalidate_writes_beside_predecessor(context);
+        if let Some(arrival) = self.coordinate_arrival(arrival, consistency, context) {
+            self.notify_policy(interface::Event::Arrival(arrival), context);
         }
     }
 
     /// A request need not wait for earlier ones of its connection any more.
-    fn released(&mut self, client: Slot, id: &RequestId, context: &mut Context) {
+    fn handle_release(&mut self, client: Slot, id: &RequestId, context: &mut Context) {
         let Some(mut arrival) = self.in_flight.release(client, id) else { return };
         let Some(request) = self.requests.get(id) else { return };
         let consistency = request.consistency;
-        arrival.left -= context.reactor.now() - request.taken;
-        self.begin(arrival, consistency, context);
+        arrival.left -= context.reactor.now() - request.arrived_at;
+        self.begin_request(arrival, consistency, context);
     }
 
     /// Turns away what has waited for earlier requests of its connection for as long as it may: nothing of it was sent.
     fn turn_away_expired(&mut self, client: Slot, context: &mut Context) {
         for id in self.in_flight.expired(client, context.reactor.now()) {
-            let backoff = self.life.away(self.retry_after);
+            let backoff = self.lifecycle.jittered_backoff(self.retry_after);
             trace::turned_away(&id, "it waited for earlier requests of its connection");
             self.answer(&id, Answer::Refused(backoff), context);
         }
     }
 
     /// A session of an ordinary client wants a server: one request, whatever it does with it.
-    fn wanted(&mut self, slot: Slot, wanted: ServerRequest, context: &mut Context) {
+    fn handle_server_request(&mut self, slot: Slot, wanted: ServerRequest, context: &mut Context) {
         let ServerRequest { id, class, tenant, group } = wanted;
-        let Some(&Named { number, id: counted, consistency, .. }) =
+        let Some(&ActiveClass { number, stable_id: counted, consistency, .. }) =
             self.classes.iter().find(|c| c.name == class)
         else {
             let answer = Answer::Invalid("unknown class");
-            return self.sessions.iter_mut().for_each(|sessions| sessions.refused(slot, &answer, context));
+            return self.sessions.iter_mut().for_each(|sessions| sessions.refuse(slot, &answer, context));
         };
-        context.counters.taken += 1;
+        context.counters.requests += 1;
         let sessions = matches!(consistency, Consistency::Write | Consistency::Session);
         let known = self.tenants.iter().find(|(name, _)| *name == tenant).map(|(_, number)| *number);
         let tenant = known.unwrap_or(usize::MAX);
@@ -570,38 +585,38 @@
             own: None,
         };
         let request = Request {
-            client: Some(ReplyTarget::Session(slot)),
+            reply_target: Some(ReplyTarget::Session(slot)),
             statement: Rc::new(Statement::new("".into(), 0..0)),
             history: History::new(self.policy.rules(number, f64::INFINITY)),
-            out: Vec::new(),
+            attempts_in_flight: Vec::new(),
             class: counted,
             group,
             repeat: false,
             tenant,
-            taken: context.reactor.now(),
+            arrived_at: context.reactor.now(),
             consistency,
-            shared: Shared::default(),
+            sharing: SharingState::default(),
         };
         self.requests.insert(id, request);
-        self.beside(context);
-        self.tell(interface::Event::Arrival(arrival), context);
+        self.invalidate_writes_beside_predecessor(context);
+        self.notify_policy(interface::Event::Arrival(arrival), context);
     }
 
     /// A session is no longer on the server that it was given, or never came to be.
-    fn parted(&mut self, parted: Detachment, context: &mut Context) {
+    fn handle_detachment(&mut self, parted: Detachment, context: &mut Context) {
         let Detachment { id, attempt, member, outcome, elapsed, primary } = parted;
-        count(&mut context.counters.attempts, outcome);
+        count_outcome(&mut context.counters.attempt_outcomes, outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
         // One that was withdrawn may be told of after the next was begun.
-        request.out.retain(|(number, _)| *number != attempt);
+        request.attempts_in_flight.retain(|(number, _)| *number != attempt);
         let conclusion = Conclusion::AsReceived;
         request.history.end(attempt, Evidence::of(outcome, conclusion));
-        let finished = request.client.is_none();
+        let finished = request.reply_target.is_none();
         if finished {
             if let Some(changes) = &mut self.changes {
                 let bad = (outcome != Outcome::Ok).then_some(Bad::Failed);
                 let now = context.reactor.now();
-                changes.note(now, (request.class, request.group), false, bad, elapsed);
+                changes.record_request(now, (request.class, request.group), false, bad, elapsed);
             }
         }
         let report = interface::Report::default();
@@ -618,29 +633,29 @@
             report,
         };
         let actions = self.decide(interface::Event::Done(done), context);
-        self.forget(&id, context.reactor.now());
+        self.remove_if_finished(&id, context.reactor.now());
         self.carry_out(actions, context);
     }
 
     /// A client has left: nobody waits for its answers any more, and its attempts are given up.
-    fn gone(&mut self, client: Slot, context: &mut Context) {
-        for id in self.in_flight.take(client) {
+    fn handle_client_left(&mut self, client: Slot, context: &mut Context) {
+        for id in self.in_flight.take_all(client) {
             let Some(request) = self.requests.get_mut(&id) else { continue };
-            context.counters.gone += 1;
-            request.client = None;
+            context.counters.requests_abandoned += 1;
+            request.reply_target = None;
             request.history.close();
-            self.tell(interface::Event::Gone { id: id.clone() }, context);
-            self.give_up(&id, context);
-            self.forget(&id, context.reactor.now());
+            self.notify_policy(interface::Event::Gone { id: id.clone() }, context);
+            self.cancel_attempts(&id, context);
+            self.remove_if_finished(&id, context.reactor.now());
         }
     }
 
     /// Gives a request its final answer, unless it has had one.
     fn answer(&mut self, id: &RequestId, answer: Answer, context: &mut Context) {
-        let answer = self.permitted(id, answer, context);
+        let answer = self.permitted_answer(id, answer, context);
         let Some(request) = self.requests.get_mut(id) else { return };
         request.history.close();
-        if let Some(client) = request.client.take() {
+        if let Some(client) = request.reply_target.take() {
             if let Some(changes) = &mut self.changes {
                 let bad = match answer {
                     Answer::Served(_) => None,
@@ -648,7 +663,13 @@
                     Answer::Failed | Answer::Invalid(_) => Some(Bad::Failed),
                 };
                 let now = context.reactor.now();
-                changes.note(now, (request.class, request.group), request.repeat, bad, now - request.taken);
+                changes.record_request(
+                    now,
+                    (request.class, request.group),
+                    request.repeat,
+                    bad,
+                    now - request.arrived_at,
+                );
             }
             match client {
                 ReplyTarget::Client(client) => {
@@ -659,47 +680,51 @@
                     }
                 }
                 ReplyTarget::Session(slot) => {
-                    self.sessions.iter_mut().for_each(|sessions| sessions.refused(slot, &answer, context));
+                    self.sessions.iter_mut().for_each(|sessions| sessions.refuse(slot, &answer, context));
                 }
             }
         }
-        self.forget(id, context.reactor.now());
+        self.remove_if_finished(id, context.reactor.now());
     }
 
     /// Gives up whatever is still out for a request that nobody waits for.
-    fn give_up(&mut self, id: &RequestId, context: &mut Context) {
-        let out = self.requests.get(id).map(|request| request.out.clone()).unwrap_or_default();
+    fn cancel_attempts(&mut self, id: &RequestId, context: &mut Context) {
+        let out = self.requests.get(id).map(|request| request.attempts_in_flight.clone()).unwrap_or_default();
         for (attempt, slot) in out {
             slot.into_iter().for_each(|slot| self.servers.cancel(slot, id, attempt, context));
         }
     }
 
     /// Forgets a request that neither a client nor an attempt waits for.
-    fn forget(&mut self, id: &RequestId, now: f64) {
-        if self.requests.get(id).is_some_and(|request| request.client.is_none() && request.out.is_empty()) {
+    fn remove_if_finished(&mut self, id: &RequestId, now: f64) {
+        if self
+            .requests
+            .get(id)
+            .is_some_and(|request| request.reply_target.is_none() && request.attempts_in_flight.is_empty())
+        {
             if let Some(request) = self.requests.remove(id) {
-                self.unshare(&request.shared, now);
+                self.release_write_ticket(&request.sharing, now);
             }
         }
     }
 
-    fn ended(&mut self, ended: TaskResult, context: &mut Context) {
+    fn handle_task_result(&mut self, ended: TaskResult, context: &mut Context) {
         let TaskResult { task, member, outcome, elapsed, position, primary, report, value } = ended;
         let ServerTask::Attempt(id, attempt, _) = task else {
-            count(&mut context.counters.probes, outcome);
-            return self.tell(interface::Event::Probed { member, outcome, report }, context);
+            count_outcome(&mut context.counters.probe_outcomes, outcome);
+            return self.notify_policy(interface::Event::Probed { member, outcome, report }, context);
         };
         let told = (position, primary);
-        let conclusion = self.conclusion(&id, (attempt, elapsed), outcome, told);
+        let conclusion = self.assess_outcome(&id, (attempt, elapsed), outcome, told);
         trace::ended(&id, (attempt, elapsed), &member, (outcome, conclusion), told);
-        count(&mut context.counters.attempts, outcome);
+        count_outcome(&mut context.counters.attempt_outcomes, outcome);
         context.counters.too_old += u64::from(conclusion == Conclusion::TooOld);
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.history.end(attempt, Evidence::of(outcome, conclusion));
         // Another copy may still be out: its end is owed to the decisions, which count what each machine holds.
-        request.out.retain(|(number, _)| *number != attempt);
+        request.attempts_in_flight.retain(|(number, _)| *number != attempt);
         let served = outcome == Outcome::Ok && conclusion == Conclusion::AsReceived;
-        let finished = served || request.client.is_none();
+        let finished = served || request.reply_target.is_none();
         let done = Done {
             id: id.clone(),
             member,
@@ -715,15 +740,15 @@
         // What the answer tells of the machine is taken in before the client can act on the answer.
         let actions = self.decide(interface::Event::Done(done), context);
         if !served {
-            self.forget(&id, context.reactor.now());
-        } else if let Some(value) = self.served(&id, position, value, context) {
+            self.remove_if_finished(&id, context.reactor.now());
+        } else if let Some(value) = self.coordinate_answer(&id, position, value, context) {
             self.answer(&id, Answer::Served(value), context);
         }
         self.carry_out(actions, context);
     }
 
     /// What a change would meet now.
-    fn view(&self) -> View {
+    fn change_view(&self) -> View {
         let Some(changes) = &self.changes else { return View::default() };
         let known: BTreeMap<&str, (f64, bool)> =
             self.policy.members().map(|(id, _, warmth, primary)| (&**id, (warmth, primary))).collect();
@@ -734,116 +759,129 @@
         });
         let mut view = View { members: members.collect(), ..View::default() };
         for ((class, group), count) in changes.health.traffic() {
-            *view.traffic.entry((self.numbers.name(class).to_string(), group)).or_insert(0) += count;
+            *view
+                .traffic
+                .entry((self.numbers.class_name_by_stable_id(class).to_string(), group))
+                .or_insert(0) += count;
         }
         let tenants: HashMap<usize, &String> = self.tenants.iter().map(|(name, n)| (*n, name)).collect();
         for request in self.requests.values() {
-            let class = self.numbers.name(request.class).to_string();
+            let class = self.numbers.class_name_by_stable_id(request.class).to_string();
             *view.traffic.entry((class.clone(), request.group)).or_insert(0) += 1;
             *view.classes_in_hand.entry(class).or_insert(0) += 1;
             if let Some(tenant) = tenants.get(&request.tenant) {
                 *view.tenants_in_hand.entry(tenant.to_string()).or_insert(0) += 1;
             }
         }
-        view.clients_busy = self.in_flight.clients();
-        view.servers_busy = self.servers.busy();
+        view.clients_busy = self.in_flight.client_count();
+        view.servers_busy = self.servers.busy_count();
         view.memory_in_use = self.budget.used();
         view
     }
 
-    fn signal(&mut self, context: &mut Context) {
+    fn handle_signals(&mut self, context: &mut Context) {
         let pending: Vec<i32> = self.signals.pending().collect();
         for signal in pending {
             if signal == SIGUSR1 {
                 logging::info!(event = "counters", left_out = self.log.left_out(), "{}", context.counters);
             } else if signal == SIGHUP {
-                self.live(LifecycleInput::Reload(process_lifecycle::monotonic_us()), context);
+                self.advance_lifecycle(LifecycleInput::Reload(process_lifecycle::monotonic_us()), context);
             } else {
-                if !self.life.stage().ends() {
+                if !self.lifecycle.stage().ends() {
                     logging::info!(event = "ending", "asked to end");
                     if self.changes.is_none() {
                         self.kill_at = context.reactor.now() + self.kill_after;
                     }
-                    self.registry.iter_mut().for_each(|registry| registry.leave(context));
-                    self.sessions.iter_mut().for_each(|sessions| sessions.end(false, context));
+                    self.registry.iter_mut().for_each(|registry| registry.deregister(context));
+                    self.sessions.iter_mut().for_each(|sessions| sessions.end_sessions(false, context));
                 }
                 // What is owed is counted now: a third one ends it at once.
-                self.age(context);
-                self.live(LifecycleInput::Stop, context);
+                self.on_lifecycle_timer(context);
+                self.advance_lifecycle(LifecycleInput::Stop, context);
             }
         }
     }
 }
 
 impl Handler for Pooler {
-    fn ready(&mut self, source: Source, half_closed: bool, context: &mut Context) {
+    fn on_ready(&mut self, source: Source, half_closed: bool, context: &mut Context) {
         self.refresh_list(context);
         match source {
-            Source::Client(slot) if half_closed => self.clients.half_closed(slot, context),
-            Source::Listener => self.clients.accept(context),
-            Source::Signals => self.signal(context),
-            Source::Client(slot) => self.clients.ready(slot, context),
-            Source::Server(slot) => self.servers.ready(slot, context),
-            Source::Discovery(slot) => self.discovery.ready(slot, context),
-            Source::Control => self.control.iter_mut().for_each(|control| control.accept(context)),
-            Source::Caller(slot) => self.control.iter_mut().for_each(|control| control.ready(slot, context)),
+            Source::Client(slot) if half_closed => self.clients.on_half_closed(slot, context),
+            Source::ClientListener => self.clients.accept(context),
+            Source::Signals => self.handle_signals(context),
+            Source::Client(slot) => self.clients.on_ready(slot, context),
+            Source::Server(slot) => self.servers.on_ready(slot, context),
+            Source::Discovery(slot) => self.discovery.on_ready(slot, context),
+            Source::ControlListener => self.control.iter_mut().for_each(|control| control.accept(context)),
+            Source::ControlConnection(slot) => {
+                self.control.iter_mut().for_each(|control| control.on_ready(slot, context))
+            }
             Source::Registry(slot) => {
-                self.registry.iter_mut().for_each(|r| r.ready(slot, context));
-                self.keep(context);
+                self.registry.iter_mut().for_each(|r| r.on_ready(slot, context));
+                self.store_registry_view(context);
+            }
+            Source::Disk => self.collect_writes(context),
+            Source::SuccessorListener => self.accept_successor(context),
+            Source::Successor => self.read_successor(context),
+            Source::Predecessor => self.read_predecessor(context),
+            Source::PeerDatagrams => self.coordination.iter_mut().for_each(|c| c.on_ready(context)),
+            Source::PeerListener => self.coordination.iter_mut().for_each(|c| c.accept(context)),
+            Source::PeerStream(slot) => {
+                self.coordination.iter_mut().for_each(|c| c.on_stream_ready(slot, context))
+            }
+            Source::SessionListener => self.sessions.iter_mut().for_each(|sessions| sessions.accept(context)),
+            Source::SessionClient(slot) => self.sessions.iter_mut().for_each(|s| s.on_ready(slot, context)),
+            Source::SessionServer(slot) => {
+                self.sessions.iter_mut().for_each(|s| s.on_server_ready(slot, context))
             }
-            Source::Disk => self.written(context),
-            Source::SuccessorListener => self.successor_comes(context),
-            Source::Successor => self.successor_says(context),
-            Source::Predecessor => self.predecessor_says(context),
-            Source::Peers => self.coordination.iter_mut().for_each(|c| c.ready(context)),
-            Source::PeersListener => self.coordination.iter_mut().for_each(|c| c.accept(context)),
-            Source::PeerStream(slot) => self.coordination.iter_mut().for_each(|c| c.stream(slot, context)),
-            Source::Pooled => self.sessions.iter_mut().for_each(|sessions| sessions.accept(context)),
-            Source::Pool(slot) => self.sessions.iter_mut().for_each(|s| s.ready(slot, context)),
-            Source::Backend(slot) => self.sessions.iter_mut().for_each(|s| s.ready_server(slot, context)),
         }
-        self.drain(context);
-        self.go_on(context);
-        self.drain(context);
-        self.look(context);
+        self.handle_events(context);
+        self.advance_sharing(context);
+        self.handle_events(context);
+        self.check_lifecycle(context);
     }
 
-    fn due(&mut self, due: Due, context: &mut Context) {
+    fn on_timer(&mut self, due: TimerKind, context: &mut Context) {
         self.refresh_list(context);
         match due {
-            Due::Policy(cookie) => self.tell(interface::Event::Timer { cookie }, context),
-            Due::Accept => self.clients.accept(context),
-            Due::Rested => self.clients.sweep(context),
-            Due::Client(slot) => self.clients.due(slot, context),
-            Due::InFlight(client) => self.turn_away_expired(client, context),
-            Due::Server(slot) => self.servers.due(slot, context),
-            Due::Discovery => self.discovery.due(context),
-            Due::Caller(slot) => self.control.iter_mut().for_each(|control| control.due(slot, context)),
-            Due::Registry => {
+            TimerKind::Policy(cookie) => self.notify_policy(interface::Event::Timer { cookie }, context),
+            TimerKind::Accept => self.clients.accept(context),
+            TimerKind::ClientSweep => self.clients.close_idle(context),
+            TimerKind::Client(slot) => self.clients.on_timer(slot, context),
+            TimerKind::InFlight(client) => self.turn_away_expired(client, context),
+            TimerKind::Server(slot) => self.servers.on_timer(slot, context),
+            TimerKind::Discovery => self.discovery.on_timer(context),
+            TimerKind::ControlConnection(slot) => {
+                self.control.iter_mut().for_each(|control| control.on_timer(slot, context))
+            }
+            TimerKind::Registry => {
                 // Kept first: what is due next is looked at with that done.
-                self.keep(context);
-                self.registry.iter_mut().for_each(|r| r.due(context));
+                self.store_registry_view(context);
+                self.registry.iter_mut().for_each(|r| r.on_timer(context));
+            }
+            TimerKind::ConfigChange => self.check_probation(context),
+            TimerKind::Session(slot) => self.sessions.iter_mut().for_each(|s| s.on_ready(slot, context)),
+            TimerKind::Peers => self.coordination.iter_mut().for_each(|c| c.on_timer(context)),
+            TimerKind::SessionSweep => {
+                self.sessions.iter_mut().for_each(|sessions| sessions.enforce_limits(context))
             }
-            Due::Change => self.probation(context),
-            Due::Session(slot) => self.sessions.iter_mut().for_each(|s| s.ready(slot, context)),
-            Due::Peers => self.coordination.iter_mut().for_each(|c| c.due(context)),
-            Due::Pools => self.sessions.iter_mut().for_each(|sessions| sessions.sweep(context)),
-            Due::Life => self.age(context),
-            Due::Handover => self.hand_over(context),
+            TimerKind::Lifecycle => self.on_lifecycle_timer(context),
+            TimerKind::Handover => self.on_handover_timer(context),
         }
-        self.drain(context);
-        self.go_on(context);
-        self.drain(context);
-        self.look(context);
+        self.handle_events(context);
+        self.advance_sharing(context);
+        self.handle_events(context);
+        self.check_lifecycle(context);
     }
 
     fn finished(&self) -> bool {
-        matches!(self.life.stage(), lifecycle::Stage::Ended(_))
+        matches!(self.lifecycle.stage(), lifecycle::Stage::Ended(_))
     }
 }
 
 /// The longest time that a refusal may ask a client to stay away (seconds).
-fn advice(settings: &interface::Settings) -> f64 {
+fn max_retry_after(settings: &interface::Settings) -> f64 {
     if settings.retry_after {
         settings.max_retry_after
     } else {
@@ -852,21 +890,21 @@
 }
 
 /// How long after the wish to end, on the platform, all that comes must have been answered (seconds): it kills no sooner than
-/// the longest deadline and `KILL_MORE` after that. Guards what comes last, which would have its own time still.
+/// the longest deadline and `KILL_GRACE` after that. Guards what comes last, which would have its own time still.
 fn kill_after(settings: &interface::Settings) -> f64 {
     let longest = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-    longest.min(LONGEST_DEADLINE) + KILL_MORE - KILL_MARGIN
+    longest.min(MAX_DEADLINE) + KILL_GRACE - KILL_MARGIN
 }
 
 /// Asks the daemon that runs with an operator's file for what it holds and knows.
-fn ask(operator: &Operator, now: f64) -> Result<Inherited, String> {
-    let (_, document) = files::document(&operator.file)?;
+fn ask(operator: &OperatorOptions, now: f64) -> Result<InheritedState, String> {
+    let (_, document) = files::read_document(&operator.file)?;
     let path = document.daemon.handover.ok_or("--take-over: the operator's file has no daemon.handover")?;
-    Inherited::ask(&path, now)
+    InheritedState::request(&path, now)
 }
 
 /// Descriptors that ordinary clients and their servers may take.
-fn pooled(effective: &Effective) -> usize {
+fn session_sockets(effective: &Effective) -> usize {
     let pool = &effective.document.pool;
-    pool.listen.map_or(0, |_| (pool.clients + pool.servers) as usize + super::sessions::MOST_CANCELS + 1)
+    pool.listen.map_or(0, |_| (pool.clients + pool.servers) as usize + super::sessions::MAX_CANCELS + 1)
 }
--- a/crates/daemon/src/net/pooler/calls.rs
+++ b/crates/daemon/src/net/pooler/calls.rs
@@ -3,15 +3,15 @@
 use ::control::{Call, Code, Response};
 use transaction::Input;
 
-use super::{Pooler, ToSuccessor};
+use super::{Pooler, SuccessorHandover};
 use crate::files;
 use crate::net::event_loop::Slot;
 use crate::net::Context;
 
 impl Pooler {
     /// Answers a control call, at once or once the transaction has come so far.
-    pub(super) fn called(&mut self, caller: Slot, call: Call, context: &mut Context) {
-        let successor = self.successor.as_ref().is_some_and(ToSuccessor::is_busy);
+    pub(super) fn handle_control_call(&mut self, caller: Slot, call: Call, context: &mut Context) {
+        let successor = self.successor.as_ref().is_some_and(SuccessorHandover::is_busy);
         let Some(changes) = &mut self.changes else { return };
         if successor && matches!(call, Call::Apply { .. } | Call::Confirm { .. } | Call::Rollback { .. }) {
             let busy = Response::new(Code::Busy, "a successor takes over: ask again once it stands");
@@ -20,13 +20,13 @@
         let unreadable = |fault: String| Response::new(Code::Unreadable, fault);
         let read = |text: &str| {
             let policy = &changes.effective.document.change;
-            files::signed(text, policy)?;
+            files::check_signature(text, policy)?;
             operator::read(text.as_bytes()).map_err(|faults| faults.to_string())
         };
         let response = match call {
             Call::Plan { text } => match read(&text) {
                 Ok(document) => {
-                    let view = self.view();
+                    let view = self.change_view();
                     self.changes
                         .as_ref()
                         .map_or_else(|| unreadable(String::new()), |c| c.plan(document, &view))
@@ -46,15 +46,15 @@
                 changes
                     .inputs
                     .push_back(Input::Confirm { caller: Some(caller.number()), number: generation });
-                return self.change(context);
+                return self.advance_change(context);
             }
             Call::Rollback { to, allow } => {
-                let probation = matches!(changes.machine.stage(), transaction::Stage::Probation(_));
-                if probation && to.is_none_or(|to| to == changes.machine.base().number) {
+                let probation = matches!(changes.transaction.stage(), transaction::Stage::Probation(_));
+                if probation && to.is_none_or(|to| to == changes.transaction.base().number) {
                     changes.inputs.push_back(Input::Rollback { caller: Some(caller.number()) });
-                    return self.change(context);
+                    return self.advance_change(context);
                 }
-                match changes.machine.history().earlier(to).cloned() {
+                match changes.transaction.history().earlier(to).cloned() {
                     Some(earlier) => {
                         let (document, note) =
                             ((*earlier.document).clone(), format!("back to {}", earlier.number));
@@ -63,9 +63,9 @@
                     None => Response::new(Code::Nothing, "no such confirmed generation is kept"),
                 }
             }
-            Call::Status {} => changes.status(self.requests.len(), self.life.stage(), &context.counters),
+            Call::Status {} => changes.status(self.requests.len(), self.lifecycle.stage(), &context.counters),
             Call::History {} => {
-                let entries = changes.machine.entries().collect();
+                let entries = changes.transaction.entries().collect();
                 Response { history: Some(entries), ..Response::new(Code::Ok, "the newest last") }
             }
             Call::Peers { what } => match &mut self.coordination {
@@ -76,13 +76,13 @@
             },
             Call::Sessions {} => match &self.sessions {
                 Some(sessions) => {
-                    let told = sessions.tell(context.reactor.now());
+                    let told = sessions.report(context.reactor.now());
                     Response { sessions: Some(told), ..Response::new(Code::Ok, "the longest first") }
                 }
                 None => Response::new(Code::Nothing, "ordinary clients are not served: pool.listen"),
             },
             Call::Show {} => {
-                let current = changes.machine.current();
+                let current = changes.transaction.current();
                 let (text, number) = (Some(current.document.text()), current.number);
                 Response {
                     text,
--- a/crates/daemon/src/net/pooler/configuration.rs
+++ b/crates/daemon/src/net/pooler/configuration.rs
@@ -5,13 +5,13 @@
 use operator::Effective;
 use transaction::{Action as Step, Input, Notice, SPARES};
 
-use super::{advice, pooled, process_lifecycle, Pooler, ToSuccessor};
+use super::{max_retry_after, process_lifecycle, session_sockets, Pooler, SuccessorHandover};
 use crate::files;
 use crate::net::change;
-use crate::net::event_loop::{Due, Slot};
+use crate::net::event_loop::{Slot, TimerKind};
 use crate::net::sessions::Sessions;
 use crate::net::Context;
-use crate::numbers::Assigned;
+use crate::numbers::NumberedSettings;
 
 impl Pooler {
     /// Reads the configuration again. Of the platform's only discovery's address is taken: the rest is what
@@ -29,7 +29,7 @@
                 }
                 logging::info!(event = "config.reread", "configuration read again: discovery at {address}");
                 if self.registry.is_none() {
-                    self.discovery.move_to(address, context);
+                    self.discovery.set_address(address, context);
                 }
             }
             Err(error) => {
@@ -37,19 +37,19 @@
                 logging::error!(event = "config.kept", "configuration kept as it was: {error}");
             }
         }
-        self.sessions.iter_mut().for_each(Sessions::reread);
+        self.sessions.iter_mut().for_each(Sessions::reload_users);
         let Some(changes) = &self.changes else { return };
-        let read = files::document(&changes.path).and_then(|(text, document)| {
-            files::signed(&text, &changes.effective.document.change).map(|()| document)
+        let read = files::read_document(&changes.path).and_then(|(text, document)| {
+            files::check_signature(&text, &changes.effective.document.change).map(|()| document)
         });
         match read {
-            Ok(document) if changes.taken == Some(document.digest()) => {
+            Ok(document) if changes.accepted_digest == Some(document.digest()) => {
                 logging::info!(
                     event = "config.same",
                     "the operator file is as it was when it was last taken"
                 );
             }
-            Ok(_) if self.successor.as_ref().is_some_and(ToSuccessor::is_busy) => {
+            Ok(_) if self.successor.as_ref().is_some_and(SuccessorHandover::is_busy) => {
                 logging::warn!(event = "config.kept", "operator file not taken: a successor takes over");
             }
             Ok(document) => self.propose(None, document, "SIGHUP".into(), None, Vec::new(), context),
@@ -69,18 +69,18 @@
         allow: Vec<String>,
         context: &mut Context,
     ) {
-        let view = self.view();
+        let view = self.change_view();
         let Some(changes) = &mut self.changes else { return };
         changes.propose(caller.map(Slot::number), document, note, within, allow, &view);
-        self.change(context);
+        self.advance_change(context);
     }
 
     /// Lets the transaction take its steps.
-    pub(super) fn change(&mut self, context: &mut Context) {
+    pub(super) fn advance_change(&mut self, context: &mut Context) {
         while let Some(changes) = &mut self.changes {
             let Some(input) = changes.inputs.pop_front() else { return };
             let mut steps = Vec::new();
-            changes.machine.handle(context.reactor.now(), input, &mut steps);
+            changes.transaction.handle(context.reactor.now(), input, &mut steps);
             for step in steps {
                 self.step(step, context);
             }
@@ -99,9 +99,9 @@
                 let took = begun.elapsed().as_micros() as u64;
                 logging::debug!(event = "config.put", generation = number, took_us = took, "put in force");
                 let Some(changes) = &mut self.changes else { return };
-                changes.since = now;
+                changes.in_force_since = now;
                 if result.is_ok() && generation.note == "SIGHUP" {
-                    changes.taken = Some(generation.digest);
+                    changes.accepted_digest = Some(generation.digest);
                 }
                 // Before anything else that waits: it is in force now.
                 changes.inputs.push_front(Input::Applied { number, result });
@@ -109,13 +109,13 @@
             Step::Watch => changes.health.freeze(now),
             Step::Settle => {
                 changes.health.thaw();
-                self.listened = None;
-                self.clients.let_go(context);
+                self.previous_listen = None;
+                self.clients.close_previous_listener(context);
             }
-            Step::Timer(at) => context.reactor.timer(at, Due::Change),
+            Step::Timer(at) => context.reactor.set_timer(at, TimerKind::ConfigChange),
             Step::Reply(caller, outcome) => {
                 if let Some(control) = &mut self.control {
-                    control.answer(Slot::of(caller), &change::response(&outcome), context);
+                    control.answer(Slot::from_number(caller), &change::response(&outcome), context);
                 }
             }
             Step::Notice(notice) => noticed(&notice),
@@ -126,47 +126,47 @@
     fn put(&mut self, document: &operator::Document, context: &mut Context) -> Result<(), String> {
         let Some(changes) = &self.changes else { return Ok(()) };
         let effective = Effective::new(&changes.platform, document.clone())
-            .map_err(|conflicts| change::words(&conflicts))?;
+            .map_err(|conflicts| change::describe_conflicts(&conflicts))?;
         let mut listener = None;
-        if effective.listen != self.listen && self.listened != Some(effective.listen) {
+        if effective.listen != self.listen && self.previous_listen != Some(effective.listen) {
             let bound = TcpListener::bind(effective.listen);
             listener = Some(bound.map_err(|error| format!("listen: {}: {error}", effective.listen))?);
         }
         let mut numbers = self.numbers.clone();
-        let Assigned { settings, classes, tenants } =
+        let NumberedSettings { settings, classes, tenants } =
             numbers.assign(&effective, |number| self.policy.class_in_hand(number))?;
-        let (connect_timeout, retry_after) = (settings.connect_timeout, advice(&settings));
+        let (connect_timeout, retry_after) = (settings.connect_timeout, max_retry_after(&settings));
         self.policy.reconfigure(settings).map_err(|fault| fault.to_string())?;
         (self.numbers, self.classes, self.tenants) = (numbers, classes, tenants);
         if let Some(listener) = listener {
             // Only a lack of memory in the kernel could fail here; then the old address alone takes in.
             match self.clients.listen_on(listener, context) {
-                Ok(()) => self.listened = Some(std::mem::replace(&mut self.listen, effective.listen)),
+                Ok(()) => self.previous_listen = Some(std::mem::replace(&mut self.listen, effective.listen)),
                 Err(error) => logging::error!(event = "listen.failed", "{}: {error}", effective.listen),
             }
-        } else if self.listened == Some(effective.listen) {
-            self.clients.listen_again();
-            self.listened = Some(std::mem::replace(&mut self.listen, effective.listen));
+        } else if self.previous_listen == Some(effective.listen) {
+            self.clients.revert_listener();
+            self.previous_listen = Some(std::mem::replace(&mut self.listen, effective.listen));
         }
-        let sockets = effective.sockets.saturating_sub(SPARES + pooled(&effective));
+        let sockets = effective.sockets.saturating_sub(SPARES + session_sockets(&effective));
         self.clients.set_limit(sockets / 2, context);
         self.servers.set_limits(sockets - sockets / 2, effective.keepalive, connect_timeout);
         self.budget.resize(effective.memory / 2);
         (self.probe_timeout, self.retry_after) = (connect_timeout, retry_after);
-        self.life.set_terms(process_lifecycle::terms(Some(&effective.document.daemon)));
+        self.lifecycle.set_limits(process_lifecycle::lifecycle_limits(Some(&effective.document.daemon)));
         self.log.set(effective.document.log.level);
         if let Some(control) = &mut self.control {
-            control.set_idle(effective.document.control.idle_s);
+            control.set_idle_timeout(effective.document.control.idle_s);
         }
         if self.registry.is_none() {
-            self.discovery.move_to(effective.discovery, context);
+            self.discovery.set_address(effective.discovery, context);
         }
         let (pool, now) = (&effective.document.pool, context.reactor.now());
-        self.sessions.iter_mut().for_each(|sessions| sessions.set(pool, effective.routes(), now));
-        self.source(&effective, context);
-        self.intend(&effective, context);
+        self.sessions.iter_mut().for_each(|sessions| sessions.reconfigure(pool, effective.routes(), now));
+        self.select_list_source(&effective, context);
+        self.apply_overrides(&effective, context);
         // A list of the operator's own may have been taken out.
-        self.follow(context);
+        self.follow_pushed_list(context);
         if let Some(changes) = &mut self.changes {
             changes.effective = effective;
         }
@@ -174,21 +174,21 @@
     }
 
     /// The disk has done something.
-    pub(super) fn written(&mut self, context: &mut Context) {
+    pub(super) fn collect_writes(&mut self, context: &mut Context) {
         let Some(changes) = &mut self.changes else { return };
-        for fault in changes.written() {
+        for fault in changes.collect_writes() {
             logging::error!(event = "state.unwritten", "{fault}");
         }
-        self.change(context);
+        self.advance_change(context);
     }
 
     /// Looks after a change on probation.
-    pub(super) fn probation(&mut self, context: &mut Context) {
+    pub(super) fn check_probation(&mut self, context: &mut Context) {
         let (now, numbers) = (context.reactor.now(), &self.numbers);
         let Some(changes) = &mut self.changes else { return };
-        let worse = changes.worse(now, |class| numbers.name(class).to_string());
+        let worse = changes.find_regression(now, |class| numbers.class_name_by_stable_id(class).to_string());
         changes.inputs.push_back(Input::Time(worse));
-        self.change(context);
+        self.advance_change(context);
     }
 }
 
--- a/crates/daemon/src/net/pooler/guard.rs
+++ b/crates/daemon/src/net/pooler/guard.rs
@@ -16,7 +16,7 @@
 const CLIENT_FRESH: f64 = 0.02;
 
 /// The decisions came to something that may not be done.
-pub(super) fn violation(id: &RequestId, denial: Denial, context: &mut Context) {
+pub(super) fn report_violation(id: &RequestId, denial: Denial, context: &mut Context) {
     context.counters.violations.count(denial);
     logging::error!(event = "rule.violation", id = &**id, denial = denial.name(), "not done: a fault");
 }
@@ -29,9 +29,9 @@
             return;
         }
         self.list_read_at = now;
-        self.discovery.read(context);
-        self.registry.iter_mut().for_each(|registry| registry.read(context));
-        self.drain(context);
+        self.discovery.read_pending(context);
+        self.registry.iter_mut().for_each(|registry| registry.read_pending(context));
+        self.handle_events(context);
     }
 
     /// Whether an attempt of a request may be begun now.
@@ -39,7 +39,7 @@
         let now = context.reactor.now();
         let Some(request) = self.requests.get(id) else { return Err(Denial::Answered) };
         request.history.may_begin(now)?;
-        match request.client {
+        match request.reply_target {
             Some(ReplyTarget::Client(client)) if self.clients.has_left(client, now - CLIENT_FRESH) => {
                 Err(Denial::ClientGone)
             }
@@ -48,7 +48,7 @@
     }
 
     /// An attempt is not begun: it ends as never sent.
-    pub(super) fn withhold(
+    pub(super) fn end_unsent_attempt(
         &mut self,
         id: RequestId,
         attempt: usize,
@@ -63,9 +63,9 @@
                 context.counters.withheld.count(denial);
                 logging::debug!(event = "attempt.withheld", id = &*id, attempt, denial = denial.name());
             }
-            _ => violation(&id, denial, context),
+            _ => report_violation(&id, denial, context),
         }
-        if let (Denial::ClientGone, Some(ReplyTarget::Client(client))) = (denial, request.client) {
+        if let (Denial::ClientGone, Some(ReplyTarget::Client(client))) = (denial, request.reply_target) {
             context.events.push_back(Event::ClientLeft(client));
         }
         context.events.push_back(Event::TaskEnded(Box::new(TaskResult {
@@ -81,11 +81,11 @@
     }
 
     /// The final answer that may be told: a refusal only where it is certain that another try is harmless.
-    pub(super) fn permitted(&self, id: &RequestId, answer: Answer, context: &mut Context) -> Answer {
+    pub(super) fn permitted_answer(&self, id: &RequestId, answer: Answer, context: &mut Context) -> Answer {
         let Some(request) = self.requests.get(id) else { return answer };
         match (&answer, request.history.may_refuse()) {
-            (Answer::Refused(_), Err(denial)) if request.client.is_some() => {
-                violation(id, denial, context);
+            (Answer::Refused(_), Err(denial)) if request.reply_target.is_some() => {
+                report_violation(id, denial, context);
                 Answer::Failed
             }
             _ => answer,
--- a/crates/daemon/src/net/pooler/handover.rs
+++ b/crates/daemon/src/net/pooler/handover.rs
@@ -25,9 +25,9 @@
     SendAncillaryMessage, SendFlags,
 };
 
-use super::{Controls, Pooler};
-use crate::net::control::Bound;
-use crate::net::event_loop::{Due, Source};
+use super::{ControlSocket, Pooler};
+use crate::net::control::OwnedListener;
+use crate::net::event_loop::{Source, TimerKind};
 use crate::net::outbox::Outbox;
 use crate::net::Context;
 
@@ -81,15 +81,15 @@
 }
 
 /// What a successor has got from the daemon before it.
-pub(crate) struct Inherited {
+pub(crate) struct InheritedState {
     stream: std::os::unix::net::UnixStream,
     fds: HashMap<String, OwnedFd>,
     known: Result<Known, Fault>,
 }
 
-impl Inherited {
+impl InheritedState {
     /// Asks the daemon that listens for a successor there.
-    pub fn ask(path: &Path, now: f64) -> Result<Inherited, String> {
+    pub fn request(path: &Path, now: f64) -> Result<InheritedState, String> {
         let named = |fault: &dyn std::fmt::Display| format!("{}: {fault}", path.display());
         let mut stream = std::os::unix::net::UnixStream::connect(path).map_err(|error| named(&error))?;
         let patience = Some(Duration::from_secs_f64(PATIENCE));
@@ -130,11 +130,11 @@
         stream.read_exact(&mut rest[before..]).map_err(|error| named(&error))?;
         let known = Snapshot::decode(&rest, (OLDEST, VERSION)).map(|snapshot| snapshot.at(now));
         let _ = stream.set_read_timeout(None);
-        Ok(Inherited { stream, fds: names.into_iter().zip(got).collect(), known })
+        Ok(InheritedState { stream, fds: names.into_iter().zip(got).collect(), known })
     }
 
     /// The listener for platform clients, or for ordinary ones, where it is at this address.
-    pub fn listener(&mut self, pool: bool, address: SocketAddr) -> Option<mio::net::TcpListener> {
+    pub fn take_listener(&mut self, pool: bool, address: SocketAddr) -> Option<mio::net::TcpListener> {
         let fd = self.fds.remove(if pool { POOL } else { LISTEN })?;
         let listener = std::net::TcpListener::from(fd);
         let own = listener.local_addr().ok()?;
@@ -144,12 +144,12 @@
     }
 
     /// The lock of the folder of the history.
-    pub fn state(&mut self) -> Option<std::fs::File> {
+    pub fn take_state_lock(&mut self) -> Option<std::fs::File> {
         self.fds.remove(STATE).map(Into::into)
     }
 
     /// The pid file.
-    pub fn pid(&mut self) -> Option<std::fs::File> {
+    pub fn take_pid_file(&mut self) -> Option<std::fs::File> {
         self.fds.remove(PID).map(Into::into)
     }
 
@@ -183,17 +183,17 @@
 }
 
 /// Hand-overs to a successor.
-pub(super) struct ToSuccessor {
-    bound: Bound,
+pub(super) struct SuccessorHandover {
+    bound: OwnedListener,
     giver: Giver,
     conn: Option<Conn>,
 }
 
-impl ToSuccessor {
-    pub fn new(mut bound: Bound, context: &mut Context) -> io::Result<ToSuccessor> {
+impl SuccessorHandover {
+    pub fn new(mut bound: OwnedListener, context: &mut Context) -> io::Result<SuccessorHandover> {
         let token = Source::SuccessorListener.into();
         context.reactor.registry.register(&mut bound.listener, token, Interest::READABLE)?;
-        Ok(ToSuccessor { bound, giver: Giver::default(), conn: None })
+        Ok(SuccessorHandover { bound, giver: Giver::default(), conn: None })
     }
 
     /// Whether a successor is at it.
@@ -203,7 +203,7 @@
 }
 
 /// The hand-over from the daemon before this one.
-pub(super) struct FromPredecessor {
+pub(super) struct PredecessorHandover {
     taker: Taker,
     conn: Conn,
     /// What the old daemon knew, until it is taken over.
@@ -212,9 +212,13 @@
     base: (u64, u64),
 }
 
-impl FromPredecessor {
-    pub fn new(inherited: Inherited, trial_s: f64, context: &mut Context) -> io::Result<(Self, Vec<Do>)> {
-        let Inherited { stream, known, .. } = inherited;
+impl PredecessorHandover {
+    pub fn new(
+        inherited: InheritedState,
+        trial_s: f64,
+        context: &mut Context,
+    ) -> io::Result<(Self, Vec<Do>)> {
+        let InheritedState { stream, known, .. } = inherited;
         stream.set_nonblocking(true)?;
         let mut stream = UnixStream::from_std(stream);
         let both = Interest::READABLE | Interest::WRITABLE;
@@ -222,13 +226,13 @@
         let mut out = Vec::new();
         let trial = Trial { seconds: trial_s, ..Trial::default() };
         let taker = Taker::new(trial, context.reactor.now(), &mut out);
-        Ok((FromPredecessor { taker, conn: Conn::new(stream), known: Some(known), base: (0, 0) }, out))
+        Ok((PredecessorHandover { taker, conn: Conn::new(stream), known: Some(known), base: (0, 0) }, out))
     }
 }
 
 impl Pooler {
     /// Takes over what the old daemon knew, once the members are listed.
-    pub(super) fn inherit(&mut self, context: &mut Context) {
+    pub(super) fn adopt_predecessor_state(&mut self, context: &mut Context) {
         let known = match self.predecessor.as_mut().and_then(|predecessor| predecessor.known.take()) {
             Some(Ok(known)) => known,
             Some(Err(fault)) => {
@@ -267,7 +271,7 @@
             cold_since: learned.cold_since,
         });
         Known {
-            index: self.discovery.index(),
+            index: self.discovery.list_version(),
             places: listed.filter(|listing| listing.phase != Phase::Left).map(place).collect(),
             members: members.collect(),
             sessions: sessions.into_iter().map(|(name, commit)| (name.to_string(), commit)).collect(),
@@ -276,7 +280,7 @@
     }
 
     /// A successor knocks.
-    pub(super) fn successor_comes(&mut self, context: &mut Context) {
+    pub(super) fn accept_successor(&mut self, context: &mut Context) {
         let Some(successor) = &mut self.successor else { return };
         while let Ok((mut stream, _)) = successor.bound.listener.accept() {
             if successor.conn.is_some() {
@@ -289,11 +293,11 @@
                 successor.conn = Some(Conn::new(stream));
             }
         }
-        self.successor_says(context);
+        self.read_successor(context);
     }
 
     /// The successor has said something, or is gone.
-    pub(super) fn successor_says(&mut self, context: &mut Context) {
+    pub(super) fn read_successor(&mut self, context: &mut Context) {
         let Some((heard, over)) =
             self.successor.as_mut().and_then(|successor| successor.conn.as_mut()).map(Conn::hear)
         else {
@@ -315,8 +319,8 @@
 
     fn give(&mut self, heard: Heard, context: &mut Context) {
         use transaction::Stage as At;
-        let hindrance = match (self.life.stage(), &self.changes) {
-            (Stage::Ready, Some(changes)) if !matches!(changes.machine.stage(), At::Idle) => {
+        let hindrance = match (self.lifecycle.stage(), &self.changes) {
+            (Stage::Ready, Some(changes)) if !matches!(changes.transaction.stage(), At::Idle) => {
                 Some("a change of configuration is under way")
             }
             (Stage::Ready, _) => None,
@@ -331,22 +335,22 @@
                 Act::Offer { versions } => self.offer(versions, context),
                 Act::Pause => {
                     logging::info!(event = "handover.given", "a successor takes in clients, on trial");
-                    self.pause(true, context);
+                    self.set_paused(true, context);
                 }
                 Act::Resume(why) => {
                     logging::warn!(event = "handover.back", "takes in clients again: {why}");
                     if let Some(changes) = &mut self.changes {
-                        changes.reclaim();
+                        changes.rewrite_history();
                     }
-                    self.pause(false, context);
+                    self.set_paused(false, context);
                 }
                 Act::Succeeded => {
                     logging::info!(event = "handover.over", "the successor stands");
-                    self.registry.iter_mut().for_each(|registry| registry.leave(context));
-                    self.live(LifecycleInput::Succeeded, context);
+                    self.registry.iter_mut().for_each(|registry| registry.deregister(context));
+                    self.advance_lifecycle(LifecycleInput::Succeeded, context);
                 }
                 Act::Hang => self.successor.iter_mut().for_each(|successor| successor.conn = None),
-                Act::Timer(at) => context.reactor.timer(at, Due::Handover),
+                Act::Timer(at) => context.reactor.set_timer(at, TimerKind::Handover),
             }
         }
     }
@@ -355,9 +359,9 @@
         self.successor.as_mut().and_then(|successor| successor.conn.as_mut())
     }
 
-    pub(super) fn pause(&mut self, paused: bool, context: &mut Context) {
-        self.clients.pause(paused, context);
-        self.sessions.iter_mut().for_each(|sessions| sessions.pause(paused, context));
+    pub(super) fn set_paused(&mut self, paused: bool, context: &mut Context) {
+        self.clients.set_paused(paused, context);
+        self.sessions.iter_mut().for_each(|sessions| sessions.set_paused(paused, context));
     }
 
     /// Sends the descriptors, and what is known to a reader of these versions.
@@ -370,7 +374,7 @@
             (LISTEN, self.clients.listener().map(AsFd::as_fd)),
             (POOL, self.sessions.as_ref().and_then(|sessions| sessions.listener()).map(AsFd::as_fd)),
             (STATE, state.map(AsFd::as_fd)),
-            (PID, self.life.pid().map(AsFd::as_fd)),
+            (PID, self.lifecycle.pid().map(AsFd::as_fd)),
         ]
         .into_iter()
         .filter_map(|(name, fd)| Some((name, fd?)))
@@ -397,45 +401,45 @@
     }
 
     /// The daemon before this one has said something, or is gone.
-    pub(super) fn predecessor_says(&mut self, context: &mut Context) {
+    pub(super) fn read_predecessor(&mut self, context: &mut Context) {
         let Some(predecessor) = &mut self.predecessor else { return };
         let (heard, over) = predecessor.conn.hear();
         for said in heard.into_iter().flatten() {
-            self.take(Seen::Said(said), context);
+            self.handle_predecessor_input(Seen::Said(said), context);
         }
         if over {
-            self.take(Seen::Gone, context);
+            self.handle_predecessor_input(Seen::Gone, context);
             // From here on there is no write that this daemon does not hear of.
-            self.beside(context);
+            self.invalidate_writes_beside_predecessor(context);
             self.predecessor = None;
         }
     }
 
     /// While the old daemon is there, sessions that it serves still may write through it.
-    pub(super) fn beside(&mut self, context: &mut Context) {
+    pub(super) fn invalidate_writes_beside_predecessor(&mut self, context: &mut Context) {
         if self.predecessor.is_some() {
             self.policy.anybody_wrote(context.reactor.now());
         }
     }
 
     /// Time passes for a hand-over.
-    pub(super) fn hand_over(&mut self, context: &mut Context) {
+    pub(super) fn on_handover_timer(&mut self, context: &mut Context) {
         self.give(Heard::Time, context);
         let Some(predecessor) = &self.predecessor else { return };
         let (answers, bad) = answers(context);
         let (all, worse) = (answers - predecessor.base.0, bad - predecessor.base.1);
-        let waiting = self.owed().waiting as u64;
-        self.take(Seen::Time(all, worse, waiting), context);
+        let waiting = self.pending_replies().waiting as u64;
+        self.handle_predecessor_input(Seen::Time(all, worse, waiting), context);
     }
 
-    pub(super) fn take(&mut self, seen: Seen, context: &mut Context) {
+    pub(super) fn handle_predecessor_input(&mut self, seen: Seen, context: &mut Context) {
         let Some(predecessor) = &mut self.predecessor else { return };
         let mut does = Vec::new();
         predecessor.taker.handle(context.reactor.now(), seen, &mut does);
-        self.taken(does, context);
+        self.carry_out_handover(does, context);
     }
 
-    pub(super) fn taken(&mut self, does: Vec<Do>, context: &mut Context) {
+    pub(super) fn carry_out_handover(&mut self, does: Vec<Do>, context: &mut Context) {
         for act in does {
             match act {
                 Do::Say(say) => {
@@ -444,34 +448,34 @@
                 Do::Accept => {
                     logging::info!(event = "handover.taken", "takes in clients, on trial");
                     self.predecessor.iter_mut().for_each(|predecessor| predecessor.base = answers(context));
-                    self.pause(false, context);
+                    self.set_paused(false, context);
                 }
                 Do::Yield(why) => {
                     logging::error!(event = "handover.yielded", "hands back to the old daemon: {why}");
-                    self.yielded = true;
-                    self.pause(true, context);
-                    self.live(LifecycleInput::Succeeded, context);
+                    self.handed_back = true;
+                    self.set_paused(true, context);
+                    self.advance_lifecycle(LifecycleInput::Succeeded, context);
                 }
-                Do::Stand => self.stand(context),
-                Do::Timer(at) => context.reactor.timer(at, Due::Handover),
+                Do::Stand => self.complete_takeover(context),
+                Do::Timer(at) => context.reactor.set_timer(at, TimerKind::Handover),
             }
         }
     }
 
     /// This is the daemon now: what only one may have is its own.
-    fn stand(&mut self, context: &mut Context) {
-        self.life.stand();
+    fn complete_takeover(&mut self, context: &mut Context) {
+        self.lifecycle.announce_takeover();
         let document = self.changes.as_ref().map(|changes| changes.effective.document.clone());
         let document = document.unwrap_or_default();
         let (control, daemon) = (document.control, document.daemon);
         if let Some(path) = &control.socket {
-            match Controls::succeed(path, control.idle_s, context) {
+            match ControlSocket::replace(path, control.idle_s, context) {
                 Ok(controls) => self.control = Some(controls),
                 Err(error) => logging::error!(event = "handover.control", "{}: {error}", path.display()),
             }
         }
         if let Some(path) = &daemon.handover {
-            match Bound::instead(path).and_then(|bound| ToSuccessor::new(bound, context)) {
+            match OwnedListener::replace(path).and_then(|bound| SuccessorHandover::new(bound, context)) {
                 Ok(successor) => self.successor = Some(successor),
                 Err(error) => logging::error!(event = "handover.successor", "{}: {error}", path.display()),
             }
--- a/crates/daemon/src/net/pooler/in_flight.rs
+++ b/crates/daemon/src/net/pooler/in_flight.rs
@@ -57,12 +57,12 @@
 
 impl InFlight {
     /// Connections with requests.
-    pub fn clients(&self) -> usize {
+    pub fn client_count(&self) -> usize {
         self.by_client.len()
     }
 
     /// Whether a connection has requests.
-    pub fn has(&self, client: Slot) -> bool {
+    pub fn has_requests(&self, client: Slot) -> bool {
         self.by_client.contains_key(&client)
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Takes all requests of a connection, the oldest first.
-    pub fn take(&mut self, client: Slot) -> Vec<RequestId> {
+    pub fn take_all(&mut self, client: Slot) -> Vec<RequestId> {
         let entries = self.by_client.remove(&client).unwrap_or_default();
         entries.into_iter().map(|entry| entry.id).collect()
     }
--- a/crates/daemon/src/net/pooler/in_flight/tests.rs
+++ b/crates/daemon/src/net/pooler/in_flight/tests.rs
@@ -24,7 +24,7 @@
 
 /// Requests of one connection, each with what it does; the ids are their places.
 fn in_flight(requests: &[Access]) -> (InFlight, Slot, Vec<bool>) {
-    let (mut in_flight, client) = (InFlight::default(), Slot::of(7));
+    let (mut in_flight, client) = (InFlight::default(), Slot::from_number(7));
     let mut waits = Vec::new();
     for (place, access) in requests.iter().enumerate() {
         let command = CommandNumber::from(place as u64);
@@ -64,7 +64,7 @@
     assert_eq!(released(&mut in_flight, client, "0"), ["2"]);
     assert_eq!(released(&mut in_flight, client, "2"), ["3"]);
     assert_eq!(released(&mut in_flight, client, "3"), [""; 0]);
-    assert!(!in_flight.has(client) && in_flight.clients() == 0);
+    assert!(!in_flight.has_requests(client) && in_flight.client_count() == 0);
 }
 
 #[test]
@@ -76,6 +76,6 @@
     assert_eq!(in_flight.expired(client, until).len(), 2);
     assert_eq!(released(&mut in_flight, client, "0"), ["1"]);
     assert_eq!(in_flight.expired(client, until).len(), 1, "one that was released has begun");
-    assert_eq!(in_flight.take(client).len(), 2);
+    assert_eq!(in_flight.take_all(client).len(), 2);
     assert!(in_flight.expired(client, until).is_empty());
 }
