--- a/crates/daemon/src/net/pooler/process_lifecycle.rs
+++ b/crates/daemon/src/net/pooler/process_lifecycle.rs
@@ -12,7 +12,7 @@
 use routing::interface::{self, RequestId};
 
 use super::{Pooler, ReplyTarget};
-use crate::net::event_loop::Due;
+use crate::net::event_loop::TimerKind;
 use crate::net::sessions::Sessions;
 use crate::net::Context;
 
@@ -102,7 +102,7 @@
 }
 
 /// The time limits that an operator's file sets; the platform's where there is none.
-pub(super) fn terms(daemon: Option<&operator::Daemon>) -> Terms {
+pub(super) fn lifecycle_limits(daemon: Option<&operator::Daemon>) -> Terms {
     let env = |name: &str| std::env::var(name).ok();
     let watchdog =
         notify::watchdog(env("WATCHDOG_USEC").as_deref(), env("WATCHDOG_PID").as_deref(), std::process::id());
@@ -141,11 +141,11 @@
     }
 
     /// A time for someone to stay away: not the same for all (seconds, up to `most`).
-    pub fn away(&mut self, most: f64) -> f64 {
+    pub fn jittered_backoff(&mut self, most: f64) -> f64 {
         most * (0.5 + 0.5 * self.rng.f64())
     }
 
-    pub fn set_terms(&mut self, terms: Terms) {
+    pub fn set_limits(&mut self, terms: Terms) {
         self.machine.set_terms(terms);
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// This process is the daemon in another's place.
-    pub fn stand(&mut self) {
+    pub fn announce_takeover(&mut self) {
         if let Some(Err(error)) = self.pid.as_mut().map(PidFile::write) {
             logging::error!(event = "pid.unwritten", "{error}");
         }
@@ -180,30 +180,30 @@
 
 impl Pooler {
     /// What is owed now.
-    pub(super) fn owed(&self) -> Owed {
+    pub(super) fn pending_replies(&self) -> Owed {
         let mut owed = Owed::default();
-        for request in self.requests.values().filter(|request| request.client.is_some()) {
-            *if !request.out.is_empty() { &mut owed.out } else { &mut owed.waiting } += 1;
+        for request in self.requests.values().filter(|request| request.reply_target.is_some()) {
+            *if !request.attempts_in_flight.is_empty() { &mut owed.out } else { &mut owed.waiting } += 1;
         }
         owed.clients = self.clients.len() + self.sessions.as_ref().map_or(0, Sessions::len);
         owed
     }
 
     /// The life goes on by what has happened.
-    pub(super) fn live(&mut self, input: Input, context: &mut Context) {
+    pub(super) fn advance_lifecycle(&mut self, input: Input, context: &mut Context) {
         let mut actions = Vec::new();
-        self.life.machine.handle(context.reactor.now(), input, &mut actions);
-        self.carry_on(actions, context);
+        self.lifecycle.machine.handle(context.reactor.now(), input, &mut actions);
+        self.carry_out_lifecycle(actions, context);
     }
 
-    pub(super) fn carry_on(&mut self, actions: Vec<Action>, context: &mut Context) {
+    pub(super) fn carry_out_lifecycle(&mut self, actions: Vec<Action>, context: &mut Context) {
         for action in actions {
             match action {
-                Action::Notify(text) => self.life.tell(&text),
-                Action::Timer(at) => context.reactor.timer(at, Due::Life),
+                Action::Notify(text) => self.lifecycle.tell(&text),
+                Action::Timer(at) => context.reactor.set_timer(at, TimerKind::Lifecycle),
                 Action::SendAway => self.send_away(context),
                 Action::Close => {
-                    self.sessions.iter_mut().for_each(|sessions| sessions.end(false, context));
+                    self.sessions.iter_mut().for_each(|sessions| sessions.end_sessions(false, context));
                     self.clients.close(context);
                 }
                 Action::Cut => self.cut(context),
@@ -213,10 +213,10 @@
                     logging::warn!(event = "config.kept", "not read again: {why}");
                 }
                 Action::Exit(code) => {
-                    let left = self.requests.iter().filter(|(_, request)| request.client.is_some());
+                    let left = self.requests.iter().filter(|(_, request)| request.reply_target.is_some());
                     let left: Vec<String> = left.map(|(id, _)| id.to_string()).take(MOST_NAMED).collect();
                     if code != lifecycle::CLEAN {
-                        let (owed, first) = (self.owed(), left.join(" "));
+                        let (owed, first) = (self.pending_replies(), left.join(" "));
                         logging::error!(
                             event = "ending.owed",
                             waiting = owed.waiting,
@@ -232,24 +232,24 @@
     }
 
     /// Looks whether the life has come further by what has been carried out.
-    pub(super) fn look(&mut self, context: &mut Context) {
-        if self.predecessor.is_some() && self.life.stage() == Stage::Ready {
-            self.take(handover::Seen::Up, context);
+    pub(super) fn check_lifecycle(&mut self, context: &mut Context) {
+        if self.predecessor.is_some() && self.lifecycle.stage() == Stage::Ready {
+            self.handle_predecessor_input(handover::Seen::Up, context);
         }
-        match self.life.stage() {
+        match self.lifecycle.stage() {
             Stage::Reloading => {
                 let settled = self.changes.as_ref().is_none_or(|changes| {
                     use transaction::Stage as At;
-                    matches!(changes.machine.stage(), At::Idle | At::Probation(_))
+                    matches!(changes.transaction.stage(), At::Idle | At::Probation(_))
                 });
                 if settled {
-                    self.live(Input::Reloaded, context);
+                    self.advance_lifecycle(Input::Reloaded, context);
                 }
             }
             Stage::Closing | Stage::Cutting => {
-                let owed = self.owed();
+                let owed = self.pending_replies();
                 if owed.none() {
-                    self.live(Input::Time(owed), context);
+                    self.advance_lifecycle(Input::Time(owed), context);
                 }
             }
             _ => {}
@@ -257,19 +257,21 @@
     }
 
     /// Time passes.
-    pub(super) fn age(&mut self, context: &mut Context) {
-        if self.life.stage() == Stage::Closing {
+    pub(super) fn on_lifecycle_timer(&mut self, context: &mut Context) {
+        if self.lifecycle.stage() == Stage::Closing {
             // Sessions that have come to rest since the last look.
-            self.sessions.iter_mut().for_each(|sessions| sessions.end(false, context));
+            self.sessions.iter_mut().for_each(|sessions| sessions.end_sessions(false, context));
         }
-        let owed = self.owed();
-        self.live(Input::Time(owed), context);
+        let owed = self.pending_replies();
+        self.advance_lifecycle(Input::Time(owed), context);
     }
 
     /// Those that wait for a server are told when to come back: not all at once.
     fn send_away(&mut self, context: &mut Context) {
         let waiting = self.requests.iter().filter(|(_, request)| {
-            request.client.is_some() && request.out.is_empty() && !request.shared.is_served()
+            request.reply_target.is_some()
+                && request.attempts_in_flight.is_empty()
+                && !request.sharing.is_served()
         });
         let waiting: Vec<RequestId> = waiting.map(|(id, _)| id.clone()).collect();
         if !waiting.is_empty() {
@@ -280,30 +282,32 @@
             );
         }
         for id in waiting {
-            let backoff = self.life.away(self.retry_after);
+            let backoff = self.lifecycle.jittered_backoff(self.retry_after);
             // One that waits for its repeat may have run: to say that another try is harmless would be wrong.
             let harmless = self.policy.may_refuse(&id);
             self.answer(&id, if harmless { Answer::Refused(backoff) } else { Answer::Failed }, context);
-            self.tell(interface::Event::Gone { id }, context);
+            self.notify_policy(interface::Event::Gone { id }, context);
         }
     }
 
     /// Time is up: whoever is owed an answer gets what is known.
     fn cut(&mut self, context: &mut Context) {
         self.send_away(context);
-        let out = self.requests.iter().filter(|(_, request)| request.client.is_some());
+        let out = self.requests.iter().filter(|(_, request)| request.reply_target.is_some());
         let out: Vec<RequestId> = out.map(|(id, _)| id.clone()).collect();
         if !out.is_empty() {
             logging::warn!(event = "ending.cut", requests = out.len(), "cut off: the time to drain is over");
         }
         for id in out {
-            let session =
-                self.requests.get(&id).is_some_and(|r| matches!(r.client, Some(ReplyTarget::Session(_))));
+            let session = self
+                .requests
+                .get(&id)
+                .is_some_and(|r| matches!(r.reply_target, Some(ReplyTarget::Session(_))));
             // It has reached a server: whether it ran there is not known.
             self.answer(&id, if session { Answer::Refused(0.0) } else { Answer::Failed }, context);
-            self.tell(interface::Event::Gone { id: id.clone() }, context);
-            self.give_up(&id, context);
+            self.notify_policy(interface::Event::Gone { id: id.clone() }, context);
+            self.cancel_attempts(&id, context);
         }
-        self.sessions.iter_mut().for_each(|sessions| sessions.end(true, context));
+        self.sessions.iter_mut().for_each(|sessions| sessions.end_sessions(true, context));
     }
 }
--- a/crates/daemon/src/net/pooler/sharing.rs
+++ b/crates/daemon/src/net/pooler/sharing.rs
@@ -7,12 +7,12 @@
 
 use super::Pooler;
 use crate::net::coordination::{Coordination, WriteTicket};
-use crate::net::event_loop::Due;
+use crate::net::event_loop::TimerKind;
 use crate::net::Context;
 
 /// What a request has to do with other instances.
 #[derive(Default)]
-pub(super) struct Shared {
+pub(super) struct SharingState {
     /// A write of a session, that others know to be under way.
     ticket: Option<WriteTicket>,
     /// It waits for leave to be sent, until then (seconds).
@@ -25,7 +25,7 @@
     unsure: Vec<usize>,
 }
 
-impl Shared {
+impl SharingState {
     /// Whether it has been served and is only waited for.
     pub fn is_served(&self) -> bool {
         self.answer.is_some()
@@ -34,7 +34,7 @@
 
 impl Pooler {
     /// A request of a session has come. Hands the arrival back where it goes on at once.
-    pub(super) fn share(
+    pub(super) fn coordinate_arrival(
         &mut self,
         mut arrival: Arrival,
         consistency: Consistency,
@@ -44,13 +44,13 @@
         let (Some(coordination), Some(session)) = (&mut self.coordination, arrival.session.clone()) else {
             return Some(arrival);
         };
-        let shared = &mut self.requests.get_mut(&arrival.id)?.shared;
+        let shared = &mut self.requests.get_mut(&arrival.id)?.sharing;
         if consistency == Consistency::Session {
-            let floor = coordination.need(now, &session);
+            let floor = coordination.required_position(now, &session);
             (arrival.own, shared.floor) = (Some(floor), Some(floor));
             return Some(arrival);
         }
-        let Some(ticket) = coordination.write_begins(now, &session, arrival.left.min(LONGEST_WRITE)) else {
+        let Some(ticket) = coordination.begin_write(now, &session, arrival.left.min(LONGEST_WRITE)) else {
             self.turn_away(&arrival.id, context);
             return None;
         };
@@ -58,20 +58,20 @@
         if coordination.may_send(now, ticket) {
             return Some(arrival);
         }
-        let until = now + coordination.hold().min(arrival.left * HOLD_SHARE);
-        context.reactor.timer(until, Due::Peers);
-        self.sharing.push(arrival.id.clone());
+        let until = now + coordination.max_write_hold().min(arrival.left * HOLD_SHARE);
+        context.reactor.set_timer(until, TimerKind::Peers);
+        self.awaiting_peers.push(arrival.id.clone());
         shared.held = Some(Box::new((arrival, until)));
-        self.go_on(context);
+        self.advance_sharing(context);
         None
     }
 
     /// An attempt of a request goes to a member.
-    pub(super) fn sends(&mut self, id: &RequestId, member: &MemberId, attempt: usize) {
+    pub(super) fn record_attempt_target(&mut self, id: &RequestId, member: &MemberId, attempt: usize) {
         if self.coordination.is_none() {
             return;
         }
-        let Some(shared) = self.requests.get_mut(id).map(|request| &mut request.shared) else { return };
+        let Some(shared) = self.requests.get_mut(id).map(|request| &mut request.sharing) else { return };
         if shared.floor.is_some_and(|floor| !self.policy.reaches(member, floor)) {
             shared.unsure.push(attempt);
         }
@@ -79,7 +79,7 @@
 
     /// What is concluded from the outcome of an attempt, held against what its answer must have seen by what this instance knows,
     /// and by what others have told.
-    pub(super) fn conclusion(
+    pub(super) fn assess_outcome(
         &self,
         id: &RequestId,
         (attempt, elapsed): (usize, f64),
@@ -90,7 +90,7 @@
         if self.coordination.is_none() || own == Conclusion::TooOld {
             return own;
         }
-        let Some(shared) = self.requests.get(id).map(|request| &request.shared) else { return own };
+        let Some(shared) = self.requests.get(id).map(|request| &request.sharing) else { return own };
         let Some(floor) = shared.floor.filter(|_| outcome == Outcome::Ok) else { return own };
         // One that says itself that it is no primary has not seen what only that one has.
         let deposed = floor == f64::INFINITY && primary == Some(false);
@@ -101,7 +101,7 @@
     }
 
     /// A request has been served. Hands the value back where it may be answered at once.
-    pub(super) fn served(
+    pub(super) fn coordinate_answer(
         &mut self,
         id: &RequestId,
         position: Option<f64>,
@@ -110,88 +110,88 @@
     ) -> Option<Vec<u8>> {
         let now = context.reactor.now();
         let Some(coordination) = &mut self.coordination else { return Some(value) };
-        let shared = &mut self.requests.get_mut(id)?.shared;
+        let shared = &mut self.requests.get_mut(id)?.sharing;
         let Some(ticket) = shared.ticket else { return Some(value) };
         // As the decisions remember it: an answer that does not tell the commit leaves no doubt that it was before now.
         let commit = position.filter(|position| *position <= now).unwrap_or(now);
-        coordination.write_committed(now, ticket, commit);
+        coordination.record_commit(now, ticket, commit);
         if coordination.may_answer(now, ticket) {
             return Some(value);
         }
-        let until = coordination.answerable_until(ticket);
+        let until = coordination.answer_deadline(ticket);
         if until.is_finite() {
-            context.reactor.timer(until, Due::Peers);
+            context.reactor.set_timer(until, TimerKind::Peers);
         }
         shared.answer = Some(value);
-        self.sharing.push(id.clone());
+        self.awaiting_peers.push(id.clone());
         None
     }
 
     /// A request is done with.
-    pub(super) fn unshare(&mut self, shared: &Shared, now: f64) {
+    pub(super) fn release_write_ticket(&mut self, shared: &SharingState, now: f64) {
         if let (Some(coordination), Some(ticket)) = (&mut self.coordination, shared.ticket) {
-            coordination.forget(now, ticket);
+            coordination.end_write(now, ticket);
         }
     }
 
     /// Looks whether what waits for others may go on, hears and tells what there is, and sends it.
-    pub(super) fn go_on(&mut self, context: &mut Context) {
+    pub(super) fn advance_sharing(&mut self, context: &mut Context) {
         let now = context.reactor.now();
         let Some(coordination) = &mut self.coordination else { return };
         if let Some(peers) = coordination.peers() {
-            let beats = peers.beats(now);
+            let beats = peers.take_report_due(now);
             if beats || peers.node.news() {
                 self.exchange(beats, context);
             }
         }
-        for id in std::mem::take(&mut self.sharing) {
+        for id in std::mem::take(&mut self.awaiting_peers) {
             self.goes_on(id, context);
         }
-        self.coordination.iter_mut().for_each(|coordination| coordination.carry_out(context));
+        self.coordination.iter_mut().for_each(|coordination| coordination.send_pending(context));
     }
 
     fn goes_on(&mut self, id: RequestId, context: &mut Context) {
         let now = context.reactor.now();
         let Some(coordination) = &mut self.coordination else { return };
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(ticket) = request.shared.ticket else { return };
-        if request.shared.held.is_some() {
-            if request.client.is_none() {
-                request.shared.held = None;
-                return self.forget(&id, now);
+        let Some(ticket) = request.sharing.ticket else { return };
+        if request.sharing.held.is_some() {
+            if request.reply_target.is_none() {
+                request.sharing.held = None;
+                return self.remove_if_finished(&id, now);
             }
             if coordination.may_send(now, ticket) {
-                if let Some(held) = request.shared.held.take() {
+                if let Some(held) = request.sharing.held.take() {
                     let (mut arrival, _) = *held;
-                    arrival.left -= now - request.taken;
-                    return self.tell(interface::Event::Arrival(arrival), context);
+                    arrival.left -= now - request.arrived_at;
+                    return self.notify_policy(interface::Event::Arrival(arrival), context);
                 }
             }
-            let over = request.shared.held.as_ref().is_some_and(|held| now >= held.1);
-            if over || coordination.is_hopeless(now, ticket) {
-                request.shared.held = None;
+            let over = request.sharing.held.as_ref().is_some_and(|held| now >= held.1);
+            if over || coordination.cannot_be_sent(now, ticket) {
+                request.sharing.held = None;
                 return self.turn_away(&id, context);
             }
-        } else if request.shared.answer.is_some() {
+        } else if request.sharing.answer.is_some() {
             if coordination.may_answer(now, ticket) {
-                if let Some(value) = request.shared.answer.take() {
+                if let Some(value) = request.sharing.answer.take() {
                     return self.answer(&id, Answer::Served(value), context);
                 }
             }
-            if now >= coordination.answerable_until(ticket) {
-                request.shared.answer = None;
+            if now >= coordination.answer_deadline(ticket) {
+                request.sharing.answer = None;
                 return self.answer(&id, Answer::Failed, context);
             }
         } else {
             return;
         }
-        self.sharing.push(id);
+        self.awaiting_peers.push(id);
     }
 
     /// Refuses a write that has not been sent.
     fn turn_away(&mut self, id: &RequestId, context: &mut Context) {
         super::trace::turned_away(id, "others cannot know of the write in time");
-        let backoff = self.life.away(self.retry_after);
+        let backoff = self.lifecycle.jittered_backoff(self.retry_after);
         self.answer(id, Answer::Refused(backoff), context);
     }
 
@@ -201,11 +201,11 @@
         let found = self.policy.observations();
         let Some(peers) = self.coordination.as_mut().and_then(Coordination::peers) else { return };
         if tells {
-            peers.tell(now, &found);
-            let generation = self.changes.as_ref().map_or(0, |c| c.machine.current().number);
-            peers.node.works_by(now, self.discovery.index(), generation, env!("CARGO_PKG_VERSION"));
+            peers.report_observations(now, &found);
+            let generation = self.changes.as_ref().map_or(0, |c| c.transaction.current().number);
+            peers.node.works_by(now, self.discovery.list_version(), generation, env!("CARGO_PKG_VERSION"));
         }
-        let (heard, instances) = (peers.heard(now, &found), peers.node.alive() as u32);
+        let (heard, instances) = (peers.peer_reports(now, &found), peers.node.alive() as u32);
         let mut actions = Vec::new();
         self.policy.take_peer_reports(now, &heard, instances, &mut actions);
         self.carry_out(actions, context);
@@ -214,18 +214,18 @@
     /// The list tells something of members.
     pub(super) fn share_list(&mut self, listings: &[listing::Listing], context: &mut Context) {
         let now = context.reactor.now();
-        let version = self.discovery.index();
+        let version = self.discovery.list_version();
         let source = source_of(self.registry.is_some(), self.discovery.address());
         if let Some(peers) = self.coordination.as_mut().and_then(Coordination::peers) {
             let members = listings.iter().map(|listing| (&*listing.name, listing.since, listing.phase));
-            peers.list(now, (source, version), members);
+            peers.report_list(now, (source, version), members);
         }
     }
 
     /// This instance ends.
-    pub(super) fn part(&mut self, context: &Context) {
+    pub(super) fn announce_shutdown(&mut self, context: &Context) {
         if let Some(coordination) = &mut self.coordination {
-            coordination.farewell(|| context.reactor.now());
+            coordination.announce_shutdown(|| context.reactor.now());
         }
     }
 }
--- a/crates/daemon/src/net/pooler/trace.rs
+++ b/crates/daemon/src/net/pooler/trace.rs
@@ -43,7 +43,7 @@
 pub(super) fn given_up(explanation: &Explanation, numbers: &Numbers) {
     let Explanation { id, class, waited, reason, attempts } = explanation;
     let attempts: Vec<String> = attempts.iter().map(words).collect();
-    let (class, waited_ms, attempts) = (numbers.class(*class), waited * MILLIS, attempts.join("; "));
+    let (class, waited_ms, attempts) = (numbers.class_name(*class), waited * MILLIS, attempts.join("; "));
     logging::info!(event = "request.given_up", id = &**id, reason = ?reason, class, waited_ms, attempts);
 }
 
--- a/crates/daemon/src/net/registry.rs
+++ b/crates/daemon/src/net/registry.rs
@@ -16,9 +16,9 @@
 use routing::interface::{ListKind, MemberId};
 use tls::Link;
 
-use super::event_loop::{Due, Slot, Slots, Source};
+use super::event_loop::{Slot, Slots, Source, TimerKind};
 use super::{Context, Event};
-use crate::dial::{self, Dial};
+use crate::dial::{self, Dialer};
 
 /// Longest answer to a range, and longest line of a watch (bytes): pages and fragments are far shorter.
 const LONGEST: usize = 16 * 1024 * 1024;
@@ -69,16 +69,16 @@
 
 /// What a registry is followed from.
 #[derive(Default)]
-pub(crate) struct Known {
+pub(crate) struct KnownState {
     pub view: View,
     /// Members whose present values cannot be understood, as they were.
     pub members: Members,
     /// The members that stand by another source's word, until this one has told a whole list.
-    pub standing: BTreeSet<MemberId>,
+    pub provisional: BTreeSet<MemberId>,
 }
 
 /// Who follows it.
-pub(crate) struct Who<'a> {
+pub(crate) struct PoolerIdentity<'a> {
     pub name: &'a str,
     pub listen: SocketAddr,
     pub seed: u64,
@@ -87,7 +87,7 @@
 /// Follows the list in a registry.
 pub(crate) struct Registry {
     settings: Settings,
-    dial: Dial,
+    dial: Dialer,
     sync: Sync,
     members: Members,
     conns: Slots<Conn>,
@@ -112,7 +112,13 @@
 
 impl Registry {
     /// Follows the registry of these settings, from what is known of the same one.
-    pub fn new(settings: &Settings, who: &Who, known: Known, budget: Budget, now: f64) -> Registry {
+    pub fn new(
+        settings: &Settings,
+        who: &PoolerIdentity,
+        known: KnownState,
+        budget: Budget,
+        now: f64,
+    ) -> Registry {
         let count = settings.endpoints.len();
         let endpoints = Endpoints::new(count, Pace::default(), who.seed, now);
         let own = settings.register.as_ref().map(|prefix| {
@@ -131,7 +137,7 @@
         let prefix = format!("{}/", settings.prefix).into_bytes();
         Registry {
             settings: settings.clone(),
-            dial: Dial::new(settings),
+            dial: Dialer::new(settings),
             // The first view that is read is kept at once.
             kept: (known.view.revision, if known.view.revision > 0 { now } else { f64::NEG_INFINITY }, false),
             sync: Sync::new(prefix, endpoints, dial::guard(settings), known.view),
@@ -141,7 +147,7 @@
             current: None,
             budget,
             told: false,
-            standing: known.standing,
+            standing: known.provisional,
             held: None,
             poisoned: 0,
             timer: f64::INFINITY,
@@ -150,18 +156,18 @@
     }
 
     /// Whether these settings are the ones that it was made with.
-    pub fn is_of(&self, settings: &Settings) -> bool {
+    pub fn uses(&self, settings: &Settings) -> bool {
         self.settings == *settings
     }
 
     /// What is known of the registry, where other settings still mean the same one.
-    pub fn known(self, settings: &Settings) -> Known {
+    pub fn into_known(self, settings: &Settings) -> KnownState {
         let same = self.settings.prefix == settings.prefix && self.settings.endpoints == settings.endpoints;
         if same {
             let (view, standing) = (self.sync.view().clone(), BTreeSet::new());
-            Known { view, members: self.members, standing }
+            KnownState { view, members: self.members, provisional: standing }
         } else {
-            Known::default()
+            KnownState::default()
         }
     }
 
@@ -176,12 +182,12 @@
     }
 
     /// The pooler ends: its own key is to go.
-    pub fn leave(&mut self, context: &mut Context) {
+    pub fn deregister(&mut self, context: &mut Context) {
         self.lease(lease::Input::Leave, context);
     }
 
     /// The view as it is to be kept on disk, where it is time for that; put off where it cannot be.
-    pub fn keep(&mut self, now: f64, can: bool) -> Option<Vec<u8>> {
+    pub fn take_view_to_store(&mut self, now: f64, can: bool) -> Option<Vec<u8>> {
         if now < self.keep_due() {
             return None;
         }
@@ -206,7 +212,7 @@
     }
 
     /// Time that was asked for has come.
-    pub fn due(&mut self, context: &mut Context) {
+    pub fn on_timer(&mut self, context: &mut Context) {
         self.timer = f64::INFINITY;
         self.input(Input::Time, context);
         self.lease(lease::Input::Time, context);
@@ -221,7 +227,7 @@
             for action in actions {
                 match action {
                     Action::Login(call, endpoint) => {
-                        let opened = self.dial.login().and_then(|body| {
+                        let opened = self.dial.login_body().and_then(|body| {
                             let taking = Taking::Token(Whole::new(LONGEST, self.budget.charge()));
                             self.open(call, endpoint, wire::AUTHENTICATE, &body, taking, context)
                         });
@@ -260,7 +266,7 @@
         let due = self.sync.due().min(lease).min(self.keep_due()).min(held);
         if due < self.timer {
             self.timer = due;
-            context.reactor.timer(due, Due::Registry);
+            context.reactor.set_timer(due, TimerKind::Registry);
         }
     }
 
@@ -342,8 +348,8 @@
         let Some(&address) = self.settings.endpoints.get(at) else { return Err("no such endpoint".into()) };
         let named = |error: std::io::Error| format!("{address}: {error}");
         let now = context.reactor.now();
-        let link = self.dial.call(address, path, body, self.sync.token(), &self.budget, now)?;
-        if let Some(warning) = self.dial.warning(now) {
+        let link = self.dial.link_with_request(address, path, body, self.sync.token(), &self.budget, now)?;
+        if let Some(warning) = self.dial.expiry_warning(now) {
             logging::warn!(event = "registry.expiring", "{warning}");
         }
         let stream = TcpStream::connect(address).map_err(named)?;
@@ -365,13 +371,13 @@
     }
 
     /// Takes in what has arrived on every connection, whether or not its event has been taken up.
-    pub fn read(&mut self, context: &mut Context) {
+    pub fn read_pending(&mut self, context: &mut Context) {
         let open: Vec<Slot> = self.conns.iter().map(|(slot, _)| slot).collect();
-        open.into_iter().for_each(|slot| self.ready(slot, context));
+        open.into_iter().for_each(|slot| self.on_ready(slot, context));
     }
 
     /// A connection may be read from or written to.
-    pub fn ready(&mut self, slot: Slot, context: &mut Context) {
+    pub fn on_ready(&mut self, slot: Slot, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let mut heard = Vec::new();
         let call = conn.call;
@@ -380,7 +386,7 @@
             if conn.link.is_secured() && conn.reached && !conn.heard {
                 let address = conn.address;
                 logging::warn!(event = "registry.tls", "{address}: nothing came over TLS: {fault}");
-                self.dial.doubt();
+                self.dial.mark_files_stale();
             }
             heard.push(match self.current {
                 Some((_, own)) if own == slot => Heard::Sync(Input::Broken(call)),
--- a/crates/daemon/src/net/servers.rs
+++ b/crates/daemon/src/net/servers.rs
@@ -11,7 +11,7 @@
 use pgwire::{code, Message};
 use routing::interface::{ListKind, MemberId, Outcome, Phase, Report, RequestId};
 
-use super::event_loop::{Due, Slot, Slots, Source};
+use super::event_loop::{Slot, Slots, Source, TimerKind};
 use super::{Context, Event, ServerTask, TaskResult};
 use crate::counters::Counters;
 
@@ -330,13 +330,13 @@
     }
 
     /// Connections that carry an attempt or a probe, or are being made for one.
-    pub fn busy(&self) -> usize {
+    pub fn busy_count(&self) -> usize {
         self.conns.iter().filter(|(_, conn)| conn.stage != Stage::Idle).count()
     }
 
     /// Takes in what the list says of addresses. Connections to where a machine no longer is, or made before
     /// it last started, are closed: a machine that was cut off would leave them open and silent.
-    pub fn list(&mut self, kind: ListKind, listings: &[Listing], now: f64) {
+    pub fn apply_list(&mut self, kind: ListKind, listings: &[Listing], now: f64) {
         if kind != ListKind::Incremental {
             self.machines.values_mut().for_each(|machine| machine.gone = true);
         }
@@ -353,13 +353,13 @@
         let gone: Vec<MemberId> =
             self.machines.iter().filter(|(_, machine)| machine.gone).map(|(name, _)| name.clone()).collect();
         for name in gone {
-            self.let_go(&name);
+            self.close_idle(&name);
         }
         self.machines.retain(|_, machine| !machine.gone || now - machine.listed < FORGET_AFTER);
     }
 
     /// Ends what waits for a connection to a machine to come up: nothing of it has been written.
-    pub fn withhold(&mut self, member: &MemberId, context: &mut Context) {
+    pub fn cancel_unsent(&mut self, member: &MemberId, context: &mut Context) {
         let unsent = |conn: &Conn| matches!(conn.stage, Stage::Connecting | Stage::Starting);
         let waiting = self.conns.iter().filter(|(_, conn)| conn.member == *member && unsent(conn));
         let waiting: Vec<Slot> = waiting.map(|(slot, _)| slot).collect();
@@ -369,7 +369,7 @@
     }
 
     /// Closes the idle connections to a machine.
-    pub fn let_go(&mut self, member: &MemberId) {
+    pub fn close_idle(&mut self, member: &MemberId) {
         let idle = self.machines.get_mut(member).map(|machine| std::mem::take(&mut machine.idle));
         idle.into_iter().flatten().for_each(|slot| drop(self.conns.remove(slot)));
     }
@@ -396,7 +396,7 @@
             } else {
                 Step::Broken(Outcome::Moot)
             };
-            context.reactor.timer(conn.until, Due::Server(slot));
+            context.reactor.set_timer(conn.until, TimerKind::Server(slot));
             self.settle(slot, step, context);
             return Some(slot);
         }
@@ -429,7 +429,7 @@
         });
         let conn = self.conns.get_mut(slot)?;
         let (token, both) = (Source::Server(slot).into(), Interest::READABLE | Interest::WRITABLE);
-        context.reactor.timer(until, Due::Server(slot));
+        context.reactor.set_timer(until, TimerKind::Server(slot));
         if context.reactor.registry.register(&mut conn.stream, token, both).is_err() {
             self.settle(slot, Step::Broken(Outcome::ConnectFailed), context);
         }
@@ -470,13 +470,13 @@
     }
 
     /// A connection may be read from or written to.
-    pub fn ready(&mut self, slot: Slot, context: &mut Context) {
+    pub fn on_ready(&mut self, slot: Slot, context: &mut Context) {
         let now = context.reactor.now();
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let until = conn.until;
         let step = conn.turn(now, self.connect_timeout);
         if conn.until != until {
-            context.reactor.timer(conn.until, Due::Server(slot));
+            context.reactor.set_timer(conn.until, TimerKind::Server(slot));
         }
         self.settle(slot, step, context);
     }
@@ -487,7 +487,8 @@
             Step::Waiting => {}
             Step::Broken(outcome) => {
                 let Some(conn) = self.remove(slot) else { return };
-                let Counters { spoilt, stray, .. } = &mut context.counters;
+                let Counters { malformed_answers: spoilt, unexpected_data: stray, .. } =
+                    &mut context.counters;
                 *(if conn.job.is_some() { spoilt } else { stray }) += u64::from(conn.spoilt);
                 if let Some(job) = conn.job {
                     ended(job, &conn.member, outcome, conn.reply, context);
@@ -499,11 +500,11 @@
                 // A row is missing, say: it is no answer, though it may have run.
                 let outcome = reply.outcome().unwrap_or(Outcome::Error);
                 let _ = conn.held.set(0);
-                context.counters.stray += u64::from(!conn.inbox.is_empty());
+                context.counters.unexpected_data += u64::from(!conn.inbox.is_empty());
                 let Some(job) = conn.job.take() else { return };
                 let member = conn.member.clone();
                 (conn.stage, conn.until) = (Stage::Idle, context.reactor.now() + self.keepalive);
-                context.reactor.timer(conn.until, Due::Server(slot));
+                context.reactor.set_timer(conn.until, TimerKind::Server(slot));
                 let keep = conn.outbox.is_empty() && conn.inbox.is_empty();
                 let address = conn.address;
                 let machine = self.machines.get_mut(&member).filter(|machine| !machine.gone && keep);
@@ -526,7 +527,7 @@
     }
 
     /// A stage may have lasted long enough.
-    pub fn due(&mut self, slot: Slot, context: &mut Context) {
+    pub fn on_timer(&mut self, slot: Slot, context: &mut Context) {
         let now = context.reactor.now();
         let connect_timeout = self.connect_timeout;
         // Timers are not withdrawn: this one may belong to a stage that is over.
@@ -534,7 +535,7 @@
             return;
         }
         // What has arrived by now still counts, though its event has not been taken up yet.
-        self.ready(slot, context);
+        self.on_ready(slot, context);
         let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.until <= now) else { return };
         let unmade = conn.job.as_ref().is_some_and(|job| now >= job.sent + connect_timeout);
         let step = match conn.stage {
@@ -553,7 +554,7 @@
 fn ended(job: Job, member: &MemberId, outcome: Outcome, reply: Reply, context: &mut Context) {
     let unreadable =
         matches!(job.task, ServerTask::Probe) && outcome == Outcome::Ok && reply.report.is_none();
-    context.counters.unreadable += u64::from(unreadable || reply.odd);
+    context.counters.unreadable_reports += u64::from(unreadable || reply.odd);
     context.events.push_back(Event::TaskEnded(Box::new(TaskResult {
         task: job.task,
         member: member.clone(),
--- a/crates/daemon/src/net/sessions.rs
+++ b/crates/daemon/src/net/sessions.rs
@@ -23,16 +23,16 @@
 use routing::interface::{MemberId, Outcome, RequestId};
 use scram::{Guesses, Users};
 
-use super::event_loop::{Due, Slot, Slots, Source};
+use super::event_loop::{Slot, Slots, Source, TimerKind};
 use super::Context;
 use crate::files;
-use client::Conn;
+use client::ClientConnection;
 use limits::SWEEP_INTERVAL;
 use members::Member;
-use server::Backend;
+use server::ServerConnection;
 
 /// How many requests to cancel may be under way.
-pub(crate) const MOST_CANCELS: usize = 8;
+pub(crate) const MAX_CANCELS: usize = 8;
 
 /// What a session needs a server for, placed.
 #[derive(Debug)]
@@ -61,8 +61,8 @@
     listener: Option<TcpListener>,
     /// Another process takes in who comes to it.
     paused: bool,
-    conns: Slots<Conn>,
-    backends: Slots<Backend>,
+    conns: Slots<ClientConnection>,
+    servers: Slots<ServerConnection>,
     pools: Pools,
     pool: Pool,
     table: Table,
@@ -70,7 +70,7 @@
     /// Nobody is asked what it is before then.
     next_primary_probe: f64,
     /// What a server has told last of its settings: new clients are told the same.
-    told: BTreeMap<String, String>,
+    server_settings: BTreeMap<String, String>,
     /// Those who may connect; anybody where there is no such list.
     users: Option<Users>,
     guesses: Guesses,
@@ -94,9 +94,13 @@
         (budget, connect_timeout, seed): (Budget, f64, u64),
         context: &mut Context,
     ) -> io::Result<Sessions> {
-        context.reactor.registry.register(&mut listener, Source::Pooled.into(), Interest::READABLE)?;
+        context.reactor.registry.register(
+            &mut listener,
+            Source::SessionListener.into(),
+            Interest::READABLE,
+        )?;
         let now = context.reactor.now();
-        context.reactor.timer(now + SWEEP_INTERVAL, Due::Pools);
+        context.reactor.set_timer(now + SWEEP_INTERVAL, TimerKind::SessionSweep);
         let pace = Pace {
             most: pool.servers as usize,
             each: pool.servers_each as usize,
@@ -107,7 +111,7 @@
             lifetime: pool.server_lifetime_s,
         };
         let mut key = [0; 32];
-        files::random(&mut key).map_err(io::Error::other)?;
+        files::fill_random(&mut key).map_err(io::Error::other)?;
         let told = [("server_version", "15.0"), ("server_encoding", "UTF8"), ("client_encoding", "UTF8")]
             .into_iter()
             .chain([
@@ -119,17 +123,17 @@
             listener: Some(listener),
             paused: false,
             conns: Slots::new(),
-            backends: Slots::new(),
+            servers: Slots::new(),
             pools: Pools::new(pace, seed),
             pool: pool.clone(),
             table,
             members: HashMap::new(),
             next_primary_probe: 0.0,
-            told: told.map(|(name, value)| (name.to_string(), value.to_string())).collect(),
+            server_settings: told.map(|(name, value)| (name.to_string(), value.to_string())).collect(),
             users: pool
                 .users
                 .as_ref()
-                .map(|file| files::users(file))
+                .map(|file| files::read_users(file))
                 .transpose()
                 .map_err(io::Error::other)?,
             guesses: Guesses::default(),
@@ -145,10 +149,10 @@
 
     /// Where what is asked belongs from now on, and who may ask. A file of users that cannot be read leaves those of
     /// before.
-    pub fn set(&mut self, pool: &Pool, table: Table, now: f64) {
+    pub fn reconfigure(&mut self, pool: &Pool, table: Table, now: f64) {
         self.table = table;
         self.pool.users.clone_from(&pool.users);
-        self.reread();
+        self.reload_users();
         let tls = |pool: &Pool| (pool.tls_cert.clone(), pool.tls_key.clone(), pool.tls_client_ca.clone());
         if tls(&self.pool) != tls(pool) {
             match files::pool_tls(pool, now) {
@@ -162,8 +166,8 @@
     }
 
     /// Reads the file of users again.
-    pub fn reread(&mut self) {
-        match self.pool.users.as_ref().map(|file| files::users(file)).transpose() {
+    pub fn reload_users(&mut self) {
+        match self.pool.users.as_ref().map(|file| files::read_users(file)).transpose() {
             Ok(users) => self.users = users,
             Err(fault) => logging::error!(event = "pool.users", "those of before stay: {fault}"),
         }
@@ -179,13 +183,13 @@
     }
 
     /// Whether another process takes in who comes to the listener.
-    pub fn pause(&mut self, paused: bool, context: &mut Context) {
+    pub fn set_paused(&mut self, paused: bool, context: &mut Context) {
         self.paused = paused;
         self.accept(context);
     }
 
     /// Takes in no more, and ends every session that is not in the middle of something; all of them where `now`.
-    pub fn end(&mut self, at_once: bool, context: &mut Context) {
+    pub fn end_sessions(&mut self, at_once: bool, context: &mut Context) {
         self.listener = None;
         let idle: Vec<Slot> = self
             .conns
@@ -200,7 +204,7 @@
             let what = "the pooler ends";
             let _ = conn.link.outbox.push(&error("FATAL", code::SHUTDOWN, what, None));
             let _ = conn.link.turn(&mut conn.stream);
-            self.remove(slot, context);
+            self.remove_client(slot, context);
         }
     }
 }
--- a/crates/daemon/src/net/sessions/assignment.rs
+++ b/crates/daemon/src/net/sessions/assignment.rs
@@ -10,13 +10,13 @@
 
 use super::client::Step;
 use super::members::Member;
-use super::server::{role, Backend, ServerState};
+use super::server::{reported_role, ServerConnection, ServerState};
 use super::{Detachment, ServerRequest, Sessions};
-use crate::net::event_loop::{Due, Slot};
+use crate::net::event_loop::{Slot, TimerKind};
 use crate::net::{Context, Event};
 
 /// What a session waits for.
-pub(super) struct Waiting {
+pub(super) struct PendingRequest {
     pub(super) id: RequestId,
     pub(super) tenant: String,
     pub(super) group: u32,
@@ -25,21 +25,21 @@
 }
 
 /// A server that was named for a session.
-pub(super) struct Job {
+pub(super) struct ServerAssignment {
     pub(super) id: RequestId,
     pub(super) attempt: usize,
     pub(super) member: MemberId,
     pub(super) give_up: f64,
     pub(super) tenant: String,
     /// Whether the session is on a connection, which may have run something.
-    pub(super) begun: bool,
+    pub(super) attached: bool,
     /// For how long the server was busy, and since when it is.
-    pub(super) busy: f64,
-    pub(super) since: Option<f64>,
+    pub(super) busy_time: f64,
+    pub(super) busy_since: Option<f64>,
 }
 
 impl Sessions {
-    pub(super) fn want(&mut self, slot: Slot, want: &Want, context: &mut Context) {
+    pub(super) fn request_server(&mut self, slot: Slot, want: &Want, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let route = self.table.route(&Ask {
             user: &conn.user,
@@ -52,14 +52,14 @@
         self.requests += 1;
         let id: RequestId = format!("session-{}-{}", slot.number(), self.requests).into();
         let (tenant, group, primary) = (route.tenant.clone(), route.group, route.primary);
-        conn.wanted = Some(Waiting { id: id.clone(), tenant, group, primary });
+        conn.pending_request = Some(PendingRequest { id: id.clone(), tenant, group, primary });
         let wanted = ServerRequest { id, class: route.class, tenant: route.tenant, group };
         context.events.push_back(Event::ServerRequested(slot, Box::new(wanted)));
         self.probe_for_primary(context);
     }
 
     /// A server is named for a session. The end of this attempt is told by an event.
-    pub fn give(
+    pub fn assign_server(
         &mut self,
         slot: Slot,
         id: &RequestId,
@@ -75,62 +75,64 @@
                 Detachment { id, attempt, member, outcome: Outcome::Moot, elapsed: 0.0, primary: None };
             return context.events.push_back(Event::SessionDetached(Box::new(parted)));
         };
-        let tenant = conn.wanted.as_ref().map(|wanted| wanted.tenant.clone()).unwrap_or_default();
-        conn.job = Some(Job {
+        let tenant = conn.pending_request.as_ref().map(|wanted| wanted.tenant.clone()).unwrap_or_default();
+        conn.assignment = Some(ServerAssignment {
             id: id.clone(),
             attempt,
             member: member.clone(),
             give_up: now + timeout,
             tenant,
-            begun: false,
-            busy: 0.0,
-            since: None,
+            attached: false,
+            busy_time: 0.0,
+            busy_since: None,
         });
-        self.find(slot, context);
+        self.find_connection(slot, context);
     }
 
     /// Finds a connection to the server that is named for a session.
-    pub(super) fn find(&mut self, slot: Slot, context: &mut Context) {
+    pub(super) fn find_connection(&mut self, slot: Slot, context: &mut Context) {
         loop {
             let now = context.reactor.now();
             let Some(conn) = self.conns.get_mut(slot) else { return };
-            let (Some(job), Some(session)) = (&conn.job, &conn.session) else { return };
+            let (Some(job), Some(session)) = (&conn.assignment, &conn.session) else { return };
             let Some(Member { address, active: true, .. }) = self.members.get(&job.member) else {
-                return self.part(slot, Outcome::Moot, None, context);
+                return self.detach(slot, Outcome::Moot, None, context);
             };
             let (address, member, tenant, state) =
                 (*address, job.member.clone(), job.tenant.clone(), session.state());
             let database = conn.database.clone();
             let Some(conn) = self.conns.get(slot) else { return };
-            let key = Key { member: (*member).into(), user: self.user(conn), database };
+            let key = Key { member: (*member).into(), user: self.server_user(conn), database };
             match self.pools.take(now, &key, state, &tenant, slot.number()) {
                 Choice::Wait => return,
                 Choice::Reuse(number) => {
-                    let backend = Slot::of(number);
+                    let backend = Slot::from_number(number);
                     if self.is_alive(backend) {
                         return self.attach(slot, backend, context);
                     }
-                    self.close(backend);
+                    self.close_connection(backend);
                 }
                 Choice::Instead(number) => {
-                    self.close(Slot::of(number));
-                    return self.open(Some(slot), key, member, address, context);
+                    self.close_connection(Slot::from_number(number));
+                    return self.open_connection(Some(slot), key, member, address, context);
                 }
-                Choice::Open => match self.unclaimed(&key, address) {
+                Choice::Open => match self.unclaimed_connection(&key, address) {
                     Some(place) => return self.claim(slot, place),
-                    None => return self.open(Some(slot), key, member, address, context),
+                    None => return self.open_connection(Some(slot), key, member, address, context),
                 },
             }
         }
     }
 
     /// A connection that is being made for nobody: of a probe for the primary, or of a session that no longer wants it.
-    pub(super) fn unclaimed(&self, key: &Key, address: SocketAddr) -> Option<Slot> {
-        let opening =
-            |state| matches!(state, ServerState::Connecting | ServerState::Asking | ServerState::Starting);
-        let fits =
-            |b: &Backend| b.key == *key && b.address == address && b.client.is_none() && b.drain.is_none();
-        self.backends
+    pub(super) fn unclaimed_connection(&self, key: &Key, address: SocketAddr) -> Option<Slot> {
+        let opening = |state| {
+            matches!(state, ServerState::Connecting | ServerState::NegotiatingTls | ServerState::Starting)
+        };
+        let fits = |b: &ServerConnection| {
+            b.key == *key && b.address == address && b.client.is_none() && b.drain_until.is_none()
+        };
+        self.servers
             .iter()
             .find(|(_, backend)| opening(backend.state) && fits(backend))
             .map(|(place, _)| place)
@@ -138,54 +140,54 @@
 
     /// A connection that is being made for nobody is made for this session from now on.
     pub(super) fn claim(&mut self, slot: Slot, place: Slot) {
-        if let (Some(conn), Some(backend)) = (self.conns.get_mut(slot), self.backends.get_mut(place)) {
-            (conn.backend, backend.client) = (Some(place), Some(slot));
+        if let (Some(conn), Some(backend)) = (self.conns.get_mut(slot), self.servers.get_mut(place)) {
+            (conn.server, backend.client) = (Some(place), Some(slot));
         }
     }
 
     /// A session is on a connection from now on.
     pub(super) fn attach(&mut self, slot: Slot, place: Slot, context: &mut Context) {
-        let (Some(conn), Some(backend)) = (self.conns.get_mut(slot), self.backends.get_mut(place)) else {
+        let (Some(conn), Some(backend)) = (self.conns.get_mut(slot), self.servers.get_mut(place)) else {
             return;
         };
-        let (Some(job), Some(session)) = (&mut conn.job, &mut conn.session) else { return };
-        let primary = backend.remote.as_ref().and_then(role);
-        if conn.wanted.as_ref().is_some_and(|wanted| wanted.primary) && primary == Some(false) {
+        let (Some(job), Some(session)) = (&mut conn.assignment, &mut conn.session) else { return };
+        let primary = backend.remote.as_ref().and_then(reported_role);
+        if conn.pending_request.as_ref().is_some_and(|wanted| wanted.primary) && primary == Some(false) {
             // Turned away untouched: a write would only be refused there.
-            conn.backend = None;
-            self.part(slot, Outcome::Miss, primary, context);
-            return self.rest(place, context);
+            conn.server = None;
+            self.detach(slot, Outcome::Miss, primary, context);
+            return self.return_connection(place, context);
         }
-        (backend.state, backend.client, conn.backend) = (ServerState::Used, Some(slot), Some(place));
-        job.begun = true;
-        conn.wanted = None;
+        (backend.state, backend.client, conn.server) = (ServerState::InUse, Some(slot), Some(place));
+        job.attached = true;
+        conn.pending_request = None;
         context.events.push_back(Event::SessionAttached(job.id.clone()));
         let mut actions = Vec::new();
         session.attach(backend.remote.take().unwrap_or_default(), &mut actions);
-        if let Step::Over = self.act(slot, actions, context) {
-            return self.remove(slot, context);
+        if let Step::Closed = self.carry_out(slot, actions, context) {
+            return self.remove_client(slot, context);
         }
-        context.reactor.timer(context.reactor.now(), Due::Session(slot));
+        context.reactor.set_timer(context.reactor.now(), TimerKind::Session(slot));
     }
 
     /// Nobody uses a connection any more; it waits for the next, or is closed.
-    pub(super) fn rest(&mut self, place: Slot, context: &mut Context) {
+    pub(super) fn return_connection(&mut self, place: Slot, context: &mut Context) {
         let now = context.reactor.now();
-        let Some(backend) = self.backends.get_mut(place) else { return };
+        let Some(backend) = self.servers.get_mut(place) else { return };
         let state = backend.remote.as_ref().map_or(0, Remote::state);
         let still = backend.link.is_flushed() && backend.link.inbox.is_empty();
-        let sound = !backend.tainted && backend.drain.is_none() && still;
+        let sound = !backend.tainted && backend.drain_until.is_none() && still;
         (backend.state, backend.client) = (ServerState::Idle, None);
         if !self.pools.put(now, &backend.key, place.number(), state) || !sound {
-            self.close(place);
+            self.close_connection(place);
         }
-        self.turns(context);
+        self.serve_waiting_sessions(context);
     }
 
     /// Those who wait for a connection, as long as there are any.
-    pub(super) fn turns(&mut self, context: &mut Context) {
+    pub(super) fn serve_waiting_sessions(&mut self, context: &mut Context) {
         while let Some(ticket) = self.pools.turn(context.reactor.now()) {
-            self.find(Slot::of(ticket), context);
+            self.find_connection(Slot::from_number(ticket), context);
         }
     }
 
@@ -193,34 +195,34 @@
     pub(super) fn release(&mut self, slot: Slot, ended: Ended, outcome: Outcome, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let remote = conn.session.as_mut().map(|session| session.take_remote());
-        let place = conn.backend.take();
-        self.clock(slot, context.reactor.now());
-        self.part(slot, outcome, remote.as_ref().and_then(role), context);
+        let place = conn.server.take();
+        self.update_busy_time(slot, context.reactor.now());
+        self.detach(slot, outcome, remote.as_ref().and_then(reported_role), context);
         let Some(place) = place else { return };
-        if let Some(backend) = self.backends.get_mut(place) {
+        if let Some(backend) = self.servers.get_mut(place) {
             backend.remote = remote;
         }
         match ended {
-            Ended::Kept => self.rest(place, context),
+            Ended::Kept => self.return_connection(place, context),
             Ended::Closed => {
-                self.close(place);
-                self.turns(context);
+                self.close_connection(place);
+                self.serve_waiting_sessions(context);
             }
         }
     }
 
     /// Tells how a session's use of a server ended.
-    pub(super) fn part(&mut self, slot: Slot, outcome: Outcome, role: Option<bool>, context: &mut Context) {
+    pub(super) fn detach(&mut self, slot: Slot, outcome: Outcome, role: Option<bool>, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        let Some(job) = conn.job.take() else { return };
+        let Some(job) = conn.assignment.take() else { return };
         self.pools.give_up(slot.number());
         let denied = conn.session.as_mut().is_some_and(|session| session.take_denied());
-        let Job { id, attempt, member, busy, .. } = job;
+        let ServerAssignment { id, attempt, member, busy_time: busy, .. } = job;
         let primary = if denied { Some(false) } else { role };
         match outcome {
             // What it is after that is to be asked anew.
-            Outcome::ConnectFailed | Outcome::Reset => self.learn(&member, None, context),
-            _ if primary.is_some() => self.learn(&member, primary, context),
+            Outcome::ConnectFailed | Outcome::Reset => self.record_role(&member, None, context),
+            _ if primary.is_some() => self.record_role(&member, primary, context),
             _ => {}
         }
         let parted = Detachment { id, attempt, member, outcome, elapsed: busy, primary };
@@ -228,24 +230,30 @@
     }
 
     /// A session's connection is taken from it, or has ended.
-    pub(super) fn cut(&mut self, slot: Slot, cut: Cut, outcome: Outcome, context: &mut Context) {
+    pub(super) fn revoke_connection(
+        &mut self,
+        slot: Slot,
+        cut: Cut,
+        outcome: Outcome,
+        context: &mut Context,
+    ) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let mut actions = Vec::new();
         if let Some(session) = &mut conn.session {
             session.lost(cut, &mut actions);
         }
         self.release(slot, Ended::Closed, outcome, context);
-        match self.act(slot, actions, context) {
-            Step::Over => self.remove(slot, context),
-            _ => context.reactor.timer(context.reactor.now(), Due::Session(slot)),
+        match self.carry_out(slot, actions, context) {
+            Step::Closed => self.remove_client(slot, context),
+            _ => context.reactor.set_timer(context.reactor.now(), TimerKind::Session(slot)),
         }
     }
 
     /// No server is to be had for what a session wants.
-    pub fn refused(&mut self, slot: Slot, answer: &Answer, context: &mut Context) {
+    pub fn refuse(&mut self, slot: Slot, answer: &Answer, context: &mut Context) {
         self.abandon_attempt(slot, context);
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        conn.wanted = None;
+        conn.pending_request = None;
         let mut detail = None;
         let (number, what) = match answer {
             Answer::Refused(backoff) => {
@@ -260,15 +268,15 @@
         if let Some(session) = &mut conn.session {
             session.refused(number, what, detail.as_deref(), &mut actions);
         }
-        match self.act(slot, actions, context) {
-            Step::Over => self.remove(slot, context),
-            _ => context.reactor.timer(context.reactor.now(), Due::Session(slot)),
+        match self.carry_out(slot, actions, context) {
+            Step::Closed => self.remove_client(slot, context),
+            _ => context.reactor.set_timer(context.reactor.now(), TimerKind::Session(slot)),
         }
     }
 
     /// An attempt is withdrawn before anything was sent.
-    pub fn withdraw(&mut self, slot: Slot, attempt: usize, context: &mut Context) {
-        let job = self.conns.get_mut(slot).and_then(|conn| conn.job.as_ref());
+    pub fn withdraw_attempt(&mut self, slot: Slot, attempt: usize, context: &mut Context) {
+        let job = self.conns.get_mut(slot).and_then(|conn| conn.assignment.as_ref());
         if job.is_some_and(|job| job.attempt == attempt) {
             self.abandon_attempt(slot, context);
         }
@@ -277,12 +285,12 @@
     /// What was begun for a session that has not got its connection yet goes on for nobody.
     pub(super) fn abandon_attempt(&mut self, slot: Slot, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        if conn.job.as_ref().is_none_or(|job| job.begun) {
+        if conn.assignment.as_ref().is_none_or(|job| job.attached) {
             return;
         }
-        if let Some(backend) = conn.backend.take().and_then(|place| self.backends.get_mut(place)) {
+        if let Some(backend) = conn.server.take().and_then(|place| self.servers.get_mut(place)) {
             backend.client = None;
         }
-        self.part(slot, Outcome::Cancelled, None, context);
+        self.detach(slot, Outcome::Cancelled, None, context);
     }
 }
--- a/crates/daemon/src/net/sessions/client.rs
+++ b/crates/daemon/src/net/sessions/client.rs
@@ -11,30 +11,30 @@
 use routing::interface::Outcome;
 use tls::Link;
 
-use super::assignment::{Job, Waiting};
+use super::assignment::{PendingRequest, ServerAssignment};
 use super::server::ServerState;
 use super::Sessions;
-use crate::net::event_loop::{Due, Slot};
+use crate::net::event_loop::{Slot, TimerKind};
 use crate::net::{Context, Event};
 
 /// Bytes that wait for one side past which nothing more is taken from the other. With the longest message on top they
 /// still fit a buffer.
 pub(super) const PENDING_LIMIT: usize = 8 * 1024;
 /// Most steps of one session before others have their turn.
-pub(super) const STEPS_PER_TURN: usize = 16;
+pub(super) const MAX_STEPS_PER_ITERATION: usize = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    First,
+    Startup,
     /// Its password is asked for.
     Login,
     /// It was wrong: the answer is held back until then.
-    Held,
+    Rejected,
     Running,
     Ending,
 }
 
-pub(super) struct Conn {
+pub(super) struct ClientConnection {
     pub(super) stream: TcpStream,
     pub(super) link: Link,
     pub(super) stage: Stage,
@@ -42,95 +42,95 @@
     /// A login that has begun.
     pub(super) login: Option<scram::Server>,
     pub(super) options: Vec<(String, String)>,
-    pub(super) from: IpAddr,
-    pub(super) until: f64,
+    pub(super) peer_ip: IpAddr,
+    pub(super) reject_at: f64,
     pub(super) user: Rc<str>,
     pub(super) database: Rc<str>,
     pub(super) secret: u32,
-    pub(super) backend: Option<Slot>,
+    pub(super) server: Option<Slot>,
     /// What it waits for until it is on a server.
-    pub(super) wanted: Option<Waiting>,
-    pub(super) job: Option<Job>,
+    pub(super) pending_request: Option<PendingRequest>,
+    pub(super) assignment: Option<ServerAssignment>,
     /// When it came to be what it is: begun, busy, or idle.
-    pub(super) since: f64,
+    pub(super) state_since: f64,
     pub(super) busy: bool,
 }
 
 /// What a step came to.
 pub(super) enum Step {
-    Moved,
-    Still,
-    Over,
+    Progress,
+    Waiting,
+    Closed,
 }
 
 impl Sessions {
     /// A client's connection may be read from or written to, or has its turn.
-    pub fn ready(&mut self, slot: Slot, context: &mut Context) {
-        for _ in 0..STEPS_PER_TURN {
+    pub fn on_ready(&mut self, slot: Slot, context: &mut Context) {
+        for _ in 0..MAX_STEPS_PER_ITERATION {
             match self.step(slot, context) {
-                Step::Moved => {}
-                Step::Still => return self.clock(slot, context.reactor.now()),
-                Step::Over => return self.remove(slot, context),
+                Step::Progress => {}
+                Step::Waiting => return self.update_busy_time(slot, context.reactor.now()),
+                Step::Closed => return self.remove_client(slot, context),
             }
         }
-        self.clock(slot, context.reactor.now());
-        context.reactor.timer(context.reactor.now(), Due::Session(slot));
+        self.update_busy_time(slot, context.reactor.now());
+        context.reactor.set_timer(context.reactor.now(), TimerKind::Session(slot));
     }
 
     /// Counts for how long the server is busy, and for how long the client is not.
-    pub(super) fn clock(&mut self, slot: Slot, now: f64) {
+    pub(super) fn update_busy_time(&mut self, slot: Slot, now: f64) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let busy = conn.session.as_ref().is_some_and(|session| session.is_busy());
         if busy != std::mem::replace(&mut conn.busy, busy) {
-            conn.since = now;
+            conn.state_since = now;
         }
-        if let Some(job) = &mut conn.job {
-            match (job.since, busy) {
-                (None, true) => job.since = Some(now),
-                (Some(since), false) => (job.busy, job.since) = (job.busy + now - since, None),
+        if let Some(job) = &mut conn.assignment {
+            match (job.busy_since, busy) {
+                (None, true) => job.busy_since = Some(now),
+                (Some(since), false) => (job.busy_time, job.busy_since) = (job.busy_time + now - since, None),
                 _ => {}
             }
         }
     }
 
     pub(super) fn step(&mut self, slot: Slot, context: &mut Context) -> Step {
-        let Some(conn) = self.conns.get_mut(slot) else { return Step::Still };
-        let Ok(fill) = conn.link.turn(&mut conn.stream) else { return Step::Over };
+        let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
+        let Ok(fill) = conn.link.turn(&mut conn.stream) else { return Step::Closed };
         let written = conn.link.is_flushed();
         if conn.stage == Stage::Ending {
             if written {
                 let _ = conn.stream.shutdown(Shutdown::Write);
             }
             conn.link.inbox.skip(conn.link.inbox.len());
-            return if fill == Fill::Ended { Step::Over } else { Step::Still };
+            return if fill == Fill::Ended { Step::Closed } else { Step::Waiting };
         }
         // Written first: no event tells of the room that this makes. A fault is found out again by reading.
-        let room = conn.backend.and_then(|b| self.backends.get_mut(b)).is_none_or(|backend| {
-            let _ = backend.state != ServerState::Used || backend.link.turn(&mut backend.stream).is_ok();
+        let room = conn.server.and_then(|b| self.servers.get_mut(b)).is_none_or(|backend| {
+            let _ = backend.state != ServerState::InUse || backend.link.turn(&mut backend.stream).is_ok();
             backend.link.outbox.len() < PENDING_LIMIT
         });
         let (mut actions, mut moved) = (Vec::new(), false);
-        if conn.stage == Stage::Held {
-            return if fill == Fill::Ended { Step::Over } else { Step::Still };
+        if conn.stage == Stage::Rejected {
+            return if fill == Fill::Ended { Step::Closed } else { Step::Waiting };
         }
         if conn.stage == Stage::Login {
             return match pgwire::message(&mut conn.link.inbox) {
-                Ok(None) if fill == Fill::Drained => Step::Still,
-                Ok(Some(message)) if message.kind == b'p' => self.login(slot, &message.body, context),
-                _ => Step::Over,
+                Ok(None) if fill == Fill::Drained => Step::Waiting,
+                Ok(Some(message)) if message.kind == b'p' => self.handle_login(slot, &message.body, context),
+                _ => Step::Closed,
             };
         }
-        if conn.stage == Stage::First {
+        if conn.stage == Stage::Startup {
             match wire::first(&mut conn.link.inbox) {
                 Ok(None) => {}
-                Ok(Some(first)) => return self.first(slot, first, context),
-                Err(_) => return Step::Over,
+                Ok(Some(first)) => return self.handle_startup(slot, first, context),
+                Err(_) => return Step::Closed,
             }
         } else if let Some(session) =
             conn.session.as_mut().filter(|_| room && conn.link.outbox.len() < PENDING_LIMIT)
         {
             let mut bytes = 0;
-            while bytes < PENDING_LIMIT && session.takes() && !stops(&actions) {
+            while bytes < PENDING_LIMIT && session.takes() && !must_be_carried_out_first(&actions) {
                 match pgwire::message(&mut conn.link.inbox) {
                     Ok(None) => break,
                     Ok(Some(message)) => {
@@ -148,13 +148,13 @@
             }
         }
         if moved {
-            return self.act(slot, actions, context);
+            return self.carry_out(slot, actions, context);
         }
         if fill == Fill::Ended {
-            return Step::Over;
+            return Step::Closed;
         }
-        match self.pass_on(slot, context) {
-            Step::Still if fill == Fill::Full && self.is_stuck(slot) => Step::Over,
+        match self.forward_from_server(slot, context) {
+            Step::Waiting if fill == Fill::Full && self.is_stuck(slot) => Step::Closed,
             step => step,
         }
     }
@@ -168,20 +168,20 @@
     }
 
     /// Passes on what the server has said, as far as the client has room for it.
-    pub(super) fn pass_on(&mut self, slot: Slot, context: &mut Context) -> Step {
-        let Some(conn) = self.conns.get_mut(slot) else { return Step::Still };
+    pub(super) fn forward_from_server(&mut self, slot: Slot, context: &mut Context) -> Step {
+        let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
         let Some(backend) =
-            conn.backend.and_then(|b| self.backends.get_mut(b)).filter(|b| b.state == ServerState::Used)
+            conn.server.and_then(|b| self.servers.get_mut(b)).filter(|b| b.state == ServerState::InUse)
         else {
-            return Step::Still;
+            return Step::Waiting;
         };
-        let Some(session) = &mut conn.session else { return Step::Still };
+        let Some(session) = &mut conn.session else { return Step::Waiting };
         if conn.link.outbox.len() >= PENDING_LIMIT {
-            return Step::Still;
+            return Step::Waiting;
         }
         let fill = backend.link.turn(&mut backend.stream);
         let (mut actions, mut bytes, mut broken) = (Vec::new(), 0, false);
-        while bytes < PENDING_LIMIT && !stops(&actions) {
+        while bytes < PENDING_LIMIT && !must_be_carried_out_first(&actions) {
             match backend.flow.next(&mut backend.link.inbox) {
                 Ok(None) => break,
                 Ok(Some(piece)) => {
@@ -198,50 +198,50 @@
             }
         }
         if bytes > 0 {
-            return self.act(slot, actions, context);
+            return self.carry_out(slot, actions, context);
         }
         if broken || !matches!(fill, Ok(Fill::Drained | Fill::Full)) {
-            self.cut(slot, Cut::Lost, Outcome::Reset, context);
-            return Step::Moved;
+            self.revoke_connection(slot, Cut::Lost, Outcome::Reset, context);
+            return Step::Progress;
         }
-        Step::Still
+        Step::Waiting
     }
 
-    pub(super) fn push(&mut self, slot: Slot, bytes: &[u8]) -> Step {
+    pub(super) fn send_to_client(&mut self, slot: Slot, bytes: &[u8]) -> Step {
         match self.conns.get_mut(slot).map(|conn| conn.link.outbox.push(bytes)) {
-            Some(Ok(())) => Step::Moved,
-            _ => Step::Over,
+            Some(Ok(())) => Step::Progress,
+            _ => Step::Closed,
         }
     }
 
     /// Carries out what a session wants.
-    pub(super) fn act(&mut self, slot: Slot, actions: Vec<Action>, context: &mut Context) -> Step {
+    pub(super) fn carry_out(&mut self, slot: Slot, actions: Vec<Action>, context: &mut Context) -> Step {
         for action in actions {
-            let Some(conn) = self.conns.get_mut(slot) else { return Step::Still };
+            let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
             match action {
                 Action::Client(bytes) => {
                     if conn.link.outbox.push(&bytes).is_err() {
-                        return Step::Over;
+                        return Step::Closed;
                     }
                 }
                 Action::Server(bytes) => {
-                    let backend = conn.backend.and_then(|b| self.backends.get_mut(b));
+                    let backend = conn.server.and_then(|b| self.servers.get_mut(b));
                     if backend.is_some_and(|backend| backend.link.outbox.push(&bytes).is_err()) {
-                        return Step::Over;
+                        return Step::Closed;
                     }
                 }
-                Action::Want(want) => self.want(slot, &want, context),
+                Action::Want(want) => self.request_server(slot, &want, context),
                 Action::Release(ended) => self.release(slot, ended, Outcome::Ok, context),
-                Action::End => (conn.stage, conn.since) = (Stage::Ending, context.reactor.now()),
+                Action::End => (conn.stage, conn.state_since) = (Stage::Ending, context.reactor.now()),
             }
         }
-        Step::Moved
+        Step::Progress
     }
 
     /// A client has left, or is sent away.
-    pub(super) fn remove(&mut self, slot: Slot, context: &mut Context) {
+    pub(super) fn remove_client(&mut self, slot: Slot, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        if let Some(wanted) = conn.wanted.take() {
+        if let Some(wanted) = conn.pending_request.take() {
             context.events.push_back(Event::ServerRequestAbandoned(wanted.id));
         }
         let ended = conn.session.as_mut().and_then(|session| session.gone());
@@ -255,6 +255,6 @@
 }
 
 /// Whether what comes next has to wait until these are carried out.
-pub(super) fn stops(actions: &[Action]) -> bool {
+pub(super) fn must_be_carried_out_first(actions: &[Action]) -> bool {
     matches!(actions.last(), Some(Action::Want(_) | Action::Release(_) | Action::End))
 }
--- a/crates/daemon/src/net/sessions/login.rs
+++ b/crates/daemon/src/net/sessions/login.rs
@@ -11,7 +11,7 @@
 use scram::{Channel, MECHANISM, MECHANISM_PLUS};
 use tls::{Link, Session};
 
-use super::client::{Conn, Stage, Step};
+use super::client::{ClientConnection, Stage, Step};
 use super::Sessions;
 use crate::net::event_loop::{Slot, Source};
 use crate::net::Context;
@@ -29,49 +29,49 @@
             let _ = stream.set_nodelay(true);
             let link = Link::new(None, &self.budget);
             let nobody: Rc<str> = "".into();
-            let slot = self.conns.insert(Conn {
+            let slot = self.conns.insert(ClientConnection {
                 stream,
                 link,
-                stage: Stage::First,
+                stage: Stage::Startup,
                 session: None,
                 login: None,
                 options: Vec::new(),
-                from: address.ip(),
-                until: 0.0,
+                peer_ip: address.ip(),
+                reject_at: 0.0,
                 user: nobody.clone(),
                 database: nobody,
                 secret: 0,
-                backend: None,
-                wanted: None,
-                job: None,
-                since: context.reactor.now(),
+                server: None,
+                pending_request: None,
+                assignment: None,
+                state_since: context.reactor.now(),
                 busy: false,
             });
             let Some(conn) = self.conns.get_mut(slot) else { return };
-            let (token, both) = (Source::Pool(slot).into(), Interest::READABLE | Interest::WRITABLE);
+            let (token, both) = (Source::SessionClient(slot).into(), Interest::READABLE | Interest::WRITABLE);
             if context.reactor.registry.register(&mut conn.stream, token, both).is_err() {
                 self.conns.remove(slot);
             }
         }
     }
 
-    pub(super) fn first(&mut self, slot: Slot, first: First, context: &mut Context) -> Step {
-        let Some(conn) = self.conns.get_mut(slot) else { return Step::Still };
+    pub(super) fn handle_startup(&mut self, slot: Slot, first: First, context: &mut Context) -> Step {
+        let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
         let pushed = match first {
             First::Encryption => match &self.tls {
                 None => conn.link.outbox.push(b"N"),
                 // Whoever sends more before it is told that there is TLS, or asks for it twice, is no client.
-                Some(_) if !conn.link.inbox.is_empty() || conn.link.is_secured() => return Step::Over,
+                Some(_) if !conn.link.inbox.is_empty() || conn.link.is_secured() => return Step::Closed,
                 Some(server) => {
-                    let Ok(session) = Session::accept(server, &self.budget) else { return Step::Over };
+                    let Ok(session) = Session::accept(server, &self.budget) else { return Step::Closed };
                     // Written without reading: what a quick client answers meanwhile is TLS already.
                     let outbox = &mut conn.link.outbox;
                     let told = outbox.push(b"S").is_ok() && outbox.drain(&mut conn.stream).is_ok();
                     if !told || !conn.link.is_flushed() {
-                        return Step::Over;
+                        return Step::Closed;
                     }
                     conn.link.secure(session, &self.budget);
-                    return Step::Moved;
+                    return Step::Progress;
                 }
             },
             First::Session(_) if self.pool.tls_required && !conn.link.is_secured() => {
@@ -80,14 +80,14 @@
             }
             First::Cancel(number, secret) => {
                 self.cancel(number, secret, context);
-                return Step::Over;
+                return Step::Closed;
             }
             First::Unknown => {
                 conn.stage = Stage::Ending;
                 conn.link.outbox.push(&error("FATAL", code::UNSUPPORTED, "unknown protocol", None))
             }
             First::Session(options) if self.users.is_some() => {
-                let Some(conn) = self.conns.get_mut(slot) else { return Step::Still };
+                let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
                 (conn.stage, conn.options) = (Stage::Login, options);
                 let offered: &[&str] = match conn.link.endpoint() {
                     Some(_) => &[MECHANISM_PLUS, MECHANISM],
@@ -97,7 +97,7 @@
             }
             First::Session(options) => {
                 let welcome = self.welcome(slot, &options);
-                let Some(conn) = self.conns.get_mut(slot) else { return Step::Still };
+                let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
                 match welcome {
                     Ok(bytes) => {
                         conn.stage = Stage::Running;
@@ -111,16 +111,16 @@
             }
         };
         if pushed.is_ok() {
-            Step::Moved
+            Step::Progress
         } else {
-            Step::Over
+            Step::Closed
         }
     }
 
     /// A step of a client's login.
-    pub(super) fn login(&mut self, slot: Slot, body: &[u8], context: &mut Context) -> Step {
+    pub(super) fn handle_login(&mut self, slot: Slot, body: &[u8], context: &mut Context) -> Step {
         let now = context.reactor.now();
-        let Some(conn) = self.conns.get_mut(slot) else { return Step::Still };
+        let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
         let user =
             conn.options.iter().find(|(name, _)| name == "user").map_or("", |(_, user)| user).to_string();
         let result = match conn.login.take() {
@@ -149,9 +149,9 @@
         };
         let done = conn.login.is_none();
         match result {
-            Ok(bytes) if !done => self.push(slot, &bytes),
+            Ok(bytes) if !done => self.send_to_client(slot, &bytes),
             Ok(mut bytes) => {
-                let (options, from) = (std::mem::take(&mut conn.options), conn.from);
+                let (options, from) = (std::mem::take(&mut conn.options), conn.peer_ip);
                 self.guesses.right(from);
                 match self.welcome(slot, &options) {
                     Ok(welcome) => {
@@ -163,14 +163,14 @@
                         self.conns.get_mut(slot).into_iter().for_each(|conn| conn.stage = Stage::Ending);
                     }
                 }
-                self.push(slot, &bytes)
+                self.send_to_client(slot, &bytes)
             }
             Err(fault) => {
                 context.counters.malformed += 1;
-                let wait = self.guesses.wrong(now, conn.from);
+                let wait = self.guesses.wrong(now, conn.peer_ip);
                 logging::warn!(event = "pool.login", user, "{fault}");
-                (conn.stage, conn.until) = (Stage::Held, now + wait);
-                Step::Still
+                (conn.stage, conn.reject_at) = (Stage::Rejected, now + wait);
+                Step::Waiting
             }
         }
     }
@@ -187,10 +187,10 @@
                 "replication" if value == "false" || value == "off" => {}
                 "replication" => return Err("replication is not served".into()),
                 "options" if value.trim().is_empty() => {}
-                "options" => settings(value, &mut start).ok_or("options: accepted: -c name=value")?,
+                "options" => parse_options(value, &mut start).ok_or("options: accepted: -c name=value")?,
                 // Of the protocol's next versions: not known, and harmless to pass over.
                 name if name.starts_with("_pq_.") => {}
-                name => drop(start.insert(name.to_lowercase(), literal(name, value))),
+                name => drop(start.insert(name.to_lowercase(), setting_literal(name, value))),
             }
         }
         let user = user.filter(|user| !user.is_empty()).ok_or("no user")?;
@@ -200,9 +200,9 @@
             PoolMode::Transaction => Mode::Transaction,
             PoolMode::Session => Mode::Session,
         };
-        conn.session = Some(Box::new(Pooled::new(mode, start, self.told.clone())));
+        conn.session = Some(Box::new(Pooled::new(mode, start, self.server_settings.clone())));
         let mut bytes = wire::texts(b'R', &[], &[0; 4]);
-        for (name, value) in &self.told {
+        for (name, value) in &self.server_settings {
             bytes.extend(wire::texts(b'S', &[name, value], &[]));
         }
         bytes.extend(wire::key((slot.number() as u32, secret)));
@@ -217,7 +217,7 @@
 }
 
 /// Settings in the form of a command line: `-c name=value`, or `--name=value`.
-pub(super) fn settings(options: &str, into: &mut BTreeMap<String, String>) -> Option<()> {
+pub(super) fn parse_options(options: &str, into: &mut BTreeMap<String, String>) -> Option<()> {
     let mut words = options.split_whitespace();
     while let Some(word) = words.next() {
         let pair = match word.strip_prefix("--") {
@@ -231,13 +231,13 @@
         let name = name.replace('-', "_").to_lowercase();
         let sound =
             !name.is_empty() && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '_' || c == '.');
-        into.insert(name.clone(), sound.then(|| literal(&name, value))?);
+        into.insert(name.clone(), sound.then(|| setting_literal(&name, value))?);
     }
     Some(())
 }
 
 /// A setting's value as SQL.
-pub(super) fn literal(name: &str, value: &str) -> String {
+pub(super) fn setting_literal(name: &str, value: &str) -> String {
     let plain = |c: char| c.is_ascii_alphanumeric() || "_$\", ".contains(c);
     // A list of names: one quoted text would be one name.
     if name.eq_ignore_ascii_case("search_path") && !value.is_empty() && value.chars().all(plain) {
--- a/crates/daemon/src/net/sessions/members.rs
+++ b/crates/daemon/src/net/sessions/members.rs
@@ -7,7 +7,7 @@
 use pooling::{Cut, Key};
 use routing::interface::{ListKind, MemberId, Outcome, Phase};
 
-use super::client::Conn;
+use super::client::ClientConnection;
 use super::server::ServerState;
 use super::Sessions;
 use crate::net::event_loop::Slot;
@@ -27,7 +27,7 @@
 
 impl Sessions {
     /// Takes in what the list says.
-    pub fn list(&mut self, kind: ListKind, listings: &[Listing], context: &mut Context) {
+    pub fn apply_list(&mut self, kind: ListKind, listings: &[Listing], context: &mut Context) {
         if kind != ListKind::Incremental {
             self.members.values_mut().for_each(|member| member.active = false);
         }
@@ -46,7 +46,7 @@
         }
         let until = context.reactor.now() + self.pool.drain_s;
         let gone: Vec<Slot> = self
-            .backends
+            .servers
             .iter()
             .filter(|(_, backend)| {
                 let member = self.members.get(&backend.member);
@@ -55,16 +55,16 @@
             .map(|(place, _)| place)
             .collect();
         for place in gone {
-            let Some(backend) = self.backends.get_mut(place) else { continue };
-            backend.drain = backend.drain.or(Some(until));
+            let Some(backend) = self.servers.get_mut(place) else { continue };
+            backend.drain_until = backend.drain_until.or(Some(until));
             match (backend.state, backend.client) {
-                (ServerState::Idle, _) => self.close(place),
-                (ServerState::Used, Some(slot)) => {
+                (ServerState::Idle, _) => self.close_connection(place),
+                (ServerState::InUse, Some(slot)) => {
                     let Some(conn) = self.conns.get_mut(slot) else { continue };
                     // Between transactions the next one would be new to it.
                     let open = conn.session.as_ref().is_some_and(|s| s.in_transaction() || s.is_busy());
                     if !open {
-                        self.cut(slot, Cut::Drained, Outcome::Ok, context);
+                        self.revoke_connection(slot, Cut::Drained, Outcome::Ok, context);
                     }
                 }
                 _ => {}
@@ -73,7 +73,7 @@
     }
 
     /// A server has said, or shown, what it is.
-    pub(super) fn learn(&mut self, member: &MemberId, primary: Option<bool>, context: &mut Context) {
+    pub(super) fn record_role(&mut self, member: &MemberId, primary: Option<bool>, context: &mut Context) {
         let Some(known) = self.members.get_mut(member) else { return };
         if let Some(primary) = primary.filter(|_| known.primary != primary) {
             context.events.push_back(Event::RoleReported(member.clone(), primary));
@@ -92,10 +92,11 @@
             let mut members = self.members.values();
             members.any(|member| member.group == group && member.active && member.primary == Some(true))
         };
-        let waiting = self.conns.iter().filter_map(|(_, conn)| Some((conn, conn.wanted.as_ref()?)));
+        let waiting = self.conns.iter().filter_map(|(_, conn)| Some((conn, conn.pending_request.as_ref()?)));
         let waiting = waiting.filter(|(_, wanted)| wanted.primary && !known(wanted.group));
-        let Some((user, database, group)) =
-            waiting.map(|(conn, wanted)| (self.user(conn), conn.database.clone(), wanted.group)).next()
+        let Some((user, database, group)) = waiting
+            .map(|(conn, wanted)| (self.server_user(conn), conn.database.clone(), wanted.group))
+            .next()
         else {
             return;
         };
@@ -104,21 +105,21 @@
         let members: Vec<_> = members.map(|(name, member)| (name.clone(), member.address)).collect();
         for (member, address) in members {
             let key = Key { member: (*member).into(), user: user.clone(), database: database.clone() };
-            let asked = self.backends.iter().any(|(_, b)| {
+            let asked = self.servers.iter().any(|(_, b)| {
                 b.key == key
                     && matches!(
                         b.state,
-                        ServerState::Connecting | ServerState::Asking | ServerState::Starting
+                        ServerState::Connecting | ServerState::NegotiatingTls | ServerState::Starting
                     )
             });
             if !asked && self.pools.has_room(&key) {
-                self.open(None, key, member, address, context);
+                self.open_connection(None, key, member, address, context);
             }
         }
     }
 
     /// As whom servers are connected to for a client.
-    pub(super) fn user(&self, conn: &Conn) -> Rc<str> {
+    pub(super) fn server_user(&self, conn: &ClientConnection) -> Rc<str> {
         self.pool.server_user.as_deref().map_or_else(|| conn.user.clone(), Into::into)
     }
 }
--- a/crates/daemon/src/net/sessions/report.rs
+++ b/crates/daemon/src/net/sessions/report.rs
@@ -1,29 +1,29 @@
 //! What is told of sessions on the control socket.
 
-use super::client::{Conn, Stage};
+use super::client::{ClientConnection, Stage};
 use super::Sessions;
 
 impl Sessions {
     /// What the sessions do.
-    pub fn tell(&self, now: f64) -> control::Sessions {
-        let one = |conn: &Conn| {
+    pub fn report(&self, now: f64) -> control::Sessions {
+        let one = |conn: &ClientConnection| {
             let attached = conn.session.as_ref().filter(|session| session.is_attached());
             let state = match (conn.stage, attached) {
-                (Stage::First | Stage::Login | Stage::Held, _) => "login",
+                (Stage::Startup | Stage::Login | Stage::Rejected, _) => "login",
                 (Stage::Ending, _) => "ending",
                 (Stage::Running, Some(session)) if session.is_busy() => "busy",
                 (Stage::Running, Some(session)) if session.in_transaction() => "transaction",
-                (Stage::Running, _) if conn.wanted.is_some() => "waiting",
+                (Stage::Running, _) if conn.pending_request.is_some() => "waiting",
                 (Stage::Running, _) => "idle",
             };
-            let backend = conn.backend.and_then(|place| self.backends.get(place));
+            let backend = conn.server.and_then(|place| self.servers.get(place));
             let pins = conn.session.iter().flat_map(|session| session.pins());
             control::Session {
                 user: conn.user.to_string(),
                 database: conn.database.to_string(),
-                from: conn.from.to_string(),
+                from: conn.peer_ip.to_string(),
                 state: state.into(),
-                lasts_s: now - conn.since,
+                lasts_s: now - conn.state_since,
                 member: backend.map(|backend| backend.member.to_string()),
                 bound_by: pins.map(|pin| pin.words().to_string()).collect(),
             }
--- a/crates/daemon/src/net/sessions/server.rs
+++ b/crates/daemon/src/net/sessions/server.rs
@@ -23,15 +23,15 @@
 pub(super) enum ServerState {
     Connecting,
     /// It was asked for TLS.
-    Asking,
+    NegotiatingTls,
     Starting,
     Idle,
-    Used,
+    InUse,
     /// Only asks for what another connection does to end.
     Cancelling,
 }
 
-pub(super) struct Backend {
+pub(super) struct ServerConnection {
     pub(super) stream: TcpStream,
     pub(super) link: Link,
     pub(super) flow: Flow,
@@ -42,18 +42,18 @@
     pub(super) remote: Option<Remote>,
     /// A login at the server that has begun; what has been proved by its end.
     pub(super) login: Option<scram::Client>,
-    pub(super) cancel: (u32, u32),
-    pub(super) until: f64,
+    pub(super) cancel_key: (u32, u32),
+    pub(super) deadline: f64,
     pub(super) client: Option<Slot>,
     /// It may be told to end what it does, at a time that nobody knows: nobody else may have it.
     pub(super) tainted: bool,
     /// Its server is drained: taken away then.
-    pub(super) drain: Option<f64>,
+    pub(super) drain_until: Option<f64>,
 }
 
 impl Sessions {
     /// Begins a connection, for a session or for whoever comes.
-    pub(super) fn open(
+    pub(super) fn open_connection(
         &mut self,
         slot: Option<Slot>,
         key: Key,
@@ -63,36 +63,38 @@
     ) {
         let now = context.reactor.now();
         let Ok(stream) = TcpStream::connect(address) else {
-            return slot.into_iter().for_each(|slot| self.part(slot, Outcome::ConnectFailed, None, context));
+            return slot
+                .into_iter()
+                .for_each(|slot| self.detach(slot, Outcome::ConnectFailed, None, context));
         };
         let until = now + self.connect_timeout;
-        let backend = self.backend(stream, key.clone(), member, address, until);
-        let backend = Backend { client: slot, ..backend };
-        let place = self.backends.insert(backend);
+        let backend = self.new_connection(stream, key.clone(), member, address, until);
+        let backend = ServerConnection { client: slot, ..backend };
+        let place = self.servers.insert(backend);
         self.pools.opened(now, &key, place.number());
-        if !self.register(place, context) {
-            return self.fail(place, Outcome::Moot, context);
+        if !self.register_connection(place, context) {
+            return self.fail_connection(place, Outcome::Moot, context);
         }
         if let Some(conn) = slot.and_then(|slot| self.conns.get_mut(slot)) {
-            conn.backend = Some(place);
+            conn.server = Some(place);
         }
     }
 
-    pub(super) fn backend(
+    pub(super) fn new_connection(
         &self,
         stream: TcpStream,
         key: Key,
         member: MemberId,
         address: SocketAddr,
         until: f64,
-    ) -> Backend {
+    ) -> ServerConnection {
         let _ = stream.set_nodelay(true);
         let link = Link::new(None, &self.budget);
         let remote = Some(Remote::new(self.pool.statements as usize));
         let (state, flow, cancel) = (ServerState::Connecting, Flow::default(), (0, 0));
         let (client, tainted, drain) = (None, false, None);
         let login = None;
-        Backend {
+        ServerConnection {
             stream,
             link,
             flow,
@@ -102,53 +104,53 @@
             address,
             remote,
             login,
-            cancel,
-            until,
+            cancel_key: cancel,
+            deadline: until,
             client,
             tainted,
-            drain,
+            drain_until: drain,
         }
     }
 
-    pub(super) fn register(&mut self, place: Slot, context: &mut Context) -> bool {
-        let Some(backend) = self.backends.get_mut(place) else { return false };
-        let (token, both) = (Source::Backend(place).into(), Interest::READABLE | Interest::WRITABLE);
+    pub(super) fn register_connection(&mut self, place: Slot, context: &mut Context) -> bool {
+        let Some(backend) = self.servers.get_mut(place) else { return false };
+        let (token, both) = (Source::SessionServer(place).into(), Interest::READABLE | Interest::WRITABLE);
         context.reactor.registry.register(&mut backend.stream, token, both).is_ok()
     }
 
     /// A server's connection may be read from or written to, or has ended.
-    pub fn ready_server(&mut self, place: Slot, context: &mut Context) {
-        let Some(backend) = self.backends.get_mut(place) else { return };
+    pub fn on_server_ready(&mut self, place: Slot, context: &mut Context) {
+        let Some(backend) = self.servers.get_mut(place) else { return };
         match backend.state {
-            ServerState::Used => {
+            ServerState::InUse => {
                 if let Some(slot) = backend.client {
-                    self.ready(slot, context);
+                    self.on_ready(slot, context);
                 }
             }
-            ServerState::Connecting | ServerState::Asking | ServerState::Starting => {
-                if let Err(outcome) = self.begin(place, context) {
-                    self.fail(place, outcome, context);
+            ServerState::Connecting | ServerState::NegotiatingTls | ServerState::Starting => {
+                if let Err(outcome) = self.advance_handshake(place, context) {
+                    self.fail_connection(place, outcome, context);
                 }
             }
             // Nothing is owed on it: what comes is its end, or makes it of no use.
             ServerState::Idle => {
                 if !self.is_alive(place) {
-                    self.close(place);
-                    self.turns(context);
+                    self.close_connection(place);
+                    self.serve_waiting_sessions(context);
                 }
             }
             ServerState::Cancelling => {
                 let connected = backend.stream.peer_addr().is_ok();
                 if connected && !matches!(backend.link.turn(&mut backend.stream), Ok(Fill::Drained)) {
-                    self.backends.remove(place);
+                    self.servers.remove(place);
                 }
             }
         }
     }
 
     /// Goes on with the beginning of a connection; how that failed.
-    pub(super) fn begin(&mut self, place: Slot, context: &mut Context) -> Result<(), Outcome> {
-        let Some(backend) = self.backends.get_mut(place) else { return Ok(()) };
+    pub(super) fn advance_handshake(&mut self, place: Slot, context: &mut Context) -> Result<(), Outcome> {
+        let Some(backend) = self.servers.get_mut(place) else { return Ok(()) };
         if backend.state == ServerState::Connecting {
             if backend.stream.peer_addr().is_err() {
                 return match backend.stream.take_error() {
@@ -158,13 +160,13 @@
             }
             let first = match &self.server_tls {
                 Some(_) => wire::ask_tls(),
-                None => hello(backend),
+                None => startup_message(backend),
             };
             backend.state =
-                if self.server_tls.is_some() { ServerState::Asking } else { ServerState::Starting };
+                if self.server_tls.is_some() { ServerState::NegotiatingTls } else { ServerState::Starting };
             backend.link.outbox.push(&first).map_err(|_| Outcome::Moot)?;
         }
-        let told = |fault: &tls::Fault, backend: &Backend| {
+        let told = |fault: &tls::Fault, backend: &ServerConnection| {
             if !matches!(fault, tls::Fault::Broken(_)) {
                 logging::warn!(event = "pool.server_tls", member = &*backend.member, "no TLS: {fault}");
             }
@@ -172,7 +174,7 @@
         };
         let turned = backend.link.turn(&mut backend.stream);
         let mut fill = turned.map_err(|fault| told(&fault, backend))?;
-        if backend.state == ServerState::Asking {
+        if backend.state == ServerState::NegotiatingTls {
             match &*backend.link.inbox.take(2) {
                 [] if fill == Fill::Drained => return Ok(()),
                 [b'S'] => {}
@@ -185,7 +187,7 @@
             let session = Session::new(client, name, &self.budget).map_err(|fault| told(&fault, backend))?;
             backend.link.secure(session, &self.budget);
             backend.state = ServerState::Starting;
-            let first = hello(backend);
+            let first = startup_message(backend);
             backend.link.outbox.push(&first).map_err(|_| Outcome::Moot)?;
             let turned = backend.link.turn(&mut backend.stream);
             fill = turned.map_err(|fault| told(&fault, backend))?;
@@ -211,12 +213,12 @@
                         remote.told.insert(name.into(), value.into());
                     }
                 }
-                b'K' => backend.cancel = wire::read_key(&message.body).unwrap_or_default(),
+                b'K' => backend.cancel_key = wire::read_key(&message.body).unwrap_or_default(),
                 b'N' => {}
                 b'Z' => {
                     let told = backend.remote.as_ref().map(|remote| remote.told.clone());
-                    self.told.extend(told.unwrap_or_default());
-                    self.begun(place, context);
+                    self.server_settings.extend(told.unwrap_or_default());
+                    self.finish_handshake(place, context);
                     return Ok(());
                 }
                 b'E' => {
@@ -241,45 +243,45 @@
     }
 
     /// A connection can be used.
-    pub(super) fn begun(&mut self, place: Slot, context: &mut Context) {
-        let Some(backend) = self.backends.get_mut(place) else { return };
-        let (member, primary) = (backend.member.clone(), backend.remote.as_ref().and_then(role));
-        self.learn(&member, primary, context);
-        let Some(backend) = self.backends.get_mut(place) else { return };
+    pub(super) fn finish_handshake(&mut self, place: Slot, context: &mut Context) {
+        let Some(backend) = self.servers.get_mut(place) else { return };
+        let (member, primary) = (backend.member.clone(), backend.remote.as_ref().and_then(reported_role));
+        self.record_role(&member, primary, context);
+        let Some(backend) = self.servers.get_mut(place) else { return };
         match backend.client {
-            Some(slot) if backend.drain.is_none() => self.attach(slot, place, context),
+            Some(slot) if backend.drain_until.is_none() => self.attach(slot, place, context),
             Some(slot) => {
                 // Its server was drained meanwhile.
-                self.close(place);
-                self.part(slot, Outcome::Moot, None, context);
+                self.close_connection(place);
+                self.detach(slot, Outcome::Moot, None, context);
             }
-            None => self.rest(place, context),
+            None => self.return_connection(place, context),
         }
     }
 
     /// Whether an idle connection has not ended meanwhile without that having been looked at.
     pub(super) fn is_alive(&mut self, slot: Slot) -> bool {
-        let Some(backend) = self.backends.get_mut(slot) else { return false };
+        let Some(backend) = self.servers.get_mut(slot) else { return false };
         let same = self.members.get(&backend.member).is_some_and(|member| member.address == backend.address);
         same && matches!(backend.link.turn(&mut backend.stream), Ok(Fill::Drained))
             && backend.link.inbox.is_empty()
     }
 
     /// A connection could not be made.
-    pub(super) fn fail(&mut self, place: Slot, outcome: Outcome, context: &mut Context) {
-        let client = self.backends.get_mut(place).and_then(|backend| backend.client);
-        self.close(place);
+    pub(super) fn fail_connection(&mut self, place: Slot, outcome: Outcome, context: &mut Context) {
+        let client = self.servers.get_mut(place).and_then(|backend| backend.client);
+        self.close_connection(place);
         if let Some(slot) = client {
             if let Some(conn) = self.conns.get_mut(slot) {
-                conn.backend = None;
+                conn.server = None;
             }
-            self.part(slot, outcome, None, context);
+            self.detach(slot, outcome, None, context);
         }
-        self.turns(context);
+        self.serve_waiting_sessions(context);
     }
 
-    pub(super) fn close(&mut self, place: Slot) {
-        if let Some(backend) = self.backends.remove(place) {
+    pub(super) fn close_connection(&mut self, place: Slot) {
+        if let Some(backend) = self.servers.remove(place) {
             self.pools.closed(&backend.key, place.number());
         }
     }
@@ -287,7 +289,7 @@
 
 /// Takes a step of the login at a server.
 pub(super) fn authenticate(
-    backend: &mut Backend,
+    backend: &mut ServerConnection,
     body: &[u8],
     pool: &Pool,
     rng: &mut fastrand::Rng,
@@ -312,7 +314,11 @@
             let file =
                 pool.server_password_file.as_ref().ok_or("it asks for a password, and none is kept here")?;
             let login = backend.login.as_mut().ok_or("a step before the first")?;
-            wire::texts(b'p', &[], login.answer(step, &files::password(file)?).map_err(words)?.as_bytes())
+            wire::texts(
+                b'p',
+                &[],
+                login.answer(step, &files::read_password(file)?).map_err(words)?.as_bytes(),
+            )
         }
         Login::Last(last) => {
             let login = backend.login.take().ok_or("a step before the first")?;
@@ -324,11 +330,11 @@
 }
 
 /// The first message of a session at a server.
-pub(super) fn hello(backend: &Backend) -> Vec<u8> {
+pub(super) fn startup_message(backend: &ServerConnection) -> Vec<u8> {
     wire::hello(&[("user", &backend.key.user), ("database", &backend.key.database)])
 }
 
 /// Whether a server is the primary, as far as it has told; it does so from PostgreSQL 14 on.
-pub(super) fn role(remote: &Remote) -> Option<bool> {
+pub(super) fn reported_role(remote: &Remote) -> Option<bool> {
     remote.told.get("in_hot_standby").map(|standby| standby == "off")
 }
--- a/crates/daemon/src/numbers.rs
+++ b/crates/daemon/src/numbers.rs
@@ -9,12 +9,12 @@
 
 /// A class in force.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Named {
+pub(crate) struct ActiveClass {
     pub name: String,
     /// Its number at the policy.
     pub number: usize,
     /// Its number for as long as the daemon lives, whatever its fields become.
-    pub id: u16,
+    pub stable_id: u16,
     pub consistency: Consistency,
     pub effect: Effect,
 }
@@ -31,16 +31,16 @@
 
 /// What a configuration comes to at the policy.
 #[derive(Clone, Debug)]
-pub(crate) struct Assigned {
+pub(crate) struct NumberedSettings {
     pub settings: Settings,
-    pub classes: Vec<Named>,
+    pub classes: Vec<ActiveClass>,
     /// Names of the tenants in force, and their numbers.
     pub tenants: Vec<(String, usize)>,
 }
 
 impl Numbers {
     /// The name of the class that has a number at the policy; empty where none has.
-    pub fn class(&self, number: usize) -> &str {
+    pub fn class_name(&self, number: usize) -> &str {
         self.classes.get(number).map_or("", |(name, _)| name)
     }
 
@@ -49,7 +49,7 @@
         &mut self,
         effective: &Effective,
         in_hand: impl Fn(usize) -> bool,
-    ) -> Result<Assigned, String> {
+    ) -> Result<NumberedSettings, String> {
         let mut settings = effective.settings.clone();
         let wanted = || effective.classes.iter().zip(&effective.settings.classes);
         for (number, (name, class)) in self.classes.iter_mut().enumerate() {
@@ -80,7 +80,13 @@
                 self.ids.push(name.clone());
             }
             let Class { consistency, effect, .. } = *class;
-            classes.push(Named { name: name.clone(), number, id: id as u16, consistency, effect });
+            classes.push(ActiveClass {
+                name: name.clone(),
+                number,
+                stable_id: id as u16,
+                consistency,
+                effect,
+            });
         }
         settings.classes = self.classes.iter().map(|(_, class)| class.clone()).collect();
         // A tenant's number stays its own until another needs it: nothing in hand depends on it.
@@ -104,11 +110,11 @@
             tenants.push((name.clone(), number));
         }
         settings.tenant_quota = quotas;
-        Ok(Assigned { settings, classes, tenants })
+        Ok(NumberedSettings { settings, classes, tenants })
     }
 
     /// The name of a class by its lasting number.
-    pub fn name(&self, id: u16) -> &str {
+    pub fn class_name_by_stable_id(&self, id: u16) -> &str {
         self.ids.get(usize::from(id)).map_or("", String::as_str)
     }
 }
@@ -132,11 +138,17 @@
     fn a_class_in_hand_keeps_its_number_and_fields_until_it_is_done() {
         let mut numbers = Numbers::default();
         let first = numbers.assign(&effective(""), |_| false).unwrap();
-        assert_eq!(first.classes.iter().map(|c| (c.number, c.id)).collect::<Vec<_>>(), [(0, 0), (1, 1)]);
+        assert_eq!(
+            first.classes.iter().map(|c| (c.number, c.stable_id)).collect::<Vec<_>>(),
+            [(0, 0), (1, 1)]
+        );
         // b changes while a request of it is in hand: the old one stays beside the new.
         let changed = effective("[class.b]\naim_s = 0.5\n[tenant.u]\nquota_per_s = 5");
         let second = numbers.assign(&changed, |number| number == 1).unwrap();
-        assert_eq!(second.classes.iter().map(|c| (c.number, c.id)).collect::<Vec<_>>(), [(0, 0), (2, 1)]);
+        assert_eq!(
+            second.classes.iter().map(|c| (c.number, c.stable_id)).collect::<Vec<_>>(),
+            [(0, 0), (2, 1)]
+        );
         assert_eq!(second.settings.classes[1], first.settings.classes[1]);
         assert_eq!(second.settings.classes[2].aim, 0.5);
         assert_eq!(second.settings.tenant_quota, [10.0, 5.0]);
@@ -146,6 +158,6 @@
         assert_eq!(back.settings.classes[2].value, 0.0);
         let again = numbers.assign(&changed, |_| false).unwrap();
         assert_eq!(again.settings.classes.len(), 3);
-        assert_eq!(numbers.name(1), "b");
+        assert_eq!(numbers.class_name_by_stable_id(1), "b");
     }
 }
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -44,12 +44,12 @@
 }
 
 /// What became of a step, by its number; 0 is anything else, with the file in the words of its fault.
-pub(crate) type Written = (u64, Result<(), String>);
+pub(crate) type WriteResult = (u64, Result<(), String>);
 
 /// The thread that writes.
 pub(crate) struct Writer {
     jobs: SyncSender<Job>,
-    done: Receiver<Written>,
+    done: Receiver<WriteResult>,
     /// Bytes in the log after all jobs so far, and past which it is rewritten.
     size: usize,
     most: usize,
@@ -135,7 +135,7 @@
     }
 
     /// The view of a registry that was kept, in bytes; none where there is none that can be read.
-    pub fn kept(&self) -> Option<Vec<u8>> {
+    pub fn stored_view(&self) -> Option<Vec<u8>> {
         files::read(&self.folder.join(VIEW), registry::kept::LONGEST).ok()
     }
 
@@ -183,7 +183,7 @@
 }
 
 impl Writer {
-    /// Has a step written; its end is told by [`done`](Writer::done), or here where it cannot even wait.
+    /// Has a step written; its end is told by [`next_result`](Writer::next_result), or here where it cannot even wait.
     pub fn append(&mut self, step: u64, record: &Record, history: &History) -> Result<(), String> {
         let bytes = frame(record);
         self.size += bytes.len();
@@ -199,19 +199,19 @@
     }
 
     /// Puts the whole history on disk anew, over whatever a successor that failed has left there.
-    pub fn reclaim(&mut self, history: &History) {
+    pub fn rewrite_history(&mut self, history: &History) {
         let whole = steplog::rewritten(history);
         self.size = whole.len();
         let _ = self.jobs.try_send(Job::Rewrite(whole));
     }
 
     /// Whether a view is being written: one at a time, since each may take all the memory there is for it.
-    pub fn keeps(&self) -> bool {
+    pub fn is_storing_view(&self) -> bool {
         self.viewing.load(Ordering::SeqCst)
     }
 
     /// Has a registry's view written; dropped where the disk does not keep up, since a later one says it all.
-    pub fn keep(&self, bytes: Vec<u8>) {
+    pub fn store_view(&self, bytes: Vec<u8>) {
         self.viewing.store(true, Ordering::SeqCst);
         if self.jobs.try_send(Job::View(bytes)).is_err() {
             self.viewing.store(false, Ordering::SeqCst);
@@ -219,7 +219,7 @@
     }
 
     /// The next step that is done, or has failed.
-    pub fn done(&mut self) -> Option<Written> {
+    pub fn next_result(&mut self) -> Option<WriteResult> {
         self.done.try_recv().ok()
     }
 }
