--- a/crates/daemon/src/net/servers.rs
+++ b/crates/daemon/src/net/servers.rs
@@ -11,8 +11,8 @@
 use pgwire::{code, Message};
 use routing::interface::{ListKind, MemberId, Outcome, Phase, Report, RequestId};
 
-use super::event_loop::{Due, Slot, Slots, Source};
-use super::{Context, Ended, Event, Task};
+use super::event_loop::{Slot, Slots, Source, TimerKind};
+use super::{Context, Event, ServerTask, TaskResult};
 use crate::counters::Counters;
 
 const USER: &str = "app";
@@ -47,7 +47,7 @@
 
 /// What is being carried out over a connection.
 struct Job {
-    task: Task,
+    task: ServerTask,
     sent: f64,
     give_up: f64,
     /// Nothing of it is written from then on.
@@ -248,10 +248,10 @@
                     return self.spoil();
                 }
                 match self.job.as_ref().map(|job| &job.task) {
-                    Some(Task::Probe) if kind == b'D' => {
+                    Some(ServerTask::Probe) if kind == b'D' => {
                         self.reply.report = pgwire::column(&message.body).and_then(report);
                     }
-                    Some(Task::Probe) => {}
+                    Some(ServerTask::Probe) => {}
                     // Guards against many answers that are each within their bound and together are not.
                     _ if self.held.set(self.reply.value.len() + message.body.len()).is_err() => {
                         return Step::Broken(Outcome::Error);
@@ -280,8 +280,8 @@
     fn ask(&mut self, now: f64) -> bool {
         let Some(job) = self.job.as_ref().filter(|job| now < job.write_by) else { return false };
         let sql = match &job.task {
-            Task::Attempt(_, _, statement) => statement.with_patience(job.give_up - now),
-            Task::Probe => ASK_LOAD.to_vec(),
+            ServerTask::Attempt(_, _, statement) => statement.with_patience(job.give_up - now),
+            ServerTask::Probe => ASK_LOAD.to_vec(),
         };
         (self.stage, self.until) = (Stage::Busy, job.give_up);
         (self.reply, self.begun) = (Reply::default(), false);
@@ -330,13 +330,13 @@
     }
 
     /// Connections that carry an attempt or a probe, or are being made for one.
-    pub fn busy(&self) -> usize {
+    pub fn busy_count(&self) -> usize {
         self.conns.iter().filter(|(_, conn)| conn.stage != Stage::Idle).count()
     }
 
     /// Takes in what the list says of addresses. Connections to where a machine no longer is, or made before
     /// it last started, are closed: a machine that was cut off would leave them open and silent.
-    pub fn list(&mut self, kind: ListKind, listings: &[Listing], now: f64) {
+    pub fn apply_list(&mut self, kind: ListKind, listings: &[Listing], now: f64) {
         if kind != ListKind::Incremental {
             self.machines.values_mut().for_each(|machine| machine.gone = true);
         }
@@ -353,13 +353,13 @@
         let gone: Vec<MemberId> =
             self.machines.iter().filter(|(_, machine)| machine.gone).map(|(name, _)| name.clone()).collect();
         for name in gone {
-            self.let_go(&name);
+            self.close_idle(&name);
         }
         self.machines.retain(|_, machine| !machine.gone || now - machine.listed < FORGET_AFTER);
     }
 
     /// Ends what waits for a connection to a machine to come up: nothing of it has been written.
-    pub fn withhold(&mut self, member: &MemberId, context: &mut Context) {
+    pub fn cancel_unsent(&mut self, member: &MemberId, context: &mut Context) {
         let unsent = |conn: &Conn| matches!(conn.stage, Stage::Connecting | Stage::Starting);
         let waiting = self.conns.iter().filter(|(_, conn)| conn.member == *member && unsent(conn));
         let waiting: Vec<Slot> = waiting.map(|(slot, _)| slot).collect();
@@ -369,7 +369,7 @@
     }
 
     /// Closes the idle connections to a machine.
-    pub fn let_go(&mut self, member: &MemberId) {
+    pub fn close_idle(&mut self, member: &MemberId) {
         let idle = self.machines.get_mut(member).map(|machine| std::mem::take(&mut machine.idle));
         idle.into_iter().flatten().for_each(|slot| drop(self.conns.remove(slot)));
     }
@@ -377,7 +377,7 @@
     /// Begins an attempt or a probe; its end is told by an event. The connection that it is on, if any.
     pub fn send(
         &mut self,
-        task: Task,
+        task: ServerTask,
         member: &MemberId,
         (timeout, write_by): (f64, f64),
         context: &mut Context,
@@ -396,7 +396,7 @@
             } else {
                 Step::Broken(Outcome::Moot)
             };
-            context.reactor.timer(conn.until, Due::Server(slot));
+            context.reactor.set_timer(conn.until, TimerKind::Server(slot));
             self.settle(slot, step, context);
             return Some(slot);
         }
@@ -429,7 +429,7 @@
         });
         let conn = self.conns.get_mut(slot)?;
         let (token, both) = (Source::Server(slot).into(), Interest::READABLE | Interest::WRITABLE);
-        context.reactor.timer(until, Due::Server(slot));
+        context.reactor.set_timer(until, TimerKind::Server(slot));
         if context.reactor.registry.register(&mut conn.stream, token, both).is_err() {
             self.settle(slot, Step::Broken(Outcome::ConnectFailed), context);
         }
@@ -470,13 +470,13 @@
     }
 
     /// A connection may be read from or written to.
-    pub fn ready(&mut self, slot: Slot, context: &mut Context) {
+    pub fn on_ready(&mut self, slot: Slot, context: &mut Context) {
         let now = context.reactor.now();
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let until = conn.until;
         let step = conn.turn(now, self.connect_timeout);
         if conn.until != until {
-            context.reactor.timer(conn.until, Due::Server(slot));
+            context.reactor.set_timer(conn.until, TimerKind::Server(slot));
         }
         self.settle(slot, step, context);
     }
@@ -487,7 +487,8 @@
             Step::Waiting => {}
             Step::Broken(outcome) => {
                 let Some(conn) = self.remove(slot) else { return };
-                let Counters { spoilt, stray, .. } = &mut context.counters;
+                let Counters { malformed_answers: spoilt, unexpected_data: stray, .. } =
+                    &mut context.counters;
                 *(if conn.job.is_some() { spoilt } else { stray }) += u64::from(conn.spoilt);
                 if let Some(job) = conn.job {
                     ended(job, &conn.member, outcome, conn.reply, context);
@@ -499,11 +500,11 @@
                 // A row is missing, say: it is no answer, though it may have run.
                 let outcome = reply.outcome().unwrap_or(Outcome::Error);
                 let _ = conn.held.set(0);
-                context.counters.stray += u64::from(!conn.inbox.is_empty());
+                context.counters.unexpected_data += u64::from(!conn.inbox.is_empty());
                 let Some(job) = conn.job.take() else { return };
                 let member = conn.member.clone();
                 (conn.stage, conn.until) = (Stage::Idle, context.reactor.now() + self.keepalive);
-                context.reactor.timer(conn.until, Due::Server(slot));
+                context.reactor.set_timer(conn.until, TimerKind::Server(slot));
                 let keep = conn.outbox.is_empty() && conn.inbox.is_empty();
                 let address = conn.address;
                 let machine = self.machines.get_mut(&member).filter(|machine| !machine.gone && keep);
@@ -517,16 +518,16 @@
     }
 
     /// Gives up an attempt: the machine learns of it by the end of the connection. Guards against one that has
-    /// just ended, its end still on the way to the proxy, while its connection carries another request already.
+    /// just ended, its end still on the way to the pooler, while its connection carries another request already.
     pub fn cancel(&mut self, slot: Slot, id: &RequestId, attempt: usize, context: &mut Context) {
         let task = self.conns.get_mut(slot).and_then(|conn| conn.job.as_ref()).map(|job| &job.task);
-        if matches!(task, Some(Task::Attempt(of, number, _)) if of == id && *number == attempt) {
+        if matches!(task, Some(ServerTask::Attempt(of, number, _)) if of == id && *number == attempt) {
             self.settle(slot, Step::Broken(Outcome::Cancelled), context);
         }
     }
 
     /// A stage may have lasted long enough.
-    pub fn due(&mut self, slot: Slot, context: &mut Context) {
+    pub fn on_timer(&mut self, slot: Slot, context: &mut Context) {
         let now = context.reactor.now();
         let connect_timeout = self.connect_timeout;
         // Timers are not withdrawn: this one may belong to a stage that is over.
@@ -534,7 +535,7 @@
             return;
         }
         // What has arrived by now still counts, though its event has not been taken up yet.
-        self.ready(slot, context);
+        self.on_ready(slot, context);
         let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.until <= now) else { return };
         let unmade = conn.job.as_ref().is_some_and(|job| now >= job.sent + connect_timeout);
         let step = match conn.stage {
@@ -551,9 +552,10 @@
 
 /// Tells of the end of a job.
 fn ended(job: Job, member: &MemberId, outcome: Outcome, reply: Reply, context: &mut Context) {
-    let unreadable = matches!(job.task, Task::Probe) && outcome == Outcome::Ok && reply.report.is_none();
-    context.counters.unreadable += u64::from(unreadable || reply.odd);
-    context.events.push_back(Event::Ended(Box::new(Ended {
+    let unreadable =
+        matches!(job.task, ServerTask::Probe) && outcome == Outcome::Ok && reply.report.is_none();
+    context.counters.unreadable_reports += u64::from(unreadable || reply.odd);
+    context.events.push_back(Event::TaskEnded(Box::new(TaskResult {
         task: job.task,
         member: member.clone(),
         outcome,
@@ -600,7 +602,7 @@
         stream.set_nonblocking(true).unwrap();
         let budget = Budget::new(1 << 20);
         let text = format!("/* d=10 */ {}", "x".repeat(bytes));
-        let task = Task::Attempt("1".into(), 0, Rc::new(Statement::new(text.into(), 5..7)));
+        let task = ServerTask::Attempt("1".into(), 0, Rc::new(Statement::new(text.into(), 5..7)));
         let mut conn = Conn {
             member: "s-1".into(),
             address: listener.local_addr().unwrap(),
