--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,7 @@
 //! The control socket's messages: one JSON object a line in each direction, one call at a time. No I/O.
 #![warn(missing_docs)]
 
-use operator::schema::When;
+use operator::schema::Activation;
 use operator::Difference;
 use serde::{Deserialize, Serialize};
 use transaction::{Entry, Finding, Severity};
@@ -9,7 +9,7 @@
 /// The version of these messages; a call of another is turned down.
 pub const VERSION: u32 = 1;
 /// Longest line (bytes): an operator's file of the longest that is read, as JSON, with what goes with it.
-pub const LONGEST_LINE: usize = operator::LONGEST + operator::LONGEST / 4;
+pub const LONGEST_LINE: usize = operator::MAX_FILE_BYTES + operator::MAX_FILE_BYTES / 4;
 /// Most differences that an answer lists; the rest are counted.
 pub const MOST_CHANGES: usize = 200;
 /// Most sessions that an answer lists; the rest are counted.
@@ -171,8 +171,8 @@
 
 impl From<&Difference> for Change {
     fn from(difference: &Difference) -> Change {
-        let Difference { key, from, to, when } = difference.clone();
-        Change { key, from, to, needs_restart: when == When::Start }
+        let Difference { key, from, to, activation: when } = difference.clone();
+        Change { key, from, to, needs_restart: when == Activation::Restart }
     }
 }
 
--- a/crates/daemon/src/cli/config.rs
+++ b/crates/daemon/src/cli/config.rs
@@ -8,7 +8,7 @@
 
 use argh::FromArgs;
 use control::{Call, Code, Request, Response, LONGEST_LINE};
-use operator::{schema, Effective};
+use operator::{schema, EffectiveConfig};
 use transaction::Fate;
 
 use super::{fail, load, print};
@@ -322,7 +322,7 @@
             Ok((_, platform)) => platform,
             Err(fault) => return fail(&fault),
         };
-        if let Err(conflicts) = Effective::new(&platform, document) {
+        if let Err(conflicts) = EffectiveConfig::new(&platform, document) {
             let mut response = Response::new(Code::Refused, "does not fit the platform's configuration");
             response.findings = conflicts
                 .into_iter()
@@ -336,7 +336,7 @@
         }
     }
     let fits = if asked { "and fits the platform's configuration" } else { "by itself" };
-    ended(&Response::new(Code::Ok, format!("usable {fits}; digest {}", digest.short())), json)
+    ended(&Response::new(Code::Ok, format!("usable {fits}; digest {}", digest.abbreviated())), json)
 }
 
 fn diff(old: &Path, new: &Path, json: bool) -> ExitCode {
--- a/crates/daemon/src/cli/fleet.rs
+++ b/crates/daemon/src/cli/fleet.rs
@@ -292,7 +292,7 @@
         if document.listen.is_some() {
             return Err(named(&"listen: each instance has an address of its own, from the fleet's file"));
         }
-        operator::Effective::new(&config, document).map_err(|c| named(&crate::net::words(&c)))?;
+        operator::EffectiveConfig::new(&config, document).map_err(|c| named(&crate::net::words(&c)))?;
         let json = files::read(platform, 64 * 1024 * 1024)?;
         Ok(Files {
             platform: serde_json::from_slice(&json).map_err(|error| error.to_string())?,
--- a/crates/daemon/src/cli/route.rs
+++ b/crates/daemon/src/cli/route.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use argh::FromArgs;
-use operator::Effective;
+use operator::EffectiveConfig;
 use route::Ask;
 use serde_json::json;
 use sql::{Kind, Scan};
@@ -70,10 +70,11 @@
 fn explain(args: &Explain) -> Result<(), String> {
     let (_, platform) = load(args.config.clone())?;
     let document = files::document(&args.operator)?.1;
-    let effective = Effective::new(&platform, document).map_err(|conflicts| crate::net::words(&conflicts))?;
+    let effective =
+        EffectiveConfig::new(&platform, document).map_err(|conflicts| crate::net::words(&conflicts))?;
     let scan = sql::scan(&args.sql);
     let reads = pooling::only_reads(&scan);
-    let route = effective.routes().route(&Ask {
+    let route = effective.route_table().route(&Ask {
         user: &args.user,
         database: &args.database,
         application: &args.application,
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bundle::Key;
-use operator::{Document, LONGEST};
+use operator::{Document, MAX_FILE_BYTES};
 
 /// Times that a file that changes under its reader is read again, and the pause before (the file of a writer
 /// who is at it takes no longer).
@@ -47,12 +47,12 @@
 
 /// Reads the operator's file.
 pub(crate) fn document(path: &Path) -> Result<(String, Document), String> {
-    let bytes = read(path, LONGEST)?;
+    let bytes = read(path, MAX_FILE_BYTES)?;
     let named = |fault: String| {
         let place = format!("{}: ", path.display());
         fault.lines().map(|line| format!("{place}{line}")).collect::<Vec<_>>().join("\n")
     };
-    let document = operator::read(&bytes).map_err(|faults| named(faults.to_string()))?;
+    let document = operator::parse(&bytes).map_err(|faults| named(faults.to_string()))?;
     Ok((String::from_utf8_lossy(&bytes).into_owned(), document))
 }
 
--- a/crates/daemon/src/net/change.rs
+++ b/crates/daemon/src/net/change.rs
@@ -7,7 +7,7 @@
 
 use ::control::{Code, Response, Status};
 use config::Config;
-use operator::{Confirm, Conflict, Difference, Digest, Document, Effective};
+use operator::{Confirm, Conflict, Difference, Digest, Document, EffectiveConfig};
 use transaction::{
     check, Bad, Finding, Health, History, Input, Machine, Mode, Outcome, Proposal, Roster, Rules, Severity,
     Stage, Start, Verdict, View, TURN,
@@ -23,7 +23,7 @@
 /// What a daemon comes up on.
 pub(crate) struct Opening {
     pub path: PathBuf,
-    pub effective: Effective,
+    pub effective: EffectiveConfig,
     start: Start,
     history: History,
     store: Option<Store>,
@@ -55,7 +55,7 @@
     let confirmed = history.confirmed().map(|generation| generation.document.clone());
     let fits = |document: Document| -> Result<Document, String> {
         let conflicts = |c: Vec<Conflict>| words(&c);
-        Effective::new(platform, document.clone()).map(|_| document).map_err(conflicts)
+        EffectiveConfig::new(platform, document.clone()).map(|_| document).map_err(conflicts)
     };
     // The file must be signed where the last confirmed one, or it itself, asks for that.
     let file = read.and_then(|(text, document)| {
@@ -69,7 +69,7 @@
     let taken = file.as_ref().ok().map(Document::digest);
     let start = history.start(file, now);
     loud.extend(start.loud.clone());
-    let effective = Effective::new(platform, (*start.generation.document).clone());
+    let effective = EffectiveConfig::new(platform, (*start.generation.document).clone());
     let effective = effective
         .map_err(|c| format!("generation {} no longer fits: {}", start.generation.number, words(&c)))?;
     if let Some(store) = &mut store {
@@ -93,7 +93,7 @@
     pub roster: Roster,
     /// Inputs that wait for the machine: what its actions bring about comes after them.
     pub inputs: VecDeque<Input>,
-    pub effective: Effective,
+    pub effective: EffectiveConfig,
     pub platform: Config,
     pub path: PathBuf,
     /// What the operator's file said when it was last taken: a SIGHUP for the platform's sake must not bring
@@ -189,7 +189,7 @@
 
     /// Lays a document over the platform's word and looks at what it would do now.
     pub fn read(&self, document: Document, view: &View) -> Result<Read, Vec<Finding>> {
-        let effective = Effective::new(&self.platform, document).map_err(|conflicts| {
+        let effective = EffectiveConfig::new(&self.platform, document).map_err(|conflicts| {
             let finding =
                 |c: &Conflict| Finding { code: "conflict", severity: Severity::Error, what: c.to_string() };
             conflicts.iter().map(finding).collect::<Vec<_>>()
--- a/crates/daemon/src/net/coordination.rs
+++ b/crates/daemon/src/net/coordination.rs
@@ -3,7 +3,7 @@
 
 use ::control::{Peers as Question, Response};
 use config::Config;
-use operator::Effective;
+use operator::EffectiveConfig;
 
 use super::directory::Directory;
 use super::event_loop::Slot;
@@ -26,7 +26,7 @@
 impl Coordination {
     /// What the operator's file asks for; none where instances share nothing.
     pub fn new(
-        effective: &Effective,
+        effective: &EffectiveConfig,
         config: &Config,
         context: &mut Context,
     ) -> Result<Option<Coordination>, String> {
--- a/crates/daemon/src/net/directory.rs
+++ b/crates/daemon/src/net/directory.rs
@@ -10,7 +10,7 @@
 use directory::{Client, Need, ProcessId, SessionKey, Status, Terms, Ticket, Why, WriteEnd};
 use mio::net::UdpSocket;
 use mio::Interest;
-use operator::Effective;
+use operator::EffectiveConfig;
 
 use super::event_loop::{Due, EarliestTimer, Source};
 use super::{datagrams, Context, HOLD_OF_AIM};
@@ -35,7 +35,7 @@
 impl Directory {
     /// Listens, where the operator's file names control instances.
     pub fn new(
-        effective: &Effective,
+        effective: &EffectiveConfig,
         config: &Config,
         context: &mut Context,
     ) -> Result<Option<Directory>, String> {
@@ -65,7 +65,7 @@
             socket,
             routes: Routes::new(settings),
             timer: EarliestTimer::default(),
-            hold: HOLD_OF_AIM * effective.shortest_aim_of_writes(),
+            hold: HOLD_OF_AIM * effective.shortest_write_aim(),
             begun: now,
             drops: Drops::default(),
             terms,
--- a/crates/daemon/src/net/peers.rs
+++ b/crates/daemon/src/net/peers.rs
@@ -12,7 +12,7 @@
 use config::Config;
 use mio::net::{TcpListener, UdpSocket};
 use mio::Interest;
-use operator::Effective;
+use operator::EffectiveConfig;
 use replication::{reports, Identity, Need, Node, Notice, Terms, Ticket};
 use routing::interface::Phase;
 use routing::peer_reports::{Observation, PeerReport};
@@ -48,7 +48,7 @@
 impl Peers {
     /// Listens, where the operator's file says so.
     pub fn new(
-        effective: &Effective,
+        effective: &EffectiveConfig,
         config: &Config,
         context: &mut Context,
     ) -> Result<Option<Peers>, String> {
@@ -79,7 +79,7 @@
             start,
             renewal: 0,
         };
-        let aim = effective.shortest_aim_of_writes();
+        let aim = effective.shortest_write_aim();
         let lease = (aim * LEASE_OF_AIM).clamp(0.01, LEASE);
         let terms = Terms {
             lease,
--- a/crates/daemon/src/net/proxy.rs
+++ b/crates/daemon/src/net/proxy.rs
@@ -23,7 +23,7 @@
 use lifecycle::Input as Lived;
 use mio::net::TcpListener;
 use mio::{Interest, Poll, Waker};
-use operator::Effective;
+use operator::EffectiveConfig;
 use routing::interface::{
     self, Action, Arrival, Conclusion, Consistency, Done, Effect, Evidence, ListKind, Outcome, Phase,
     RequestId,
@@ -193,7 +193,7 @@
         let effective = match &opening {
             Some(opening) => opening.effective.clone(),
             // Nothing but the platform's word, which has been checked with it.
-            None => Effective::new(config, Default::default())
+            None => EffectiveConfig::new(config, Default::default())
                 .map_err(|conflicts| invalid(change::words(&conflicts)))?,
         };
         let log = logging::start(effective.document.log.level, effective.document.log.format);
@@ -268,7 +268,7 @@
                 "ordinary clients connect to {address}, pooled by {mode}"
             );
             let terms = (budget.clone(), connect_timeout, config.seed);
-            Sessions::new(listener, pool, effective.routes(), terms, context)
+            Sessions::new(listener, pool, effective.route_table(), terms, context)
         });
         let sessions = sessions.transpose()?;
         let coordination = Coordination::new(&effective, config, context).map_err(invalid)?;
@@ -858,7 +858,7 @@
 }
 
 /// Descriptors that ordinary clients and their servers may take.
-fn pooled(effective: &Effective) -> usize {
+fn pooled(effective: &EffectiveConfig) -> usize {
     let pool = &effective.document.pool;
     pool.listen.map_or(0, |_| (pool.clients + pool.servers) as usize + super::sessions::MOST_CANCELS + 1)
 }
--- a/crates/daemon/src/net/proxy/calls.rs
+++ b/crates/daemon/src/net/proxy/calls.rs
@@ -21,7 +21,7 @@
         let read = |text: &str| {
             let policy = &changes.effective.document.change;
             files::signed(text, policy)?;
-            operator::read(text.as_bytes()).map_err(|faults| faults.to_string())
+            operator::parse(text.as_bytes()).map_err(|faults| faults.to_string())
         };
         let response = match call {
             Call::Plan { text } => match read(&text) {
@@ -83,7 +83,7 @@
             },
             Call::Show {} => {
                 let current = changes.machine.current();
-                let (text, number) = (Some(current.document.text()), current.number);
+                let (text, number) = (Some(current.document.canonical_toml()), current.number);
                 Response {
                     text,
                     generation: Some(number),
--- a/crates/daemon/src/net/proxy/configuration.rs
+++ b/crates/daemon/src/net/proxy/configuration.rs
@@ -2,7 +2,7 @@
 
 use config::Config;
 use mio::net::TcpListener;
-use operator::Effective;
+use operator::EffectiveConfig;
 use transaction::{Action as Step, Input, Notice, SPARES};
 
 use super::{advice, life, pooled, Proxy, ToSuccessor};
@@ -125,7 +125,7 @@
     /// Puts a document in force, all of it or nothing. What can fail comes first; from there on nothing can.
     fn put(&mut self, document: &operator::Document, context: &mut Context) -> Result<(), String> {
         let Some(changes) = &self.changes else { return Ok(()) };
-        let effective = Effective::new(&changes.platform, document.clone())
+        let effective = EffectiveConfig::new(&changes.platform, document.clone())
             .map_err(|conflicts| change::words(&conflicts))?;
         let mut listener = None;
         if effective.listen != self.listen && self.listened != Some(effective.listen) {
@@ -162,7 +162,7 @@
             self.discovery.move_to(effective.discovery, context);
         }
         let (pool, now) = (&effective.document.pool, context.reactor.now());
-        self.sessions.iter_mut().for_each(|sessions| sessions.set(pool, effective.routes(), now));
+        self.sessions.iter_mut().for_each(|sessions| sessions.set(pool, effective.route_table(), now));
         self.source(&effective, context);
         self.intend(&effective, context);
         // A list of the operator's own may have been taken out.
--- a/crates/daemon/src/net/proxy/sources.rs
+++ b/crates/daemon/src/net/proxy/sources.rs
@@ -1,7 +1,7 @@
 //! The list of members: where it is followed, what of it is kept on disk, and the operator's intents laid over it.
 
 use listing::Listing;
-use operator::{Effective, Override};
+use operator::{EffectiveConfig, Override};
 use routing::interface::{self, Entry, ListKind, Phase};
 
 use super::{Lived, Proxy};
@@ -54,7 +54,7 @@
 
     /// Follows the list where the operator's file says. Until another source has told a whole list, the one of
     /// now holds, with all that it says of drains.
-    pub(super) fn source(&mut self, effective: &Effective, context: &mut Context) {
+    pub(super) fn source(&mut self, effective: &EffectiveConfig, context: &mut Context) {
         let settings = &effective.document.registry;
         if settings.endpoints.is_empty() {
             if self.registry.take().is_some() {
@@ -92,7 +92,7 @@
     }
 
     /// Lays the operator's intents over the list.
-    pub(super) fn intend(&mut self, effective: &Effective, context: &mut Context) {
+    pub(super) fn intend(&mut self, effective: &EffectiveConfig, context: &mut Context) {
         let Some(changes) = &mut self.changes else { return };
         if let Some((kind, listings)) = changes.roster.intend(effective) {
             self.members(kind, listings, context);
--- a/crates/daemon/src/numbers.rs
+++ b/crates/daemon/src/numbers.rs
@@ -1,7 +1,7 @@
 //! The numbers under which the policy knows classes and tenants, over changes of configuration: a class that
 //! has requests in hand keeps its number and its fields until they are done, whatever its name comes to mean.
 
-use operator::Effective;
+use operator::EffectiveConfig;
 use routing::interface::{Class, Consistency, Effect, Settings};
 
 /// Most numbers of classes, and of tenants: those in force, and those with requests in hand still.
@@ -47,7 +47,7 @@
     /// Gives the classes and tenants of a configuration their numbers.
     pub fn assign(
         &mut self,
-        effective: &Effective,
+        effective: &EffectiveConfig,
         in_hand: impl Fn(usize) -> bool,
     ) -> Result<Assigned, String> {
         let mut settings = effective.settings.clone();
@@ -123,9 +123,9 @@
         "customers":[{"name":"t","quotaPerS":10}],"specifics":{"consistency":["any","any"]},
         "invariants":{"tipMultiple":2}}}"#;
 
-    fn effective(text: &str) -> Effective {
+    fn effective(text: &str) -> EffectiveConfig {
         let platform = Config::parse(PLATFORM).unwrap();
-        Effective::new(&platform, operator::read(text.as_bytes()).unwrap()).unwrap()
+        EffectiveConfig::new(&platform, operator::parse(text.as_bytes()).unwrap()).unwrap()
     }
 
     #[test]
--- a/crates/operator/src/document.rs
+++ b/crates/operator/src/document.rs
@@ -556,7 +556,7 @@
     }
 
     /// Its first twelve hexadecimal digits, for people.
-    pub fn short(&self) -> String {
+    pub fn abbreviated(&self) -> String {
         self.to_string()[..12].to_string()
     }
 }
@@ -569,19 +569,19 @@
 
 impl fmt::Debug for Digest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.short())
+        f.write_str(&self.abbreviated())
     }
 }
 
 impl Document {
     /// Its canonical text: TOML without comments, tables and keys in one order. Reads back as the same document.
-    pub fn text(&self) -> String {
+    pub fn canonical_toml(&self) -> String {
         // Only a map with keys that are no texts could fail, and there is none.
         toml::to_string(self).unwrap_or_default()
     }
 
     /// The digest of its canonical text.
     pub fn digest(&self) -> Digest {
-        Digest::of(self.text().as_bytes())
+        Digest::of(self.canonical_toml().as_bytes())
     }
 }
--- a/crates/operator/src/effective.rs
+++ b/crates/operator/src/effective.rs
@@ -10,7 +10,7 @@
 
 use crate::document::{Access, ClassEdit, Document, MemberEntry, Override, Reads, Repeats, Scope};
 use crate::peers;
-use crate::schema::{self, When};
+use crate::schema::{self, Activation};
 
 /// Why a document that is sound by itself cannot be laid over a platform's configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -18,12 +18,12 @@
     /// The key at fault.
     pub key: String,
     /// What is wrong, in figures.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for Conflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.key, self.what)
+        write!(f, "{}: {}", self.key, self.message)
     }
 }
 
@@ -37,12 +37,12 @@
     /// The new value; none where there is none any more.
     pub to: Option<String>,
     /// Whether it can come into force while the daemon runs.
-    pub when: When,
+    pub activation: Activation,
 }
 
 /// All that is in force at a time.
 #[derive(Clone, Debug)]
-pub struct Effective {
+pub struct EffectiveConfig {
     /// The operator's document that it was made with.
     pub document: Document,
     /// Where clients connect.
@@ -67,11 +67,11 @@
     pub members: Vec<Listing>,
 }
 
-impl Effective {
+impl EffectiveConfig {
     /// Lays a document over the platform's configuration; all that stands in the way where it does not fit.
-    pub fn new(platform: &Config, document: Document) -> Result<Effective, Vec<Conflict>> {
+    pub fn new(platform: &Config, document: Document) -> Result<EffectiveConfig, Vec<Conflict>> {
         let mut conflicts = Vec::new();
-        let mut conflict = |key: String, what: String| conflicts.push(Conflict { key, what });
+        let mut conflict = |key: String, what: String| conflicts.push(Conflict { key, message: what });
         let limits = &document.limits;
         let sockets = limits.sockets.map_or(platform.sockets, |sockets| sockets as usize);
         if sockets > platform.sockets {
@@ -199,7 +199,7 @@
         if !conflicts.is_empty() {
             return Err(conflicts);
         }
-        Ok(Effective {
+        Ok(EffectiveConfig {
             listen: document.listen.unwrap_or(platform.listen),
             discovery: document.discovery.unwrap_or(platform.discovery),
             sockets,
@@ -215,13 +215,13 @@
     }
 
     /// The shortest aim of a class of writes (seconds); infinite where there is none.
-    pub fn shortest_aim_of_writes(&self) -> f64 {
+    pub fn shortest_write_aim(&self) -> f64 {
         let writes = self.settings.classes.iter().filter(|class| class.consistency == Consistency::Write);
         writes.map(|class| class.aim).fold(f64::INFINITY, f64::min)
     }
 
     /// Where what ordinary clients ask belongs.
-    pub fn routes(&self) -> route::Table {
+    pub fn route_table(&self) -> route::Table {
         let pool = &self.document.pool;
         let rules = self.document.route.iter().map(|(name, entry)| route::Rule {
             name: name.clone(),
@@ -248,7 +248,7 @@
     }
 
     /// What the operator wants of a member.
-    pub fn wanted(&self, member: &str) -> Option<Override> {
+    pub fn member_override(&self, member: &str) -> Option<Override> {
         self.document.overrides.get(member).copied()
     }
 
@@ -277,7 +277,7 @@
     }
 
     /// What is different in another, by key.
-    pub fn differences(&self, other: &Effective) -> Vec<Difference> {
+    pub fn differences(&self, other: &EffectiveConfig) -> Vec<Difference> {
         let mut found = differences(&self.values(), &other.values());
         self.document.members_differ(&other.document, &mut found);
         found
@@ -286,8 +286,8 @@
 
 fn difference(key: String, from: Option<String>, to: Option<String>) -> Difference {
     let parts: Vec<String> = key.split('.').map(String::from).collect();
-    let when = schema::find(&parts).map_or(When::Live, |setting| setting.when);
-    Difference { key, from, to, when }
+    let when = schema::find(&parts).map_or(Activation::Live, |setting| setting.activation);
+    Difference { key, from, to, activation: when }
 }
 
 /// The differences between two sets of values, by key.
--- a/crates/operator/src/read.rs
+++ b/crates/operator/src/read.rs
@@ -12,7 +12,7 @@
 use crate::schema::{self, Kind};
 
 /// Longest file that is read (bytes): some 30,000 members. Guards against a file that is none of ours.
-pub const LONGEST: usize = 4 * 1024 * 1024;
+pub const MAX_FILE_BYTES: usize = 4 * 1024 * 1024;
 /// Most faults that are told at once; the rest are counted.
 const MOST_FAULTS: usize = 20;
 /// Longest name of a class, a tenant or a member (bytes).
@@ -24,26 +24,26 @@
 
 /// One thing wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct DocumentError {
     /// Line and column, from 1; none where the fault has no single place.
-    pub place: Option<(usize, usize)>,
+    pub location: Option<(usize, usize)>,
     /// The key at fault; empty where it is the file as a whole.
     pub key: String,
     /// What is wrong.
-    pub what: String,
+    pub message: String,
     /// What would be accepted; empty where nothing more can be said.
     pub accepted: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for DocumentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if let Some((line, column)) = self.place {
+        if let Some((line, column)) = self.location {
             write!(f, "line {line}, column {column}: ")?;
         }
         if !self.key.is_empty() {
             write!(f, "{}: ", self.key)?;
         }
-        f.write_str(&self.what)?;
+        f.write_str(&self.message)?;
         if !self.accepted.is_empty() {
             write!(f, "; accepted: {}", self.accepted)?;
         }
@@ -53,14 +53,14 @@
 
 /// All that is wrong with a file, at least one thing; those past the bound are only counted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Faults {
+pub struct DocumentErrors {
     /// The first of them, in the order of the file.
-    pub list: Vec<Fault>,
+    pub list: Vec<DocumentError>,
     /// How many more there are.
     pub more: usize,
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for DocumentErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (n, fault) in self.list.iter().enumerate() {
             write!(f, "{}{fault}", if n == 0 { "" } else { "\n" })?;
@@ -72,17 +72,22 @@
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for DocumentErrors {}
 
 /// Reads a document from the bytes of a file.
-pub fn read(bytes: &[u8]) -> Result<Document, Faults> {
-    let whole = |place, what: String, accepted: &str| Faults {
-        list: vec![Fault { place, key: String::new(), what, accepted: accepted.into() }],
+pub fn parse(bytes: &[u8]) -> Result<Document, DocumentErrors> {
+    let whole = |place, what: String, accepted: &str| DocumentErrors {
+        list: vec![DocumentError {
+            location: place,
+            key: String::new(),
+            message: what,
+            accepted: accepted.into(),
+        }],
         more: 0,
     };
-    if bytes.len() > LONGEST {
+    if bytes.len() > MAX_FILE_BYTES {
         let what = format!("the file has {} bytes", bytes.len());
-        return Err(whole(None, what, &format!("at most {LONGEST} bytes")));
+        return Err(whole(None, what, &format!("at most {MAX_FILE_BYTES} bytes")));
     }
     let text = std::str::from_utf8(bytes).map_err(|error| {
         let before = &bytes[..error.valid_up_to()];
@@ -105,8 +110,8 @@
             whole(error.span().map(|span| reader.lines.place(span)), error.message().to_string(), "")
         });
     }
-    reader.faults.sort_by_key(|fault| fault.place);
-    Err(Faults { list: reader.faults, more: reader.more })
+    reader.faults.sort_by_key(|fault| fault.location);
+    Err(DocumentErrors { list: reader.faults, more: reader.more })
 }
 
 /// Where each line of a text begins, to tell places from offsets.
@@ -132,7 +137,7 @@
 
 struct Reader<'a> {
     lines: Lines<'a>,
-    faults: Vec<Fault>,
+    faults: Vec<DocumentError>,
     more: usize,
 }
 
@@ -143,11 +148,11 @@
             return;
         }
         let place = Some(self.lines.place(span));
-        self.faults.push(Fault { place, key: parts.join("."), what, accepted });
+        self.faults.push(DocumentError { location: place, key: parts.join("."), message: what, accepted });
     }
 
     fn table(&mut self, parts: &mut Vec<String>, table: &DeTable) {
-        let known = schema::below(parts);
+        let known = schema::child_keys(parts);
         let any = known == ["*"];
         if any
             && parts.len() == 1
@@ -174,11 +179,11 @@
             }
             parts.pop();
         }
-        for (name, setting) in schema::needed(parts) {
+        for (name, setting) in schema::required_settings(parts) {
             if !table.contains_key(name) {
                 let span = table.iter().next().map_or(0..0, |(key, _)| key.span());
                 parts.push(name.to_string());
-                self.fault(span, parts, "is missing".into(), setting.kind.accepted());
+                self.fault(span, parts, "is missing".into(), setting.kind.describe_accepted());
                 parts.pop();
             }
         }
@@ -189,12 +194,12 @@
         match (setting, value) {
             (None, DeValue::Table(table)) => self.table(parts, table),
             (None, _) => {
-                let names = schema::below(parts).join(", ").replace('*', "any name");
+                let names = schema::child_keys(parts).join(", ").replace('*', "any name");
                 self.fault(span, parts, "not a table".into(), format!("a table of {names}"));
             }
             (Some(setting), value) => {
                 if let Err(what) = fits(setting.kind, value) {
-                    self.fault(span, parts, what, setting.kind.accepted());
+                    self.fault(span, parts, what, setting.kind.describe_accepted());
                 }
             }
         }
@@ -231,7 +236,7 @@
             Some(number) if (least..=most).contains(&number) => Ok(()),
             _ => Err(format!("{} is out of range", number.unwrap_or(f64::NAN))),
         },
-        (Kind::Whole(least, most), DeValue::Integer(_)) => match number {
+        (Kind::Integer(least, most), DeValue::Integer(_)) => match number {
             Some(number) if (f64::from(least)..=f64::from(most)).contains(&number) => Ok(()),
             _ => Err(format!("{} is out of range", number.unwrap_or(f64::NAN))),
         },
--- a/crates/operator/tests/file.rs
+++ b/crates/operator/tests/file.rs
@@ -1,7 +1,7 @@
 //! The operator's file: what is accepted, and how each fault is told.
 
 use config::Config;
-use operator::{read, schema, Document, Effective, LONGEST};
+use operator::{parse, schema, Document, EffectiveConfig, MAX_FILE_BYTES};
 
 const PLATFORM: &str = r#"{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7f",
     "limits":{"memory_mb":64,"sockets":512},"settings":{"classes":[
@@ -21,7 +21,7 @@
         include_str!("../../../deploy/dewferry.toml"),
         "deploy/dewferry.toml is what is printed"
     );
-    assert_eq!(read(text.as_bytes()), Ok(Document::default()));
+    assert_eq!(parse(text.as_bytes()), Ok(Document::default()));
     for setting in schema::SETTINGS {
         assert!(text.contains(setting.about), "{}", setting.key);
     }
@@ -35,7 +35,7 @@
             code.then(|| format!("{bare}\n"))
         })
         .collect();
-    let document = read(examples.as_bytes()).unwrap_or_else(|faults| panic!("{faults}\n{examples}"));
+    let document = parse(examples.as_bytes()).unwrap_or_else(|faults| panic!("{faults}\n{examples}"));
     assert_eq!(document.class.len() + document.member.len() + document.overrides.len(), 3);
 }
 
@@ -82,43 +82,43 @@
         (b"[limits", "line 1, column 8"),
     ];
     for (text, words) in cases {
-        let told = read(text).unwrap_err().to_string();
+        let told = parse(text).unwrap_err().to_string();
         assert!(told.contains(words), "'{words}' is not in: {told}");
     }
-    let both = read(b"[limits]\nmemory_mb = 1\nsockets = 1").unwrap_err();
+    let both = parse(b"[limits]\nmemory_mb = 1\nsockets = 1").unwrap_err();
     assert_eq!(both.list.len(), 2);
 }
 
 #[test]
 fn what_is_too_large_or_too_deep_is_refused_at_once() {
-    assert!(read(&vec![b'#'; LONGEST + 1]).unwrap_err().to_string().contains("at most"));
-    assert!(read(b"a = [").is_err());
+    assert!(parse(&vec![b'#'; MAX_FILE_BYTES + 1]).unwrap_err().to_string().contains("at most"));
+    assert!(parse(b"a = [").is_err());
     let deep = format!("a = {}{}", "[".repeat(100_000), "]".repeat(100_000));
-    assert!(read(deep.as_bytes()).is_err());
+    assert!(parse(deep.as_bytes()).is_err());
     let many: String = (0..1000).map(|n| format!("[class.c{n}]\n")).collect();
-    assert!(read(many.as_bytes()).unwrap_err().to_string().contains("at most 256"));
+    assert!(parse(many.as_bytes()).unwrap_err().to_string().contains("at most 256"));
     let wrong: String = (0..100).map(|n| format!("k{n} = 1\n")).collect();
-    assert!(read(wrong.as_bytes()).unwrap_err().to_string().ends_with("and 80 more"));
+    assert!(parse(wrong.as_bytes()).unwrap_err().to_string().ends_with("and 80 more"));
 }
 
 #[test]
 fn the_digest_is_of_what_is_said_and_not_of_how() {
-    let one = read(b"[limits]\nsockets = 100\nmemory_mb = 20").unwrap();
-    let other = read(b"limits = { memory_mb = 2e1, sockets = 1_00 } # the same").unwrap();
+    let one = parse(b"[limits]\nsockets = 100\nmemory_mb = 20").unwrap();
+    let other = parse(b"limits = { memory_mb = 2e1, sockets = 1_00 } # the same").unwrap();
     assert_eq!(one.digest(), other.digest());
     assert_ne!(one.digest(), Document::default().digest());
-    assert_eq!(read(one.text().as_bytes()), Ok(one));
+    assert_eq!(parse(one.canonical_toml().as_bytes()), Ok(one));
 }
 
 #[test]
 fn a_document_is_laid_over_the_platforms_word() {
-    let document = read(
+    let document = parse(
         b"[class.browse]\naim_s = 0.5\n[class.report]\nreads = \"bounded\"\nbound_s = 3\n[class.order]\nretired = true
         [tenant.other]\nquota_per_s = 5\n[tenant.acme]\nretired = true",
     )
     .unwrap();
-    let old = Effective::new(&platform(), Document::default()).unwrap();
-    let new = Effective::new(&platform(), document).unwrap();
+    let old = EffectiveConfig::new(&platform(), Document::default()).unwrap();
+    let new = EffectiveConfig::new(&platform(), document).unwrap();
     assert_eq!(new.classes, ["browse", "report"]);
     assert_eq!((new.class("browse").unwrap().aim, new.tenants.as_slice()), (0.5, &["other".to_string()][..]));
     let differences = old.differences(&new);
@@ -143,10 +143,11 @@
 
 #[test]
 fn control_instances_are_taken_and_their_absence_changes_nothing() {
-    let none = read(b"[peers]\nlisten = \"127.0.0.1:7000\"\nkeys = [\"/k\"]").unwrap();
+    let none = parse(b"[peers]\nlisten = \"127.0.0.1:7000\"\nkeys = [\"/k\"]").unwrap();
     assert!(none.peers.control.is_empty());
     let effective =
-        Effective::new(&platform(), read(control(3, "write_bound_s = 10").as_bytes()).unwrap()).unwrap();
+        EffectiveConfig::new(&platform(), parse(control(3, "write_bound_s = 10").as_bytes()).unwrap())
+            .unwrap();
     let peers = &effective.document.peers;
     assert_eq!((peers.control.len(), peers.control_group, peers.control[1].name.as_str()), (3, 3, "c1"));
 }
@@ -202,8 +203,8 @@
             "another",
         ),
     ] {
-        let conflicts = Effective::new(&platform(), read(text.as_bytes()).unwrap()).unwrap_err();
-        let found = conflicts.iter().any(|c| c.key == key && c.what.contains(words));
+        let conflicts = EffectiveConfig::new(&platform(), parse(text.as_bytes()).unwrap()).unwrap_err();
+        let found = conflicts.iter().any(|c| c.key == key && c.message.contains(words));
         assert!(found, "{key}: '{words}' is not in {conflicts:?}");
     }
 }
--- a/crates/steplog/tests/torn.rs
+++ b/crates/steplog/tests/torn.rs
@@ -11,7 +11,7 @@
         number,
         at: 5.0,
         note: "a note".into(),
-        text: document.text(),
+        text: document.canonical_toml(),
     };
     vec![
         staged(1, &Document::default()),
--- a/crates/transaction/benches/list.rs
+++ b/crates/transaction/benches/list.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use config::Config;
-use operator::{read, Effective};
+use operator::{parse, EffectiveConfig};
 use transaction::{check, MemberView, Roster, View};
 
 const MEMBERS: usize = 10_000;
@@ -36,13 +36,14 @@
         .collect();
     let drained: String = (0..100).map(|n| format!("m-{} = \"drain\"\n", n * 50)).collect();
     let other = format!("[limits]\nmax_attempts = 3\n[override]\n{drained}{list}");
-    let (old, new) = (read(list.as_bytes()).unwrap(), read(other.as_bytes()).unwrap());
+    let (old, new) = (parse(list.as_bytes()).unwrap(), parse(other.as_bytes()).unwrap());
     println!("{MEMBERS} members, {} bytes", other.len());
-    timed("read", || read(other.as_bytes()).unwrap());
+    timed("read", || parse(other.as_bytes()).unwrap());
     timed("canonical text and digest", || new.digest());
-    timed("laid over the platform's word", || Effective::new(&platform, new.clone()).unwrap());
+    timed("laid over the platform's word", || EffectiveConfig::new(&platform, new.clone()).unwrap());
     timed("differences of documents", || old.differences(&new));
-    let (old, new) = (Effective::new(&platform, old).unwrap(), Effective::new(&platform, new).unwrap());
+    let (old, new) =
+        (EffectiveConfig::new(&platform, old).unwrap(), EffectiveConfig::new(&platform, new).unwrap());
     timed("differences of what is in force", || old.differences(&new));
     let members = (0..MEMBERS).map(|n| MemberView {
         name: format!("m-{n}"),
--- a/crates/transaction/src/check.rs
+++ b/crates/transaction/src/check.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use operator::schema::When;
-use operator::{Difference, Effective};
+use operator::schema::Activation;
+use operator::{Difference, EffectiveConfig};
 use routing::interface::Consistency;
 
 /// How grave a finding is.
@@ -83,9 +83,14 @@
 }
 
 /// Looks at what a change would do now; `differences` are those between the two.
-pub fn check(old: &Effective, new: &Effective, differences: &[Difference], view: &View) -> Vec<Finding> {
+pub fn check(
+    old: &EffectiveConfig,
+    new: &EffectiveConfig,
+    differences: &[Difference],
+    view: &View,
+) -> Vec<Finding> {
     let mut found = Findings(Vec::new());
-    for difference in differences.iter().filter(|difference| difference.when == When::Start) {
+    for difference in differences.iter().filter(|difference| difference.activation == Activation::Restart) {
         let absent = || "nothing".to_string();
         let (from, to) = (difference.from.clone(), difference.to.clone());
         let (from, to) = (from.unwrap_or_else(absent), to.unwrap_or_else(absent));
@@ -132,13 +137,13 @@
     }
 }
 
-fn members(old: &Effective, new: &Effective, view: &View, found: &mut Findings) {
+fn members(old: &EffectiveConfig, new: &EffectiveConfig, view: &View, found: &mut Findings) {
     let mut groups: BTreeMap<u32, Group> = BTreeMap::new();
     for member in &view.members {
         let group = groups.entry(member.group).or_default();
         if member.serving {
             group.serving.insert(&member.name, member.warmth);
-            if old.wanted(&member.name).is_none() {
+            if old.member_override(&member.name).is_none() {
                 group.before.insert(&member.name);
             }
         }
@@ -160,7 +165,7 @@
     }
     if new.members.is_empty() && old.members.is_empty() {
         for group in groups.values_mut() {
-            let usable = group.serving.keys().copied().filter(|name| new.wanted(name).is_none());
+            let usable = group.serving.keys().copied().filter(|name| new.member_override(name).is_none());
             group.after = usable.collect();
         }
     } else if new.members.is_empty() {
@@ -171,8 +176,8 @@
     } else {
         for listing in &new.members {
             let group = groups.entry(listing.group).or_default();
-            let usable =
-                listing.phase == routing::interface::Phase::Active && new.wanted(&listing.name).is_none();
+            let usable = listing.phase == routing::interface::Phase::Active
+                && new.member_override(&listing.name).is_none();
             if usable {
                 group.after.insert(&listing.name);
             }
@@ -188,7 +193,7 @@
             );
         }
     }
-    let needing = |effective: &Effective| -> BTreeSet<String> {
+    let needing = |effective: &EffectiveConfig| -> BTreeSet<String> {
         let names = effective.classes.iter().zip(&effective.settings.classes);
         let needs = names.filter(|(_, c)| matches!(c.consistency, Consistency::Write | Consistency::Fresh));
         needs.map(|(name, _)| name.clone()).collect()
@@ -270,7 +275,7 @@
     out.map(|(_, warmth)| warmth).sum::<f64>() / all.max(1e-9)
 }
 
-fn requests(old: &Effective, new: &Effective, view: &View, found: &mut Findings) {
+fn requests(old: &EffectiveConfig, new: &EffectiveConfig, view: &View, found: &mut Findings) {
     for class in old.classes.iter().filter(|class| !new.classes.contains(class)) {
         let hand = view.classes_in_hand.get(class).copied().unwrap_or(0);
         let lately: u64 = view.traffic.iter().filter(|((c, _), _)| c == class).map(|(_, n)| n).sum();
@@ -303,7 +308,7 @@
     }
 }
 
-fn budgets(new: &Effective, view: &View, found: &mut Findings) {
+fn budgets(new: &EffectiveConfig, view: &View, found: &mut Findings) {
     // As the daemon divides them: 16 spares, half of the rest for clients, half of the memory for buffers.
     let half = new.sockets.saturating_sub(SPARES) / 2;
     for (side, busy) in [("clients", view.clients_busy), ("db machines", view.servers_busy)] {
--- a/crates/transaction/src/history.rs
+++ b/crates/transaction/src/history.rs
@@ -126,7 +126,7 @@
     pub fn take(&mut self, record: &Record) {
         match record {
             Record::Staged { number, at, note, text } if *number > self.last => {
-                let Ok(document) = operator::read(text.as_bytes()) else { return };
+                let Ok(document) = operator::parse(text.as_bytes()) else { return };
                 self.stage(Generation::new(*number, Arc::new(document), note.clone(), *at));
             }
             Record::Applied { number } if self.is_open(*number) => self.mark(*number, Fate::Applied, ""),
@@ -149,7 +149,7 @@
             Record::Snapshot { entries, documents, next } => {
                 let generation = |(number, text): &(u64, String)| {
                     let entry = entries.iter().find(|entry| entry.number == *number)?;
-                    let document = Arc::new(operator::read(text.as_bytes()).ok()?);
+                    let document = Arc::new(operator::parse(text.as_bytes()).ok()?);
                     Some(Generation::new(*number, document, entry.note.clone(), entry.at))
                 };
                 self.entries = entries.iter().rev().take(MOST_ENTRIES).rev().cloned().collect();
@@ -203,7 +203,7 @@
         let closed = self.entries.iter().filter(|entry| !self.is_open(entry.number));
         Record::Snapshot {
             entries: closed.cloned().collect(),
-            documents: self.confirmed.iter().map(|g| (g.number, g.document.text())).collect(),
+            documents: self.confirmed.iter().map(|g| (g.number, g.document.canonical_toml())).collect(),
             next: self.open.as_ref().map_or(self.last, |open| open.number - 1),
         }
     }
@@ -211,7 +211,7 @@
     /// The steps of what is open, to follow a snapshot.
     pub fn open_steps(&self) -> Vec<Record> {
         let Some(open) = &self.open else { return Vec::new() };
-        let text = open.document.text();
+        let text = open.document.canonical_toml();
         let staged = Record::Staged { number: open.number, at: open.at, note: open.note.clone(), text };
         let applied = self.entries.back().is_some_and(|entry| entry.fate == Fate::Applied);
         let applied = applied.then_some(Record::Applied { number: open.number });
@@ -247,7 +247,7 @@
     pub fn start(&self, file: Result<Document, String>, now: f64) -> Start {
         let new = |document: Document, note: &str| {
             let generation = Generation::new(self.next(), Arc::new(document), note.into(), now);
-            let (number, text) = (generation.number, generation.document.text());
+            let (number, text) = (generation.number, generation.document.canonical_toml());
             let staged = Record::Staged { number, at: now, note: note.into(), text };
             Start { records: vec![staged, Record::Confirmed { number }], generation, loud: None }
         };
--- a/crates/transaction/src/machine.rs
+++ b/crates/transaction/src/machine.rs
@@ -310,7 +310,7 @@
         }
         let mut note = note;
         note.truncate((0..=LONGEST_NOTE).rev().find(|at| note.is_char_boundary(*at)).unwrap_or(0));
-        let (number, text) = (self.history.next(), document.text());
+        let (number, text) = (self.history.next(), document.canonical_toml());
         let generation = Arc::new(Generation { number, digest, note: note.clone(), at: now, document });
         self.history.stage(generation.clone());
         self.candidate = Some(Candidate { generation, mode, caller, ender: None, step: 0 });
--- a/crates/transaction/src/roster.rs
+++ b/crates/transaction/src/roster.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use listing::Listing;
-use operator::{Effective, Override};
+use operator::{EffectiveConfig, Override};
 use routing::interface::{ListKind, MemberId, Phase};
 
 /// Members on the list, and those that are off it but were lately on it.
@@ -50,7 +50,7 @@
 
     /// Takes the intents of a configuration in place of those before; what the decisions are to be told.
     /// Nothing where nothing has changed for any member.
-    pub fn intend(&mut self, effective: &Effective) -> Option<(ListKind, Vec<Listing>)> {
+    pub fn intend(&mut self, effective: &EffectiveConfig) -> Option<(ListKind, Vec<Listing>)> {
         let wanted = effective.document.overrides.iter().map(|(name, wish)| (name.as_str().into(), *wish));
         self.overrides = wanted.collect();
         let fixed: BTreeMap<MemberId, Listing> =
--- a/crates/transaction/tests/check.rs
+++ b/crates/transaction/tests/check.rs
@@ -1,7 +1,7 @@
 //! What the live check finds, and what it lets pass.
 
 use config::Config;
-use operator::{read, Effective};
+use operator::{parse, EffectiveConfig};
 use rstest::rstest;
 use transaction::{check, refused, Finding, MemberView, Severity, View};
 
@@ -12,9 +12,9 @@
     "customers":[{"name":"acme","quotaPerS":10}],"specifics":{"consistency":["any","write"]},
     "invariants":{"tipMultiple":2.5,"coldFrom":0.2,"warmUp":10}}}"#;
 
-fn effective(text: &str) -> Effective {
-    let document = read(text.as_bytes()).unwrap_or_else(|faults| panic!("{faults}"));
-    Effective::new(&Config::parse(PLATFORM).unwrap(), document).unwrap()
+fn effective(text: &str) -> EffectiveConfig {
+    let document = parse(text.as_bytes()).unwrap_or_else(|faults| panic!("{faults}"));
+    EffectiveConfig::new(&Config::parse(PLATFORM).unwrap(), document).unwrap()
 }
 
 fn member(name: &str, group: u32) -> MemberView {
--- a/crates/transaction/tests/explored.rs
+++ b/crates/transaction/tests/explored.rs
@@ -6,7 +6,7 @@
 
 use config::Config;
 use listing::Listing;
-use operator::{Document, Effective, Override};
+use operator::{Document, EffectiveConfig, Override};
 use proptest::prelude::*;
 use routing::interface::{ListKind, Phase};
 use transaction::{
@@ -110,7 +110,7 @@
     }
 
     fn put(&mut self, generation: &Generation) {
-        let effective = Effective::new(&self.platform, (*generation.document).clone()).unwrap();
+        let effective = EffectiveConfig::new(&self.platform, (*generation.document).clone()).unwrap();
         self.attempts = effective.settings.max_attempts;
         self.overrides = effective.document.overrides.keys().cloned().collect();
         self.in_force = generation.number;
