--- a/crates/daemon/src/cli/route.rs
+++ b/crates/daemon/src/cli/route.rs
@@ -73,7 +73,7 @@
     let effective =
         EffectiveConfig::new(&platform, document).map_err(|conflicts| crate::net::words(&conflicts))?;
     let scan = sql::scan(&args.sql);
-    let reads = pooling::only_reads(&scan);
+    let reads = pooling::can_run_on_replica(&scan);
     let route = effective.route_table().route(&Ask {
         user: &args.user,
         database: &args.database,
--- a/crates/daemon/src/net/sessions.rs
+++ b/crates/daemon/src/net/sessions.rs
@@ -18,7 +18,7 @@
 use mio::Interest;
 use operator::Pool;
 use pgwire::{code, error};
-use pooling::{Pace, Pools};
+use pooling::{PoolLimits, Pools};
 use route::Table;
 use routing::interface::{MemberId, Outcome, RequestId};
 use scram::{Guesses, Users};
@@ -97,14 +97,14 @@
         context.reactor.registry.register(&mut listener, Source::Pooled.into(), Interest::READABLE)?;
         let now = context.reactor.now();
         context.reactor.timer(now + SWEEP_INTERVAL, Due::Pools);
-        let pace = Pace {
-            most: pool.servers as usize,
-            each: pool.servers_each as usize,
-            reserve: pool.servers_reserve as usize,
+        let pace = PoolLimits {
+            max_connections: pool.servers as usize,
+            max_per_key: pool.servers_each as usize,
+            reserve_per_key: pool.servers_reserve as usize,
             reserve_after: pool.reserve_after_s,
-            idle: pool.server_idle_s,
-            least: pool.servers_least as usize,
-            lifetime: pool.server_lifetime_s,
+            idle_timeout: pool.server_idle_s,
+            min_per_key: pool.servers_least as usize,
+            max_lifetime: pool.server_lifetime_s,
         };
         let mut key = [0; 32];
         files::random(&mut key).map_err(io::Error::other)?;
@@ -191,7 +191,7 @@
             .conns
             .iter()
             .filter(|(_, conn)| {
-                at_once || conn.session.as_ref().is_none_or(|s| !s.is_busy() && !s.in_transaction())
+                at_once || conn.session.as_ref().is_none_or(|s| !s.awaits_reply() && !s.in_transaction())
             })
             .map(|(slot, _)| slot)
             .collect();
--- a/crates/daemon/src/net/sessions/assignment.rs
+++ b/crates/daemon/src/net/sessions/assignment.rs
@@ -4,7 +4,7 @@
 
 use exchange::Answer;
 use pgwire::code;
-use pooling::{Choice, Cut, Ended, Key, Remote, Want};
+use pooling::{Acquisition, DetachReason, Disposition, Key, ServerRequest, ServerSessionState};
 use route::Ask;
 use routing::interface::{MemberId, Outcome, RequestId};
 
@@ -39,7 +39,7 @@
 }
 
 impl Sessions {
-    pub(super) fn want(&mut self, slot: Slot, want: &Want, context: &mut Context) {
+    pub(super) fn want(&mut self, slot: Slot, want: &ServerRequest, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let route = self.table.route(&Ask {
             user: &conn.user,
@@ -47,7 +47,7 @@
             application: &want.application,
             comment: want.comment.as_deref(),
             class: want.class.as_deref(),
-            reads: want.reads,
+            reads: want.read_only,
         });
         self.requests += 1;
         let id: RequestId = format!("session-{}-{}", slot.number(), self.requests).into();
@@ -98,24 +98,24 @@
                 return self.part(slot, Outcome::Moot, None, context);
             };
             let (address, member, tenant, state) =
-                (*address, job.member.clone(), job.tenant.clone(), session.state());
+                (*address, job.member.clone(), job.tenant.clone(), session.settings_hash());
             let database = conn.database.clone();
             let Some(conn) = self.conns.get(slot) else { return };
             let key = Key { member: (*member).into(), user: self.user(conn), database };
-            match self.pools.take(now, &key, state, &tenant, slot.number()) {
-                Choice::Wait => return,
-                Choice::Reuse(number) => {
+            match self.pools.acquire(now, &key, state, &tenant, slot.number()) {
+                Acquisition::Wait => return,
+                Acquisition::Reuse(number) => {
                     let backend = Slot::of(number);
                     if self.is_alive(backend) {
                         return self.attach(slot, backend, context);
                     }
                     self.close(backend);
                 }
-                Choice::Instead(number) => {
+                Acquisition::ReplaceIdle(number) => {
                     self.close(Slot::of(number));
                     return self.open(Some(slot), key, member, address, context);
                 }
-                Choice::Open => match self.unclaimed(&key, address) {
+                Acquisition::Open => match self.unclaimed(&key, address) {
                     Some(place) => return self.claim(slot, place),
                     None => return self.open(Some(slot), key, member, address, context),
                 },
@@ -171,11 +171,11 @@
     pub(super) fn rest(&mut self, place: Slot, context: &mut Context) {
         let now = context.reactor.now();
         let Some(backend) = self.backends.get_mut(place) else { return };
-        let state = backend.remote.as_ref().map_or(0, Remote::state);
+        let state = backend.remote.as_ref().map_or(0, ServerSessionState::settings_hash);
         let still = backend.link.is_flushed() && backend.link.inbox.is_empty();
         let sound = !backend.tainted && backend.drain.is_none() && still;
         (backend.state, backend.client) = (ServerState::Idle, None);
-        if !self.pools.put(now, &backend.key, place.number(), state) || !sound {
+        if !self.pools.release(now, &backend.key, place.number(), state) || !sound {
             self.close(place);
         }
         self.turns(context);
@@ -183,15 +183,21 @@
 
     /// Those who wait for a connection, as long as there are any.
     pub(super) fn turns(&mut self, context: &mut Context) {
-        while let Some(ticket) = self.pools.turn(context.reactor.now()) {
+        while let Some(ticket) = self.pools.next_ticket(context.reactor.now()) {
             self.find(Slot::of(ticket), context);
         }
     }
 
     /// A session lets go of its connection.
-    pub(super) fn release(&mut self, slot: Slot, ended: Ended, outcome: Outcome, context: &mut Context) {
+    pub(super) fn release(
+        &mut self,
+        slot: Slot,
+        ended: Disposition,
+        outcome: Outcome,
+        context: &mut Context,
+    ) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        let remote = conn.session.as_mut().map(|session| session.take_remote());
+        let remote = conn.session.as_mut().map(|session| session.take_server_state());
         let place = conn.backend.take();
         self.clock(slot, context.reactor.now());
         self.part(slot, outcome, remote.as_ref().and_then(role), context);
@@ -200,8 +206,8 @@
             backend.remote = remote;
         }
         match ended {
-            Ended::Kept => self.rest(place, context),
-            Ended::Closed => {
+            Disposition::Reuse => self.rest(place, context),
+            Disposition::Close => {
                 self.close(place);
                 self.turns(context);
             }
@@ -212,8 +218,8 @@
     pub(super) fn part(&mut self, slot: Slot, outcome: Outcome, role: Option<bool>, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let Some(job) = conn.job.take() else { return };
-        self.pools.give_up(slot.number());
-        let denied = conn.session.as_mut().is_some_and(|session| session.take_denied());
+        self.pools.cancel_wait(slot.number());
+        let denied = conn.session.as_mut().is_some_and(|session| session.take_write_denied());
         let Job { id, attempt, member, busy, .. } = job;
         let primary = if denied { Some(false) } else { role };
         match outcome {
@@ -227,13 +233,13 @@
     }
 
     /// A session's connection is taken from it, or has ended.
-    pub(super) fn cut(&mut self, slot: Slot, cut: Cut, outcome: Outcome, context: &mut Context) {
+    pub(super) fn cut(&mut self, slot: Slot, cut: DetachReason, outcome: Outcome, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let mut actions = Vec::new();
         if let Some(session) = &mut conn.session {
-            session.lost(cut, &mut actions);
+            session.server_detached(cut, &mut actions);
         }
-        self.release(slot, Ended::Closed, outcome, context);
+        self.release(slot, Disposition::Close, outcome, context);
         match self.act(slot, actions, context) {
             Step::Over => self.remove(slot, context),
             _ => context.reactor.timer(context.reactor.now(), Due::Session(slot)),
@@ -257,7 +263,7 @@
         };
         let mut actions = Vec::new();
         if let Some(session) = &mut conn.session {
-            session.refused(number, what, detail.as_deref(), &mut actions);
+            session.server_refused(number, what, detail.as_deref(), &mut actions);
         }
         match self.act(slot, actions, context) {
             Step::Over => self.remove(slot, context),
--- a/crates/daemon/src/net/sessions/cancel.rs
+++ b/crates/daemon/src/net/sessions/cancel.rs
@@ -18,7 +18,7 @@
         let found = self.conns.iter().find(|(slot, conn)| {
             slot.number() as u32 == number
                 && conn.secret == secret
-                && conn.session.as_ref().is_some_and(|s| s.is_busy())
+                && conn.session.as_ref().is_some_and(|s| s.awaits_reply())
         });
         let Some(place) = found.and_then(|(_, conn)| conn.backend).filter(|_| cancels < MOST_CANCELS) else {
             return;
--- a/crates/daemon/src/net/sessions/client.rs
+++ b/crates/daemon/src/net/sessions/client.rs
@@ -7,7 +7,7 @@
 use mio::net::TcpStream;
 use pgwire::session::{self as wire, Piece};
 use pgwire::{code, error};
-use pooling::{Action, Cut, Session as Pooled};
+use pooling::{Action, DetachReason, Session as Pooled};
 use routing::interface::Outcome;
 use tls::Link;
 
@@ -80,7 +80,7 @@
     /// Counts for how long the server is busy, and for how long the client is not.
     pub(super) fn clock(&mut self, slot: Slot, now: f64) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        let busy = conn.session.as_ref().is_some_and(|session| session.is_busy());
+        let busy = conn.session.as_ref().is_some_and(|session| session.awaits_reply());
         if busy != std::mem::replace(&mut conn.busy, busy) {
             conn.since = now;
         }
@@ -130,18 +130,18 @@
             conn.session.as_mut().filter(|_| room && conn.link.outbox.len() < PENDING_LIMIT)
         {
             let mut bytes = 0;
-            while bytes < PENDING_LIMIT && session.takes() && !stops(&actions) {
+            while bytes < PENDING_LIMIT && session.accepts_message() && !stops(&actions) {
                 match pgwire::message(&mut conn.link.inbox) {
                     Ok(None) => break,
                     Ok(Some(message)) => {
                         bytes += message.body.len() + 5;
                         moved = true;
-                        session.client(message, &mut actions);
+                        session.handle_client_message(message, &mut actions);
                     }
                     Err(_) => {
                         let what = "malformed message, or one that is too long";
-                        actions.push(Action::Client(error("FATAL", code::TOO_LARGE, what, None)));
-                        actions.push(Action::End);
+                        actions.push(Action::SendToClient(error("FATAL", code::TOO_LARGE, what, None)));
+                        actions.push(Action::CloseClient);
                         moved = true;
                     }
                 }
@@ -163,7 +163,10 @@
     pub(super) fn is_stuck(&mut self, slot: Slot) -> bool {
         self.conns.get_mut(slot).is_some_and(|conn| {
             conn.link.outbox.is_empty()
-                && conn.session.as_ref().is_none_or(|session| session.takes() && !session.is_busy())
+                && conn
+                    .session
+                    .as_ref()
+                    .is_none_or(|session| session.accepts_message() && !session.awaits_reply())
         })
     }
 
@@ -189,7 +192,7 @@
                         Piece::Message(message) => message.body.len() + 5,
                         Piece::Part(part) => part.len(),
                     };
-                    session.server(piece, &mut actions);
+                    session.handle_server_piece(piece, &mut actions);
                 }
                 Err(_) => {
                     broken = true;
@@ -201,7 +204,7 @@
             return self.act(slot, actions, context);
         }
         if broken || !matches!(fill, Ok(Fill::Drained | Fill::Full)) {
-            self.cut(slot, Cut::Lost, Outcome::Reset, context);
+            self.cut(slot, DetachReason::Lost, Outcome::Reset, context);
             return Step::Moved;
         }
         Step::Still
@@ -219,20 +222,20 @@
         for action in actions {
             let Some(conn) = self.conns.get_mut(slot) else { return Step::Still };
             match action {
-                Action::Client(bytes) => {
+                Action::SendToClient(bytes) => {
                     if conn.link.outbox.push(&bytes).is_err() {
                         return Step::Over;
                     }
                 }
-                Action::Server(bytes) => {
+                Action::SendToServer(bytes) => {
                     let backend = conn.backend.and_then(|b| self.backends.get_mut(b));
                     if backend.is_some_and(|backend| backend.link.outbox.push(&bytes).is_err()) {
                         return Step::Over;
                     }
                 }
-                Action::Want(want) => self.want(slot, &want, context),
-                Action::Release(ended) => self.release(slot, ended, Outcome::Ok, context),
-                Action::End => (conn.stage, conn.since) = (Stage::Ending, context.reactor.now()),
+                Action::RequestServer(want) => self.want(slot, &want, context),
+                Action::ReleaseServer(ended) => self.release(slot, ended, Outcome::Ok, context),
+                Action::CloseClient => (conn.stage, conn.since) = (Stage::Ending, context.reactor.now()),
             }
         }
         Step::Moved
@@ -244,7 +247,7 @@
         if let Some(wanted) = conn.wanted.take() {
             context.events.push_back(Event::Left(wanted.id));
         }
-        let ended = conn.session.as_mut().and_then(|session| session.gone());
+        let ended = conn.session.as_mut().and_then(|session| session.client_disconnected());
         match ended {
             Some(ended) => self.release(slot, ended, Outcome::Ok, context),
             None => self.abandon_attempt(slot, context),
@@ -256,5 +259,5 @@
 
 /// Whether what comes next has to wait until these are carried out.
 pub(super) fn stops(actions: &[Action]) -> bool {
-    matches!(actions.last(), Some(Action::Want(_) | Action::Release(_) | Action::End))
+    matches!(actions.last(), Some(Action::RequestServer(_) | Action::ReleaseServer(_) | Action::CloseClient))
 }
--- a/crates/daemon/src/net/sessions/limits.rs
+++ b/crates/daemon/src/net/sessions/limits.rs
@@ -1,7 +1,7 @@
 //! Time limits of sessions and connections.
 
 use pgwire::{code, error};
-use pooling::Cut;
+use pooling::DetachReason;
 use routing::interface::Outcome;
 
 use super::client::Stage;
@@ -36,11 +36,11 @@
                     let drained =
                         conn.backend.and_then(|place| self.backends.get(place)).and_then(|b| b.drain);
                     if drained.is_some_and(|until| now >= until) {
-                        overdue.push((slot, Some((Cut::Drained, Outcome::Ok))));
+                        overdue.push((slot, Some((DetachReason::Drained, Outcome::Ok))));
                     } else if idle {
-                        overdue.push((slot, Some((Cut::IdleInTransaction, Outcome::Ok))));
+                        overdue.push((slot, Some((DetachReason::IdleInTransaction, Outcome::Ok))));
                     } else if long {
-                        overdue.push((slot, Some((Cut::Statement, Outcome::Timeout))));
+                        overdue.push((slot, Some((DetachReason::StatementTimeout, Outcome::Timeout))));
                     }
                 }
                 _ => {}
@@ -78,7 +78,7 @@
                 self.fail(place, Outcome::ConnectFailed, context);
             }
         }
-        for number in self.pools.due(now) {
+        for number in self.pools.expired_connections(now) {
             self.close(Slot::of(number));
         }
         self.turns(context);
--- a/crates/daemon/src/net/sessions/members.rs
+++ b/crates/daemon/src/net/sessions/members.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use listing::Listing;
-use pooling::{Cut, Key};
+use pooling::{DetachReason, Key};
 use routing::interface::{ListKind, MemberId, Outcome, Phase};
 
 use super::client::Conn;
@@ -62,9 +62,9 @@
                 (ServerState::Used, Some(slot)) => {
                     let Some(conn) = self.conns.get_mut(slot) else { continue };
                     // Between transactions the next one would be new to it.
-                    let open = conn.session.as_ref().is_some_and(|s| s.in_transaction() || s.is_busy());
+                    let open = conn.session.as_ref().is_some_and(|s| s.in_transaction() || s.awaits_reply());
                     if !open {
-                        self.cut(slot, Cut::Drained, Outcome::Ok, context);
+                        self.cut(slot, DetachReason::Drained, Outcome::Ok, context);
                     }
                 }
                 _ => {}
@@ -111,7 +111,7 @@
                         ServerState::Connecting | ServerState::Asking | ServerState::Starting
                     )
             });
-            if !asked && self.pools.has_room(&key) {
+            if !asked && self.pools.can_open(&key) {
                 self.open(None, key, member, address, context);
             }
         }
--- a/crates/daemon/src/net/sessions/report.rs
+++ b/crates/daemon/src/net/sessions/report.rs
@@ -11,7 +11,7 @@
             let state = match (conn.stage, attached) {
                 (Stage::First | Stage::Login | Stage::Held, _) => "login",
                 (Stage::Ending, _) => "ending",
-                (Stage::Running, Some(session)) if session.is_busy() => "busy",
+                (Stage::Running, Some(session)) if session.awaits_reply() => "busy",
                 (Stage::Running, Some(session)) if session.in_transaction() => "transaction",
                 (Stage::Running, _) if conn.wanted.is_some() => "waiting",
                 (Stage::Running, _) => "idle",
--- a/crates/daemon/src/net/sessions/server.rs
+++ b/crates/daemon/src/net/sessions/server.rs
@@ -8,7 +8,7 @@
 use operator::Pool;
 use pgwire::code;
 use pgwire::session::{self as wire, Flow, Login, Piece};
-use pooling::{Key, Remote};
+use pooling::{Key, ServerSessionState};
 use routing::interface::{MemberId, Outcome};
 use scram::{Channel, MECHANISM, MECHANISM_PLUS};
 use tls::{Link, Session};
@@ -39,7 +39,7 @@
     pub(super) key: Key,
     pub(super) member: MemberId,
     pub(super) address: SocketAddr,
-    pub(super) remote: Option<Remote>,
+    pub(super) remote: Option<ServerSessionState>,
     /// A login at the server that has begun; what has been proved by its end.
     pub(super) login: Option<scram::Client>,
     pub(super) cancel: (u32, u32),
@@ -88,7 +88,7 @@
     ) -> Backend {
         let _ = stream.set_nodelay(true);
         let link = Link::new(None, &self.budget);
-        let remote = Some(Remote::new(self.pool.statements as usize));
+        let remote = Some(ServerSessionState::new(self.pool.statements as usize));
         let (state, flow, cancel) = (ServerState::Connecting, Flow::default(), (0, 0));
         let (client, tainted, drain) = (None, false, None);
         let login = None;
@@ -208,13 +208,13 @@
                     if let (Some((name, value)), Some(remote)) =
                         (pgwire::parameter(&message.body), &mut backend.remote)
                     {
-                        remote.told.insert(name.into(), value.into());
+                        remote.parameters.insert(name.into(), value.into());
                     }
                 }
                 b'K' => backend.cancel = wire::read_key(&message.body).unwrap_or_default(),
                 b'N' => {}
                 b'Z' => {
-                    let told = backend.remote.as_ref().map(|remote| remote.told.clone());
+                    let told = backend.remote.as_ref().map(|remote| remote.parameters.clone());
                     self.told.extend(told.unwrap_or_default());
                     self.begun(place, context);
                     return Ok(());
@@ -329,6 +329,6 @@
 }
 
 /// Whether a server is the primary, as far as it has told; it does so from PostgreSQL 14 on.
-pub(super) fn role(remote: &Remote) -> Option<bool> {
-    remote.told.get("in_hot_standby").map(|standby| standby == "off")
+pub(super) fn role(remote: &ServerSessionState) -> Option<bool> {
+    remote.parameters.get("in_hot_standby").map(|standby| standby == "off")
 }
--- a/crates/explore/src/lib.rs
+++ b/crates/explore/src/lib.rs
@@ -10,7 +10,7 @@
 use buffer::{Budget, Ring};
 use pgwire::session::{first, texts, Flow, Piece};
 use pgwire::{message, Message};
-use pooling::{Action, Cut, Ended, Mode, Remote, Session};
+use pooling::{Action, DetachReason, Disposition, Mode, ServerSessionState, Session};
 use scram::{Channel, Client, Server, Users, Verifier};
 use sql::{Kind, Token};
 
@@ -168,7 +168,7 @@
         }
         count
     };
-    actions.iter().map(|action| if let Action::Client(bytes) = action { of(bytes) } else { 0 }).sum()
+    actions.iter().map(|action| if let Action::SendToClient(bytes) = action { of(bytes) } else { 0 }).sum()
 }
 
 /// A session between a client and a server that say anything: nothing is sent to a server that it does not have, what
@@ -189,26 +189,33 @@
             }
         };
         match step >> 5 {
-            0..=2 if session.takes() => {
+            0..=2 if session.accepts_message() => {
                 let message = if step >> 5 == 2 { made_up(b"QPBDECHSFdcfp", step) } else { usual(step) };
                 // Each of these is answered with one; what is no message at all with one at the most.
                 asked += 1;
-                session.client(message, &mut out);
+                session.handle_client_message(message, &mut out);
+            }
+            3 | 4 if session.is_attached() => {
+                session.handle_server_piece(Piece::Message(told(step)), &mut out)
             }
-            3 | 4 if session.is_attached() => session.server(Piece::Message(told(step)), &mut out),
             5 if session.is_attached() => {
                 let message = made_up(b"123CEZTtnsISNGHcA", step);
-                session.server(Piece::Message(message), &mut out);
+                session.handle_server_piece(Piece::Message(message), &mut out);
             }
-            6 if !session.takes() && !session.is_attached() && step & 1 == 0 => {
-                session.attach(Remote::new(2), &mut out);
+            6 if !session.accepts_message() && !session.is_attached() && step & 1 == 0 => {
+                session.attach(ServerSessionState::new(2), &mut out);
             }
-            6 if !session.takes() && !session.is_attached() => {
-                session.refused("53300", "later", None, &mut out)
+            6 if !session.accepts_message() && !session.is_attached() => {
+                session.server_refused("53300", "later", None, &mut out)
             }
             7 if session.is_attached() => {
-                let cut = [Cut::Lost, Cut::Drained, Cut::IdleInTransaction, Cut::Statement];
-                session.lost(cut[usize::from(step) % 4], &mut out);
+                let cut = [
+                    DetachReason::Lost,
+                    DetachReason::Drained,
+                    DetachReason::IdleInTransaction,
+                    DetachReason::StatementTimeout,
+                ];
+                session.server_detached(cut[usize::from(step) % 4], &mut out);
                 attached = false;
             }
             _ => continue,
@@ -216,15 +223,20 @@
         attached |= session.is_attached();
         for action in &out {
             match action {
-                Action::Server(_) => assert!(attached, "something is sent to a server that there is not"),
-                Action::Release(kept) => {
+                Action::SendToServer(_) => {
+                    assert!(attached, "something is sent to a server that there is not")
+                }
+                Action::ReleaseServer(kept) => {
                     attached = false;
                     assert!(!session.is_attached(), "let go of and still held");
-                    let open = session.in_transaction() || session.is_busy();
-                    assert!(!open || *kept == Ended::Closed, "a connection with something open is passed on");
+                    let open = session.in_transaction() || session.awaits_reply();
+                    assert!(
+                        !open || *kept == Disposition::Close,
+                        "a connection with something open is passed on"
+                    );
                 }
-                Action::End => ended = true,
-                Action::Client(_) | Action::Want(_) => {}
+                Action::CloseClient => ended = true,
+                Action::SendToClient(_) | Action::RequestServer(_) => {}
             }
         }
         told_ready += readies(&out);
--- a/crates/pooling/src/lib.rs
+++ b/crates/pooling/src/lib.rs
@@ -2,9 +2,9 @@
 //! and wishes come out.
 //!
 //! [`Session`] is one client's session: it asks for a server when it needs one, brings the server's connection to the
-//! session's state, passes messages on, and lets go of it when nothing of the session hangs on it. [`Remote`] is what
-//! is known of a server connection's state, [`Vars`] the settings of both through transactions, [`Pools`] says when a
-//! connection is opened, used again, waited for or closed.
+//! session's state, passes messages on, and lets go of it when nothing of the session hangs on it.
+//! [`ServerSessionState`] is what is known of a server connection's state, [`SettingsTracker`] the settings of both
+//! through transactions, [`Pools`] says when a connection is opened, used again, waited for or closed.
 #![warn(missing_docs)]
 
 mod pool;
@@ -12,7 +12,7 @@
 mod session;
 mod vars;
 
-pub use pool::{Choice, Key, Pace, Pools};
-pub use remote::{Digest, Prepared, Remote};
-pub use session::{only_reads, Action, Cut, Ended, Mode, Session, Want};
-pub use vars::{Effect, Vars};
+pub use pool::{Acquisition, Key, PoolLimits, Pools};
+pub use remote::{PreparedStatement, ServerSessionState, StatementDigest};
+pub use session::{can_run_on_replica, Action, DetachReason, Disposition, Mode, ServerRequest, Session};
+pub use vars::{Effect, SettingsTracker};
--- a/crates/pooling/src/pool.rs
+++ b/crates/pooling/src/pool.rs
@@ -16,39 +16,47 @@
 
 /// Bounds of the pools; times in seconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct PoolLimits {
     /// Most connections in all.
-    pub most: usize,
+    pub max_connections: usize,
     /// Most connections of one key.
-    pub each: usize,
+    pub max_per_key: usize,
     /// So many more of one key, for whoever has waited for `reserve_after`.
-    pub reserve: usize,
+    pub reserve_per_key: usize,
     /// How long somebody waits before the reserve is for him.
     pub reserve_after: f64,
     /// A connection that nobody has used for so long is closed ...
-    pub idle: f64,
+    pub idle_timeout: f64,
     /// ... unless there are no more of its key than this.
-    pub least: usize,
+    pub min_per_key: usize,
     /// A connection is not used again once it is so old, less up to a tenth that is drawn for each: those that were
     /// opened together are not closed together.
-    pub lifetime: f64,
+    pub max_lifetime: f64,
 }
 
-impl Default for Pace {
+impl Default for PoolLimits {
     fn default() -> Self {
-        Pace { most: 20, each: 10, reserve: 0, reserve_after: 0.5, idle: 30.0, least: 0, lifetime: 3_600.0 }
+        PoolLimits {
+            max_connections: 20,
+            max_per_key: 10,
+            reserve_per_key: 0,
+            reserve_after: 0.5,
+            idle_timeout: 30.0,
+            min_per_key: 0,
+            max_lifetime: 3_600.0,
+        }
     }
 }
 
 /// What a session that wants a connection gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum Acquisition {
     /// This one.
     Reuse(u64),
     /// A new one.
     Open,
     /// A new one, once this idle one of another key is closed.
-    Instead(u64),
+    ReplaceIdle(u64),
     /// None yet: its ticket is called when one is free.
     Wait,
 }
@@ -111,7 +119,7 @@
 
 /// All connections to servers, by number, and who waits for one.
 pub struct Pools {
-    pace: Pace,
+    pace: PoolLimits,
     known: HashMap<Key, BTreeMap<u64, Known>>,
     count: usize,
     queues: BTreeMap<Key, Queue>,
@@ -122,7 +130,7 @@
 
 impl Pools {
     /// No connections yet.
-    pub fn new(pace: Pace, seed: u64) -> Pools {
+    pub fn new(pace: PoolLimits, seed: u64) -> Pools {
         let rng = fastrand::Rng::with_seed(seed);
         Pools { pace, known: HashMap::new(), count: 0, queues: BTreeMap::new(), reserved: None, rng }
     }
@@ -138,8 +146,9 @@
     }
 
     /// A session wants a connection; one that was left in its state is the best.
-    pub fn take(&mut self, now: f64, key: &Key, state: u64, tenant: &str, ticket: u64) -> Choice {
-        let reserve = self.reserved.take_if(|reserved| *reserved == ticket).map_or(0, |_| self.pace.reserve);
+    pub fn acquire(&mut self, now: f64, key: &Key, state: u64, tenant: &str, ticket: u64) -> Acquisition {
+        let reserve =
+            self.reserved.take_if(|reserved| *reserved == ticket).map_or(0, |_| self.pace.reserve_per_key);
         let each = self.known.entry(key.clone()).or_default();
         // Of one state, the one that was used last: the others may grow old and be closed.
         let idle = each
@@ -154,19 +163,19 @@
             if let Some(known) = each.get_mut(&number) {
                 known.idle = None;
             }
-            return Choice::Reuse(number);
+            return Acquisition::Reuse(number);
         }
-        if each.len() < self.pace.each + reserve {
-            if self.count < self.pace.most {
-                return Choice::Open;
+        if each.len() < self.pace.max_per_key + reserve {
+            if self.count < self.pace.max_connections {
+                return Acquisition::Open;
             }
             if let Some(other) = self.idlest() {
-                return Choice::Instead(other);
+                return Acquisition::ReplaceIdle(other);
             }
         }
         let queue = self.queues.entry(key.clone()).or_default();
         queue.tenants.entry(tenant.to_string()).or_default().push_back((ticket, now));
-        Choice::Wait
+        Acquisition::Wait
     }
 
     /// The connection that has been idle for longest.
@@ -177,19 +186,20 @@
     }
 
     /// Whether one more connection of a key may be opened.
-    pub fn has_room(&self, key: &Key) -> bool {
-        self.count < self.pace.most && self.known.get(key).map_or(0, BTreeMap::len) < self.pace.each
+    pub fn can_open(&self, key: &Key) -> bool {
+        self.count < self.pace.max_connections
+            && self.known.get(key).map_or(0, BTreeMap::len) < self.pace.max_per_key
     }
 
     /// A connection is being made, and used by whoever asked for it.
     pub fn opened(&mut self, now: f64, key: &Key, number: u64) {
-        let old = now + self.pace.lifetime * (1.0 - 0.1 * self.rng.f64());
+        let old = now + self.pace.max_lifetime * (1.0 - 0.1 * self.rng.f64());
         self.known.entry(key.clone()).or_default().insert(number, Known { old, idle: None, state: 0 });
         self.count += 1;
     }
 
     /// A connection is no longer used, in this state. Whether it is kept.
-    pub fn put(&mut self, now: f64, key: &Key, number: u64, state: u64) -> bool {
+    pub fn release(&mut self, now: f64, key: &Key, number: u64, state: u64) -> bool {
         let Some(known) = self.known.get_mut(key).and_then(|each| each.get_mut(&number)) else {
             return false;
         };
@@ -207,17 +217,18 @@
     }
 
     /// Whose turn it is, where a connection of a key can be had now; it has to ask again.
-    pub fn turn(&mut self, now: f64) -> Option<u64> {
+    pub fn next_ticket(&mut self, now: f64) -> Option<u64> {
         let free = |pools: &Pools, key: &Key| {
             let each = pools.known.get(key);
             let idle = each.is_some_and(|each| each.values().any(|k| k.idle.is_some() && now < k.old));
-            let room = each.map_or(0, BTreeMap::len) < pools.pace.each;
-            idle || room && (pools.count < pools.pace.most || pools.idlest().is_some())
+            let room = each.map_or(0, BTreeMap::len) < pools.pace.max_per_key;
+            idle || room && (pools.count < pools.pace.max_connections || pools.idlest().is_some())
         };
         let reserve = |pools: &Pools, (key, queue): (&Key, &Queue)| {
             let waited = now - queue.since() >= pools.pace.reserve_after;
-            let room = pools.known.get(key).map_or(0, BTreeMap::len) < pools.pace.each + pools.pace.reserve;
-            waited && room && (pools.count < pools.pace.most || pools.idlest().is_some())
+            let room = pools.known.get(key).map_or(0, BTreeMap::len)
+                < pools.pace.max_per_key + pools.pace.reserve_per_key;
+            waited && room && (pools.count < pools.pace.max_connections || pools.idlest().is_some())
         };
         let key = self.queues.keys().find(|key| free(self, key)).cloned();
         let (key, out_of_reserve) = match key {
@@ -234,13 +245,13 @@
     }
 
     /// Who has waited with this ticket waits no longer.
-    pub fn give_up(&mut self, ticket: u64) {
+    pub fn cancel_wait(&mut self, ticket: u64) {
         self.queues.values_mut().for_each(|queue| queue.remove(ticket));
         self.queues.retain(|_, queue| !queue.tenants.is_empty());
     }
 
     /// The idle connections that are to be closed: too old, or unused for too long.
-    pub fn due(&mut self, now: f64) -> Vec<u64> {
+    pub fn expired_connections(&mut self, now: f64) -> Vec<u64> {
         let mut due = Vec::new();
         for each in self.known.values() {
             let mut left = each.len();
@@ -248,7 +259,7 @@
                 each.iter().filter_map(|(n, k)| k.idle.map(|since| (since, *n, k.old))).collect();
             idle.sort_by(|a, b| a.0.total_cmp(&b.0));
             for (since, number, old) in idle {
-                if now >= old || (now >= since + self.pace.idle && left > self.pace.least) {
+                if now >= old || (now >= since + self.pace.idle_timeout && left > self.pace.min_per_key) {
                     due.push(number);
                     left -= 1;
                 }
--- a/crates/pooling/src/remote.rs
+++ b/crates/pooling/src/remote.rs
@@ -9,13 +9,13 @@
 use crate::vars::Settings;
 
 /// A prepared statement's content: its text and its types.
-pub type Digest = [u8; 16];
+pub type StatementDigest = [u8; 16];
 
 /// A statement that a client has prepared.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Prepared {
+pub struct PreparedStatement {
     /// Names it at the servers.
-    pub digest: Digest,
+    pub digest: StatementDigest,
     /// Its text.
     pub text: String,
     /// The types of its parameters, as they were told.
@@ -24,13 +24,13 @@
     pub scan: sql::Scan,
 }
 
-impl Prepared {
+impl PreparedStatement {
     /// A statement of a text and the types of its parameters.
-    pub fn new(text: &str, types: &[u8]) -> Rc<Prepared> {
+    pub fn new(text: &str, types: &[u8]) -> Rc<PreparedStatement> {
         let hash = Sha256::new().chain_update(types).chain_update([0]).chain_update(text).finalize();
-        let mut digest = Digest::default();
+        let mut digest = StatementDigest::default();
         digest.copy_from_slice(&hash[..16]);
-        Rc::new(Prepared { digest, text: text.into(), types: types.into(), scan: sql::scan(text) })
+        Rc::new(PreparedStatement { digest, text: text.into(), types: types.into(), scan: sql::scan(text) })
     }
 
     /// Its name at the servers.
@@ -40,7 +40,7 @@
 }
 
 /// The name at the servers of a statement of this content.
-pub(crate) fn name(digest: &Digest) -> String {
+pub(crate) fn name(digest: &StatementDigest) -> String {
     format!("dewferry_{}", hex::encode(digest))
 }
 
@@ -53,37 +53,37 @@
 
 /// What is known of the state of a server connection.
 #[derive(Debug, Default)]
-pub struct Remote {
+pub struct ServerSessionState {
     /// Its settings, beside those that it started with.
     pub settings: Settings,
     /// What it has told of its settings.
-    pub told: BTreeMap<String, String>,
+    pub parameters: BTreeMap<String, String>,
     /// The statements that are prepared there, each with when it was used last.
-    statements: HashMap<Digest, u64>,
+    statements: HashMap<StatementDigest, u64>,
     /// Those that must be closed before they can be prepared anew.
-    stale: Vec<Digest>,
+    stale: Vec<StatementDigest>,
     /// The statement without a name.
-    pub(crate) unnamed: Option<Digest>,
+    pub(crate) unnamed: Option<StatementDigest>,
     clock: u64,
     /// Most statements that are kept prepared.
     most: usize,
 }
 
-impl Remote {
+impl ServerSessionState {
     /// A new connection that keeps so many statements prepared at the most.
-    pub fn new(most: usize) -> Remote {
-        Remote { most: most.max(1), ..Remote::default() }
+    pub fn new(most: usize) -> ServerSessionState {
+        ServerSessionState { most: most.max(1), ..ServerSessionState::default() }
     }
 
     /// Whether a statement is prepared there; it counts as used.
-    pub(crate) fn has(&mut self, digest: &Digest) -> bool {
+    pub(crate) fn has(&mut self, digest: &StatementDigest) -> bool {
         self.clock += 1;
         let clock = self.clock;
         self.statements.get_mut(digest).map(|used| *used = clock).is_some()
     }
 
     /// A statement is being prepared there. Which must be closed before, for it to be so or to make room.
-    pub(crate) fn add(&mut self, digest: Digest) -> Vec<Digest> {
+    pub(crate) fn add(&mut self, digest: StatementDigest) -> Vec<StatementDigest> {
         let mut close = Vec::new();
         if let Some(at) = self.stale.iter().position(|stale| *stale == digest) {
             close.push(self.stale.swap_remove(at));
@@ -100,7 +100,7 @@
     }
 
     /// A statement was not prepared there after all.
-    pub(crate) fn lack(&mut self, digest: &Digest) {
+    pub(crate) fn lack(&mut self, digest: &StatementDigest) {
         self.statements.remove(digest);
     }
 
@@ -118,12 +118,12 @@
     }
 
     /// Its settings as a number.
-    pub fn state(&self) -> u64 {
+    pub fn settings_hash(&self) -> u64 {
         state(&self.settings)
     }
 
     /// How many statements are prepared there.
-    pub fn prepared(&self) -> usize {
+    pub fn prepared_count(&self) -> usize {
         self.statements.len() + self.stale.len()
     }
 }
--- a/crates/pooling/src/session.rs
+++ b/crates/pooling/src/session.rs
@@ -7,8 +7,8 @@
 use pgwire::{code, error, error_code, Message};
 use sql::{Change, Control, Kind, Pin, Scan};
 
-use crate::remote::{self, Digest, Prepared, Remote};
-use crate::vars::{Effect, Settings, Vars};
+use crate::remote::{self, PreparedStatement, ServerSessionState, StatementDigest};
+use crate::vars::{Effect, Settings, SettingsTracker};
 
 /// Most statements that a session keeps prepared, and most bytes of their texts.
 const MOST_STATEMENTS: usize = 1_000;
@@ -32,9 +32,9 @@
 
 /// What a session needs a server for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Want {
+pub struct ServerRequest {
     /// Whether it is known to read only.
-    pub reads: bool,
+    pub read_only: bool,
     /// The leading comment of its first statement.
     pub comment: Option<String>,
     /// The class that the session has asked for.
@@ -45,31 +45,31 @@
 
 /// What becomes of the server connection that a session lets go of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum Disposition {
     /// Another session may have it.
-    Kept,
+    Reuse,
     /// It has what belongs to this session alone: it is closed.
-    Closed,
+    Close,
 }
 
 /// What the driver is to do, in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send this to the client.
-    Client(Vec<u8>),
+    SendToClient(Vec<u8>),
     /// Send this to the server.
-    Server(Vec<u8>),
-    /// Find a server; tell of it by [`Session::attach`] or [`Session::refused`].
-    Want(Want),
+    SendToServer(Vec<u8>),
+    /// Find a server; tell of it by [`Session::attach`] or [`Session::server_refused`].
+    RequestServer(ServerRequest),
     /// The server connection is no longer needed.
-    Release(Ended),
+    ReleaseServer(Disposition),
     /// End the client's connection once all is sent.
-    End,
+    CloseClient,
 }
 
 /// Why a server connection is taken from a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum DetachReason {
     /// It ended, or told what it must not.
     Lost,
     /// Its server is drained, and the time for open transactions is over.
@@ -77,18 +77,22 @@
     /// The client left its transaction idle for too long.
     IdleInTransaction,
     /// A statement took too long.
-    Statement,
+    StatementTimeout,
 }
 
-impl Cut {
+impl DetachReason {
     fn told(self) -> (&'static str, &'static str) {
         match self {
-            Cut::Lost => (code::LOST, "the server's connection was lost; what the transaction did is undone"),
-            Cut::Drained => (code::SHUTDOWN, "the server is drained; what the transaction did is undone"),
-            Cut::IdleInTransaction => {
+            DetachReason::Lost => {
+                (code::LOST, "the server's connection was lost; what the transaction did is undone")
+            }
+            DetachReason::Drained => {
+                (code::SHUTDOWN, "the server is drained; what the transaction did is undone")
+            }
+            DetachReason::IdleInTransaction => {
                 (code::IDLE_IN_TRANSACTION, "the transaction was idle for too long; what it did is undone")
             }
-            Cut::Statement => {
+            DetachReason::StatementTimeout => {
                 (code::CANCELLED, "the statement took too long; what the transaction did is undone")
             }
         }
@@ -102,7 +106,7 @@
     Setup,
     /// A ParseComplete, which the client is told of or not; of a statement with a name, or of the one without.
     Parse {
-        digest: Digest,
+        digest: StatementDigest,
         told: bool,
         named: bool,
     },
@@ -137,12 +141,12 @@
 pub struct Session {
     mode: Mode,
     stage: Stage,
-    vars: Vars,
+    vars: SettingsTracker,
     class: Option<String>,
-    statements: HashMap<String, Rc<Prepared>>,
+    statements: HashMap<String, Rc<PreparedStatement>>,
     text: usize,
-    portals: HashMap<String, Rc<Prepared>>,
-    remote: Remote,
+    portals: HashMap<String, Rc<PreparedStatement>>,
+    remote: ServerSessionState,
     expected: VecDeque<Expect>,
     held: Vec<Message>,
     /// The state of the transaction as the server told it last.
@@ -156,7 +160,7 @@
     /// In a lost transaction, whether the batch ends it.
     ending: bool,
     /// Why the transaction was lost, until the client is told.
-    cut: Option<Cut>,
+    cut: Option<DetachReason>,
     pins: BTreeSet<Pin>,
     /// What the client knows of the server's settings.
     told: BTreeMap<String, String>,
@@ -171,12 +175,12 @@
         Session {
             mode,
             stage: Stage::Idle,
-            vars: Vars::new(start),
+            vars: SettingsTracker::new(start),
             class: None,
             statements: HashMap::new(),
             text: 0,
             portals: HashMap::new(),
-            remote: Remote::default(),
+            remote: ServerSessionState::default(),
             expected: VecDeque::new(),
             held: Vec::new(),
             status: b'I',
@@ -193,7 +197,7 @@
     }
 
     /// Whether the client's next message may be given.
-    pub fn takes(&self) -> bool {
+    pub fn accepts_message(&self) -> bool {
         self.stage != Stage::Wanting
     }
 
@@ -208,7 +212,7 @@
     }
 
     /// Whether the server owes it an answer.
-    pub fn is_busy(&self) -> bool {
+    pub fn awaits_reply(&self) -> bool {
         !self.expected.is_empty()
     }
 
@@ -218,24 +222,24 @@
     }
 
     /// Whether the server has turned a write away since this was asked last: it is no primary.
-    pub fn take_denied(&mut self) -> bool {
+    pub fn take_write_denied(&mut self) -> bool {
         std::mem::take(&mut self.denied)
     }
 
     /// What is known of the connection that was let go of.
-    pub fn take_remote(&mut self) -> Remote {
+    pub fn take_server_state(&mut self) -> ServerSessionState {
         std::mem::take(&mut self.remote)
     }
 
     /// Its settings as a number: connections that were left with the same need nothing to be brought to them.
-    pub fn state(&self) -> u64 {
-        remote::state(self.vars.ours())
+    pub fn settings_hash(&self) -> u64 {
+        remote::state(self.vars.session_settings())
     }
 
     /// Takes a message of the client's.
-    pub fn client(&mut self, message: Message, out: &mut Vec<Action>) {
+    pub fn handle_client_message(&mut self, message: Message, out: &mut Vec<Action>) {
         if message.kind == b'X' {
-            return out.push(Action::End);
+            return out.push(Action::CloseClient);
         }
         match self.stage {
             Stage::Idle => self.idle(message, out),
@@ -249,7 +253,7 @@
         match message.kind {
             b'S' if self.skipping || self.held.is_empty() => {
                 self.skipping = false;
-                out.push(Action::Client(wire::ready(b'I')));
+                out.push(Action::SendToClient(wire::ready(b'I')));
             }
             _ if self.skipping => {}
             b'H' if self.held.is_empty() => {}
@@ -259,10 +263,10 @@
                 let Some(text) = wire::sql(&message.body) else { return self.violation(out) };
                 let scan = sql::scan(text);
                 if scan.statements.is_empty() {
-                    return out.push(Action::Client([wire::bare(b'I'), wire::ready(b'I')].concat()));
+                    return out.push(Action::SendToClient([wire::bare(b'I'), wire::ready(b'I')].concat()));
                 }
                 if let Some(answer) = self.own(&scan) {
-                    return out.push(Action::Client([answer, wire::ready(b'I')].concat()));
+                    return out.push(Action::SendToClient([answer, wire::ready(b'I')].concat()));
                 }
                 self.held.push(message);
                 self.want(out);
@@ -306,8 +310,8 @@
     }
 
     fn violation(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::Client(error("FATAL", code::VIOLATION, "malformed message", None)));
-        out.push(Action::End);
+        out.push(Action::SendToClient(error("FATAL", code::VIOLATION, "malformed message", None)));
+        out.push(Action::CloseClient);
     }
 
     fn want(&mut self, out: &mut Vec<Action>) {
@@ -334,20 +338,23 @@
                 b'D' | b'E' | b'C' | b'S' | b'H' => continue,
                 _ => None,
             };
-            reads &= scan.as_ref().is_some_and(only_reads);
+            reads &= scan.as_ref().is_some_and(can_run_on_replica);
             comment = comment.or(scan.and_then(|scan| scan.comment));
         }
-        let application =
-            self.vars.ours().get("application_name").map(|name| name.trim_matches('\'').to_string());
+        let application = self
+            .vars
+            .session_settings()
+            .get("application_name")
+            .map(|name| name.trim_matches('\'').to_string());
         let application = application.unwrap_or_default();
         // Asked for by a simple statement of its own, or within a batch like any other setting.
-        let set = self.vars.ours().get(CLASS).map(|class| class.trim_matches('\'').to_string());
+        let set = self.vars.session_settings().get(CLASS).map(|class| class.trim_matches('\'').to_string());
         let class = self.class.clone().or(set);
-        out.push(Action::Want(Want { reads, comment, class, application }));
+        out.push(Action::RequestServer(ServerRequest { read_only: reads, comment, class, application }));
     }
 
     /// There is a server connection; `remote` is what is known of it.
-    pub fn attach(&mut self, mut remote: Remote, out: &mut Vec<Action>) {
+    pub fn attach(&mut self, mut remote: ServerSessionState, out: &mut Vec<Action>) {
         self.stage = Stage::Attached;
         self.vars.attach(std::mem::take(&mut remote.settings));
         self.remote = remote;
@@ -359,11 +366,11 @@
 
     /// Brings the connection to the session's state, ahead of what follows.
     fn bring(&mut self, out: &mut Vec<Action>) {
-        match self.vars.difference() {
+        match self.vars.sync_sql() {
             Some(text) => {
-                out.push(Action::Server(pgwire::query(text.as_bytes())));
+                out.push(Action::SendToServer(pgwire::query(text.as_bytes())));
                 self.expected.push_back(Expect::Setup);
-                self.vars.brought();
+                self.vars.mark_synchronized();
             }
             None => self.tell(out),
         }
@@ -371,26 +378,26 @@
 
     /// Tells the client what is different in the server's settings from what it knows.
     fn tell(&mut self, out: &mut Vec<Action>) {
-        for (name, value) in &self.remote.told {
+        for (name, value) in &self.remote.parameters {
             if self.told.get(name) != Some(value) {
                 self.told.insert(name.clone(), value.clone());
-                out.push(Action::Client(wire::texts(b'S', &[name, value], &[])));
+                out.push(Action::SendToClient(wire::texts(b'S', &[name, value], &[])));
             }
         }
     }
 
     /// No server is to be had; the client is told why.
-    pub fn refused(&mut self, code: &str, what: &str, detail: Option<&str>, out: &mut Vec<Action>) {
+    pub fn server_refused(&mut self, code: &str, what: &str, detail: Option<&str>, out: &mut Vec<Action>) {
         if self.stage != Stage::Wanting {
             return;
         }
         self.stage = Stage::Idle;
         let held = std::mem::take(&mut self.held);
-        out.push(Action::Client(error("ERROR", code, what, detail)));
+        out.push(Action::SendToClient(error("ERROR", code, what, detail)));
         let ended = matches!(held.last(), Some(Message { kind: b'Q' | b'S' | b'F', .. }));
         self.skipping = !ended;
         if ended {
-            out.push(Action::Client(wire::ready(b'I')));
+            out.push(Action::SendToClient(wire::ready(b'I')));
         }
     }
 
@@ -413,7 +420,7 @@
             if ready {
                 bytes.extend(wire::ready(self.status));
             }
-            out.push(Action::Client(bytes));
+            out.push(Action::SendToClient(bytes));
         }
     }
 
@@ -429,7 +436,7 @@
                 if !self.copying {
                     self.expected.push_back(Expect::Sync);
                 }
-                out.push(Action::Server(wire::bare(b'S')));
+                out.push(Action::SendToServer(wire::bare(b'S')));
             }
             _ if self.skipping => {}
             b'Q' => {
@@ -444,13 +451,13 @@
                 self.remote.unnamed = None;
                 self.open = false;
                 self.expected.push_back(Expect::Query(effects));
-                out.push(Action::Server(wire::same(&message)));
+                out.push(Action::SendToServer(wire::same(&message)));
             }
             b'F' => {
                 self.expected.push_back(Expect::Query(VecDeque::new()));
-                out.push(Action::Server(wire::same(&message)));
+                out.push(Action::SendToServer(wire::same(&message)));
             }
-            b'H' => out.push(Action::Server(wire::bare(b'H'))),
+            b'H' => out.push(Action::SendToServer(wire::bare(b'H'))),
             // Data of a COPY, as long as one may be under way.
             b'd' | b'c' | b'f'
                 if matches!(self.expected.front(), Some(Expect::Query(_) | Expect::Execute(_))) =>
@@ -459,7 +466,7 @@
                     self.copying = false;
                     self.expected.push_back(Expect::DataEnd);
                 }
-                out.push(Action::Server(wire::same(&message)));
+                out.push(Action::SendToServer(wire::same(&message)));
             }
             b'd' | b'c' | b'f' => {}
             b'P' => match wire::parse(body) {
@@ -488,7 +495,7 @@
                     } else {
                         self.expected.push_back(Expect::Describe);
                     }
-                    out.push(Action::Server(wire::same(&message)));
+                    out.push(Action::SendToServer(wire::same(&message)));
                 }
                 None => self.violation(out),
             },
@@ -499,7 +506,7 @@
                     let statement = scan.and_then(|scan| scan.statements.first());
                     let effect = statement.map_or(Effect::None, |statement| Effect::of(&statement.kind));
                     self.expected.push_back(Expect::Execute(effect));
-                    out.push(Action::Server(wire::same(&message)));
+                    out.push(Action::SendToServer(wire::same(&message)));
                 }
                 None => self.violation(out),
             },
@@ -516,7 +523,7 @@
                 out,
             );
         }
-        let prepared = Prepared::new(text, types);
+        let prepared = PreparedStatement::new(text, types);
         let begins = self.begins(&prepared.scan);
         if begins {
             return self.fault(code::UNSUPPORTED, NO_TRANSACTIONS, out);
@@ -539,23 +546,27 @@
         self.send_named(&prepared, true, out);
     }
 
-    fn send_unnamed(&mut self, prepared: &Prepared, told: bool, out: &mut Vec<Action>) {
+    fn send_unnamed(&mut self, prepared: &PreparedStatement, told: bool, out: &mut Vec<Action>) {
         self.remote.unnamed = Some(prepared.digest);
         self.expected.push_back(Expect::Parse { digest: prepared.digest, told, named: false });
-        out.push(Action::Server(wire::texts(b'P', &["", &prepared.text], &prepared.types)));
+        out.push(Action::SendToServer(wire::texts(b'P', &["", &prepared.text], &prepared.types)));
     }
 
-    fn send_named(&mut self, prepared: &Prepared, told: bool, out: &mut Vec<Action>) {
+    fn send_named(&mut self, prepared: &PreparedStatement, told: bool, out: &mut Vec<Action>) {
         for old in self.remote.add(prepared.digest) {
             self.expected.push_back(Expect::Close { told: false });
-            out.push(Action::Server(wire::about(b'C', b'S', &remote::name(&old))));
+            out.push(Action::SendToServer(wire::about(b'C', b'S', &remote::name(&old))));
         }
         self.expected.push_back(Expect::Parse { digest: prepared.digest, told, named: true });
-        out.push(Action::Server(wire::texts(b'P', &[&prepared.name(), &prepared.text], &prepared.types)));
+        out.push(Action::SendToServer(wire::texts(
+            b'P',
+            &[&prepared.name(), &prepared.text],
+            &prepared.types,
+        )));
     }
 
     /// Sees to it that a statement is prepared at the server; its name there.
-    fn ensure(&mut self, name: &str, out: &mut Vec<Action>) -> Option<(String, Rc<Prepared>)> {
+    fn ensure(&mut self, name: &str, out: &mut Vec<Action>) -> Option<(String, Rc<PreparedStatement>)> {
         let Some(prepared) = self.statements.get(name).cloned() else {
             self.fault(code::NO_STATEMENT, &format!("prepared statement \"{name}\" does not exist"), out);
             return None;
@@ -582,27 +593,27 @@
         }
         self.portals.insert(portal.to_string(), prepared);
         self.expected.push_back(Expect::Bind);
-        out.push(Action::Server(wire::texts(b'B', &[portal, &there], rest)));
+        out.push(Action::SendToServer(wire::texts(b'B', &[portal, &there], rest)));
     }
 
     fn describe(&mut self, name: &str, out: &mut Vec<Action>) {
         self.open = true;
         let Some((there, _)) = self.ensure(name, out) else { return };
         self.expected.push_back(Expect::Describe);
-        out.push(Action::Server(wire::about(b'D', b'S', &there)));
+        out.push(Action::SendToServer(wire::about(b'D', b'S', &there)));
     }
 
     /// Takes what comes from the server.
-    pub fn server(&mut self, piece: Piece, out: &mut Vec<Action>) {
+    pub fn handle_server_piece(&mut self, piece: Piece, out: &mut Vec<Action>) {
         let message = match piece {
-            Piece::Part(bytes) => return out.push(Action::Client(bytes)),
+            Piece::Part(bytes) => return out.push(Action::SendToClient(bytes)),
             Piece::Message(message) => message,
         };
         let setup = matches!(self.expected.front(), Some(Expect::Setup));
         match message.kind {
             b'S' => {
                 if let Some((name, value)) = pgwire::parameter(&message.body) {
-                    self.remote.told.insert(name.into(), value.into());
+                    self.remote.parameters.insert(name.into(), value.into());
                 }
                 if !setup {
                     self.tell(out);
@@ -612,10 +623,15 @@
             b'Z' => self.ready(message.body.first().copied().unwrap_or(b'I'), out),
             b'E' if setup => {
                 // A setting that the server does not take (any more).
-                out.push(Action::Client(error("FATAL", code::BAD_VALUE, &wire::words(&message.body), None)));
-                out.push(Action::Release(Ended::Closed));
+                out.push(Action::SendToClient(error(
+                    "FATAL",
+                    code::BAD_VALUE,
+                    &wire::words(&message.body),
+                    None,
+                )));
+                out.push(Action::ReleaseServer(Disposition::Close));
                 self.leave();
-                out.push(Action::End);
+                out.push(Action::CloseClient);
             }
             b'E' => self.error(&message, out),
             _ if setup => {}
@@ -627,12 +643,12 @@
                 };
                 self.expected.pop_front();
                 if told {
-                    out.push(Action::Client(wire::bare(kind)));
+                    out.push(Action::SendToClient(wire::bare(kind)));
                 }
             }
             b'C' => {
                 self.complete(wire::tag(&message.body));
-                out.push(Action::Client(wire::same(&message)));
+                out.push(Action::SendToClient(wire::same(&message)));
             }
             kind => {
                 if kind == b'G' && matches!(self.expected.front(), Some(Expect::Execute(_))) {
@@ -646,7 +662,7 @@
                 if over {
                     self.expected.pop_front();
                 }
-                out.push(Action::Client(wire::same(&message)));
+                out.push(Action::SendToClient(wire::same(&message)));
             }
         }
         self.advance(out);
@@ -654,8 +670,8 @@
 
     /// The server has told what nobody asked for: nothing on the connection can be relied on any more.
     fn foreign(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::Release(Ended::Closed));
-        self.lost(Cut::Lost, out);
+        out.push(Action::ReleaseServer(Disposition::Close));
+        self.server_detached(DetachReason::Lost, out);
     }
 
     /// The server takes data from now on: each Sync that comes before the data's end is passed over there.
@@ -700,7 +716,7 @@
         {
             self.remote.stale();
         }
-        out.push(Action::Client(wire::same(message)));
+        out.push(Action::SendToClient(wire::same(message)));
         if matches!(self.expected.front(), None | Some(Expect::Query(_))) {
             return;
         }
@@ -732,15 +748,15 @@
         self.status = status;
         let failed = std::mem::take(&mut self.failed);
         if status == b'I' {
-            self.vars.settle(failed);
+            self.vars.end_transaction(failed);
             self.portals.clear();
         }
-        out.push(Action::Client(wire::ready(status)));
+        out.push(Action::SendToClient(wire::ready(status)));
         self.advance(out);
         let free = self.status == b'I' && self.expected.is_empty() && !self.open;
         if free && self.pins.is_empty() && self.mode != Mode::Session {
             self.leave();
-            out.push(Action::Release(Ended::Kept));
+            out.push(Action::ReleaseServer(Disposition::Reuse));
         }
     }
 
@@ -754,18 +770,18 @@
     }
 
     /// The client has left; what becomes of the server connection, where it is on one.
-    pub fn gone(&mut self) -> Option<Ended> {
+    pub fn client_disconnected(&mut self) -> Option<Disposition> {
         if self.stage != Stage::Attached {
             return None;
         }
         let clean = self.status == b'I' && self.expected.is_empty() && !self.open && self.pins.is_empty();
         self.leave();
-        Some(if clean { Ended::Kept } else { Ended::Closed })
+        Some(if clean { Disposition::Reuse } else { Disposition::Close })
     }
 
     /// The server connection is gone, or is taken away. What cannot have run is told as such, and what may have is
     /// not.
-    pub fn lost(&mut self, cut: Cut, out: &mut Vec<Action>) {
+    pub fn server_detached(&mut self, cut: DetachReason, out: &mut Vec<Action>) {
         if self.stage != Stage::Attached {
             return;
         }
@@ -785,7 +801,7 @@
             }
         }
         let (mut number, mut what) = cut.told();
-        if unknown && cut != Cut::Statement {
+        if unknown && cut != DetachReason::StatementTimeout {
             (number, what) =
                 (code::UNKNOWN_END, "the server's connection was lost: what was asked may have run or not");
         }
@@ -795,19 +811,19 @@
         self.leave();
         if bound {
             // What bound the session to its connection is lost with it.
-            out.push(Action::Client(error("FATAL", number, what, None)));
-            return out.push(Action::End);
+            out.push(Action::SendToClient(error("FATAL", number, what, None)));
+            return out.push(Action::CloseClient);
         }
         if aborted {
             (self.stage, self.status, self.ending) = (Stage::Aborted, b'E', false);
         }
         for _ in 0..points {
-            out.push(Action::Client(error("ERROR", number, what, None)));
-            out.push(Action::Client(wire::ready(self.status)));
+            out.push(Action::SendToClient(error("ERROR", number, what, None)));
+            out.push(Action::SendToClient(wire::ready(self.status)));
         }
         if open {
             self.skipping = true;
-            out.push(Action::Client(error("ERROR", number, what, None)));
+            out.push(Action::SendToClient(error("ERROR", number, what, None)));
         } else if points == 0 && aborted {
             self.cut = Some(cut);
         }
@@ -821,7 +837,9 @@
         };
         match message.kind {
             b'Q' if wire::sql(&message.body).is_some_and(|text| ends(&sql::scan(text))) => {
-                out.push(Action::Client([wire::texts(b'C', &["ROLLBACK"], &[]), wire::ready(b'I')].concat()));
+                out.push(Action::SendToClient(
+                    [wire::texts(b'C', &["ROLLBACK"], &[]), wire::ready(b'I')].concat(),
+                ));
                 self.end_aborted();
             }
             b'S' => {
@@ -829,25 +847,25 @@
                 if std::mem::take(&mut self.ending) {
                     self.end_aborted();
                 }
-                out.push(Action::Client(wire::ready(self.status)));
+                out.push(Action::SendToClient(wire::ready(self.status)));
             }
             _ if self.skipping => {}
             b'P' if wire::parse(&message.body).is_some_and(|(_, text, _)| ends(&sql::scan(text))) => {
                 self.ending = true;
-                out.push(Action::Client(wire::bare(b'1')));
+                out.push(Action::SendToClient(wire::bare(b'1')));
             }
-            b'B' if self.ending => out.push(Action::Client(wire::bare(b'2'))),
-            b'D' if self.ending => out.push(Action::Client(wire::bare(b'n'))),
-            b'E' if self.ending => out.push(Action::Client(wire::texts(b'C', &["ROLLBACK"], &[]))),
+            b'B' if self.ending => out.push(Action::SendToClient(wire::bare(b'2'))),
+            b'D' if self.ending => out.push(Action::SendToClient(wire::bare(b'n'))),
+            b'E' if self.ending => out.push(Action::SendToClient(wire::texts(b'C', &["ROLLBACK"], &[]))),
             // Drivers close statements when it suits them; that is no use of the transaction.
-            b'C' => out.push(Action::Client(wire::bare(b'3'))),
+            b'C' => out.push(Action::SendToClient(wire::bare(b'3'))),
             b'H' | b'd' | b'c' | b'f' => {}
             kind => {
                 let aborted = (code::ABORTED, "the transaction was lost with its server: ROLLBACK ends it");
-                let (number, what) = self.cut.take().map_or(aborted, Cut::told);
-                out.push(Action::Client(error("ERROR", number, what, None)));
+                let (number, what) = self.cut.take().map_or(aborted, DetachReason::told);
+                out.push(Action::SendToClient(error("ERROR", number, what, None)));
                 if kind == b'Q' || kind == b'F' {
-                    out.push(Action::Client(wire::ready(b'E')));
+                    out.push(Action::SendToClient(wire::ready(b'E')));
                 } else {
                     self.skipping = true;
                 }
@@ -867,7 +885,7 @@
 }
 
 /// Whether a text may go to a server that takes no writes.
-pub fn only_reads(scan: &Scan) -> bool {
+pub fn can_run_on_replica(scan: &Scan) -> bool {
     let read_only = |kind: &Kind| matches!(kind, Kind::Control(Control::Begin { read_only: Some(true) }));
     match &scan.statements[..] {
         [one] if read_only(&one.kind) => true,
--- a/crates/pooling/src/vars.rs
+++ b/crates/pooling/src/vars.rs
@@ -74,7 +74,7 @@
 
 /// The settings of a session and of the server connection that it is on.
 #[derive(Clone, Debug, Default)]
-pub struct Vars {
+pub struct SettingsTracker {
     /// Those of the session's start, to which a reset goes back.
     start: Settings,
     kept: Both,
@@ -82,11 +82,11 @@
     marks: Vec<(String, Both)>,
 }
 
-impl Vars {
+impl SettingsTracker {
     /// A session that starts with these.
-    pub fn new(start: Settings) -> Vars {
+    pub fn new(start: Settings) -> SettingsTracker {
         let kept = Both { ours: start.clone(), theirs: Settings::new() };
-        Vars { start, now: kept.clone(), kept, marks: Vec::new() }
+        SettingsTracker { start, now: kept.clone(), kept, marks: Vec::new() }
     }
 
     /// The session is on a server connection that has these.
@@ -103,12 +103,12 @@
     }
 
     /// What the session's settings are.
-    pub fn ours(&self) -> &Settings {
+    pub fn session_settings(&self) -> &Settings {
         &self.now.ours
     }
 
     /// The SQL that brings the connection to what the session's settings are; none where it is there.
-    pub fn difference(&self) -> Option<String> {
+    pub fn sync_sql(&self) -> Option<String> {
         let Both { ours, theirs } = &self.now;
         let stale =
             theirs.keys().filter(|name| !ours.contains_key(*name)).map(|name| format!("RESET {name}"));
@@ -119,7 +119,7 @@
     }
 
     /// That SQL has been carried out.
-    pub fn brought(&mut self) {
+    pub fn mark_synchronized(&mut self) {
         self.now.theirs = self.now.ours.clone();
         self.kept.theirs = self.now.theirs.clone();
     }
@@ -167,7 +167,7 @@
     }
 
     /// The server is outside of a transaction; whether what came before it failed.
-    pub fn settle(&mut self, failed: bool) {
+    pub fn end_transaction(&mut self, failed: bool) {
         if failed {
             self.undo();
         } else {
--- a/crates/pooling/tests/machine.rs
+++ b/crates/pooling/tests/machine.rs
@@ -4,7 +4,9 @@
 
 use pgwire::session::{self as wire, Piece};
 use pgwire::Message;
-use pooling::{Action, Choice, Cut, Ended, Key, Mode, Pace, Pools, Remote, Session};
+use pooling::{
+    Acquisition, Action, DetachReason, Disposition, Key, Mode, PoolLimits, Pools, ServerSessionState, Session,
+};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -22,19 +24,19 @@
 
 fn give(session: &mut Session, messages: Vec<Message>) -> Vec<Action> {
     let mut out = Vec::new();
-    messages.into_iter().for_each(|message| session.client(message, &mut out));
+    messages.into_iter().for_each(|message| session.handle_client_message(message, &mut out));
     out
 }
 
 fn tell(session: &mut Session, messages: Vec<Message>) -> Vec<Action> {
     let mut out = Vec::new();
-    messages.into_iter().for_each(|message| session.server(Piece::Message(message), &mut out));
+    messages.into_iter().for_each(|message| session.handle_server_piece(Piece::Message(message), &mut out));
     out
 }
 
 fn attach(session: &mut Session) -> Vec<Action> {
     let mut out = Vec::new();
-    session.attach(Remote::new(10), &mut out);
+    session.attach(ServerSessionState::new(10), &mut out);
     out
 }
 
@@ -43,8 +45,8 @@
     let (mut client, mut server) = (String::new(), String::new());
     for action in actions {
         let (bytes, into) = match action {
-            Action::Client(bytes) => (bytes, &mut client),
-            Action::Server(bytes) => (bytes, &mut server),
+            Action::SendToClient(bytes) => (bytes, &mut client),
+            Action::SendToServer(bytes) => (bytes, &mut server),
             _ => continue,
         };
         let mut rest = &bytes[..];
@@ -58,7 +60,7 @@
 
 fn code(actions: &[Action]) -> Vec<String> {
     let bytes = actions.iter().filter_map(|action| match action {
-        Action::Client(bytes) if bytes[0] == b'E' => Some(pgwire::error_code(&bytes[5..]).0),
+        Action::SendToClient(bytes) if bytes[0] == b'E' => Some(pgwire::error_code(&bytes[5..]).0),
         _ => None,
     });
     bytes.collect()
@@ -91,14 +93,14 @@
     (0..500).for_each(|n| batch.extend([parse("", &format!("SELECT {n}")), bind(""), execute()]));
     batch.push(sync());
     let actions = give(&mut session, batch);
-    assert!(matches!(&actions[..], [Action::Want(want)] if want.reads));
+    assert!(matches!(&actions[..], [Action::RequestServer(want)] if want.read_only));
     assert_eq!(kinds(&attach(&mut session)).1.len(), 1_501);
     let whole = || [message(b'1', b""), message(b'2', b""), text(b'C', "SELECT 1")];
     let mut answers: Vec<Message> = [whole(), whole()].into_iter().flatten().collect();
     answers.push(text(b'E', "SERROR\0C42601\0Mno\0"));
     assert_eq!(kinds(&tell(&mut session, answers)).0, "12C12CE");
     let actions = tell(&mut session, vec![ready(b'I')]);
-    assert_eq!(actions.last(), Some(&Action::Release(Ended::Kept)));
+    assert_eq!(actions.last(), Some(&Action::ReleaseServer(Disposition::Reuse)));
 }
 
 #[test]
@@ -107,7 +109,7 @@
     give(&mut session, vec![parse("", "SELECT 1"), bind(""), message(b'H', b"")]);
     attach(&mut session);
     tell(&mut session, vec![message(b'1', b""), message(b'2', b"")]);
-    assert_eq!(session.gone(), Some(Ended::Closed), "between Parse and Sync");
+    assert_eq!(session.client_disconnected(), Some(Disposition::Close), "between Parse and Sync");
 }
 
 #[test]
@@ -118,7 +120,7 @@
         let mut out = Vec::new();
         session.attach(remote, &mut out);
         let sent = out.iter().find_map(|action| match action {
-            Action::Server(bytes) if bytes[0] == b'P' => {
+            Action::SendToServer(bytes) if bytes[0] == b'P' => {
                 Some(wire::parse(&bytes[5..]).unwrap().0.to_string())
             }
             _ => None,
@@ -128,9 +130,9 @@
             answers.insert(0, message(b'1', b""));
         }
         let told = kinds(&[out, tell(session, answers)].concat()).0;
-        (sent, told, session.take_remote())
+        (sent, told, session.take_server_state())
     };
-    let (first, told, remote) = prepare(&mut one, "SELECT 1", Remote::new(10));
+    let (first, told, remote) = prepare(&mut one, "SELECT 1", ServerSessionState::new(10));
     assert_eq!(told, "1Z");
     let (second, told, remote) = prepare(&mut two, "SELECT 2", remote);
     assert_eq!(told, "1Z");
@@ -139,14 +141,14 @@
     let (sent, told, _) = prepare(&mut three, "SELECT 1", remote);
     assert_eq!((sent, &*told), (None, "1Z"), "prepared there already: told without asking");
     let again = give(&mut three, vec![parse("p", "SELECT 3"), sync()]);
-    assert!(matches!(again[..], [Action::Want(_)]));
+    assert!(matches!(again[..], [Action::RequestServer(_)]));
     assert_eq!(code(&attach(&mut three)), ["42P05"]);
 }
 
 #[test]
 fn the_statement_used_longest_ago_makes_room_at_the_server() {
     let mut session = session(Mode::Transaction);
-    let mut remote = Remote::new(2);
+    let mut remote = ServerSessionState::new(2);
     for n in 0..4 {
         give(&mut session, vec![parse(&format!("p{n}"), &format!("SELECT {n}")), sync()]);
         let mut out = Vec::new();
@@ -156,8 +158,8 @@
         let closed = message(b'3', b"");
         let answers = [closed, message(b'1', b""), ready(b'I')].into_iter().skip(usize::from(n < 2));
         assert_eq!(kinds(&tell(&mut session, answers.collect())).0, "1Z");
-        remote = session.take_remote();
-        assert!(remote.prepared() <= 2);
+        remote = session.take_server_state();
+        assert!(remote.prepared_count() <= 2);
     }
     // The first is gone there, and is prepared anew unseen.
     give(&mut session, vec![bind("p0"), execute(), sync()]);
@@ -176,9 +178,9 @@
 #[case("BEGIN READ ONLY; SELECT 1", false)]
 fn what_may_go_to_a_replica(#[case] sql: &str, #[case] reads: bool) {
     let actions = give(&mut session(Mode::Transaction), vec![text(b'Q', sql)]);
-    assert!(matches!(&actions[..], [Action::Want(want)] if want.reads == reads), "{actions:?}");
+    assert!(matches!(&actions[..], [Action::RequestServer(want)] if want.read_only == reads), "{actions:?}");
     let actions = give(&mut session(Mode::Session), vec![text(b'Q', sql)]);
-    assert!(matches!(&actions[..], [Action::Want(want)] if !want.reads));
+    assert!(matches!(&actions[..], [Action::RequestServer(want)] if !want.read_only));
 }
 
 #[test]
@@ -193,7 +195,7 @@
     let mut refused = |messages| {
         give(&mut session, messages);
         let mut out = Vec::new();
-        session.refused("53300", "later", Some("200"), &mut out);
+        session.server_refused("53300", "later", Some("200"), &mut out);
         kinds(&out).0
     };
     assert_eq!(refused(vec![text(b'Q', "SELECT 1")]), "EZ");
@@ -221,7 +223,7 @@
     tell(&mut session, answers);
     give(&mut session, asked.collect());
     let mut out = Vec::new();
-    session.lost(Cut::Lost, &mut out);
+    session.server_detached(DetachReason::Lost, &mut out);
     assert_eq!((code(&out), kinds(&out).0), (vec![number.to_string()], told.to_string()));
     assert_eq!(session.in_transaction(), status == b'E');
     if status == b'E' {
@@ -237,7 +239,7 @@
     give(&mut session, vec![text(b'Q', "SELECT 1")]);
     attach(&mut session);
     let actions = tell(&mut session, vec![message(b'2', b"")]);
-    assert!(actions.contains(&Action::Release(Ended::Closed)));
+    assert!(actions.contains(&Action::ReleaseServer(Disposition::Close)));
     assert_eq!(code(&actions), ["08007"]);
 }
 
@@ -294,7 +296,7 @@
             match who {
                 0 | 1 => {
                     let all = sound();
-                    session.client(message(all[which % all.len()].kind, &all[which % all.len()].body), &mut out);
+                    session.handle_client_message(message(all[which % all.len()].kind, &all[which % all.len()].body), &mut out);
                 }
                 2 => {
                     let kinds = b"123CEZTtnsISNGHcA";
@@ -307,15 +309,15 @@
                         _ => b"",
                     };
                     if session.is_attached() {
-                        session.server(Piece::Message(message(kind, body)), &mut out);
+                        session.handle_server_piece(Piece::Message(message(kind, body)), &mut out);
                     }
                 }
-                3 if !session.takes() => session.attach(Remote::new(2), &mut out),
-                4 if session.is_attached() => session.lost(Cut::Lost, &mut out),
+                3 if !session.accepts_message() => session.attach(ServerSessionState::new(2), &mut out),
+                4 if session.is_attached() => session.server_detached(DetachReason::Lost, &mut out),
                 _ => {}
             }
-            if out.contains(&Action::Release(Ended::Kept)) {
-                prop_assert!(!session.in_transaction() && !session.is_busy() && !session.is_attached());
+            if out.contains(&Action::ReleaseServer(Disposition::Reuse)) {
+                prop_assert!(!session.in_transaction() && !session.awaits_reply() && !session.is_attached());
             }
         }
     }
@@ -327,55 +329,67 @@
 
 #[test]
 fn connections_are_opened_used_again_waited_for_and_closed() {
-    let pace = Pace { most: 3, each: 2, idle: 10.0, lifetime: 100.0, ..Pace::default() };
+    let pace = PoolLimits {
+        max_connections: 3,
+        max_per_key: 2,
+        idle_timeout: 10.0,
+        max_lifetime: 100.0,
+        ..PoolLimits::default()
+    };
     let mut pools = Pools::new(pace, 1);
     let (a, b) = (key("a"), key("b"));
     for number in [1, 2] {
-        assert_eq!(pools.take(0.0, &a, 0, "t", number), Choice::Open);
+        assert_eq!(pools.acquire(0.0, &a, 0, "t", number), Acquisition::Open);
         pools.opened(0.0, &a, number);
     }
     // Tenants have their turn, whoever has come first.
     for (ticket, tenant) in [(10, "x"), (11, "x"), (12, "x"), (13, "y")] {
-        assert_eq!(pools.take(0.0, &a, 0, tenant, ticket), Choice::Wait);
+        assert_eq!(pools.acquire(0.0, &a, 0, tenant, ticket), Acquisition::Wait);
     }
-    assert_eq!(pools.turn(0.0), None);
-    assert!(pools.put(1.0, &a, 1, 7));
-    assert_eq!(pools.turn(1.0), Some(10));
-    assert_eq!(pools.take(1.0, &a, 0, "x", 10), Choice::Reuse(1));
-    assert!(pools.put(1.0, &a, 1, 7));
-    assert_eq!(pools.turn(1.0), Some(13));
-    pools.give_up(11);
-    assert_eq!((pools.turn(1.0), pools.turn(1.0), pools.waiting()), (Some(12), None, 0));
+    assert_eq!(pools.next_ticket(0.0), None);
+    assert!(pools.release(1.0, &a, 1, 7));
+    assert_eq!(pools.next_ticket(1.0), Some(10));
+    assert_eq!(pools.acquire(1.0, &a, 0, "x", 10), Acquisition::Reuse(1));
+    assert!(pools.release(1.0, &a, 1, 7));
+    assert_eq!(pools.next_ticket(1.0), Some(13));
+    pools.cancel_wait(11);
+    assert_eq!((pools.next_ticket(1.0), pools.next_ticket(1.0), pools.waiting()), (Some(12), None, 0));
     // Of two that rest, the one that was left in the same state.
-    assert!(pools.put(2.0, &a, 2, 9));
-    assert_eq!(pools.take(2.0, &a, 7, "t", 20), Choice::Reuse(1));
-    assert_eq!(pools.take(2.0, &b, 0, "t", 21), Choice::Open);
+    assert!(pools.release(2.0, &a, 2, 9));
+    assert_eq!(pools.acquire(2.0, &a, 7, "t", 20), Acquisition::Reuse(1));
+    assert_eq!(pools.acquire(2.0, &b, 0, "t", 21), Acquisition::Open);
     pools.opened(2.0, &b, 3);
-    assert_eq!(pools.take(2.0, &key("c"), 0, "t", 22), Choice::Instead(2), "the bound of all");
-    assert_eq!(pools.due(11.0), Vec::<u64>::new());
-    assert_eq!(pools.due(12.5), [2]);
+    assert_eq!(pools.acquire(2.0, &key("c"), 0, "t", 22), Acquisition::ReplaceIdle(2), "the bound of all");
+    assert_eq!(pools.expired_connections(11.0), Vec::<u64>::new());
+    assert_eq!(pools.expired_connections(12.5), [2]);
     pools.closed(&a, 2);
-    assert!(!pools.put(101.0, &a, 1, 0), "too old to be used again");
-    assert_eq!(pools.due(101.0), [1]);
+    assert!(!pools.release(101.0, &a, 1, 0), "too old to be used again");
+    assert_eq!(pools.expired_connections(101.0), [1]);
     assert_eq!(pools.count(), 2);
 }
 
 #[test]
 fn the_reserve_is_for_whoever_has_waited_longest() {
-    let pace = Pace { most: 3, each: 1, reserve: 1, reserve_after: 0.5, ..Pace::default() };
+    let pace = PoolLimits {
+        max_connections: 3,
+        max_per_key: 1,
+        reserve_per_key: 1,
+        reserve_after: 0.5,
+        ..PoolLimits::default()
+    };
     let (mut pools, a) = (Pools::new(pace, 1), key("a"));
-    assert_eq!(pools.take(0.0, &a, 0, "t", 1), Choice::Open);
+    assert_eq!(pools.acquire(0.0, &a, 0, "t", 1), Acquisition::Open);
     pools.opened(0.0, &a, 1);
     // Whose tenant has its turn first is not who has waited longest.
     for (ticket, tenant, now) in [(2, "z", 0.1), (3, "b", 0.2)] {
-        assert_eq!(pools.take(now, &a, 0, tenant, ticket), Choice::Wait);
+        assert_eq!(pools.acquire(now, &a, 0, tenant, ticket), Acquisition::Wait);
     }
-    assert_eq!(pools.turn(0.5), None, "not waited for long enough");
-    assert_eq!(pools.turn(0.6), Some(2));
-    assert_eq!(pools.take(0.6, &a, 0, "b", 4), Choice::Wait, "not for one who has just come");
-    assert_eq!(pools.take(0.6, &a, 0, "z", 2), Choice::Open);
+    assert_eq!(pools.next_ticket(0.5), None, "not waited for long enough");
+    assert_eq!(pools.next_ticket(0.6), Some(2));
+    assert_eq!(pools.acquire(0.6, &a, 0, "b", 4), Acquisition::Wait, "not for one who has just come");
+    assert_eq!(pools.acquire(0.6, &a, 0, "z", 2), Acquisition::Open);
     pools.opened(0.6, &a, 2);
-    assert_eq!(pools.turn(9.0), None, "the reserve is used up");
+    assert_eq!(pools.next_ticket(9.0), None, "the reserve is used up");
 }
 
 #[test]
@@ -385,5 +399,9 @@
     attach(&mut session);
     tell(&mut session, vec![message(b'G', b"\0\0\0")]);
     give(&mut session, vec![message(b'd', b"half a li")]);
-    assert_eq!(session.gone(), Some(Ended::Closed), "the server must not take what came for all there is");
+    assert_eq!(
+        session.client_disconnected(),
+        Some(Disposition::Close),
+        "the server must not take what came for all there is"
+    );
 }
--- a/crates/pooling/tests/mixed.rs
+++ b/crates/pooling/tests/mixed.rs
@@ -8,7 +8,7 @@
 
 use pgwire::session::{self as wire, Piece};
 use pgwire::{error, Message};
-use pooling::{Action, Cut, Ended, Mode, Remote, Session};
+use pooling::{Action, DetachReason, Disposition, Mode, ServerSessionState, Session};
 
 /// A server's side of one connection, as far as it is asked here.
 #[derive(Default)]
@@ -220,7 +220,7 @@
 struct World {
     clients: Vec<Client>,
     /// Each connection with what is known of it; none known while it is used.
-    servers: Vec<(Db, Option<Remote>)>,
+    servers: Vec<(Db, Option<ServerSessionState>)>,
     waiting: VecDeque<usize>,
     rng: fastrand::Rng,
     answered: u64,
@@ -243,7 +243,7 @@
         let mut queue = VecDeque::from(actions);
         while let Some(action) = queue.pop_front() {
             match action {
-                Action::Client(mut bytes) => {
+                Action::SendToClient(mut bytes) => {
                     while !bytes.is_empty() {
                         let length = u32::from_be_bytes(bytes[1..5].try_into().unwrap()) as usize;
                         let rest = bytes.split_off(length + 1);
@@ -251,32 +251,32 @@
                         bytes = rest;
                     }
                 }
-                Action::Server(bytes) => {
+                Action::SendToServer(bytes) => {
                     let at = self.clients[n].at.unwrap();
                     for answer in self.servers[at].0.take(&bytes) {
                         let mut more = Vec::new();
-                        self.clients[n].session.server(Piece::Message(answer), &mut more);
+                        self.clients[n].session.handle_server_piece(Piece::Message(answer), &mut more);
                         queue.extend(more);
                     }
                 }
-                Action::Want(_) => {
+                Action::RequestServer(_) => {
                     self.clients[n].wants = true;
                     self.waiting.push_back(n);
                 }
-                Action::Release(ended) => self.release(n, ended),
-                Action::End => panic!("no client is sent away here"),
+                Action::ReleaseServer(ended) => self.release(n, ended),
+                Action::CloseClient => panic!("no client is sent away here"),
             }
         }
     }
 
-    fn release(&mut self, n: usize, ended: Ended) {
+    fn release(&mut self, n: usize, ended: Disposition) {
         let at = self.clients[n].at.take().unwrap();
-        let remote = self.clients[n].session.take_remote();
+        let remote = self.clients[n].session.take_server_state();
         self.servers[at].1 = match ended {
-            Ended::Kept => Some(remote),
-            Ended::Closed => {
+            Disposition::Reuse => Some(remote),
+            Disposition::Close => {
                 self.servers[at].0 = Db::new();
-                Some(Remote::new(4))
+                Some(ServerSessionState::new(4))
             }
         };
     }
@@ -297,7 +297,7 @@
     fn send(&mut self, n: usize, messages: Vec<Message>) {
         for message in messages {
             let mut actions = Vec::new();
-            self.clients[n].session.client(message, &mut actions);
+            self.clients[n].session.handle_client_message(message, &mut actions);
             self.act(n, actions);
         }
     }
@@ -452,7 +452,7 @@
 
     /// A client leaves without a word, and another comes.
     fn vanish(&mut self, n: usize) {
-        if let Some(ended) = self.clients[n].session.gone() {
+        if let Some(ended) = self.clients[n].session.client_disconnected() {
             self.release(n, ended);
         }
         self.clients[n] = self.client();
@@ -463,8 +463,8 @@
     fn die(&mut self, n: usize) {
         let Some(at) = self.clients[n].at else { return };
         let mut actions = Vec::new();
-        self.clients[n].session.lost(Cut::Lost, &mut actions);
-        self.servers[at] = (Db::new(), Some(Remote::new(4)));
+        self.clients[n].session.server_detached(DetachReason::Lost, &mut actions);
+        self.servers[at] = (Db::new(), Some(ServerSessionState::new(4)));
         self.clients[n].at = None;
         self.act(n, actions);
         assert!(self.clients[n].told.is_empty(), "nothing was asked");
@@ -484,7 +484,7 @@
     let (seeds, mut answered, mut moved) = (20, 0, 0);
     for seed in 0..seeds {
         let rng = fastrand::Rng::with_seed(seed);
-        let servers = (0..3).map(|_| (Db::new(), Some(Remote::new(4)))).collect();
+        let servers = (0..3).map(|_| (Db::new(), Some(ServerSessionState::new(4)))).collect();
         let mut world =
             World { clients: Vec::new(), servers, waiting: VecDeque::new(), rng, answered: 0, moved: 0 };
         for _ in 0..8 {
