--- a/crates/daemon/src/cli/route.rs
+++ b/crates/daemon/src/cli/route.rs
@@ -107,7 +107,7 @@
             Kind::Session(change) => format!("session state ({change:?})"),
             Kind::Unknown(why) => format!("unknown ({why}), taken for a write"),
         };
-        let pins: Vec<&str> = statement.pins.iter().map(|pin| pin.words()).collect();
+        let pins: Vec<&str> = statement.pins.iter().map(|pin| pin.describe()).collect();
         match pins.as_slice() {
             [] => kind,
             pins => format!("{kind}; binds the session to its connection: {}", pins.join(", ")),
--- a/crates/daemon/src/net/sessions/report.rs
+++ b/crates/daemon/src/net/sessions/report.rs
@@ -25,7 +25,7 @@
                 state: state.into(),
                 lasts_s: now - conn.since,
                 member: backend.map(|backend| backend.member.to_string()),
-                bound_by: pins.map(|pin| pin.words().to_string()).collect(),
+                bound_by: pins.map(|pin| pin.describe().to_string()).collect(),
             }
         };
         let mut list: Vec<control::Session> = self.conns.iter().map(|(_, conn)| one(conn)).collect();
--- a/crates/explore/src/lib.rs
+++ b/crates/explore/src/lib.rs
@@ -42,18 +42,18 @@
     let (mut at, mut depth) = (0, 0usize);
     while let Some(token) = lexer.next() {
         depth = match token {
-            Token::Sign('(') => depth + 1,
-            Token::Sign(')') => depth.saturating_sub(1),
+            Token::Symbol('(') => depth + 1,
+            Token::Symbol(')') => depth.saturating_sub(1),
             _ => depth,
         };
-        assert!(lexer.at() > at, "the lexer stands still at {at}");
-        at = lexer.at();
+        assert!(lexer.offset() > at, "the lexer stands still at {at}");
+        at = lexer.offset();
     }
-    assert!(text[lexer.at()..].is_empty(), "the lexer stops at {at} of {}", text.len());
-    if !lexer.is_open() {
+    assert!(text[lexer.offset()..].is_empty(), "the lexer stops at {at} of {}", text.len());
+    if !lexer.is_unterminated() {
         // A newline ends a comment that the text may have ended in.
         let more = sql::scan(&format!("{text}\n;INSERT INTO items VALUES (1)"));
-        assert!(!more.reads_only(), "a write behind it is taken for a read");
+        assert!(!more.is_read_only(), "a write behind it is taken for a read");
         // A bracket that is open holds statements as one does in a rule; past a bound they are not told apart.
         let apart =
             !more.statements.iter().any(|one| matches!(one.kind, Kind::Unknown("too many statements")));
--- a/crates/sql/src/kind.rs
+++ b/crates/sql/src/kind.rs
@@ -268,7 +268,7 @@
 
 impl Pin {
     /// The reason in words.
-    pub fn words(self) -> &'static str {
+    pub fn describe(self) -> &'static str {
         match self {
             Pin::Temporary => "a temporary table",
             Pin::Listen => "LISTEN",
@@ -305,7 +305,7 @@
     /// What it binds the session by.
     pub pins: Vec<Pin>,
     /// Whether it moves data between the client and a table (`COPY ... FROM STDIN`, `TO STDOUT`).
-    pub copies: bool,
+    pub copies_data: bool,
 }
 
 /// All statements of a text.
@@ -319,7 +319,7 @@
 
 impl Scan {
     /// Whether all of it only reads.
-    pub fn reads_only(&self) -> bool {
+    pub fn is_read_only(&self) -> bool {
         self.statements.iter().all(|statement| statement.kind == Kind::Read)
     }
 }
@@ -333,20 +333,20 @@
     let mut depth = 0usize;
     for token in lexer.by_ref() {
         match token {
-            Token::Sign(';') if depth == 0 => {
+            Token::Symbol(';') if depth == 0 => {
                 statements.extend(one(&std::mem::take(&mut tokens)));
                 if statements.len() > MOST {
                     return unknown("too many statements", comment);
                 }
                 continue;
             }
-            Token::Sign('(') => depth += 1,
-            Token::Sign(')') => depth = depth.saturating_sub(1),
+            Token::Symbol('(') => depth += 1,
+            Token::Symbol(')') => depth = depth.saturating_sub(1),
             _ => {}
         }
         tokens.push(token);
     }
-    if lexer.is_open() {
+    if lexer.is_unterminated() {
         return unknown("a quote or a comment does not end", comment);
     }
     statements.extend(one(&tokens));
@@ -355,7 +355,7 @@
 
 fn unknown(why: &'static str, comment: Option<String>) -> Scan {
     Scan {
-        statements: vec![Statement { kind: Kind::Unknown(why), pins: Vec::new(), copies: false }],
+        statements: vec![Statement { kind: Kind::Unknown(why), pins: Vec::new(), copies_data: false }],
         comment,
     }
 }
@@ -402,7 +402,7 @@
 
 /// What one statement is; none where there is nothing.
 fn one(tokens: &[Token]) -> Option<Statement> {
-    let first = tokens.iter().find(|token| !matches!(token, Token::Sign('(')))?;
+    let first = tokens.iter().find(|token| !matches!(token, Token::Symbol('(')))?;
     let pins = pins(tokens);
     let mut words = Words(tokens);
     let kind = match first {
@@ -411,7 +411,7 @@
     };
     let copies = words.has(&["from", "stdin"]) || words.has(&["to", "stdout"]);
     let copies = copies && matches!(first, Token::Word(word) if word.eq_ignore_ascii_case("copy"));
-    Some(Statement { kind, pins, copies })
+    Some(Statement { kind, pins, copies_data: copies })
 }
 
 fn kind(first: &str, words: &mut Words) -> Kind {
@@ -467,8 +467,8 @@
     }
     for pair in tokens.windows(2) {
         let (name, called) = match pair {
-            [Token::Word(word), Token::Sign('(')] => (word.to_lowercase(), true),
-            [Token::Name(_), Token::Sign('(')] => {
+            [Token::Word(word), Token::Symbol('(')] => (word.to_lowercase(), true),
+            [Token::Name(_), Token::Symbol('(')] => {
                 return Kind::Unknown("it calls a function of a quoted name")
             }
             _ => (String::new(), false),
@@ -569,7 +569,7 @@
     let Some(name) = dotted(words) else { return Kind::Unknown("SET without a name") };
     if !words.eat("to") {
         match words.0.split_first() {
-            Some((Token::Sign('='), rest)) => words.0 = rest,
+            Some((Token::Symbol('='), rest)) => words.0 = rest,
             _ => return Kind::Unknown("SET without a value"),
         }
     }
@@ -579,7 +579,7 @@
 /// A name with dots in it.
 fn dotted(words: &mut Words) -> Option<String> {
     let mut name = words.name()?.to_lowercase();
-    while let Some((Token::Sign('.'), rest)) = words.0.split_first() {
+    while let Some((Token::Symbol('.'), rest)) = words.0.split_first() {
         words.0 = rest;
         name = format!("{name}.{}", words.name()?.to_lowercase());
     }
@@ -601,10 +601,10 @@
             // An escape that only E'' undoes is not carried over.
             Token::Text(inside) if inside.contains('\\') => return Kind::Unknown("a value with escapes"),
             Token::Text(inside) => format!("'{inside}'"),
-            Token::Sign(sign @ (',' | '-' | '+' | '.')) => sign.to_string(),
-            Token::Sign(_) => return Kind::Unknown("a value that is no constant"),
+            Token::Symbol(sign @ (',' | '-' | '+' | '.')) => sign.to_string(),
+            Token::Symbol(_) => return Kind::Unknown("a value that is no constant"),
         };
-        if !text.is_empty() && !matches!(token, Token::Sign(_)) && !text.ends_with(['-', '+', '.']) {
+        if !text.is_empty() && !matches!(token, Token::Symbol(_)) && !text.ends_with(['-', '+', '.']) {
             text.push(' ');
         }
         text += &piece;
@@ -621,7 +621,7 @@
     let first = |word: &str| matches!(tokens.first(), Some(Token::Word(w)) if w.eq_ignore_ascii_case(word));
     let calls = |prefix: &str| {
         tokens.windows(2).any(|pair| match pair {
-            [Token::Word(word), Token::Sign('(')] => word.to_lowercase().starts_with(prefix),
+            [Token::Word(word), Token::Symbol('(')] => word.to_lowercase().starts_with(prefix),
             _ => false,
         })
     };
--- a/crates/sql/src/lexer.rs
+++ b/crates/sql/src/lexer.rs
@@ -12,7 +12,7 @@
     /// A number, or a parameter such as `$1`.
     Number(&'a str),
     /// One character of anything else.
-    Sign(char),
+    Symbol(char),
 }
 
 /// Cuts a text into pieces.
@@ -31,12 +31,12 @@
     }
 
     /// Where the next piece is looked for (bytes from the beginning).
-    pub fn at(&self) -> usize {
+    pub fn offset(&self) -> usize {
         self.at
     }
 
     /// Whether something that began has not ended by the end of the text.
-    pub fn is_open(&self) -> bool {
+    pub fn is_unterminated(&self) -> bool {
         self.open
     }
 
@@ -164,7 +164,7 @@
                 Some(text) => Some(Token::Text(text)),
                 None => {
                     self.at += 1;
-                    Some(Token::Sign('$'))
+                    Some(Token::Symbol('$'))
                 }
             },
             c if c.is_ascii_digit() => {
@@ -175,7 +175,7 @@
             }
             c => {
                 self.at += c.len_utf8();
-                Some(Token::Sign(c))
+                Some(Token::Symbol(c))
             }
         }
     }
--- a/crates/sql/tests/kinds.rs
+++ b/crates/sql/tests/kinds.rs
@@ -102,7 +102,7 @@
 #[case("load 'x'", Pin::Load)]
 fn what_binds_a_session(#[case] text: &str, #[case] pin: Pin) {
     assert_eq!(scan(text).statements[0].pins, [pin]);
-    assert!(!scan(text).reads_only());
+    assert!(!scan(text).is_read_only());
 }
 
 #[test]
@@ -125,10 +125,10 @@
         let mut lexer = Lexer::new(&text);
         let mut at = 0;
         while lexer.next().is_some() {
-            prop_assert!(lexer.at() > at);
-            at = lexer.at();
+            prop_assert!(lexer.offset() > at);
+            at = lexer.offset();
         }
-        prop_assert!(text[lexer.at()..].is_empty());
+        prop_assert!(text[lexer.offset()..].is_empty());
     }
 
     /// What stands in a quote is never taken for a statement's word.
