--- a/crates/daemon/src/cli/users.rs
+++ b/crates/daemon/src/cli/users.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use argh::FromArgs;
-use scram::{Users, Verifier, ITERATIONS};
+use scram::{Users, Verifier, DEFAULT_ITERATIONS};
 use serde_json::json;
 
 use super::fail;
@@ -100,7 +100,7 @@
     }
     let mut salt = [0; 16];
     files::random(&mut salt)?;
-    if !users.put(name, Verifier::new(password, &salt, ITERATIONS)) {
+    if !users.insert(name, Verifier::new(password, &salt, DEFAULT_ITERATIONS)) {
         return Err(format!("{name:?}: accepted: a name of at most 63 bytes that does not begin with #"));
     }
     write(file, &users)?;
@@ -135,6 +135,6 @@
     let new = file.with_extension("new");
     let mut options = std::fs::OpenOptions::new();
     let mut out = options.create(true).truncate(true).write(true).mode(0o600).open(&new).map_err(named)?;
-    out.write_all(users.text().as_bytes()).and_then(|()| out.sync_all()).map_err(named)?;
+    out.write_all(users.to_text().as_bytes()).and_then(|()| out.sync_all()).map_err(named)?;
     std::fs::rename(&new, file).map_err(named)
 }
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -125,9 +125,9 @@
 
 /// Reads a file of users.
 pub(crate) fn users(path: &Path) -> Result<scram::Users, String> {
-    let text = String::from_utf8(private(path, scram::LONGEST)?);
+    let text = String::from_utf8(private(path, scram::MAX_FILE_BYTES)?);
     let text = text.map_err(|_| format!("{}: not UTF-8", path.display()))?;
-    scram::Users::read(&text).map_err(|fault| format!("{}: {fault}", path.display()))
+    scram::Users::parse(&text).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
 /// Fills bytes with what nobody can foretell.
--- a/crates/daemon/src/net/sessions.rs
+++ b/crates/daemon/src/net/sessions.rs
@@ -21,7 +21,7 @@
 use pooling::{PoolLimits, Pools};
 use route::Table;
 use routing::interface::{MemberId, Outcome, RequestId};
-use scram::{Guesses, Users};
+use scram::{FailedLogins, Users};
 
 use super::event_loop::{Due, Slot, Slots, Source};
 use super::Context;
@@ -73,7 +73,7 @@
     told: BTreeMap<String, String>,
     /// Those who may connect; anybody where there is no such list.
     users: Option<Users>,
-    guesses: Guesses,
+    guesses: FailedLogins,
     /// What clients' TLS is made from; none is spoken where there is none.
     tls: Option<tls::Server>,
     /// What TLS towards servers is made from; none is spoken where there is none.
@@ -132,7 +132,7 @@
                 .map(|file| files::users(file))
                 .transpose()
                 .map_err(io::Error::other)?,
-            guesses: Guesses::default(),
+            guesses: FailedLogins::default(),
             tls: files::pool_tls(pool, now).map_err(io::Error::other)?,
             server_tls: files::server_tls(pool, now).map_err(io::Error::other)?,
             key,
--- a/crates/daemon/src/net/sessions/login.rs
+++ b/crates/daemon/src/net/sessions/login.rs
@@ -8,7 +8,7 @@
 use pgwire::session::{self as wire, First};
 use pgwire::{code, error};
 use pooling::{Mode, Session as Pooled};
-use scram::{Channel, MECHANISM, MECHANISM_PLUS};
+use scram::{ChannelBinding, MECHANISM, MECHANISM_PLUS};
 use tls::{Link, Session};
 
 use super::client::{Conn, Stage, Step};
@@ -129,10 +129,10 @@
                 let nonce = nonce(&mut self.rng);
                 let endpoint = conn.link.endpoint();
                 let chosen = match (wire::read_first(body), &endpoint) {
-                    (Some((MECHANISM_PLUS, step)), Some(bytes)) => Ok((step, Channel::Bound(bytes))),
-                    (Some((MECHANISM, step)), Some(_)) => Ok((step, Channel::Unbound)),
-                    (Some((MECHANISM, step)), None) => Ok((step, Channel::Open)),
-                    _ => Err(scram::Fault::Malformed),
+                    (Some((MECHANISM_PLUS, step)), Some(bytes)) => Ok((step, ChannelBinding::Bound(bytes))),
+                    (Some((MECHANISM, step)), Some(_)) => Ok((step, ChannelBinding::NotUsed)),
+                    (Some((MECHANISM, step)), None) => Ok((step, ChannelBinding::Unsupported)),
+                    _ => Err(scram::ScramError::Malformed),
                 };
                 let begun = chosen.and_then(|(step, channel)| {
                     scram::Server::begin(step, &user, verifier, &nonce, &self.key, channel)
@@ -152,7 +152,7 @@
             Ok(bytes) if !done => self.push(slot, &bytes),
             Ok(mut bytes) => {
                 let (options, from) = (std::mem::take(&mut conn.options), conn.from);
-                self.guesses.right(from);
+                self.guesses.record_success(from);
                 match self.welcome(slot, &options) {
                     Ok(welcome) => {
                         bytes.extend(welcome);
@@ -167,7 +167,7 @@
             }
             Err(fault) => {
                 context.counters.malformed += 1;
-                let wait = self.guesses.wrong(now, conn.from);
+                let wait = self.guesses.record_failure(now, conn.from);
                 logging::warn!(event = "pool.login", user, "{fault}");
                 (conn.stage, conn.until) = (Stage::Held, now + wait);
                 Step::Still
--- a/crates/daemon/src/net/sessions/server.rs
+++ b/crates/daemon/src/net/sessions/server.rs
@@ -10,7 +10,7 @@
 use pgwire::session::{self as wire, Flow, Login, Piece};
 use pooling::{Key, ServerSessionState};
 use routing::interface::{MemberId, Outcome};
-use scram::{Channel, MECHANISM, MECHANISM_PLUS};
+use scram::{ChannelBinding, MECHANISM, MECHANISM_PLUS};
 use tls::{Link, Session};
 
 use super::login::nonce;
@@ -292,17 +292,17 @@
     pool: &Pool,
     rng: &mut fastrand::Rng,
 ) -> Result<(), String> {
-    let words = |fault: scram::Fault| fault.to_string();
+    let words = |fault: scram::ScramError| fault.to_string();
     let answer = match wire::login(body) {
         // A server that skips the proof that it knows the password is not the one that was meant.
         Login::Done if backend.login.is_none() => return Ok(()),
         asked @ Login::Mechanisms(_) if asked.has(MECHANISM) || asked.has(MECHANISM_PLUS) => {
             let endpoint = backend.link.endpoint();
             let (mechanism, channel) = match &endpoint {
-                Some(bytes) if asked.has(MECHANISM_PLUS) => (MECHANISM_PLUS, Channel::Bound(bytes)),
+                Some(bytes) if asked.has(MECHANISM_PLUS) => (MECHANISM_PLUS, ChannelBinding::Bound(bytes)),
                 // The server finds out whether its offer was struck out on the way.
-                Some(_) => (MECHANISM, Channel::Unbound),
-                None => (MECHANISM, Channel::Open),
+                Some(_) => (MECHANISM, ChannelBinding::NotUsed),
+                None => (MECHANISM, ChannelBinding::Unsupported),
             };
             let (login, first) = scram::Client::begin(&nonce(rng), channel);
             backend.login = Some(login);
--- a/crates/explore/src/lib.rs
+++ b/crates/explore/src/lib.rs
@@ -11,7 +11,7 @@
 use pgwire::session::{first, texts, Flow, Piece};
 use pgwire::{message, Message};
 use pooling::{Action, DetachReason, Disposition, Mode, ServerSessionState, Session};
-use scram::{Channel, Client, Server, Users, Verifier};
+use scram::{ChannelBinding, Client, Server, Users, Verifier};
 use sql::{Kind, Token};
 
 /// A machine that is fed.
@@ -247,9 +247,9 @@
 /// A login and a file of users: no text upsets either, and no proof is taken that was not made with the password.
 pub fn login(bytes: &[u8]) {
     let text = String::from_utf8_lossy(bytes);
-    if let Ok(users) = Users::read(&text) {
+    if let Ok(users) = Users::parse(&text) {
         assert_eq!(
-            Users::read(&users.text()).as_ref(),
+            Users::parse(&users.to_text()).as_ref(),
             Ok(&users),
             "a file that is written is read as another"
         );
@@ -257,7 +257,7 @@
     let verifier = Verifier::new("pencil", b"salt", 1);
     let mut lines = text.split('\n');
     let mut line = || lines.next().unwrap_or_default();
-    for channel in [Channel::Open, Channel::Unbound, Channel::Bound(b"here")] {
+    for channel in [ChannelBinding::Unsupported, ChannelBinding::NotUsed, ChannelBinding::Bound(b"here")] {
         if let Ok((server, _)) = Server::begin(line(), "user", Some(&verifier), "nonce", b"secret", channel) {
             assert!(server.finish(line()).is_err(), "a proof without the password is taken");
         }
--- a/crates/peers/src/postgres.rs
+++ b/crates/peers/src/postgres.rs
@@ -10,7 +10,7 @@
 
 use openssl::hash::MessageDigest;
 use openssl::ssl::{Ssl, SslAcceptor, SslStream};
-use scram::{Channel, Server, Verifier};
+use scram::{ChannelBinding, Server, Verifier};
 
 use crate::registry::Both;
 use crate::{frame, line, Message};
@@ -115,9 +115,9 @@
         let first = take(stream)?;
         let (mechanism, rest) = first.split_once('\0')?;
         let channel = match (&endpoint, mechanism) {
-            (Some(bytes), "SCRAM-SHA-256-PLUS") => Channel::Bound(bytes),
-            (Some(_), _) => Channel::Unbound,
-            (None, _) => Channel::Open,
+            (Some(bytes), "SCRAM-SHA-256-PLUS") => ChannelBinding::Bound(bytes),
+            (Some(_), _) => ChannelBinding::NotUsed,
+            (None, _) => ChannelBinding::Unsupported,
         };
         let begun = Server::begin(&rest[4..], "", Some(verifier), "nonce", b"", channel);
         let (server, told) = begun.ok()?;
--- a/crates/scram/src/channel.rs
+++ b/crates/scram/src/channel.rs
@@ -6,30 +6,30 @@
 
 /// What the connection beneath a login is, as one side sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Channel<'a> {
+pub enum ChannelBinding<'a> {
     /// Nothing that a login can be bound to.
-    Open,
+    Unsupported,
     /// It could be bound to this connection, and is not. A server has offered it; a client has been offered nothing.
-    Unbound,
+    NotUsed,
     /// It is bound to it by these bytes.
     Bound(&'a [u8]),
 }
 
-impl Channel<'_> {
+impl ChannelBinding<'_> {
     /// The word with which a client begins.
     pub(crate) fn word(&self) -> &'static str {
         match self {
-            Channel::Open => "n",
-            Channel::Unbound => "y",
-            Channel::Bound(_) => KIND,
+            ChannelBinding::Unsupported => "n",
+            ChannelBinding::NotUsed => "y",
+            ChannelBinding::Bound(_) => KIND,
         }
     }
 
     /// What both sides sign of the channel, behind the header.
     pub(crate) fn bytes(&self) -> &[u8] {
         match self {
-            Channel::Bound(bytes) => bytes,
-            Channel::Open | Channel::Unbound => &[],
+            ChannelBinding::Bound(bytes) => bytes,
+            ChannelBinding::Unsupported | ChannelBinding::NotUsed => &[],
         }
     }
 }
--- a/crates/scram/src/client.rs
+++ b/crates/scram/src/client.rs
@@ -4,8 +4,8 @@
 use base64::Engine;
 use subtle::ConstantTimeEq;
 
-use crate::channel::Channel;
-use crate::server::Fault;
+use crate::channel::ChannelBinding;
+use crate::server::ScramError;
 use crate::verifier::{hash, hmac, rounds, salted, xor};
 
 /// A login that has begun.
@@ -21,7 +21,7 @@
 
 impl Client {
     /// Begins a login; the first message. `nonce` is printable, without commas, and never used before.
-    pub fn begin(nonce: &str, channel: Channel) -> (Client, String) {
+    pub fn begin(nonce: &str, channel: ChannelBinding) -> (Client, String) {
         // The user is that of the startup message.
         let bare = format!("n=,r={nonce}");
         let header = format!("{},,", channel.word());
@@ -31,15 +31,16 @@
     }
 
     /// Takes the server's first message; the answer to it.
-    pub fn answer(&mut self, message: &str, password: &str) -> Result<String, Fault> {
+    pub fn answer(&mut self, message: &str, password: &str) -> Result<String, ScramError> {
         let mut fields = message.split(',');
-        let mut field = |name: &str| fields.next().and_then(|f| f.strip_prefix(name)).ok_or(Fault::Malformed);
+        let mut field =
+            |name: &str| fields.next().and_then(|f| f.strip_prefix(name)).ok_or(ScramError::Malformed);
         let (nonce, salt, iterations) = (field("r=")?, field("s=")?, field("i=")?);
         if !nonce.starts_with(&self.nonce) || nonce.len() == self.nonce.len() {
-            return Err(Fault::Malformed);
+            return Err(ScramError::Malformed);
         }
-        let salt = STANDARD.decode(salt).map_err(|_| Fault::Malformed)?;
-        let salted = salted(password, &salt, rounds(iterations).ok_or(Fault::Malformed)?);
+        let salt = STANDARD.decode(salt).map_err(|_| ScramError::Malformed)?;
+        let salted = salted(password, &salt, rounds(iterations).ok_or(ScramError::Malformed)?);
         let without = format!("c={},r={nonce}", self.bound);
         let signed = format!("{},{message},{without}", self.bare);
         let key = hmac(&salted, &[b"Client Key"]);
@@ -49,14 +50,14 @@
     }
 
     /// Takes the server's last message: whether it knows the password too.
-    pub fn finish(&self, message: &str) -> Result<(), Fault> {
+    pub fn finish(&self, message: &str) -> Result<(), ScramError> {
         let signature = message.strip_prefix("v=").and_then(|text| STANDARD.decode(text).ok());
-        let signature = signature.ok_or(Fault::Malformed)?;
-        let expected = self.expected.ok_or(Fault::Malformed)?;
+        let signature = signature.ok_or(ScramError::Malformed)?;
+        let expected = self.expected.ok_or(ScramError::Malformed)?;
         if bool::from(signature.ct_eq(&expected)) {
             Ok(())
         } else {
-            Err(Fault::Wrong)
+            Err(ScramError::WrongPassword)
         }
     }
 }
--- a/crates/scram/src/guess.rs
+++ b/crates/scram/src/guess.rs
@@ -20,11 +20,11 @@
 
 /// Wrong passwords by address.
 #[derive(Debug, Default)]
-pub struct Guesses(HashMap<IpAddr, Wrong>);
+pub struct FailedLogins(HashMap<IpAddr, Wrong>);
 
-impl Guesses {
+impl FailedLogins {
     /// A wrong password has come from an address; how long its answer is held back (seconds).
-    pub fn wrong(&mut self, now: f64, from: IpAddr) -> f64 {
+    pub fn record_failure(&mut self, now: f64, from: IpAddr) -> f64 {
         if self.0.len() >= ADDRESSES && !self.0.contains_key(&from) {
             self.0.retain(|_, wrong| now < wrong.last + FORGET);
             let oldest =
@@ -42,7 +42,7 @@
     }
 
     /// A right password has come from an address.
-    pub fn right(&mut self, from: IpAddr) {
+    pub fn record_success(&mut self, from: IpAddr) {
         self.0.remove(&from);
     }
 
--- a/crates/scram/src/lib.rs
+++ b/crates/scram/src/lib.rs
@@ -9,12 +9,12 @@
 mod users;
 mod verifier;
 
-pub use channel::Channel;
+pub use channel::ChannelBinding;
 pub use client::Client;
-pub use guess::Guesses;
-pub use server::{Fault, Server};
-pub use users::{Users, LONGEST};
-pub use verifier::{Unsound, Verifier, ITERATIONS};
+pub use guess::FailedLogins;
+pub use server::{ScramError, Server};
+pub use users::{Users, MAX_FILE_BYTES};
+pub use verifier::{InvalidVerifier, Verifier, DEFAULT_ITERATIONS};
 
 /// The mechanism's name.
 pub const MECHANISM: &str = "SCRAM-SHA-256";
--- a/crates/scram/src/server.rs
+++ b/crates/scram/src/server.rs
@@ -6,7 +6,7 @@
 use base64::Engine;
 use subtle::ConstantTimeEq;
 
-use crate::channel::Channel;
+use crate::channel::ChannelBinding;
 use crate::verifier::{hash, hmac, xor, Key, Verifier};
 
 /// Longest message that is read (bytes).
@@ -14,26 +14,28 @@
 
 /// Why a login fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ScramError {
     /// A message not of the agreed form.
     Malformed,
     /// Channel binding that is not what this connection has: somebody may stand in between.
-    Binding,
+    BindingMismatch,
     /// The password is wrong, or the user is not known: nobody is told which.
-    Wrong,
+    WrongPassword,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ScramError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Fault::Malformed => "malformed SCRAM message",
-            Fault::Binding => "the login is bound to another connection, or its binding was struck out",
-            Fault::Wrong => "password authentication failed",
+            ScramError::Malformed => "malformed SCRAM message",
+            ScramError::BindingMismatch => {
+                "the login is bound to another connection, or its binding was struck out"
+            }
+            ScramError::WrongPassword => "password authentication failed",
         })
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ScramError {}
 
 /// A login that has begun.
 #[derive(Debug)]
@@ -57,33 +59,33 @@
         verifier: Option<&Verifier>,
         nonce: &str,
         secret: &[u8],
-        channel: Channel,
-    ) -> Result<(Server, String), Fault> {
+        channel: ChannelBinding,
+    ) -> Result<(Server, String), ScramError> {
         if message.len() > LONGEST {
-            return Err(Fault::Malformed);
+            return Err(ScramError::Malformed);
         }
-        let (binding, rest) = message.split_once(',').ok_or(Fault::Malformed)?;
-        let (identity, bare) = rest.split_once(',').ok_or(Fault::Malformed)?;
+        let (binding, rest) = message.split_once(',').ok_or(ScramError::Malformed)?;
+        let (identity, bare) = rest.split_once(',').ok_or(ScramError::Malformed)?;
         match (binding, channel) {
-            ("n", Channel::Open | Channel::Unbound) => {}
+            ("n", ChannelBinding::Unsupported | ChannelBinding::NotUsed) => {}
             // A client that could bind, and was not offered it: right where it was not.
-            ("y", Channel::Open) => {}
-            (word, Channel::Bound(_)) if word == channel.word() => {}
+            ("y", ChannelBinding::Unsupported) => {}
+            (word, ChannelBinding::Bound(_)) if word == channel.word() => {}
             // It was offered, and did not reach the client: somebody has struck it out.
-            ("n" | "y", _) => return Err(Fault::Binding),
-            _ if binding.starts_with("p=") => return Err(Fault::Binding),
-            _ => return Err(Fault::Malformed),
+            ("n" | "y", _) => return Err(ScramError::BindingMismatch),
+            _ if binding.starts_with("p=") => return Err(ScramError::BindingMismatch),
+            _ => return Err(ScramError::Malformed),
         }
         if !identity.is_empty() {
-            return Err(Fault::Malformed);
+            return Err(ScramError::Malformed);
         }
         let mut fields = bare.split(',');
         // The user is that of the startup message; what stands here is not looked at, as at PostgreSQL.
-        fields.next().and_then(|field| field.strip_prefix("n=")).ok_or(Fault::Malformed)?;
-        let theirs = fields.next().and_then(|field| field.strip_prefix("r=")).ok_or(Fault::Malformed)?;
+        fields.next().and_then(|field| field.strip_prefix("n=")).ok_or(ScramError::Malformed)?;
+        let theirs = fields.next().and_then(|field| field.strip_prefix("r=")).ok_or(ScramError::Malformed)?;
         let printable = |c: char| ('!'..='~').contains(&c) && c != ',';
         if theirs.is_empty() || !theirs.chars().all(printable) {
-            return Err(Fault::Malformed);
+            return Err(ScramError::Malformed);
         }
         let known = verifier.is_some();
         let verifier = verifier.cloned().unwrap_or_else(|| Verifier::of_nobody(secret, user));
@@ -95,31 +97,32 @@
     }
 
     /// Takes the client's last message; what it is told where its password is right.
-    pub fn finish(self, message: &str) -> Result<String, Fault> {
+    pub fn finish(self, message: &str) -> Result<String, ScramError> {
         if message.len() > LONGEST {
-            return Err(Fault::Malformed);
+            return Err(ScramError::Malformed);
         }
-        let (without, proof) = message.rsplit_once(",p=").ok_or(Fault::Malformed)?;
+        let (without, proof) = message.rsplit_once(",p=").ok_or(ScramError::Malformed)?;
         let mut fields = without.split(',');
-        let channel = fields.next().and_then(|field| field.strip_prefix("c=")).ok_or(Fault::Malformed)?;
-        let nonce = fields.next().and_then(|field| field.strip_prefix("r=")).ok_or(Fault::Malformed)?;
-        let channel = STANDARD.decode(channel).map_err(|_| Fault::Malformed)?;
+        let channel =
+            fields.next().and_then(|field| field.strip_prefix("c=")).ok_or(ScramError::Malformed)?;
+        let nonce = fields.next().and_then(|field| field.strip_prefix("r=")).ok_or(ScramError::Malformed)?;
+        let channel = STANDARD.decode(channel).map_err(|_| ScramError::Malformed)?;
         if nonce != self.nonce {
-            return Err(Fault::Malformed);
+            return Err(ScramError::Malformed);
         }
         if channel != self.bound {
-            return Err(Fault::Binding);
+            return Err(ScramError::BindingMismatch);
         }
         let proof = STANDARD
             .decode(proof)
             .ok()
             .and_then(|proof| Key::try_from(proof).ok())
-            .ok_or(Fault::Malformed)?;
+            .ok_or(ScramError::Malformed)?;
         let signed = format!("{},{without}", self.signed);
         let signature = hmac(&self.verifier.stored, &[signed.as_bytes()]);
         let right = hash(&xor(&proof, &signature)).ct_eq(&self.verifier.stored);
         if !(bool::from(right) && self.known) {
-            return Err(Fault::Wrong);
+            return Err(ScramError::WrongPassword);
         }
         let signature = hmac(&self.verifier.server, &[signed.as_bytes()]);
         Ok(format!("v={}", STANDARD.encode(signature)))
--- a/crates/scram/src/users.rs
+++ b/crates/scram/src/users.rs
@@ -6,7 +6,7 @@
 use crate::verifier::Verifier;
 
 /// Longest file that is read (bytes): some 7,000 users.
-pub const LONGEST: usize = 1024 * 1024;
+pub const MAX_FILE_BYTES: usize = 1024 * 1024;
 /// Longest name (bytes); PostgreSQL's own bound.
 const LONGEST_NAME: usize = 63;
 
@@ -16,7 +16,7 @@
 
 impl Users {
     /// Reads the text of a file; what is wrong with which line.
-    pub fn read(text: &str) -> Result<Users, String> {
+    pub fn parse(text: &str) -> Result<Users, String> {
         let mut users = BTreeMap::new();
         for (number, line) in text.lines().enumerate() {
             let line = line.trim();
@@ -40,7 +40,7 @@
     }
 
     /// The text of a file.
-    pub fn text(&self) -> String {
+    pub fn to_text(&self) -> String {
         self.0.iter().map(|(name, verifier)| format!("{name} {verifier}\n")).collect()
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Adds a user, or gives one another password; whether the name is one.
-    pub fn put(&mut self, name: &str, verifier: Verifier) -> bool {
+    pub fn insert(&mut self, name: &str, verifier: Verifier) -> bool {
         let sound = is_name(name) && !name.starts_with('#') && name.trim() == name;
         if sound {
             self.0.insert(name.to_string(), verifier);
--- a/crates/scram/src/verifier.rs
+++ b/crates/scram/src/verifier.rs
@@ -9,7 +9,7 @@
 use sha2::{Digest, Sha256};
 
 /// Iterations of a new verifier: PostgreSQL's default.
-pub const ITERATIONS: u32 = 4_096;
+pub const DEFAULT_ITERATIONS: u32 = 4_096;
 /// Most iterations that are read. Guards a client of a hostile server, and a server of a file with a slip in it.
 const MOST: u32 = 1_000_000;
 
@@ -54,15 +54,15 @@
 
 /// A text that is no verifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unsound;
+pub struct InvalidVerifier;
 
-impl fmt::Display for Unsound {
+impl fmt::Display for InvalidVerifier {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("not a verifier; accepted: SCRAM-SHA-256$ITERATIONS:SALT$STORED:SERVER")
     }
 }
 
-impl std::error::Error for Unsound {}
+impl std::error::Error for InvalidVerifier {}
 
 impl Verifier {
     /// Of a password, with a salt that nobody else has.
@@ -77,7 +77,7 @@
         let salt = hmac(secret, &[b"salt", user.as_bytes()])[..16].to_vec();
         let (stored, server) =
             (hmac(secret, &[b"stored", user.as_bytes()]), hmac(secret, &[b"server", user.as_bytes()]));
-        Verifier { iterations: ITERATIONS, salt, stored, server }
+        Verifier { iterations: DEFAULT_ITERATIONS, salt, stored, server }
     }
 }
 
@@ -96,20 +96,24 @@
 }
 
 impl FromStr for Verifier {
-    type Err = Unsound;
+    type Err = InvalidVerifier;
 
-    fn from_str(text: &str) -> Result<Verifier, Unsound> {
-        let rest = text.strip_prefix("SCRAM-SHA-256$").ok_or(Unsound)?;
-        let (terms, keys) = rest.split_once('$').ok_or(Unsound)?;
-        let (iterations, salt) = terms.split_once(':').ok_or(Unsound)?;
-        let (stored, server) = keys.split_once(':').ok_or(Unsound)?;
+    fn from_str(text: &str) -> Result<Verifier, InvalidVerifier> {
+        let rest = text.strip_prefix("SCRAM-SHA-256$").ok_or(InvalidVerifier)?;
+        let (terms, keys) = rest.split_once('$').ok_or(InvalidVerifier)?;
+        let (iterations, salt) = terms.split_once(':').ok_or(InvalidVerifier)?;
+        let (stored, server) = keys.split_once(':').ok_or(InvalidVerifier)?;
         let key = |text: &str| Key::try_from(STANDARD.decode(text).ok()?).ok();
-        let salt = STANDARD.decode(salt).ok().filter(|salt| (1..=64).contains(&salt.len())).ok_or(Unsound)?;
+        let salt = STANDARD
+            .decode(salt)
+            .ok()
+            .filter(|salt| (1..=64).contains(&salt.len()))
+            .ok_or(InvalidVerifier)?;
         Ok(Verifier {
-            iterations: rounds(iterations).ok_or(Unsound)?,
+            iterations: rounds(iterations).ok_or(InvalidVerifier)?,
             salt,
-            stored: key(stored).ok_or(Unsound)?,
-            server: key(server).ok_or(Unsound)?,
+            stored: key(stored).ok_or(InvalidVerifier)?,
+            server: key(server).ok_or(InvalidVerifier)?,
         })
     }
 }
--- a/crates/scram/tests/login.rs
+++ b/crates/scram/tests/login.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use scram::{Channel, Client, Fault, Guesses, Server, Users, Verifier};
+use scram::{ChannelBinding, Client, FailedLogins, ScramError, Server, Users, Verifier};
 
 /// The example of RFC 7677.
 const SALT: &[u8] = b"\x5b\x6d\x99\x68\x9d\x12\x35\x8e\xec\xa0\x4b\x14\x12\x36\xfa\x81";
@@ -20,8 +20,8 @@
     Verifier::new("pencil", SALT, 4_096)
 }
 
-fn begin(first: &str) -> Result<(Server, String), Fault> {
-    Server::begin(first, "user", Some(&verifier()), NONCE, b"secret", Channel::Open)
+fn begin(first: &str) -> Result<(Server, String), ScramError> {
+    Server::begin(first, "user", Some(&verifier()), NONCE, b"secret", ChannelBinding::Unsupported)
 }
 
 #[test]
@@ -34,9 +34,10 @@
 }
 
 /// A whole login; what each side makes of it.
-fn login(password: &str, known: Option<&Verifier>) -> (Result<(), Fault>, Result<(), Fault>) {
-    let (mut client, first) = Client::begin("mine", Channel::Open);
-    let (server, told) = Server::begin(&first, "user", known, "theirs", b"secret", Channel::Open).unwrap();
+fn login(password: &str, known: Option<&Verifier>) -> (Result<(), ScramError>, Result<(), ScramError>) {
+    let (mut client, first) = Client::begin("mine", ChannelBinding::Unsupported);
+    let (server, told) =
+        Server::begin(&first, "user", known, "theirs", b"secret", ChannelBinding::Unsupported).unwrap();
     let last = client.answer(&told, password).unwrap();
     match server.finish(&last) {
         Ok(told) => (Ok(()), client.finish(&told)),
@@ -48,12 +49,12 @@
 fn the_right_password_is_taken_and_no_other() {
     let short = Verifier::new("pencil", SALT, 2);
     assert_eq!(login("pencil", Some(&short)), (Ok(()), Ok(())));
-    assert_eq!(login("pencils", Some(&short)).0, Err(Fault::Wrong));
-    assert_eq!(login("pencil", None).0, Err(Fault::Wrong));
+    assert_eq!(login("pencils", Some(&short)).0, Err(ScramError::WrongPassword));
+    assert_eq!(login("pencil", None).0, Err(ScramError::WrongPassword));
 }
 
 /// How a login ends whose sides see the channel like this; none where the server turns down the first message.
-fn bound(near: Channel, far: Channel) -> Result<(), Fault> {
+fn bound(near: ChannelBinding, far: ChannelBinding) -> Result<(), ScramError> {
     let short = Verifier::new("pencil", SALT, 2);
     let (mut client, first) = Client::begin("mine", near);
     let (server, told) = Server::begin(&first, "user", Some(&short), "theirs", b"secret", far)?;
@@ -62,25 +63,46 @@
 }
 
 #[rstest]
-#[case::the_same_certificate(Channel::Bound(b"one"), Channel::Bound(b"one"), Ok(()))]
-#[case::somebody_in_between(Channel::Bound(b"one"), Channel::Bound(b"other"), Err(Fault::Binding))]
-#[case::the_offer_struck_out(Channel::Unbound, Channel::Unbound, Err(Fault::Binding))]
-#[case::nothing_offered(Channel::Unbound, Channel::Open, Ok(()))]
-#[case::a_client_that_cannot(Channel::Open, Channel::Unbound, Ok(()))]
-#[case::chosen_and_not_done(Channel::Open, Channel::Bound(b"one"), Err(Fault::Binding))]
-#[case::done_and_not_chosen(Channel::Bound(b"one"), Channel::Unbound, Err(Fault::Binding))]
-#[case::done_in_the_clear(Channel::Bound(b"one"), Channel::Open, Err(Fault::Binding))]
+#[case::the_same_certificate(ChannelBinding::Bound(b"one"), ChannelBinding::Bound(b"one"), Ok(()))]
+#[case::somebody_in_between(
+    ChannelBinding::Bound(b"one"),
+    ChannelBinding::Bound(b"other"),
+    Err(ScramError::BindingMismatch)
+)]
+#[case::the_offer_struck_out(
+    ChannelBinding::NotUsed,
+    ChannelBinding::NotUsed,
+    Err(ScramError::BindingMismatch)
+)]
+#[case::nothing_offered(ChannelBinding::NotUsed, ChannelBinding::Unsupported, Ok(()))]
+#[case::a_client_that_cannot(ChannelBinding::Unsupported, ChannelBinding::NotUsed, Ok(()))]
+#[case::chosen_and_not_done(
+    ChannelBinding::Unsupported,
+    ChannelBinding::Bound(b"one"),
+    Err(ScramError::BindingMismatch)
+)]
+#[case::done_and_not_chosen(
+    ChannelBinding::Bound(b"one"),
+    ChannelBinding::NotUsed,
+    Err(ScramError::BindingMismatch)
+)]
+#[case::done_in_the_clear(
+    ChannelBinding::Bound(b"one"),
+    ChannelBinding::Unsupported,
+    Err(ScramError::BindingMismatch)
+)]
 fn a_login_is_bound_to_its_connection(
-    #[case] near: Channel,
-    #[case] far: Channel,
-    #[case] expected: Result<(), Fault>,
+    #[case] near: ChannelBinding,
+    #[case] far: ChannelBinding,
+    #[case] expected: Result<(), ScramError>,
 ) {
     assert_eq!(bound(near, far), expected);
 }
 
 #[test]
 fn nobody_learns_who_there_is() {
-    let ask = |user| Server::begin(FIRST, user, None, NONCE, b"secret", Channel::Open).unwrap().1;
+    let ask =
+        |user| Server::begin(FIRST, user, None, NONCE, b"secret", ChannelBinding::Unsupported).unwrap().1;
     assert_eq!(ask("x"), ask("x"), "the same salt each time");
     assert_ne!(ask("x"), ask("y"));
     assert!(ask("x").ends_with(",i=4096"));
@@ -88,23 +110,23 @@
 }
 
 #[rstest]
-#[case("p=tls-server-end-point,,n=,r=x", Fault::Binding)]
-#[case("n,a=other,n=,r=x", Fault::Malformed)]
-#[case("n,,r=x", Fault::Malformed)]
-#[case("n,,n=,r=", Fault::Malformed)]
-#[case("n,,n=,r=a b", Fault::Malformed)]
-#[case("", Fault::Malformed)]
-fn a_first_message_that_is_none(#[case] first: &str, #[case] fault: Fault) {
+#[case("p=tls-server-end-point,,n=,r=x", ScramError::BindingMismatch)]
+#[case("n,a=other,n=,r=x", ScramError::Malformed)]
+#[case("n,,r=x", ScramError::Malformed)]
+#[case("n,,n=,r=", ScramError::Malformed)]
+#[case("n,,n=,r=a b", ScramError::Malformed)]
+#[case("", ScramError::Malformed)]
+fn a_first_message_that_is_none(#[case] first: &str, #[case] fault: ScramError) {
     assert_eq!(begin(first).err(), Some(fault));
 }
 
 #[rstest]
-#[case::another_nonce(FINAL.replace("hNlF", "hNlG"), Fault::Malformed)]
-#[case::another_channel(FINAL.replace("biws", "eSws"), Fault::Binding)]
-#[case::another_proof(FINAL.replace("dHzb", "dHzc"), Fault::Wrong)]
-#[case::half_a_proof(FINAL.replace("ndVQ=", ""), Fault::Malformed)]
-#[case::no_proof("c=biws".into(), Fault::Malformed)]
-fn a_last_message_that_is_wrong(#[case] last: String, #[case] fault: Fault) {
+#[case::another_nonce(FINAL.replace("hNlF", "hNlG"), ScramError::Malformed)]
+#[case::another_channel(FINAL.replace("biws", "eSws"), ScramError::BindingMismatch)]
+#[case::another_proof(FINAL.replace("dHzb", "dHzc"), ScramError::WrongPassword)]
+#[case::half_a_proof(FINAL.replace("ndVQ=", ""), ScramError::Malformed)]
+#[case::no_proof("c=biws".into(), ScramError::Malformed)]
+fn a_last_message_that_is_wrong(#[case] last: String, #[case] fault: ScramError) {
     assert_eq!(begin(FIRST).unwrap().0.finish(&last).err(), Some(fault));
 }
 
@@ -115,51 +137,57 @@
 #[case("r=mine1,s=W22Z,i=2000000000")]
 #[case("r=mine1,s=?,i=1")]
 fn a_server_that_is_none(#[case] told: &str) {
-    let (mut client, _) = Client::begin("mine", Channel::Open);
-    assert_eq!(client.answer(told, "pencil"), Err(Fault::Malformed));
+    let (mut client, _) = Client::begin("mine", ChannelBinding::Unsupported);
+    assert_eq!(client.answer(told, "pencil"), Err(ScramError::Malformed));
 }
 
 #[test]
 fn a_server_that_does_not_know_the_password_is_found_out() {
-    let (mut client, _) = Client::begin("rOprNGfwEbeRWgbNEkqO", Channel::Open);
+    let (mut client, _) = Client::begin("rOprNGfwEbeRWgbNEkqO", ChannelBinding::Unsupported);
     client.answer(SERVER_FIRST, "pencil").unwrap();
-    assert_eq!(client.finish(SERVER_FINAL), Err(Fault::Wrong), "signed for another first message");
+    assert_eq!(
+        client.finish(SERVER_FINAL),
+        Err(ScramError::WrongPassword),
+        "signed for another first message"
+    );
 }
 
 #[test]
 fn a_file_of_users_is_read_and_written() {
-    let mut users = Users::read("# people\n\n").unwrap();
-    assert!(users.put("clerk of the shop", verifier()) && users.put("b", verifier()));
-    assert!(!users.put("#c", verifier()) && !users.put("", verifier()) && !users.put("a\nb", verifier()));
-    let again = Users::read(&users.text()).unwrap();
+    let mut users = Users::parse("# people\n\n").unwrap();
+    assert!(users.insert("clerk of the shop", verifier()) && users.insert("b", verifier()));
+    assert!(
+        !users.insert("#c", verifier()) && !users.insert("", verifier()) && !users.insert("a\nb", verifier())
+    );
+    let again = Users::parse(&users.to_text()).unwrap();
     assert_eq!(again, users);
     assert!(again.get("clerk of the shop").is_some());
     assert!(users.remove("b") && !users.remove("b"));
-    let line = users.text();
+    let line = users.to_text();
     for (text, words) in [
         (format!("{line}{line}"), "line 2: clerk of the shop stands there twice"),
         ("a b".into(), "line 1: not a verifier"),
     ] {
-        let fault = Users::read(&text).unwrap_err();
+        let fault = Users::parse(&text).unwrap_err();
         assert!(fault.starts_with(words), "{fault}");
     }
 }
 
 #[test]
 fn a_guesser_waits_longer_each_time_and_others_do_not() {
-    let mut guesses = Guesses::default();
+    let mut guesses = FailedLogins::default();
     let [guesser, other]: [IpAddr; 2] = [[10, 0, 0, 1].into(), [10, 0, 0, 2].into()];
     let mut waited = 0.0;
     for _ in 0..1_000 {
-        waited += guesses.wrong(waited, guesser);
+        waited += guesses.record_failure(waited, guesser);
     }
     assert!(waited > 4_900.0, "a thousand guesses take {waited} s");
-    assert_eq!(guesses.wrong(waited, other), 0.1);
-    guesses.right(guesser);
-    assert_eq!(guesses.wrong(waited, guesser), 0.1);
-    assert_eq!(guesses.wrong(waited + 61.0, guesser), 0.1, "forgotten");
+    assert_eq!(guesses.record_failure(waited, other), 0.1);
+    guesses.record_success(guesser);
+    assert_eq!(guesses.record_failure(waited, guesser), 0.1);
+    assert_eq!(guesses.record_failure(waited + 61.0, guesser), 0.1, "forgotten");
     for n in 0..10_000u32 {
-        guesses.wrong(waited, IpAddr::from(n.to_be_bytes()));
+        guesses.record_failure(waited, IpAddr::from(n.to_be_bytes()));
     }
     assert!(guesses.len() <= 4_096);
 }
@@ -169,10 +197,10 @@
     fn no_text_upsets_either_side(first in "\\PC{0,40}", last in "\\PC{0,60}", told in "(r=mine)?\\PC{0,40}") {
         let _ = begin(&first);
         let _ = begin(FIRST).unwrap().0.finish(&last);
-        let (mut client, _) = Client::begin("mine", Channel::Open);
+        let (mut client, _) = Client::begin("mine", ChannelBinding::Unsupported);
         let _ = client.answer(&told, "x");
         let _ = client.finish(&last);
-        let _ = Users::read(&first);
+        let _ = Users::parse(&first);
         let _ = last.parse::<Verifier>();
     }
 }
