--- a/crates/daemon/src/cli/caller.rs
+++ b/crates/daemon/src/cli/caller.rs
@@ -10,7 +10,7 @@
 use operator::Registry as Settings;
 use registry::wire::{self, after, Range, Refusal};
 use registry::{Entry, View};
-use tls::Link;
+use tls::Transport;
 
 use crate::dial::Dial;
 use crate::files;
@@ -34,9 +34,9 @@
 
 impl Patient {
     /// A turn, and what it came to.
-    pub fn turn(&mut self, link: &mut Link) -> Result<Fill, String> {
+    pub fn turn(&mut self, link: &mut Transport) -> Result<Fill, String> {
         (self.came, self.idle) = (false, false);
-        link.turn(self).map_err(|fault| fault.to_string())
+        link.process_io(self).map_err(|fault| fault.to_string())
     }
 
     /// How long a turn waits for something to come.
@@ -121,7 +121,7 @@
         path: &str,
         body: &[u8],
         budget: &Budget,
-    ) -> Result<(Patient, Link), String> {
+    ) -> Result<(Patient, Transport), String> {
         let endpoint: SocketAddr = self.settings.endpoints[at];
         let patience = Duration::from_secs_f64(self.settings.call_s);
         let link = self.dial.call(endpoint, path, body, self.token.as_deref(), budget, now())?;
--- a/crates/daemon/src/dial.rs
+++ b/crates/daemon/src/dial.rs
@@ -7,7 +7,7 @@
 use http1::Request;
 use operator::Registry as Settings;
 use registry::{wire, Guard};
-use tls::{Client, Link, Session};
+use tls::{ClientContext, Session, Transport};
 
 use crate::files;
 
@@ -18,7 +18,7 @@
 pub(crate) struct Dial {
     settings: Settings,
     /// What sessions are made from; none before the files were read, or without TLS.
-    client: Option<Client>,
+    client: Option<ClientContext>,
     /// Whether the files may have been replaced since.
     doubted: bool,
     /// A warning of certificates that run out is due then (Unix seconds).
@@ -39,7 +39,7 @@
         token: Option<&str>,
         budget: &Budget,
         now: f64,
-    ) -> Result<Link, String> {
+    ) -> Result<Transport, String> {
         if self.client.is_none() || std::mem::take(&mut self.doubted) {
             match files::registry_tls(&self.settings, now) {
                 Ok(client) => (self.client, self.warn) = (client, f64::NEG_INFINITY),
@@ -53,7 +53,7 @@
             let address = endpoint.ip().to_string();
             Session::new(client, self.settings.tls_name.as_ref().unwrap_or(&address), budget)
         });
-        let mut link = Link::new(session.transpose().map_err(|fault| fault.to_string())?, budget);
+        let mut link = Transport::new(session.transpose().map_err(|fault| fault.to_string())?, budget);
         let host = endpoint.to_string();
         let host = self.settings.tls_name.as_ref().unwrap_or(&host);
         let request = Request { method: "POST", target: path, host, authorization: token, json: Some(body) };
@@ -76,7 +76,7 @@
 
     /// A warning of a certificate that runs out, once a day.
     pub fn warning(&mut self, now: f64) -> Option<String> {
-        let (which, end) = self.client.as_ref().and_then(Client::ends)?;
+        let (which, end) = self.client.as_ref().and_then(ClientContext::first_expiry)?;
         if now < self.warn {
             return None;
         }
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -103,23 +103,23 @@
 
 /// Reads the files of TLS for ordinary clients and makes a server of them at the time `now` (Unix seconds); none where
 /// they are served without.
-pub(crate) fn pool_tls(pool: &operator::Pool, now: f64) -> Result<Option<tls::Server>, String> {
+pub(crate) fn pool_tls(pool: &operator::Pool, now: f64) -> Result<Option<tls::ServerContext>, String> {
     let Some((cert, key)) = pool.tls_cert.as_ref().zip(pool.tls_key.as_ref()) else { return Ok(None) };
-    let (chain, secret) = (read(cert, tls::LONGEST)?, private(key, tls::LONGEST)?);
-    let clients = pool.tls_client_ca.as_ref().map(|path| read(path, tls::LONGEST)).transpose()?;
-    let server = tls::Server::new(&chain, &secret, clients.as_deref(), now);
+    let (chain, secret) = (read(cert, tls::MAX_FILE_BYTES)?, private(key, tls::MAX_FILE_BYTES)?);
+    let clients = pool.tls_client_ca.as_ref().map(|path| read(path, tls::MAX_FILE_BYTES)).transpose()?;
+    let server = tls::ServerContext::new(&chain, &secret, clients.as_deref(), now);
     server.map(Some).map_err(|fault| {
-        let path = match (fault.which, &pool.tls_client_ca) {
+        let path = match (fault.file, &pool.tls_client_ca) {
             ("key", _) => key,
             ("ca", Some(path)) => path,
             _ => cert,
         };
-        format!("{}: {}", path.display(), fault.what)
+        format!("{}: {}", path.display(), fault.message)
     })
 }
 
 /// Reads the files of TLS towards the servers of ordinary clients; none where those are called without TLS.
-pub(crate) fn server_tls(pool: &operator::Pool, now: f64) -> Result<Option<tls::Client>, String> {
+pub(crate) fn server_tls(pool: &operator::Pool, now: f64) -> Result<Option<tls::ClientContext>, String> {
     tls_client(&pool.server_tls_ca, &pool.server_tls_cert, &pool.server_tls_key, now)
 }
 
@@ -137,7 +137,10 @@
 }
 
 /// Reads the files of TLS towards a registry; none where it is called without TLS.
-pub(crate) fn registry_tls(settings: &operator::Registry, now: f64) -> Result<Option<tls::Client>, String> {
+pub(crate) fn registry_tls(
+    settings: &operator::Registry,
+    now: f64,
+) -> Result<Option<tls::ClientContext>, String> {
     tls_client(&settings.tls_ca, &settings.tls_cert, &settings.tls_key, now)
 }
 
@@ -148,22 +151,23 @@
     cert: &Option<PathBuf>,
     key: &Option<PathBuf>,
     now: f64,
-) -> Result<Option<tls::Client>, String> {
+) -> Result<Option<tls::ClientContext>, String> {
     let Some(ca) = ca else { return Ok(None) };
     let own = cert.as_ref().zip(key.as_ref());
-    let authorities = read(ca, tls::LONGEST)?;
-    let texts =
-        own.map(|(cert, key)| Ok::<_, String>((read(cert, tls::LONGEST)?, private(key, tls::LONGEST)?)));
+    let authorities = read(ca, tls::MAX_FILE_BYTES)?;
+    let texts = own.map(|(cert, key)| {
+        Ok::<_, String>((read(cert, tls::MAX_FILE_BYTES)?, private(key, tls::MAX_FILE_BYTES)?))
+    });
     let texts = texts.transpose()?;
     let own_texts = texts.as_ref().map(|(cert, key)| (cert.as_slice(), key.as_slice()));
-    let client = tls::Client::new(tls::Files { ca: &authorities, own: own_texts }, now);
+    let client = tls::ClientContext::new(tls::ClientFiles { ca: &authorities, identity: own_texts }, now);
     client.map(Some).map_err(|fault| {
-        let path = match (fault.which, own) {
+        let path = match (fault.file, own) {
             ("certificate", Some((cert, _))) => cert,
             ("key", Some((_, key))) => key,
             _ => ca,
         };
-        format!("{}: {}", path.display(), fault.what)
+        format!("{}: {}", path.display(), fault.message)
     })
 }
 
--- a/crates/daemon/src/net/registry.rs
+++ b/crates/daemon/src/net/registry.rs
@@ -14,7 +14,7 @@
 use registry::wire::Refusal;
 use registry::{kept, wire, Action, Endpoints, Guard, Input, Notice, Pace, Sync, View};
 use routing::interface::{ListKind, MemberId};
-use tls::Link;
+use tls::Transport;
 
 use super::event_loop::{Due, Slot, Slots, Source};
 use super::{Context, Event};
@@ -45,7 +45,7 @@
 
 struct Conn {
     stream: TcpStream,
-    link: Link,
+    link: Transport,
     taking: Taking,
     /// The number of the call, its machine's.
     call: u64,
@@ -377,7 +377,7 @@
         let call = conn.call;
         if let Err(fault) = conn.turn(&mut heard) {
             // One that was reset has no peer any more: that it had one is remembered.
-            if conn.link.is_secured() && conn.reached && !conn.heard {
+            if conn.link.has_tls() && conn.reached && !conn.heard {
                 let address = conn.address;
                 logging::warn!(event = "registry.tls", "{address}: nothing came over TLS: {fault}");
                 self.dial.doubt();
@@ -500,7 +500,7 @@
         }
         self.reached = true;
         loop {
-            let turned = self.link.turn(&mut self.stream).map_err(|fault| fault.to_string());
+            let turned = self.link.process_io(&mut self.stream).map_err(|fault| fault.to_string());
             let before = self.link.inbox.len();
             self.heard |= before > 0;
             if self.take(heard)? {
--- a/crates/daemon/src/net/sessions.rs
+++ b/crates/daemon/src/net/sessions.rs
@@ -75,9 +75,9 @@
     users: Option<Users>,
     guesses: FailedLogins,
     /// What clients' TLS is made from; none is spoken where there is none.
-    tls: Option<tls::Server>,
+    tls: Option<tls::ServerContext>,
     /// What TLS towards servers is made from; none is spoken where there is none.
-    server_tls: Option<tls::Client>,
+    server_tls: Option<tls::ClientContext>,
     /// Makes up what is told of users that are not known.
     key: [u8; 32],
     budget: Budget,
@@ -199,7 +199,7 @@
             let Some(conn) = self.conns.get_mut(slot) else { continue };
             let what = "the pooler ends";
             let _ = conn.link.outbox.push(&error("FATAL", code::SHUTDOWN, what, None));
-            let _ = conn.link.turn(&mut conn.stream);
+            let _ = conn.link.process_io(&mut conn.stream);
             self.remove(slot, context);
         }
     }
--- a/crates/daemon/src/net/sessions/client.rs
+++ b/crates/daemon/src/net/sessions/client.rs
@@ -9,7 +9,7 @@
 use pgwire::{code, error};
 use pooling::{Action, DetachReason, Session as Pooled};
 use routing::interface::Outcome;
-use tls::Link;
+use tls::Transport;
 
 use super::assignment::{Job, Waiting};
 use super::server::ServerState;
@@ -36,7 +36,7 @@
 
 pub(super) struct Conn {
     pub(super) stream: TcpStream,
-    pub(super) link: Link,
+    pub(super) link: Transport,
     pub(super) stage: Stage,
     pub(super) session: Option<Box<Pooled>>,
     /// A login that has begun.
@@ -95,7 +95,7 @@
 
     pub(super) fn step(&mut self, slot: Slot, context: &mut Context) -> Step {
         let Some(conn) = self.conns.get_mut(slot) else { return Step::Still };
-        let Ok(fill) = conn.link.turn(&mut conn.stream) else { return Step::Over };
+        let Ok(fill) = conn.link.process_io(&mut conn.stream) else { return Step::Over };
         let written = conn.link.is_flushed();
         if conn.stage == Stage::Ending {
             if written {
@@ -106,7 +106,8 @@
         }
         // Written first: no event tells of the room that this makes. A fault is found out again by reading.
         let room = conn.backend.and_then(|b| self.backends.get_mut(b)).is_none_or(|backend| {
-            let _ = backend.state != ServerState::Used || backend.link.turn(&mut backend.stream).is_ok();
+            let _ =
+                backend.state != ServerState::Used || backend.link.process_io(&mut backend.stream).is_ok();
             backend.link.outbox.len() < PENDING_LIMIT
         });
         let (mut actions, mut moved) = (Vec::new(), false);
@@ -182,7 +183,7 @@
         if conn.link.outbox.len() >= PENDING_LIMIT {
             return Step::Still;
         }
-        let fill = backend.link.turn(&mut backend.stream);
+        let fill = backend.link.process_io(&mut backend.stream);
         let (mut actions, mut bytes, mut broken) = (Vec::new(), 0, false);
         while bytes < PENDING_LIMIT && !stops(&actions) {
             match backend.flow.next(&mut backend.link.inbox) {
--- a/crates/daemon/src/net/sessions/login.rs
+++ b/crates/daemon/src/net/sessions/login.rs
@@ -9,7 +9,7 @@
 use pgwire::{code, error};
 use pooling::{Mode, Session as Pooled};
 use scram::{ChannelBinding, MECHANISM, MECHANISM_PLUS};
-use tls::{Link, Session};
+use tls::{Session, Transport};
 
 use super::client::{Conn, Stage, Step};
 use super::Sessions;
@@ -27,7 +27,7 @@
             // What keeps a new one out is looked at again with the next sweep.
             let Ok((stream, address)) = listener.accept() else { return };
             let _ = stream.set_nodelay(true);
-            let link = Link::new(None, &self.budget);
+            let link = Transport::new(None, &self.budget);
             let nobody: Rc<str> = "".into();
             let slot = self.conns.insert(Conn {
                 stream,
@@ -61,7 +61,7 @@
             First::Encryption => match &self.tls {
                 None => conn.link.outbox.push(b"N"),
                 // Whoever sends more before it is told that there is TLS, or asks for it twice, is no client.
-                Some(_) if !conn.link.inbox.is_empty() || conn.link.is_secured() => return Step::Over,
+                Some(_) if !conn.link.inbox.is_empty() || conn.link.has_tls() => return Step::Over,
                 Some(server) => {
                     let Ok(session) = Session::accept(server, &self.budget) else { return Step::Over };
                     // Written without reading: what a quick client answers meanwhile is TLS already.
@@ -70,11 +70,11 @@
                     if !told || !conn.link.is_flushed() {
                         return Step::Over;
                     }
-                    conn.link.secure(session, &self.budget);
+                    conn.link.start_tls(session, &self.budget);
                     return Step::Moved;
                 }
             },
-            First::Session(_) if self.pool.tls_required && !conn.link.is_secured() => {
+            First::Session(_) if self.pool.tls_required && !conn.link.has_tls() => {
                 conn.stage = Stage::Ending;
                 conn.link.outbox.push(&error("FATAL", code::NO_TLS, "only TLS is served here", None))
             }
@@ -89,7 +89,7 @@
             First::Session(options) if self.users.is_some() => {
                 let Some(conn) = self.conns.get_mut(slot) else { return Step::Still };
                 (conn.stage, conn.options) = (Stage::Login, options);
-                let offered: &[&str] = match conn.link.endpoint() {
+                let offered: &[&str] = match conn.link.channel_binding() {
                     Some(_) => &[MECHANISM_PLUS, MECHANISM],
                     None => &[MECHANISM],
                 };
@@ -127,7 +127,7 @@
             None => {
                 let verifier = self.users.as_ref().and_then(|users| users.get(&user));
                 let nonce = nonce(&mut self.rng);
-                let endpoint = conn.link.endpoint();
+                let endpoint = conn.link.channel_binding();
                 let chosen = match (wire::read_first(body), &endpoint) {
                     (Some((MECHANISM_PLUS, step)), Some(bytes)) => Ok((step, ChannelBinding::Bound(bytes))),
                     (Some((MECHANISM, step)), Some(_)) => Ok((step, ChannelBinding::NotUsed)),
--- a/crates/daemon/src/net/sessions/server.rs
+++ b/crates/daemon/src/net/sessions/server.rs
@@ -11,7 +11,7 @@
 use pooling::{Key, ServerSessionState};
 use routing::interface::{MemberId, Outcome};
 use scram::{ChannelBinding, MECHANISM, MECHANISM_PLUS};
-use tls::{Link, Session};
+use tls::{Session, Transport};
 
 use super::login::nonce;
 use super::Sessions;
@@ -33,7 +33,7 @@
 
 pub(super) struct Backend {
     pub(super) stream: TcpStream,
-    pub(super) link: Link,
+    pub(super) link: Transport,
     pub(super) flow: Flow,
     pub(super) state: ServerState,
     pub(super) key: Key,
@@ -87,7 +87,7 @@
         until: f64,
     ) -> Backend {
         let _ = stream.set_nodelay(true);
-        let link = Link::new(None, &self.budget);
+        let link = Transport::new(None, &self.budget);
         let remote = Some(ServerSessionState::new(self.pool.statements as usize));
         let (state, flow, cancel) = (ServerState::Connecting, Flow::default(), (0, 0));
         let (client, tainted, drain) = (None, false, None);
@@ -139,7 +139,7 @@
             }
             ServerState::Cancelling => {
                 let connected = backend.stream.peer_addr().is_ok();
-                if connected && !matches!(backend.link.turn(&mut backend.stream), Ok(Fill::Drained)) {
+                if connected && !matches!(backend.link.process_io(&mut backend.stream), Ok(Fill::Drained)) {
                     self.backends.remove(place);
                 }
             }
@@ -164,30 +164,30 @@
                 if self.server_tls.is_some() { ServerState::Asking } else { ServerState::Starting };
             backend.link.outbox.push(&first).map_err(|_| Outcome::Moot)?;
         }
-        let told = |fault: &tls::Fault, backend: &Backend| {
-            if !matches!(fault, tls::Fault::Broken(_)) {
+        let told = |fault: &tls::TlsError, backend: &Backend| {
+            if !matches!(fault, tls::TlsError::Io(_)) {
                 logging::warn!(event = "pool.server_tls", member = &*backend.member, "no TLS: {fault}");
             }
             Outcome::ConnectFailed
         };
-        let turned = backend.link.turn(&mut backend.stream);
+        let turned = backend.link.process_io(&mut backend.stream);
         let mut fill = turned.map_err(|fault| told(&fault, backend))?;
         if backend.state == ServerState::Asking {
             match &*backend.link.inbox.take(2) {
                 [] if fill == Fill::Drained => return Ok(()),
                 [b'S'] => {}
                 // Turned down, or something in the clear behind it, which somebody else may have put there.
-                _ => return Err(told(&tls::Fault::NotTls, backend)),
+                _ => return Err(told(&tls::TlsError::NotTls, backend)),
             }
             let Some(client) = &self.server_tls else { return Err(Outcome::Moot) };
             let address = backend.address.ip().to_string();
             let name = self.pool.server_tls_name.as_ref().unwrap_or(&address);
             let session = Session::new(client, name, &self.budget).map_err(|fault| told(&fault, backend))?;
-            backend.link.secure(session, &self.budget);
+            backend.link.start_tls(session, &self.budget);
             backend.state = ServerState::Starting;
             let first = hello(backend);
             backend.link.outbox.push(&first).map_err(|_| Outcome::Moot)?;
-            let turned = backend.link.turn(&mut backend.stream);
+            let turned = backend.link.process_io(&mut backend.stream);
             fill = turned.map_err(|fault| told(&fault, backend))?;
         }
         while let Some(piece) =
@@ -201,7 +201,7 @@
                         logging::warn!(event = "pool.password", member, "the server's login: {fault}");
                         return Err(Outcome::ConnectFailed);
                     }
-                    let turned = backend.link.turn(&mut backend.stream);
+                    let turned = backend.link.process_io(&mut backend.stream);
                     fill = turned.map_err(|fault| told(&fault, backend))?;
                 }
                 b'S' => {
@@ -261,7 +261,7 @@
     pub(super) fn is_alive(&mut self, slot: Slot) -> bool {
         let Some(backend) = self.backends.get_mut(slot) else { return false };
         let same = self.members.get(&backend.member).is_some_and(|member| member.address == backend.address);
-        same && matches!(backend.link.turn(&mut backend.stream), Ok(Fill::Drained))
+        same && matches!(backend.link.process_io(&mut backend.stream), Ok(Fill::Drained))
             && backend.link.inbox.is_empty()
     }
 
@@ -297,7 +297,7 @@
         // A server that skips the proof that it knows the password is not the one that was meant.
         Login::Done if backend.login.is_none() => return Ok(()),
         asked @ Login::Mechanisms(_) if asked.has(MECHANISM) || asked.has(MECHANISM_PLUS) => {
-            let endpoint = backend.link.endpoint();
+            let endpoint = backend.link.channel_binding();
             let (mechanism, channel) = match &endpoint {
                 Some(bytes) if asked.has(MECHANISM_PLUS) => (MECHANISM_PLUS, ChannelBinding::Bound(bytes)),
                 // The server finds out whether its offer was struck out on the way.
--- a/crates/tls/src/link.rs
+++ b/crates/tls/src/link.rs
@@ -5,10 +5,10 @@
 
 use buffer::{Budget, Fill, Ring};
 
-use crate::session::{Fault, Session};
+use crate::session::{Session, TlsError};
 
 /// Plain bytes both ways, over a stream that is handed in.
-pub struct Link {
+pub struct Transport {
     /// What has come.
     pub inbox: Ring,
     /// What is to go.
@@ -17,16 +17,16 @@
     tls: Option<(Session, Ring, Ring)>,
 }
 
-impl Link {
+impl Transport {
     /// Without TLS, or with a session.
-    pub fn new(session: Option<Session>, budget: &Budget) -> Link {
+    pub fn new(session: Option<Session>, budget: &Budget) -> Transport {
         let ring = || Ring::new(budget);
-        Link { inbox: ring(), outbox: ring(), tls: session.map(|session| (session, ring(), ring())) }
+        Transport { inbox: ring(), outbox: ring(), tls: session.map(|session| (session, ring(), ring())) }
     }
 
     /// Writes what is to go and reads what has come, as far as the stream goes: drained where there is nothing more
     /// for now, full where the inbox must be taken from first, ended where the other side has ended.
-    pub fn turn(&mut self, stream: &mut (impl Read + Write)) -> Result<Fill, Fault> {
+    pub fn process_io(&mut self, stream: &mut (impl Read + Write)) -> Result<Fill, TlsError> {
         let Some((session, came, wire)) = &mut self.tls else {
             self.outbox.drain(stream)?;
             return Ok(self.inbox.fill(stream)?);
@@ -46,16 +46,16 @@
                 // What came before the end is taken first: it may be an answer that is whole by its own word.
                 (Fill::Drained, Fill::Ended) if !self.inbox.is_empty() => return Ok(Fill::Full),
                 // An end without the other side's last word: it may have been cut off by anybody.
-                (Fill::Drained, Fill::Ended) => return Err(Fault::Broken(ErrorKind::UnexpectedEof)),
+                (Fill::Drained, Fill::Ended) => return Err(TlsError::Io(ErrorKind::UnexpectedEof)),
                 (Fill::Drained, Fill::Full) if any && came.is_empty() => {}
-                (Fill::Drained, _) if written && session.is_up() && !self.outbox.is_empty() => {}
+                (Fill::Drained, _) if written && session.is_established() && !self.outbox.is_empty() => {}
                 (Fill::Drained, _) => return Ok(Fill::Drained),
             }
         }
     }
 
     /// Goes on with a session beneath. What has come until now must have been taken: it came in the clear.
-    pub fn secure(&mut self, session: Session, budget: &Budget) {
+    pub fn start_tls(&mut self, session: Session, budget: &Budget) {
         self.tls = Some((session, Ring::new(budget), Ring::new(budget)));
     }
 
@@ -64,13 +64,13 @@
         self.outbox.is_empty() && self.tls.as_ref().is_none_or(|(_, _, wire)| wire.is_empty())
     }
 
-    /// What a login can be bound to, where there is TLS beneath; see [`Session::endpoint`].
-    pub fn endpoint(&self) -> Option<Arc<[u8]>> {
-        self.tls.as_ref()?.0.endpoint()
+    /// What a login can be bound to, where there is TLS beneath; see [`Session::channel_binding`].
+    pub fn channel_binding(&self) -> Option<Arc<[u8]>> {
+        self.tls.as_ref()?.0.channel_binding()
     }
 
     /// Whether there is TLS beneath.
-    pub fn is_secured(&self) -> bool {
+    pub fn has_tls(&self) -> bool {
         self.tls.is_some()
     }
 }
--- a/crates/tls/src/session.rs
+++ b/crates/tls/src/session.rs
@@ -9,7 +9,7 @@
 use rustls::{CertificateError, ClientConnection, Connection, ServerConnection};
 
 use crate::endpoint::endpoint;
-use crate::material::{Client, Server};
+use crate::material::{ClientContext, ServerContext};
 
 /// Most plain bytes that wait within a session to be made into records; what is past it stays in its own buffer.
 const WAITING: usize = 16 * 1024;
@@ -19,65 +19,65 @@
 
 /// Why a session is over.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum TlsError {
     /// The other side's certificate has run out, or does not hold yet.
     Expired,
     /// It is not of the name, or the address, that was called.
-    Name,
+    NameMismatch,
     /// Nobody that is trusted vouches for it.
-    Unknown,
+    UnknownIssuer,
     /// What came is not TLS.
     NotTls,
     /// The other side does not take this client's certificate, or misses one.
-    Refused,
+    CertificateRejected,
     /// There is no memory left for it.
-    Budget,
+    OutOfMemory,
     /// The stream has failed, or ended within the handshake.
-    Broken(ErrorKind),
+    Io(ErrorKind),
     /// Something else, in the library's words.
     Other(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for TlsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Expired => f.write_str("its certificate has run out, or does not hold yet"),
-            Fault::Name => f.write_str("its certificate is another name's"),
-            Fault::Unknown => f.write_str("nobody in the CA file vouches for its certificate"),
-            Fault::NotTls => f.write_str("it does not speak TLS"),
-            Fault::Refused => f.write_str("it does not take the client's certificate"),
-            Fault::Budget => f.write_str("no memory left"),
-            Fault::Broken(kind) => write!(f, "{kind}"),
-            Fault::Other(what) => f.write_str(what),
+            TlsError::Expired => f.write_str("its certificate has run out, or does not hold yet"),
+            TlsError::NameMismatch => f.write_str("its certificate is another name's"),
+            TlsError::UnknownIssuer => f.write_str("nobody in the CA file vouches for its certificate"),
+            TlsError::NotTls => f.write_str("it does not speak TLS"),
+            TlsError::CertificateRejected => f.write_str("it does not take the client's certificate"),
+            TlsError::OutOfMemory => f.write_str("no memory left"),
+            TlsError::Io(kind) => write!(f, "{kind}"),
+            TlsError::Other(what) => f.write_str(what),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for TlsError {}
 
-impl From<io::Error> for Fault {
-    fn from(error: io::Error) -> Fault {
+impl From<io::Error> for TlsError {
+    fn from(error: io::Error) -> TlsError {
         // The library hands its own errors through the stream's where it is read or written as one.
         match error.get_ref().and_then(|inner| inner.downcast_ref::<rustls::Error>()) {
             Some(inner) => inner.clone().into(),
-            None => Fault::Broken(error.kind()),
+            None => TlsError::Io(error.kind()),
         }
     }
 }
 
-impl From<rustls::Error> for Fault {
-    fn from(error: rustls::Error) -> Fault {
+impl From<rustls::Error> for TlsError {
+    fn from(error: rustls::Error) -> TlsError {
         use rustls::{AlertDescription as Alert, Error};
         use CertificateError as Bad;
         match error {
             Error::InvalidCertificate(
                 Bad::Expired | Bad::ExpiredContext { .. } | Bad::NotValidYet | Bad::NotValidYetContext { .. },
-            ) => Fault::Expired,
+            ) => TlsError::Expired,
             Error::InvalidCertificate(Bad::NotValidForName | Bad::NotValidForNameContext { .. }) => {
-                Fault::Name
+                TlsError::NameMismatch
             }
-            Error::InvalidCertificate(Bad::UnknownIssuer | Bad::BadSignature) => Fault::Unknown,
-            Error::InvalidMessage(_) => Fault::NotTls,
+            Error::InvalidCertificate(Bad::UnknownIssuer | Bad::BadSignature) => TlsError::UnknownIssuer,
+            Error::InvalidMessage(_) => TlsError::NotTls,
             Error::AlertReceived(
                 Alert::BadCertificate
                 | Alert::CertificateRequired
@@ -85,8 +85,8 @@
                 | Alert::CertificateUnknown
                 | Alert::UnknownCA
                 | Alert::AccessDenied,
-            ) => Fault::Refused,
-            error => Fault::Other(error.to_string()),
+            ) => TlsError::CertificateRejected,
+            error => TlsError::Other(error.to_string()),
         }
     }
 }
@@ -134,14 +134,14 @@
 
 impl Session {
     /// A session with whoever has a certificate of this name: a DNS name or an IP address.
-    pub fn new(client: &Client, name: &str, budget: &Budget) -> Result<Session, Fault> {
+    pub fn new(client: &ClientContext, name: &str, budget: &Budget) -> Result<Session, TlsError> {
         let name = ServerName::try_from(name.to_string())
-            .map_err(|_| Fault::Other(format!("{name:?} is neither a DNS name nor an IP address")))?;
+            .map_err(|_| TlsError::Other(format!("{name:?} is neither a DNS name nor an IP address")))?;
         Session::over(ClientConnection::new(client.config.clone(), name)?.into(), None, budget)
     }
 
     /// A session with somebody who connects here.
-    pub fn accept(server: &Server, budget: &Budget) -> Result<Session, Fault> {
+    pub fn accept(server: &ServerContext, budget: &Budget) -> Result<Session, TlsError> {
         let connection = ServerConnection::new(server.config.clone())?;
         Session::over(connection.into(), server.endpoint.clone(), budget)
     }
@@ -150,9 +150,9 @@
         mut connection: Connection,
         endpoint: Option<Arc<[u8]>>,
         budget: &Budget,
-    ) -> Result<Session, Fault> {
+    ) -> Result<Session, TlsError> {
         let mut charge = budget.charge();
-        charge.set(TAKES).map_err(|_| Fault::Budget)?;
+        charge.set(TAKES).map_err(|_| TlsError::OutOfMemory)?;
         connection.set_buffer_limit(Some(WAITING));
         Ok(Session { connection, endpoint, _charge: charge })
     }
@@ -160,7 +160,7 @@
     /// What a login over this connection can be bound to (`tls-server-end-point`): the hash of the server's
     /// certificate, this side's own or the other's. None before the handshake is over, and for a certificate whose
     /// signature has no hash.
-    pub fn endpoint(&self) -> Option<Arc<[u8]>> {
+    pub fn channel_binding(&self) -> Option<Arc<[u8]>> {
         match &self.connection {
             Connection::Server(_) => self.endpoint.clone(),
             Connection::Client(client) => {
@@ -170,12 +170,12 @@
     }
 
     /// Whether the other side is known to be who it must be.
-    pub fn is_up(&self) -> bool {
+    pub fn is_established(&self) -> bool {
         !self.connection.is_handshaking()
     }
 
     /// Makes records of plain bytes, as far as they fit, and puts what is to go into `wire`.
-    pub fn seal(&mut self, plain: &mut Ring, wire: &mut Ring) -> Result<(), Fault> {
+    pub fn seal(&mut self, plain: &mut Ring, wire: &mut Ring) -> Result<(), TlsError> {
         loop {
             let before = plain.len();
             plain.drain(&mut Writer(&mut self.connection))?;
@@ -187,7 +187,7 @@
         }
     }
 
-    fn flush(&mut self, wire: &mut Ring) -> Result<(), Fault> {
+    fn flush(&mut self, wire: &mut Ring) -> Result<(), TlsError> {
         while self.connection.wants_write() {
             match self.connection.write_tls(&mut Outlet(wire)) {
                 Ok(_) => {}
@@ -200,7 +200,7 @@
 
     /// Takes what came, puts plain bytes into `plain` and what is to go in answer into `wire`. Full where `plain`
     /// has no room, ended where the other side has said its last.
-    pub fn open(&mut self, came: &mut Ring, plain: &mut Ring, wire: &mut Ring) -> Result<Fill, Fault> {
+    pub fn open(&mut self, came: &mut Ring, plain: &mut Ring, wire: &mut Ring) -> Result<Fill, TlsError> {
         loop {
             let fill = plain.fill(&mut self.connection.reader())?;
             if fill != Fill::Drained || came.is_empty() {
--- a/crates/tls/tests/session.rs
+++ b/crates/tls/tests/session.rs
@@ -9,7 +9,7 @@
 use openssl::ssl::{ErrorCode, Ssl, SslStream, SslVersion};
 use peers::Authority;
 use rstest::rstest;
-use tls::{Client, Fault, Files, Link, Session};
+use tls::{ClientContext, ClientFiles, Session, TlsError, Transport};
 
 /// 2026 in Unix seconds.
 const NOW: f64 = 1_780_000_000.0;
@@ -50,14 +50,19 @@
     }
 }
 
-fn client(authority: &Authority, own: Option<(&str, &str)>) -> Client {
+fn client(authority: &Authority, own: Option<(&str, &str)>) -> ClientContext {
     let own = own.map(|(cert, key)| (cert.as_bytes(), key.as_bytes()));
-    Client::new(Files { ca: authority.pem.as_bytes(), own }, NOW).unwrap()
+    ClientContext::new(ClientFiles { ca: authority.pem.as_bytes(), identity: own }, NOW).unwrap()
 }
 
 /// Lets a client and a server that sends back what it gets talk until neither has anything to say; what the client
 /// has got.
-fn echo(link: &mut Link, mut near: End, server: &mut SslStream<End>, sent: &[u8]) -> Result<Vec<u8>, Fault> {
+fn echo(
+    link: &mut Transport,
+    mut near: End,
+    server: &mut SslStream<End>,
+    sent: &[u8],
+) -> Result<Vec<u8>, TlsError> {
     let (mut got, mut left, mut back, mut quiet) = (Vec::new(), sent, VecDeque::new(), 0);
     while quiet < 10 {
         quiet += 1;
@@ -67,7 +72,7 @@
             left = &left[most..];
             quiet = 0;
         }
-        match link.turn(&mut near)? {
+        match link.process_io(&mut near)? {
             Fill::Ended => return Ok(got),
             _ if !link.inbox.is_empty() => quiet = 0,
             _ => {}
@@ -77,7 +82,7 @@
         match server.ssl_read(&mut bytes) {
             Ok(count) => back.extend(&bytes[..count]),
             Err(error) if error.code() == ErrorCode::WANT_READ => {}
-            Err(error) => return Err(Fault::Other(error.to_string())),
+            Err(error) => return Err(TlsError::Other(error.to_string())),
         }
         while !back.is_empty() {
             let bytes = back.make_contiguous();
@@ -113,7 +118,7 @@
     let (cert, key) = authority.issue("pooler", 2040);
     let client = client(&authority, of_clients.then_some((&cert, &key)));
     let budget = Budget::new(2 << 20);
-    let mut link = Link::new(Some(Session::new(&client, "127.0.0.1", &budget).unwrap()), &budget);
+    let mut link = Transport::new(Some(Session::new(&client, "127.0.0.1", &budget).unwrap()), &budget);
     let sent: Vec<u8> =
         (0..if most == 1 { 300 } else { 300_000u32 }).map(|n| (n.wrapping_mul(n) >> 7) as u8).collect();
     let mut got = Vec::new();
@@ -133,41 +138,42 @@
 }
 
 #[rstest]
-#[case::run_out("127.0.0.1", 2024, Fault::Expired)]
-#[case::of_another_address("127.0.0.2", 2040, Fault::Name)]
-#[case::of_a_name("registry.example", 2040, Fault::Name)]
+#[case::run_out("127.0.0.1", 2024, TlsError::Expired)]
+#[case::of_another_address("127.0.0.2", 2040, TlsError::NameMismatch)]
+#[case::of_a_name("registry.example", 2040, TlsError::NameMismatch)]
 fn a_certificate_that_is_not_the_one_due_ends_it(
     #[case] name: &str,
     #[case] until: i32,
-    #[case] fault: Fault,
+    #[case] fault: TlsError,
 ) {
     let authority = Authority::default();
     let (near, far) = pipe(1 << 20);
     let mut stream = server(&authority.acceptor(name, until, false), far);
     let budget = Budget::new(1 << 20);
     let session = Session::new(&client(&authority, None), "127.0.0.1", &budget).unwrap();
-    assert_eq!(echo(&mut Link::new(Some(session), &budget), near, &mut stream, b"x"), Err(fault));
+    assert_eq!(echo(&mut Transport::new(Some(session), &budget), near, &mut stream, b"x"), Err(fault));
 }
 
 #[test]
 fn nobody_else_vouches_and_a_missing_client_certificate_is_told() {
     let (authority, other) = (Authority::default(), Authority::default());
     let budget = Budget::new(1 << 20);
-    let link =
-        |client: &Client| Link::new(Some(Session::new(client, "127.0.0.1", &budget).unwrap()), &budget);
+    let link = |client: &ClientContext| {
+        Transport::new(Some(Session::new(client, "127.0.0.1", &budget).unwrap()), &budget)
+    };
     let (near, far) = pipe(1 << 20);
     let mut stream = server(&other.acceptor("127.0.0.1", 2040, false), far);
     let fault = echo(&mut link(&client(&authority, None)), near, &mut stream, b"x");
-    assert_eq!(fault, Err(Fault::Unknown));
+    assert_eq!(fault, Err(TlsError::UnknownIssuer));
     let (near, far) = pipe(1 << 20);
     let mut stream = server(&authority.acceptor("127.0.0.1", 2040, true), far);
     let mut without = link(&client(&authority, None));
     let mut end = near.clone();
     let told = (0..20).find_map(|_| {
         let _ = stream.ssl_read(&mut [0; 10]);
-        without.turn(&mut end).err()
+        without.process_io(&mut end).err()
     });
-    assert_eq!(told, Some(Fault::Refused));
+    assert_eq!(told, Some(TlsError::CertificateRejected));
 }
 
 #[test]
@@ -177,7 +183,7 @@
     let session = || Session::new(&client(&authority, None), "127.0.0.1", &budget).unwrap();
     let (mut near, mut far) = pipe(1 << 20);
     far.write_all(b"HTTP/1.1 400 Bad Request\r\n\r\n").unwrap();
-    assert_eq!(Link::new(Some(session()), &budget).turn(&mut near), Err(Fault::NotTls));
+    assert_eq!(Transport::new(Some(session()), &budget).process_io(&mut near), Err(TlsError::NotTls));
     // The end of the stream without the other side's word may be anybody's doing.
     struct Over;
     impl Read for Over {
@@ -193,11 +199,11 @@
             Ok(())
         }
     }
-    let cut = Fault::Broken(ErrorKind::UnexpectedEof);
-    assert_eq!(Link::new(Some(session()), &budget).turn(&mut Over), Err(cut));
+    let cut = TlsError::Io(ErrorKind::UnexpectedEof);
+    assert_eq!(Transport::new(Some(session()), &budget).process_io(&mut Over), Err(cut));
     let none = Budget::new(1_000);
     let fault = Session::new(&client(&authority, None), "127.0.0.1", &none).err();
-    assert_eq!(fault, Some(Fault::Budget));
+    assert_eq!(fault, Some(TlsError::OutOfMemory));
 }
 
 /// A stream that has ended behind what is left in it.
@@ -229,13 +235,13 @@
     let mut stream = server(&authority.acceptor("127.0.0.1", 2040, false), far);
     let budget = Budget::new(1 << 20);
     let session = Session::new(&client(&authority, None), "127.0.0.1", &budget).unwrap();
-    let mut link = Link::new(Some(session), &budget);
+    let mut link = Transport::new(Some(session), &budget);
     assert_eq!(echo(&mut link, near.clone(), &mut stream, b"x").unwrap(), b"x");
     stream.ssl_write(b"the answer").unwrap();
     let mut ending = Ending(near);
-    assert_eq!(link.turn(&mut ending), Ok(Fill::Full));
+    assert_eq!(link.process_io(&mut ending), Ok(Fill::Full));
     assert_eq!(link.inbox.take(100), b"the answer");
-    assert_eq!(link.turn(&mut ending), Err(Fault::Broken(ErrorKind::UnexpectedEof)));
+    assert_eq!(link.process_io(&mut ending), Err(TlsError::Io(ErrorKind::UnexpectedEof)));
 }
 
 #[test]
@@ -246,7 +252,7 @@
     let ca = authority.pem.as_bytes();
     let which = |ca: &[u8], own: Option<(&str, &str)>| {
         let own = own.map(|(cert, key)| (cert.as_bytes(), key.as_bytes()));
-        Client::new(Files { ca, own }, NOW).err().map(|unusable| unusable.which)
+        ClientContext::new(ClientFiles { ca, identity: own }, NOW).err().map(|unusable| unusable.file)
     };
     assert_eq!(which(ca, Some((&cert, &key))), None);
     assert_eq!(which(b"", None), Some("ca"));
@@ -256,7 +262,7 @@
     assert_eq!(which(ca, Some((&cert, &cert))), Some("key"));
     let whole = authority.pem.repeat(40);
     assert_eq!(which(whole.as_bytes(), None), Some("ca"));
-    let (which, end) = client(&authority, Some((&cert, &key))).ends().unwrap();
+    let (which, end) = client(&authority, Some((&cert, &key))).first_expiry().unwrap();
     // The last day of 2040.
     assert_eq!((which, (end / 86_400.0) as u64), ("certificate", 25_932));
 }
