--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -14,9 +14,9 @@
 const MARK: &str = "# dewferry-signature: ";
 const VERSION: &str = "1";
 /// Fewest bytes of a key: as many as the hash has, below which it could be guessed more easily than that.
-pub const LEAST_KEY: usize = 32;
+pub const MIN_KEY_BYTES: usize = 32;
 /// Most bytes of a key file.
-pub const LONGEST_KEY: usize = 1024;
+pub const MAX_KEY_FILE_BYTES: usize = 1024;
 
 /// A secret key. Never printed.
 pub struct Key {
@@ -32,41 +32,43 @@
 
 /// Why a key or a signature is not taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// The key file is not at least [`LEAST_KEY`] bytes in hexadecimal.
-    Key,
+pub enum SignatureError {
+    /// The key file is not at least [`MIN_KEY_BYTES`] bytes in hexadecimal.
+    InvalidKey,
     /// The file has no signature on its last line.
     Unsigned,
     /// The signature is of another version or form.
-    Form,
+    UnsupportedFormat,
     /// None of the keys has signed it.
     UnknownKey(String),
     /// The file is not what was signed.
     Mismatch(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SignatureError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Key => {
-                write!(f, "a key file holds at least {LEAST_KEY} bytes in hexadecimal, on one line")
+            SignatureError::InvalidKey => {
+                write!(f, "a key file holds at least {MIN_KEY_BYTES} bytes in hexadecimal, on one line")
             }
-            Fault::Unsigned => f.write_str("not signed: the last line holds no signature"),
-            Fault::Form => f.write_str("the signature is of another version or form"),
-            Fault::UnknownKey(id) => write!(f, "signed with the key {id}, which is none of the keys here"),
-            Fault::Mismatch(id) => write!(f, "changed since it was signed with the key {id}"),
+            SignatureError::Unsigned => f.write_str("not signed: the last line holds no signature"),
+            SignatureError::UnsupportedFormat => f.write_str("the signature is of another version or form"),
+            SignatureError::UnknownKey(id) => {
+                write!(f, "signed with the key {id}, which is none of the keys here")
+            }
+            SignatureError::Mismatch(id) => write!(f, "changed since it was signed with the key {id}"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SignatureError {}
 
 impl Key {
     /// Reads the text of a key file.
-    pub fn parse(text: &str) -> Result<Key, Fault> {
-        let secret = hex::decode(text.trim()).map_err(|_| Fault::Key)?;
-        if secret.len() < LEAST_KEY || text.len() > LONGEST_KEY {
-            return Err(Fault::Key);
+    pub fn parse(text: &str) -> Result<Key, SignatureError> {
+        let secret = hex::decode(text.trim()).map_err(|_| SignatureError::InvalidKey)?;
+        if secret.len() < MIN_KEY_BYTES || text.len() > MAX_KEY_FILE_BYTES {
+            return Err(SignatureError::InvalidKey);
         }
         // Names the key without telling of it: a hash of it, cut short.
         let id = hex::encode(&Sha256::digest(&secret)[..4]);
@@ -78,8 +80,8 @@
         &self.id
     }
 
-    fn mac(&self, text: &str) -> Result<Hmac<Sha256>, Fault> {
-        let mut mac = Hmac::<Sha256>::new_from_slice(&self.secret).map_err(|_| Fault::Key)?;
+    fn mac(&self, text: &str) -> Result<Hmac<Sha256>, SignatureError> {
+        let mut mac = Hmac::<Sha256>::new_from_slice(&self.secret).map_err(|_| SignatureError::InvalidKey)?;
         mac.update(text.as_bytes());
         Ok(mac)
     }
@@ -93,7 +95,7 @@
 }
 
 /// The text with a signature under this key, in place of one that it may have.
-pub fn sign(text: &str, key: &Key) -> Result<String, Fault> {
+pub fn sign(text: &str, key: &Key) -> Result<String, SignatureError> {
     let mut text = split(text).map_or(text, |(body, _)| body).to_string();
     if !text.is_empty() && !text.ends_with('\n') {
         text.push('\n');
@@ -104,12 +106,12 @@
 
 /// The id of the key that has signed a text. Several keys are valid at a time, so that one can take another's
 /// place; the comparison takes the same time wherever two signatures differ.
-pub fn verify<'k>(text: &str, keys: &'k [Key]) -> Result<&'k str, Fault> {
-    let (body, line) = split(text).ok_or(Fault::Unsigned)?;
+pub fn verify<'k>(text: &str, keys: &'k [Key]) -> Result<&'k str, SignatureError> {
+    let (body, line) = split(text).ok_or(SignatureError::Unsigned)?;
     let words: Vec<&str> = line.split(' ').collect();
-    let [VERSION, id, mac] = words[..] else { return Err(Fault::Form) };
-    let mac = hex::decode(mac).map_err(|_| Fault::Form)?;
-    let key = keys.iter().find(|key| key.id == id).ok_or_else(|| Fault::UnknownKey(id.into()))?;
-    key.mac(body)?.verify_slice(&mac).map_err(|_| Fault::Mismatch(id.into()))?;
+    let [VERSION, id, mac] = words[..] else { return Err(SignatureError::UnsupportedFormat) };
+    let mac = hex::decode(mac).map_err(|_| SignatureError::UnsupportedFormat)?;
+    let key = keys.iter().find(|key| key.id == id).ok_or_else(|| SignatureError::UnknownKey(id.into()))?;
+    key.mac(body)?.verify_slice(&mac).map_err(|_| SignatureError::Mismatch(id.into()))?;
     Ok(&key.id)
 }
--- a/crates/bundle/tests/signed.rs
+++ b/crates/bundle/tests/signed.rs
@@ -1,6 +1,6 @@
 //! Signatures: what is taken, what is not, and a rotation of keys.
 
-use bundle::{sign, verify, Fault, Key};
+use bundle::{sign, verify, Key, SignatureError};
 
 fn key(byte: &str) -> Key {
     Key::parse(&format!("{}\n", byte.repeat(32))).unwrap()
@@ -15,7 +15,7 @@
     let again = sign(&text, &new).unwrap();
     assert_eq!(verify(&again, &keys), Ok(new.id()));
     assert_eq!(again.matches("dewferry-signature").count(), 1);
-    assert_eq!(verify(&again, &keys[1..]), Err(Fault::UnknownKey(new.id().into())));
+    assert_eq!(verify(&again, &keys[1..]), Err(SignatureError::UnknownKey(new.id().into())));
 }
 
 #[test]
@@ -34,10 +34,10 @@
 
 #[test]
 fn what_is_no_key_or_no_signature_is_told_apart() {
-    assert_eq!(Key::parse("a1").unwrap_err(), Fault::Key);
-    assert_eq!(Key::parse(&"zz".repeat(32)).unwrap_err(), Fault::Key);
+    assert_eq!(Key::parse("a1").unwrap_err(), SignatureError::InvalidKey);
+    assert_eq!(Key::parse(&"zz".repeat(32)).unwrap_err(), SignatureError::InvalidKey);
     let keys = [key("a1")];
-    assert_eq!(verify("a = 1\n", &keys), Err(Fault::Unsigned));
-    assert_eq!(verify("a = 1\n# dewferry-signature: 2 x y\n", &keys), Err(Fault::Form));
+    assert_eq!(verify("a = 1\n", &keys), Err(SignatureError::Unsigned));
+    assert_eq!(verify("a = 1\n# dewferry-signature: 2 x y\n", &keys), Err(SignatureError::UnsupportedFormat));
     assert!(!format!("{:?}", keys[0]).contains("a1a1"));
 }
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -69,8 +69,8 @@
 /// Reads a key file for signatures.
 pub(crate) fn key(path: &Path) -> Result<Key, String> {
     let named = |fault: String| format!("{}: {fault}", path.display());
-    let bytes = private(path, bundle::LONGEST_KEY)?;
-    let text = String::from_utf8(bytes).map_err(|_| named(bundle::Fault::Key.to_string()))?;
+    let bytes = private(path, bundle::MAX_KEY_FILE_BYTES)?;
+    let text = String::from_utf8(bytes).map_err(|_| named(bundle::SignatureError::InvalidKey.to_string()))?;
     Key::parse(&text).map_err(|fault| named(fault.to_string()))
 }
 
@@ -79,7 +79,7 @@
     let named = |path: &Path, fault: &str| format!("{}: {fault}", path.display());
     let mut texts = Vec::new();
     for path in paths {
-        let bytes = private(path, bundle::LONGEST_KEY)?;
+        let bytes = private(path, bundle::MAX_KEY_FILE_BYTES)?;
         texts.push(
             String::from_utf8(bytes)
                 .map_err(|_| named(path, "not a key; accepted: 64 hexadecimal digits"))?,
