--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use mio::Waker;
-use steplog::{frame, scan, Scan};
+use steplog::{encode_record, scan, Scan};
 use transaction::{History, Record};
 
 use crate::files;
@@ -84,13 +84,14 @@
         let mut file = file.map_err(|error| named(&path, &error))?;
         let mut bytes = Vec::new();
         Read::by_ref(&mut file).take(LONGEST_LOG).read_to_end(&mut bytes).map_err(|e| named(&path, &e))?;
-        let Scan { records, sound, cut } = scan(&bytes).map_err(|fault| named(&path, &fault))?;
+        let Scan { records, valid_bytes: sound, cut_reason: cut } =
+            scan(&bytes).map_err(|fault| named(&path, &fault))?;
         let cut = cut.map(|why| {
             format!("{}: {} bytes after {sound} are cut off: {why}", path.display(), bytes.len() - sound)
         });
         let mut store = Store { folder: folder.to_path_buf(), file, sound: sound as u64, _lock: lock };
         if sound == 0 {
-            store.append(steplog::HEAD).map_err(|error| named(&path, &error))?;
+            store.append(steplog::HEADER).map_err(|error| named(&path, &error))?;
         } else {
             store.trim().map_err(|error| named(&path, &error))?;
         }
@@ -141,7 +142,7 @@
 
     /// Puts steps on record at once, before anything is served.
     pub fn record(&mut self, records: &[Record]) -> Result<(), String> {
-        let bytes: Vec<u8> = records.iter().flat_map(frame).collect();
+        let bytes: Vec<u8> = records.iter().flat_map(encode_record).collect();
         self.append(&bytes).map_err(|error| format!("{}: {error}", self.folder.join(LOG).display()))
     }
 
@@ -185,12 +186,12 @@
 impl Writer {
     /// Has a step written; its end is told by [`done`](Writer::done), or here where it cannot even wait.
     pub fn append(&mut self, step: u64, record: &Record, history: &History) -> Result<(), String> {
-        let bytes = frame(record);
+        let bytes = encode_record(record);
         self.size += bytes.len();
         let busy = |_| "the disk does not keep up".to_string();
         self.jobs.try_send(Job::Append(step, bytes)).map_err(busy)?;
         if self.size > self.most {
-            let whole = steplog::rewritten(history);
+            let whole = steplog::compacted_log(history);
             // Where even what must be kept is that large, it is not rewritten with each step.
             self.size = whole.len().min(self.most / 2);
             let _ = self.jobs.try_send(Job::Rewrite(whole));
@@ -200,7 +201,7 @@
 
     /// Puts the whole history on disk anew, over whatever a successor that failed has left there.
     pub fn reclaim(&mut self, history: &History) {
-        let whole = steplog::rewritten(history);
+        let whole = steplog::compacted_log(history);
         self.size = whole.len();
         let _ = self.jobs.try_send(Job::Rewrite(whole));
     }
--- a/crates/steplog/src/lib.rs
+++ b/crates/steplog/src/lib.rs
@@ -10,9 +10,9 @@
 use transaction::{History, Record};
 
 /// What a log begins with.
-pub const HEAD: &[u8] = b"dewferry steps 1\n";
+pub const HEADER: &[u8] = b"dewferry steps 1\n";
 /// Longest record (bytes): a snapshot of four documents, each as long as may be, written out as JSON.
-pub const LONGEST: usize = 64 * 1024 * 1024;
+pub const MAX_RECORD_BYTES: usize = 64 * 1024 * 1024;
 
 /// What stands in a log.
 #[derive(Debug, PartialEq)]
@@ -20,13 +20,13 @@
     /// The steps that check out, in their order.
     pub records: Vec<Record>,
     /// How many bytes of the log they take, its head included; 0 where the head is not there.
-    pub sound: usize,
+    pub valid_bytes: usize,
     /// Why what follows is cut; none where nothing follows.
-    pub cut: Option<&'static str>,
+    pub cut_reason: Option<&'static str>,
 }
 
 /// One record in its form.
-pub fn frame(record: &Record) -> Vec<u8> {
+pub fn encode_record(record: &Record) -> Vec<u8> {
     // The steps hold texts and numbers only, which JSON can always say.
     let text = serde_json::to_vec(record).unwrap_or_default();
     let mut out = Vec::with_capacity(text.len() + 8);
@@ -37,23 +37,25 @@
 }
 
 /// A whole log that says what a history holds, and nothing of how it came about.
-pub fn rewritten(history: &History) -> Vec<u8> {
+pub fn compacted_log(history: &History) -> Vec<u8> {
     let records = std::iter::once(history.snapshot()).chain(history.open_steps());
-    HEAD.iter().copied().chain(records.flat_map(|record| frame(&record))).collect()
+    HEADER.iter().copied().chain(records.flat_map(|record| encode_record(&record))).collect()
 }
 
 /// Reads a log as far as it checks out. A file of another version, or of something else, is told by its head.
 pub fn scan(bytes: &[u8]) -> Result<Scan, &'static str> {
-    let Some(mut rest) = bytes.strip_prefix(HEAD) else {
+    let Some(mut rest) = bytes.strip_prefix(HEADER) else {
         // A crash may have cut the head itself; what is there must then be the beginning of it.
-        return match HEAD.starts_with(bytes) {
-            true => {
-                Ok(Scan { records: Vec::new(), sound: 0, cut: (!bytes.is_empty()).then_some("a torn head") })
-            }
+        return match HEADER.starts_with(bytes) {
+            true => Ok(Scan {
+                records: Vec::new(),
+                valid_bytes: 0,
+                cut_reason: (!bytes.is_empty()).then_some("a torn head"),
+            }),
             false => Err("not a log of steps, or one of another version"),
         };
     };
-    let (mut records, mut sound, mut cut) = (Vec::new(), HEAD.len(), None);
+    let (mut records, mut sound, mut cut) = (Vec::new(), HEADER.len(), None);
     while !rest.is_empty() {
         match record(rest) {
             Ok((next, length)) => {
@@ -67,13 +69,13 @@
             }
         }
     }
-    Ok(Scan { records, sound, cut })
+    Ok(Scan { records, valid_bytes: sound, cut_reason: cut })
 }
 
 fn record(bytes: &[u8]) -> Result<(Record, usize), &'static str> {
     let (Some(length), Some(crc)) = (word(bytes, 0), word(bytes, 4)) else { return Err("a torn record") };
     let length = length as usize;
-    if length > LONGEST {
+    if length > MAX_RECORD_BYTES {
         return Err("a record of impossible length");
     }
     let text = bytes.get(8..8 + length).ok_or("a torn record")?;
--- a/crates/steplog/tests/torn.rs
+++ b/crates/steplog/tests/torn.rs
@@ -1,7 +1,7 @@
 //! Logs that a crash has cut, or that something has spoilt, at every byte.
 
 use operator::Document;
-use steplog::{frame, rewritten, scan, HEAD};
+use steplog::{compacted_log, encode_record, scan, HEADER};
 use transaction::{Fate, History, Record};
 
 fn steps() -> Vec<Record> {
@@ -23,7 +23,7 @@
 }
 
 fn log(records: &[Record]) -> Vec<u8> {
-    HEAD.iter().copied().chain(records.iter().flat_map(frame)).collect()
+    HEADER.iter().copied().chain(records.iter().flat_map(encode_record)).collect()
 }
 
 #[test]
@@ -33,8 +33,8 @@
     for cut in 0..=whole.len() {
         let scan = scan(&whole[..cut]).unwrap();
         assert!(steps.starts_with(&scan.records));
-        assert!(scan.sound <= cut);
-        assert_eq!(scan.cut.is_none(), scan.sound == cut, "{cut}");
+        assert!(scan.valid_bytes <= cut);
+        assert_eq!(scan.cut_reason.is_none(), scan.valid_bytes == cut, "{cut}");
         let confirmed = History::of(scan.records).confirmed().map(|generation| generation.number);
         // The second generation holds only once its confirmation is there to the last byte.
         let expected = match cut {
@@ -51,12 +51,12 @@
     let steps = steps();
     let whole = log(&steps);
     let last = log(&steps[..4]).len();
-    for at in HEAD.len()..whole.len() {
+    for at in HEADER.len()..whole.len() {
         let mut spoilt = whole.clone();
         spoilt[at] ^= 0x10;
         let scan = scan(&spoilt).unwrap();
         assert!(steps.starts_with(&scan.records) && scan.records.len() < steps.len(), "{at}");
-        assert!(scan.cut.is_some());
+        assert!(scan.cut_reason.is_some());
         assert!(at < last || scan.records.len() == 4);
     }
     assert!(scan(b"something else").is_err());
@@ -74,7 +74,7 @@
     });
     steps.push(Record::Applied { number: 3 });
     let history = History::of(steps);
-    let again = History::of(scan(&rewritten(&history)).unwrap().records);
+    let again = History::of(scan(&compacted_log(&history)).unwrap().records);
     assert_eq!(
         again.confirmed().map(|g| (g.number, g.digest)),
         history.confirmed().map(|g| (g.number, g.digest))
