--- a/crates/daemon/benches/changes.rs
+++ b/crates/daemon/benches/changes.rs
@@ -25,7 +25,7 @@
 struct Control(BufReader<UnixStream>);
 
 impl Control {
-    fn new(operator: &Operator) -> Control {
+    fn new(operator: &OperatorFolder) -> Control {
         Control(BufReader::new(UnixStream::connect(operator.0.join("control")).unwrap()))
     }
 
@@ -76,14 +76,16 @@
     let waits = "[class.order-write]\naim_s = 1200\ndeadline_s = 1200\n";
     let head = format!("change.probation_s = 600\n{waits}");
     let list_text = members("127.8.0.1:9999");
-    let operator = Operator::new("bench-rollback", &format!("{head}{list_text}"));
+    let operator = OperatorFolder::new("bench-rollback", &format!("{head}{list_text}"));
     let places = [(r#""sockets":1024"#, r#""sockets":4096"#)];
-    let pooler = Pooler::operated_with(PROGRAM, &list(41, true, &[]), &discovery, &operator, &places);
+    let pooler =
+        Pooler::start_with_operator_and_edits(PROGRAM, &list(41, true, &[]), &discovery, &operator, &places);
     let mut control = Control::new(&operator);
     let mut open: Vec<Wire> = (0..OPEN).map(|_| client(&pooler)).collect();
     for (n, wire) in open.iter_mut().enumerate() {
         let id = format!("open{n}");
-        let sql = ask(&id, "order-write").replace("cluster=2", "cluster=10").replace("d=8500", "d=1200000");
+        let sql =
+            request_sql(&id, "order-write").replace("cluster=2", "cluster=10").replace("d=8500", "d=1200000");
         wire.send(&query(&sql));
     }
     let changed: String = (0..100).map(|n| format!("m-{} = \"drain\"\n", n * 50)).collect();
@@ -116,33 +118,33 @@
 fn changes_under_load() {
     let discovery = Discovery::listen();
     let seen: &'static Mutex<BTreeMap<String, (u64, usize)>> = Box::leak(Box::default());
-    let machines: Vec<Answering> = (0..4)
+    let machines: Vec<AnsweringMember> = (0..4)
         .map(|_| {
-            Answering::new(move |sql| {
+            AnsweringMember::new(move |sql| {
                 let field = |name: &str| {
                     let at = sql.find(name).map_or(0, |at| at + name.len());
                     sql[at..].split([',', ' ']).next().unwrap_or_default().to_string()
                 };
                 let id = field("id=");
                 if !id.ends_with('0') {
-                    return served(b"value", "reader");
+                    return answer_with_role(b"value", "reader");
                 }
                 let waits = field(",d=").parse().unwrap_or(0);
                 seen.lock().unwrap().entry(id).or_insert((waits, 0)).1 += 1;
-                turned_away()
+                refusal()
             })
         })
         .collect();
     let lines: Vec<String> =
-        machines.iter().enumerate().map(|(n, m)| m.line(&format!("s-{n}"), "here")).collect();
+        machines.iter().enumerate().map(|(n, m)| m.list_entry(&format!("s-{n}"), "here")).collect();
     let known = list(41, true, &lines);
     let settings = |odd: bool| {
         let (deadline, backoff, attempts) = if odd { (4.0, 0.2, 2) } else { (2.0, 0.1, 1) };
         let rules = "[change]\nprobation_s = 600\n";
         format!("{rules}[limits]\nmax_attempts = {attempts}\nmax_retry_after_s = {backoff}\n[class.reports]\naim_s = {deadline}\ndeadline_s = {deadline}\n")
     };
-    let operator = Operator::new("bench-changes", &settings(false));
-    let pooler = Pooler::operated(PROGRAM, &known, &discovery, &operator);
+    let operator = OperatorFolder::new("bench-changes", &settings(false));
+    let pooler = Pooler::start_with_operator(PROGRAM, &known, &discovery, &operator);
     let texts = [false, true].map(|odd| {
         let path = operator.write("text.toml", &settings(odd));
         std::fs::read_to_string(path).unwrap()
@@ -159,7 +161,7 @@
                     let mut wire = client(pooler);
                     for k in 0..REQUESTS / CLIENTS {
                         let id = format!("{n}x{k}");
-                        wire.send(&query(&ask(&id, "reports")));
+                        wire.send(&query(&request_sql(&id, "reports")));
                         let answer = wire.answer();
                         match answer.first() {
                             None => drop(lost.fetch_add(1, Ordering::Relaxed)),
--- a/crates/daemon/benches/pooling.rs
+++ b/crates/daemon/benches/pooling.rs
@@ -65,20 +65,20 @@
 }
 
 /// A pooler before a server of its own.
-fn pooled(mode: &str, clients: usize) -> (Postgres, Discovery, Operator, Pooler, SocketAddr) {
+fn pooled(mode: &str, clients: usize) -> (Postgres, Discovery, OperatorFolder, Pooler, SocketAddr) {
     let server = Postgres::new("s-0", false);
     let discovery = Discovery::listen();
     let settings = format!(
         "[pool]\nlisten = \"127.0.0.1:0\"\nwrite_class = \"order-write\"\ngroup = 2\nmode = \"{mode}\"\nclients = {clients}\nservers_each = 4\n"
     );
-    let operator = Operator::new(&format!("bench-{mode}"), &settings);
+    let operator = OperatorFolder::new(&format!("bench-{mode}"), &settings);
     // What the platform allows has room for them all.
     let platform =
         ["\"memory_mb\":192,\"sockets\":1024", &format!("\"memory_mb\":4000,\"sockets\":{}", clients + 400)];
-    let list = list(41, true, &[server.line("SERVING")]);
+    let list = list(41, true, &[server.list_entry("SERVING")]);
     let edits = [(platform[0], platform[1])];
-    let pooler = Pooler::operated_with(PROGRAM, &list, &discovery, &operator, &edits);
-    let line = pooler.logged("ordinary clients connect to ");
+    let pooler = Pooler::start_with_operator_and_edits(PROGRAM, &list, &discovery, &operator, &edits);
+    let line = pooler.wait_for_log("ordinary clients connect to ");
     let address = line.split("connect to ").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
     (server, discovery, operator, pooler, address)
 }
--- a/crates/daemon/benches/registry.rs
+++ b/crates/daemon/benches/registry.rs
@@ -20,13 +20,13 @@
     let micros = move || begun.elapsed().as_micros() as u64;
     // Each of three replicas notes when it was asked last.
     let asked: Vec<Arc<AtomicU64>> = (0..3).map(|_| Arc::default()).collect();
-    let machines: Vec<Answering> = asked
+    let machines: Vec<AnsweringMember> = asked
         .iter()
         .map(|last| {
             let last = last.clone();
-            Answering::new(move |_| {
+            AnsweringMember::new(move |_| {
                 last.store(micros(), Ordering::SeqCst);
-                served(b"value", "reader")
+                answer_with_role(b"value", "reader")
             })
         })
         .collect();
@@ -36,30 +36,28 @@
             let address = format!("127.9.{}.{}:{}", n / 250, n % 250 + 1, 20_000 + n);
             (
                 format!("/dewferry/members/m-{n}"),
-                Registry::member(address.parse().unwrap(), 10 + n as u32 / 5, "SERVING"),
+                Registry::member_value(address.parse().unwrap(), 10 + n as u32 / 5, "SERVING"),
             )
         })
         .collect();
-    step.extend(
-        (0..3).map(|n| {
-            (format!("/dewferry/members/s-{n}"), Registry::member(machines[n].address, 2, "SERVING"))
-        }),
-    );
+    step.extend((0..3).map(|n| {
+        (format!("/dewferry/members/s-{n}"), Registry::member_value(machines[n].address, 2, "SERVING"))
+    }));
     let step: Vec<(&str, Option<&str>)> = step.iter().map(|(k, v)| (k.as_str(), Some(v.as_str()))).collect();
     registry.write(&step);
     let settings = format!("[registry]\nendpoints = [\"{}\"]\n", registry.address);
-    let (operator, discovery) = (Operator::new("bench-registry", &settings), Discovery::listen());
+    let (operator, discovery) = (OperatorFolder::new("bench-registry", &settings), Discovery::listen());
     let started = Instant::now();
-    let pooler = Pooler::operated(PROGRAM, &list(0, true, &[]), &discovery, &operator);
-    pooler.logged("registry.following");
-    let (calls, bytes) = registry.used();
+    let pooler = Pooler::start_with_operator(PROGRAM, &list(0, true, &[]), &discovery, &operator);
+    pooler.wait_for_log("registry.following");
+    let (calls, bytes) = registry.usage();
     println!("first view of {MEMBERS} members: {:.0} ms from the start of the program, {calls} calls, {bytes} bytes", started.elapsed().as_secs_f64() * 1000.0);
-    registry.cut(true);
-    pooler.logged("registry.lost");
-    registry.cut(false);
-    let before = registry.used().1;
-    pooler.logged("registry.following");
-    println!("a resume: {} bytes", registry.used().1 - before);
+    registry.set_close_at_once(true);
+    pooler.wait_for_log("registry.lost");
+    registry.set_close_at_once(false);
+    let before = registry.usage().1;
+    pooler.wait_for_log("registry.following");
+    println!("a resume: {} bytes", registry.usage().1 - before);
     let done = AtomicBool::new(false);
     let mut times: Histogram<u64> = Histogram::new_with_bounds(1, 60_000_000, 3).unwrap();
     std::thread::scope(|scope| {
@@ -70,7 +68,7 @@
                 let mut n = 0;
                 while !done.load(Ordering::Relaxed) {
                     n += 1;
-                    wire.send(&query(&ask(&format!("{c}x{n}"), "reports")));
+                    wire.send(&query(&request_sql(&format!("{c}x{n}"), "reports")));
                     wire.answer();
                 }
             });
@@ -87,8 +85,11 @@
                 }
                 let other = round * BURST + n;
                 let address = format!("127.9.{}.{}:{}", other % 40, other % 250 + 1, 20_000 + other % 40_000);
-                let value =
-                    Registry::member(address.parse().unwrap(), 10 + (other % MEMBERS) as u32 / 5, "SERVING");
+                let value = Registry::member_value(
+                    address.parse().unwrap(),
+                    10 + (other % MEMBERS) as u32 / 5,
+                    "SERVING",
+                );
                 registry.write(&[(&format!("/dewferry/members/m-{}", other % MEMBERS), Some(&value))]);
             }
             std::thread::sleep(Duration::from_millis(700));
--- a/crates/daemon/tests/acceptance.rs
+++ b/crates/daemon/tests/acceptance.rs
@@ -49,24 +49,24 @@
 }
 
 /// A machine that serves every request.
-fn serving() -> Answering {
-    Answering::new(|_| served(VALUE, "reader"))
+fn serving() -> AnsweringMember {
+    AnsweringMember::new(|_| answer_with_role(VALUE, "reader"))
 }
 
-fn draining(machine: &Answering, name: &str, zone: &str) -> String {
-    line(machine.address, name, zone, "DRAINING")
+fn draining(machine: &AnsweringMember, name: &str, zone: &str) -> String {
+    list_entry(machine.address, name, zone, "DRAINING")
 }
 
 /// Sends so many reads, one after another; each has to be served.
 fn reads_are_served(client: &mut Wire, ids: std::ops::Range<u32>) {
     for id in ids {
-        client.send(&query(&ask(&id.to_string(), "reports")));
+        client.send(&query(&request_sql(&id.to_string(), "reports")));
         assert_eq!(client.answer()[0].0, b'T');
     }
 }
 
 fn tell_list(watch: &mut TcpStream, list: &str) {
-    tell(watch, &format!("{list}\n"));
+    write_chunk(watch, &format!("{list}\n"));
 }
 
 /// Which discovery tells of the drain after a reload has moved it.
@@ -85,26 +85,26 @@
 ) {
     let (near, far) = (serving(), serving());
     let (discovery, moved) = (Discovery::listen(), Discovery::listen());
-    let known = list(41, true, &[near.line("s-1", "here"), far.line("s-2", "there")]);
+    let known = list(41, true, &[near.list_entry("s-1", "here"), far.list_entry("s-2", "there")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, edits(pushed));
-    let mut former = discovery.followed();
+    let mut former = discovery.accept_watch();
     let mut client = client(&pooler);
     reads_are_served(&mut client, 0..1);
     assert_eq!((near.count(), far.count()), (1, 0), "the machine at home is the first choice");
     let lists = pooler.counter("lists");
     let reloaded = Instant::now();
     pooler.reload(&discovery.address().to_string(), &moved.address().to_string());
-    let (mut new, request) = moved.call();
+    let (mut new, request) = moved.accept_request();
     assert!(request.contains("follow=1&since=0 "), "{request}");
     match teller {
         Teller::Former => tell_list(&mut former, &list(42, false, &[draining(&near, "s-1", "here")])),
         Teller::New => {
-            let whole = [draining(&near, "s-1", "here"), far.line("s-2", "there")];
-            new.write_all(HEAD.as_bytes()).unwrap();
+            let whole = [draining(&near, "s-1", "here"), far.list_entry("s-2", "there")];
+            new.write_all(RESPONSE_HEAD.as_bytes()).unwrap();
             tell_list(&mut new, &list(1, true, &whole));
         }
     }
-    pooler.counts_past("lists", lists);
+    pooler.wait_for_counter_above("lists", lists);
     assert!(reloaded.elapsed() < RELOAD_COUNTS_AS_TOLD, "{:?}", reloaded.elapsed());
     reads_are_served(&mut client, 1..9);
     assert_eq!((near.count(), far.count()), (1, 8), "nothing new to the machine that drains");
@@ -113,25 +113,25 @@
 #[rstest]
 fn a_watch_that_falls_silent_late_is_replaced_before_its_silence_counts(#[values(false, true)] pushed: bool) {
     let (near, far, discovery) = (serving(), serving(), Discovery::listen());
-    let known = list(41, true, &[near.line("s-1", "here"), far.line("s-2", "there")]);
+    let known = list(41, true, &[near.list_entry("s-1", "here"), far.list_entry("s-2", "there")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, edits(pushed));
-    let mut watch = discovery.followed();
+    let mut watch = discovery.accept_watch();
     let mut client = client(&pooler);
     reads_are_served(&mut client, 0..1);
     // It has been heard for a while: empty lines, and a change.
     for _ in 0..4 {
         std::thread::sleep(Duration::from_millis(300));
-        tell(&mut watch, "\n");
+        write_chunk(&mut watch, "\n");
     }
-    tell_list(&mut watch, &list(42, false, &[far.line("s-2", "there")]));
+    tell_list(&mut watch, &list(42, false, &[far.list_entry("s-2", "there")]));
     let silent = Instant::now();
     // The connection stays open and says nothing more.
-    let (mut next, request) = discovery.call();
+    let (mut next, request) = discovery.accept_request();
     assert!(request.contains("follow=1&since=42 "), "{request}");
     let lists = pooler.counter("lists");
-    next.write_all(HEAD.as_bytes()).unwrap();
+    next.write_all(RESPONSE_HEAD.as_bytes()).unwrap();
     tell_list(&mut next, &list(43, false, &[draining(&near, "s-1", "here")]));
-    pooler.counts_past("lists", lists);
+    pooler.wait_for_counter_above("lists", lists);
     assert!(silent.elapsed() < SILENCE_COUNTS_AS_TOLD, "{:?}", silent.elapsed());
     reads_are_served(&mut client, 1..9);
     assert_eq!((near.count(), far.count()), (1, 8), "nothing new to the machine that drains");
@@ -141,20 +141,21 @@
 #[rstest]
 fn machines_missing_from_a_whole_list_get_nothing(#[values(false, true)] pushed: bool) {
     let (drains, missing, far, discovery) = (serving(), serving(), serving(), Discovery::listen());
-    let known = [drains.line("s-1", "here"), missing.line("s-2", "here"), far.line("s-3", "there")];
+    let known =
+        [drains.list_entry("s-1", "here"), missing.list_entry("s-2", "here"), far.list_entry("s-3", "there")];
     let pooler = Pooler::start(PROGRAM, &list(41, true, &known), &discovery, edits(pushed));
-    let (mut watch, request) = discovery.call();
+    let (mut watch, request) = discovery.accept_request();
     assert!(request.contains("follow=1&since=41 "), "{request}");
     let mut client = client(&pooler);
     let lists = pooler.counter("lists");
-    watch.write_all(HEAD.as_bytes()).unwrap();
-    let whole = [draining(&drains, "s-1", "here"), far.line("s-3", "there")];
+    watch.write_all(RESPONSE_HEAD.as_bytes()).unwrap();
+    let whole = [draining(&drains, "s-1", "here"), far.list_entry("s-3", "there")];
     tell_list(&mut watch, &list(50, true, &whole));
-    pooler.counts_past("lists", lists);
+    pooler.wait_for_counter_above("lists", lists);
     reads_are_served(&mut client, 0..8);
     assert_eq!((drains.count(), missing.count(), far.count()), (0, 0, 8));
-    tell_list(&mut watch, &list(51, true, &[missing.line("s-2", "here")]));
-    pooler.counts_past("lists", lists + 1);
+    tell_list(&mut watch, &list(51, true, &[missing.list_entry("s-2", "here")]));
+    pooler.wait_for_counter_above("lists", lists + 1);
     reads_are_served(&mut client, 8..16);
     assert_eq!((drains.count(), missing.count(), far.count()), (0, 8, 8));
 }
@@ -165,30 +166,30 @@
 #[case::a_list_without_a_length(false)]
 fn a_list_cut_off_by_a_reset_is_not_taken(#[values(false, true)] pushed: bool, #[case] chunked: bool) {
     let (near, far, discovery) = (serving(), serving(), Discovery::listen());
-    let known = list(41, true, &[near.line("s-1", "here"), far.line("s-2", "there")]);
+    let known = list(41, true, &[near.list_entry("s-1", "here"), far.list_entry("s-2", "there")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, edits(pushed));
     let mut client = client(&pooler);
-    let (mut cut, _) = discovery.call();
+    let (mut cut, _) = discovery.accept_request();
     let lists = pooler.counter("lists");
-    let other = list(50, true, &[far.line("s-2", "there")]);
+    let other = list(50, true, &[far.list_entry("s-2", "there")]);
     if chunked {
-        cut.write_all(HEAD.as_bytes()).unwrap();
-        tell(&mut cut, &other[..other.len() - 1]);
+        cut.write_all(RESPONSE_HEAD.as_bytes()).unwrap();
+        write_chunk(&mut cut, &other[..other.len() - 1]);
     } else {
-        let head = HEAD.replace("Transfer-Encoding: chunked\r\n", "");
+        let head = RESPONSE_HEAD.replace("Transfer-Encoding: chunked\r\n", "");
         cut.write_all(format!("{head}{}", &other[..other.len() - 1]).as_bytes()).unwrap();
     }
     // Read by the pooler before the reset, which would throw it away.
     pooler.counters();
     SockRef::from(&cut).set_linger(Some(Duration::ZERO)).unwrap();
     drop(cut);
-    let (mut watch, request) = discovery.call();
+    let (mut watch, request) = discovery.accept_request();
     assert!(request.contains("follow=1&since=41 "), "{request}");
     reads_are_served(&mut client, 0..4);
     assert_eq!((near.count(), far.count()), (4, 0), "the list that is held stays in force");
-    watch.write_all(HEAD.as_bytes()).unwrap();
+    watch.write_all(RESPONSE_HEAD.as_bytes()).unwrap();
     tell_list(&mut watch, &other);
-    pooler.counts_past("lists", lists);
+    pooler.wait_for_counter_above("lists", lists);
     reads_are_served(&mut client, 4..8);
     assert_eq!((near.count(), far.count()), (4, 4));
 }
@@ -196,8 +197,8 @@
 /// With short deadlines the platform kills early. What was taken is answered by then, though no machine ever answers.
 #[test]
 fn with_short_deadlines_all_that_was_taken_is_answered_before_the_kill() {
-    let (hung, discovery) = (Answering::new(|_| Vec::new()), Discovery::listen());
-    let known = list(41, true, &[hung.line("s-1", "here")]);
+    let (hung, discovery) = (AnsweringMember::new(|_| Vec::new()), Discovery::listen());
+    let known = list(41, true, &[hung.list_entry("s-1", "here")]);
     let mut pooler = Pooler::start(PROGRAM, &known, &discovery, &SHORT_DEADLINES);
     let mut clients: Vec<Wire> = (0..6).map(|_| client(&pooler)).collect();
     let signalled = Instant::now();
@@ -206,7 +207,7 @@
     for (number, client) in clients.iter_mut().enumerate() {
         let at = Duration::from_millis(130 * number as u64);
         std::thread::sleep(at.saturating_sub(signalled.elapsed()));
-        client.send(&query(&ask(&number.to_string(), "reports").replace("d=8500", "d=1000")));
+        client.send(&query(&request_sql(&number.to_string(), "reports").replace("d=8500", "d=1000")));
         sent.push(signalled.elapsed());
     }
     let kill = Duration::from_secs(1) + KILL_GRACE;
@@ -230,7 +231,7 @@
         let edits = [(r#""fleetSize":1"#, &*fleet), ("127.0.0.1:0", listen)];
         Pooler::start(PROGRAM, known, &discovery, &edits)
     };
-    let whole = list(41, true, &[machine.line("s-1", "here")]);
+    let whole = list(41, true, &[machine.list_entry("s-1", "here")]);
     let mut poolers: Vec<Pooler> = (0..PROCESSES).map(|_| start(&whole, "127.0.0.1:0")).collect();
     let mut clients: Vec<Wire> = poolers.iter().map(client).collect();
     clients.iter_mut().enumerate().for_each(|(n, client)| {
@@ -242,7 +243,7 @@
     let starting: Vec<Pooler> =
         addresses.iter().map(|address| start(&list(0, true, &[]), &address.to_string())).collect();
     // A call takes discovery a while, and it answers one after another; those of the killed ones come first.
-    discovery.answer_in_turn(&whole, Duration::from_millis(20));
+    discovery.answer_sequentially(&whole, Duration::from_millis(20));
     let ready: Vec<Duration> = std::thread::scope(|scope| {
         let fronts: Vec<_> = starting
             .iter()
@@ -266,10 +267,10 @@
 /// The time of a request runs from its last byte, however long the others took.
 #[test]
 fn a_request_that_comes_in_pieces_has_its_time_from_its_last_byte() {
-    let (db, discovery) = (Db::listen(), Discovery::listen());
-    let pooler = Pooler::start(PROGRAM, &list(41, true, &[db.line("s-1", "here")]), &discovery, &[]);
+    let (db, discovery) = (ScriptedMember::listen(), Discovery::listen());
+    let pooler = Pooler::start(PROGRAM, &list(41, true, &[db.list_entry("s-1", "here")]), &discovery, &[]);
     let mut client = client(&pooler);
-    let bytes = query(&ask("1", "reports").replace("d=8500", "d=1500"));
+    let bytes = query(&request_sql("1", "reports").replace("d=8500", "d=1500"));
     // Within the head of the message, within the comment, before the last byte.
     let cuts = [0, 3, 20, bytes.len() - 1, bytes.len()];
     for (number, part) in cuts.windows(2).enumerate() {
@@ -279,18 +280,19 @@
         client.send(&bytes[part[0]..part[1]]);
     }
     let mut wire = db.accept();
-    asked(&mut wire);
+    read_query(&mut wire);
     std::thread::sleep(Duration::from_millis(800));
-    wire.send(&served(VALUE, "reader"));
+    wire.send(&answer_with_role(VALUE, "reader"));
     assert_eq!(client.answer()[0].0, b'T', "served 1.7 s after its first byte and 0.8 s after its last");
 }
 
 #[test]
 fn a_request_half_sent_at_sigterm_is_answered_once_it_is_whole() {
     let (db, discovery) = (serving(), Discovery::listen());
-    let mut pooler = Pooler::start(PROGRAM, &list(41, true, &[db.line("s-1", "here")]), &discovery, &[]);
+    let mut pooler =
+        Pooler::start(PROGRAM, &list(41, true, &[db.list_entry("s-1", "here")]), &discovery, &[]);
     let mut client = client(&pooler);
-    let bytes = query(&ask("1", "reports"));
+    let bytes = query(&request_sql("1", "reports"));
     client.send(&bytes[..bytes.len() / 2]);
     // It has been read before the signal comes.
     pooler.counters();
@@ -299,22 +301,22 @@
     std::thread::sleep(Duration::from_millis(1000));
     client.send(&bytes[bytes.len() / 2..]);
     assert_eq!(client.answer()[0].0, b'T');
-    client.ends();
-    assert_eq!(pooler.ended().code(), Some(0));
+    client.expect_closed();
+    assert_eq!(pooler.wait_for_exit().code(), Some(0));
 }
 
 #[test]
 fn a_request_half_sent_keeps_its_connection_when_places_run_out() {
     let (db, discovery) = (serving(), Discovery::listen());
-    let known = list(41, true, &[db.line("s-1", "here")]);
+    let known = list(41, true, &[db.list_entry("s-1", "here")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &[THREE_CLIENTS]);
     let mut writing = client(&pooler);
-    let bytes = query(&ask("1", "reports"));
+    let bytes = query(&request_sql("1", "reports"));
     writing.send(&bytes[..bytes.len() / 2]);
     let mut resting: Vec<Wire> = (0..2).map(|_| client(&pooler)).collect();
     // It has been there for longest, and the next to come needs a place.
     let _late = client(&pooler);
-    resting[0].ends();
+    resting[0].expect_closed();
     writing.send(&bytes[bytes.len() / 2..]);
     assert_eq!(writing.answer()[0].0, b'T');
 }
@@ -348,19 +350,19 @@
     const GIVEN: u128 = 8500;
     /// The settings' time-out for a connection, after which it is given up.
     const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-    let (near, far, discovery) = (Db::listen(), Db::listen(), Discovery::listen());
-    let known = list(41, true, &[near.line("s-1", "here"), far.line("s-2", "there")]);
+    let (near, far, discovery) = (ScriptedMember::listen(), ScriptedMember::listen(), Discovery::listen());
+    let known = list(41, true, &[near.list_entry("s-1", "here"), far.list_entry("s-2", "there")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &[]);
     let mut client = client(&pooler);
-    client.send(&query(&ask("1", "reports")));
-    let mut wire = near.connection();
+    client.send(&query(&request_sql("1", "reports")));
+    let mut wire = near.accept_without_startup();
     // It was taken before now: what has passed since then has passed of its time.
     let taken_by = Instant::now();
     let pause = || std::thread::sleep(Duration::from_millis(700));
     let (passed, sql) = match first {
         FirstAttempt::Error | FirstAttempt::Reset => {
-            greet(&mut wire);
-            let sql = asked(&mut wire);
+            complete_startup(&mut wire);
+            let sql = read_query(&mut wire);
             assert!((1..=GIVEN).contains(&told(&sql)), "{sql}");
             pause();
             let passed = taken_by.elapsed();
@@ -369,14 +371,14 @@
             } else {
                 drop(wire);
             }
-            (passed, asked(&mut far.accept()))
+            (passed, read_query(&mut far.accept()))
         }
-        FirstAttempt::StartupHangs => (CONNECT_TIMEOUT, asked(&mut far.accept())),
+        FirstAttempt::StartupHangs => (CONNECT_TIMEOUT, read_query(&mut far.accept())),
         FirstAttempt::StartupIsLate => {
             pause();
             let passed = taken_by.elapsed();
-            greet(&mut wire);
-            (passed, asked(&mut wire))
+            complete_startup(&mut wire);
+            (passed, read_query(&mut wire))
         }
     };
     let left = GIVEN - passed.as_millis();
@@ -412,10 +414,16 @@
     let failing = Arc::new(AtomicBool::new(false));
     let machine = |role: &'static str| {
         let failing = failing.clone();
-        Answering::new(move |_| if failing.load(Ordering::SeqCst) { fails(how) } else { served(VALUE, role) })
+        AnsweringMember::new(move |_| {
+            if failing.load(Ordering::SeqCst) {
+                fails(how)
+            } else {
+                answer_with_role(VALUE, role)
+            }
+        })
     };
     let (near, far, discovery) = (machine("writer"), machine("reader"), Discovery::listen());
-    let known = list(41, true, &[near.line("s-1", "here"), far.line("s-2", "there")]);
+    let known = list(41, true, &[near.list_entry("s-1", "here"), far.list_entry("s-2", "there")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &[]);
     let mut clients: Vec<Wire> = (0..8).map(|_| client(&pooler)).collect();
     let mut number = 0;
@@ -423,7 +431,7 @@
     let mut round = || {
         for client in &mut clients {
             number += 1;
-            client.send(&query(&ask(&number.to_string(), class).replace("d=8500", "d=300")));
+            client.send(&query(&request_sql(&number.to_string(), class).replace("d=8500", "d=300")));
         }
         // All answers are read.
         clients
@@ -450,7 +458,7 @@
 #[case::says_nothing(&[], None)]
 #[case::half_a_startup(&startup()[..7], None)]
 #[case::a_startup_alone(&startup(), None)]
-#[case::half_a_query(&[startup(), query(&ask("1", "reports"))[..40].to_vec()].concat(), None)]
+#[case::half_a_query(&[startup(), query(&request_sql("1", "reports"))[..40].to_vec()].concat(), None)]
 #[case::what_asks_nothing(&[startup(), frame(b'H', b"")].concat(), None)]
 #[case::too_long(&[startup(), b"Q\x7f\xff\xff\xff".to_vec()].concat(), None)]
 #[case::not_the_protocol(b"GET / HTTP/1.1\r\n\r\n", None)]
@@ -460,7 +468,7 @@
     #[case] trickle: Option<Duration>,
 ) {
     let (db, discovery) = (serving(), Discovery::listen());
-    let pooler = Pooler::start(PROGRAM, &list(41, true, &[db.line("s-1", "here")]), &discovery, &[]);
+    let pooler = Pooler::start(PROGRAM, &list(41, true, &[db.list_entry("s-1", "here")]), &discovery, &[]);
     let mut bad = TcpStream::connect(pooler.address).unwrap();
     let begun = Instant::now();
     bad.write_all(bytes).unwrap();
@@ -483,30 +491,31 @@
 #[test]
 fn a_client_that_reads_no_answer_is_ended() {
     let value = vec![0x9f; 64 * 1024];
-    let (db, discovery) = (Answering::new(move |_| served(&value, "reader")), Discovery::listen());
-    let pooler = Pooler::start(PROGRAM, &list(41, true, &[db.line("s-1", "here")]), &discovery, &[]);
+    let (db, discovery) =
+        (AnsweringMember::new(move |_| answer_with_role(&value, "reader")), Discovery::listen());
+    let pooler = Pooler::start(PROGRAM, &list(41, true, &[db.list_entry("s-1", "here")]), &discovery, &[]);
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&pooler.address.into()).unwrap();
     let mut unread = TcpStream::from(socket);
     // Far more than the system holds, were it all answered.
-    let requests = (0..400).flat_map(|id| query(&ask(&id.to_string(), "reports")));
+    let requests = (0..400).flat_map(|id| query(&request_sql(&id.to_string(), "reports")));
     unread.write_all(&startup().into_iter().chain(requests).collect::<Vec<u8>>()).unwrap();
-    pooler.counts_past("overdue", 0);
+    pooler.wait_for_counter_above("overdue", 0);
     assert!(db.count() < 400, "what it does not read is not fetched for it");
     reads_are_served(&mut client(&pooler), 1000..1001);
 }
 
 #[test]
 fn every_request_to_a_silent_machine_is_answered_when_its_time_is_over() {
-    let (hung, discovery) = (Answering::new(|_| Vec::new()), Discovery::listen());
-    let known = list(41, true, &[hung.line("s-1", "here")]);
+    let (hung, discovery) = (AnsweringMember::new(|_| Vec::new()), Discovery::listen());
+    let known = list(41, true, &[hung.list_entry("s-1", "here")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &[]);
     let given = Duration::from_millis(500);
     let ask_one = |number: usize| {
         let mut client = client(&pooler);
         let sent = Instant::now();
-        client.send(&query(&ask(&number.to_string(), "reports").replace("d=8500", "d=500")));
+        client.send(&query(&request_sql(&number.to_string(), "reports").replace("d=8500", "d=500")));
         assert!(client.error().0.starts_with('5'));
         sent.elapsed()
     };
@@ -523,10 +532,10 @@
     let (machine, discovery) = (serving(), Discovery::listen());
     let unreachable = SocketAddr::from(([127, 0, 0, 1], 1));
     let others = (1..1600).map(|n| {
-        let other = line(unreachable, &format!("s-{n}"), "here", "SERVING");
+        let other = list_entry(unreachable, &format!("s-{n}"), "here", "SERVING");
         other.replace("\"group\":2", &format!("\"group\":{}", 1000 + n))
     });
-    let whole: Vec<String> = others.chain([machine.line("s-1600", "here")]).collect();
+    let whole: Vec<String> = others.chain([machine.list_entry("s-1600", "here")]).collect();
     let fleet = (r#""fleetSize":1"#, r#""fleetSize":1300"#);
     let pooler = Pooler::start(PROGRAM, &list(41, true, &whole), &discovery, &[fleet]);
     reads_are_served(&mut client(&pooler), 0..8);
@@ -540,7 +549,7 @@
     let run = deployment.lines().find(|line| line.starts_with("run = "));
     assert!(run.is_some_and(|run| run.starts_with("run = \"exec ")), "{run:?}");
     let (machine, discovery) = (serving(), Discovery::listen());
-    let known = list(41, true, &[machine.line("s-1", "here")]);
+    let known = list(41, true, &[machine.list_entry("s-1", "here")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &[]);
     reads_are_served(&mut client(&pooler), 0..1);
     let process = format!("/proc/{}", pooler.pid());
--- a/crates/daemon/tests/deployments.rs
+++ b/crates/daemon/tests/deployments.rs
@@ -15,8 +15,8 @@
 
 /// Tells a watch that has just been opened, or one that is open, of a list.
 fn tell(watch: &mut TcpStream, first: bool, news: &str) {
-    let head = if first { HEAD.as_bytes() } else { b"" };
-    watch.write_all(&[head, &chunks([news.as_bytes(), b"\n"])].concat()).unwrap();
+    let head = if first { RESPONSE_HEAD.as_bytes() } else { b"" };
+    watch.write_all(&[head, &encode_chunks([news.as_bytes(), b"\n"])].concat()).unwrap();
 }
 
 #[rstest]
@@ -24,60 +24,62 @@
 #[case::ends_the_watch(1)]
 #[case::is_silent(2)]
 fn an_agent_that_was_away_is_asked_again_by_itself_and_its_list_binds(#[case] away: u8) {
-    let (drained, removed, new) = (Db::listen(), Db::listen(), Db::listen());
+    let (drained, removed, new) =
+        (ScriptedMember::listen(), ScriptedMember::listen(), ScriptedMember::listen());
     let agent = Discovery::listen();
-    let known = list(41, true, &[drained.line("s-1", "here"), removed.line("s-2", "here")]);
+    let known = list(41, true, &[drained.list_entry("s-1", "here"), removed.list_entry("s-2", "here")]);
     let pooler = Pooler::start(PROGRAM, &known, &agent, &[PUSHED]);
-    let (mut watch, line) = agent.call();
+    let (mut watch, line) = agent.accept_request();
     assert!(line.contains("follow=1&since=41 "), "{line}");
     match away {
         0 => drop(watch),
-        1 => watch.write_all([HEAD, "0\r\n\r\n"].concat().as_bytes()).unwrap(),
+        1 => watch.write_all([RESPONSE_HEAD, "0\r\n\r\n"].concat().as_bytes()).unwrap(),
         // It has been told of the call and says nothing: nobody could tell that from a cut.
         _ => {}
     }
     // Without any request, which would make the decisions look at the list.
-    let (mut watch, line) = agent.call();
+    let (mut watch, line) = agent.accept_request();
     assert!(line.contains("follow=1&since=41 "), "{line}");
-    let whole = [drained.line("s-1", "here").replace("SERVING", "DRAINING"), new.line("s-3", "here")];
+    let whole =
+        [drained.list_entry("s-1", "here").replace("SERVING", "DRAINING"), new.list_entry("s-3", "here")];
     tell(&mut watch, true, &list(50, true, &whole));
     let mut client = client(&pooler);
     while !pooler.counters().contains(" lists=2") {}
-    let mut wire = read_from(&new, &mut client, "1");
+    let mut wire = serve_read(&new, &mut client, "1");
     // Changes follow on the same watch.
-    tell(&mut watch, false, &list(51, false, &[new.line("s-3", "here").replace("SERVING", "DELETED")]));
-    wire.ends();
-    client.send(&query(&ask("2", "reports")));
+    tell(&mut watch, false, &list(51, false, &[new.list_entry("s-3", "here").replace("SERVING", "DELETED")]));
+    wire.expect_closed();
+    client.send(&query(&request_sql("2", "reports")));
     assert_eq!(client.error().0, "53300");
     assert!(wire.message().is_none());
 }
 
 #[test]
 fn another_agent_is_followed_while_lines_of_the_old_one_still_come() {
-    let (old, new) = (Db::listen(), Db::listen());
+    let (old, new) = (ScriptedMember::listen(), ScriptedMember::listen());
     let (first, second) = (Discovery::listen(), Discovery::listen());
-    let known = list(41, true, &[old.line("s-1", "here")]);
+    let known = list(41, true, &[old.list_entry("s-1", "here")]);
     let pooler = Pooler::start(PROGRAM, &known, &first, &[PUSHED]);
-    let mut watch = first.call().0;
+    let mut watch = first.accept_request().0;
     // Half a line of the old agent's is there when the other takes its place.
-    let late = list(99, true, &[old.line("s-9", "here")]);
-    watch.write_all(&[HEAD.as_bytes(), &chunks([&late.as_bytes()[..20]])].concat()).unwrap();
+    let late = list(99, true, &[old.list_entry("s-9", "here")]);
+    watch.write_all(&[RESPONSE_HEAD.as_bytes(), &encode_chunks([&late.as_bytes()[..20]])].concat()).unwrap();
     pooler.reload(&first.address().to_string(), &second.address().to_string());
-    let (mut news, line) = second.call();
+    let (mut news, line) = second.accept_request();
     assert!(line.contains("follow=1&since=0 "), "{line}");
-    let _ = watch.write_all(&chunks([&late.as_bytes()[20..], b"\n"]));
-    tell(&mut news, true, &list(3, true, &[new.line("s-2", "here")]));
+    let _ = watch.write_all(&encode_chunks([&late.as_bytes()[20..], b"\n"]));
+    tell(&mut news, true, &list(3, true, &[new.list_entry("s-2", "here")]));
     while !pooler.counters().contains(" lists=2") {}
-    read_from(&new, &mut client(&pooler), "1");
+    serve_read(&new, &mut client(&pooler), "1");
     // The version held is the new agent's.
     drop(news);
-    assert!(second.call().1.contains("follow=1&since=3 "));
+    assert!(second.accept_request().1.contains("follow=1&since=3 "));
 }
 
 #[test]
 fn a_source_of_the_list_that_is_not_known_is_turned_away_with_what_would_be_accepted() {
     let path = std::env::temp_dir().join(format!("dewferry-source-{}.json", std::process::id()));
-    let platform = platform_of(&list(0, true, &[]), &Discovery::listen());
+    let platform = platform_config(&list(0, true, &[]), &Discovery::listen());
     std::fs::write(&path, platform.replace(PUSHED.0, r#""registryMode":"gossip""#)).unwrap();
     let output = std::process::Command::new(PROGRAM).args(["check-config", "--config"]).arg(&path).output();
     let _ = std::fs::remove_file(&path);
@@ -97,23 +99,23 @@
 struct Twice {
     pooler: Pooler,
     client: Wire,
-    near: Db,
-    _far: Db,
+    near: ScriptedMember,
+    _far: ScriptedMember,
     first: Wire,
     second: Wire,
     _discovery: Discovery,
 }
 
 fn twice() -> Twice {
-    let (near, far, discovery) = (Db::listen(), Db::listen(), Discovery::listen());
-    let known = list(41, true, &[near.line("s-1", "here"), far.line("s-2", "there")]);
+    let (near, far, discovery) = (ScriptedMember::listen(), ScriptedMember::listen(), Discovery::listen());
+    let known = list(41, true, &[near.list_entry("s-1", "here"), far.list_entry("s-2", "there")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &COPIES);
     let mut client = client(&pooler);
-    client.send(&query(&ask("1", "reports")));
+    client.send(&query(&request_sql("1", "reports")));
     let mut first = near.accept();
-    asked(&mut first);
+    read_query(&mut first);
     let mut second = far.accept();
-    asked(&mut second);
+    read_query(&mut second);
     Twice { pooler, client, near, _far: far, first, second, _discovery: discovery }
 }
 
@@ -129,16 +131,16 @@
 #[test]
 fn the_copy_that_loses_is_withdrawn_and_its_end_is_counted() {
     let mut both = twice();
-    both.second.send(&served(b"second", "reader"));
+    both.second.send(&answer_with_role(b"second", "reader"));
     both.answers(b"second");
     // The machine learns of it by the end of the connection; what it says after that reaches nobody.
-    both.first.ends();
+    both.first.expect_closed();
     let counters = both.pooler.counters();
     assert!(counters.contains(" served=1 ") && counters.contains(" sent=2 ok=1 "), "{counters}");
     assert!(counters.contains(" cancelled=1 "), "{counters}");
     // Neither machine is taken for one that still holds something: the one at home gets the next.
     let Twice { mut client, near, .. } = both;
-    read_from(&near, &mut client, "2");
+    serve_read(&near, &mut client, "2");
 }
 
 #[test]
@@ -146,8 +148,8 @@
     let mut both = twice();
     // Both are there before either is read, as far as a stopped program can tell.
     both.pooler.signal("STOP");
-    both.first.send(&served(b"first", "reader"));
-    both.second.send(&served(b"second", "reader"));
+    both.first.send(&answer_with_role(b"first", "reader"));
+    both.second.send(&answer_with_role(b"second", "reader"));
     both.pooler.signal("CONT");
     let answer = both.client.answer();
     assert!(answer[1].1.ends_with(b"first") || answer[1].1.ends_with(b"second"));
@@ -164,12 +166,12 @@
     let mut both = twice();
     if spoilt {
         both.first.send(b"\x9f\x03\x00\xfe\xc1");
-        both.first.ends();
+        both.first.expect_closed();
     } else {
         let _ = both.first.0.shutdown(std::net::Shutdown::Both);
     }
     while !both.pooler.counters().contains(if spoilt { " error=1 " } else { " reset=1 " }) {}
-    both.second.send(&served(VALUE, "reader"));
+    both.second.send(&answer_with_role(VALUE, "reader"));
     both.answers(VALUE);
     let counters = both.pooler.counters();
     assert!(
@@ -182,8 +184,8 @@
 fn a_client_that_leaves_takes_both_copies_with_it() {
     let Twice { pooler, client, mut first, mut second, .. } = twice();
     drop(client);
-    first.ends();
-    second.ends();
+    first.expect_closed();
+    second.expect_closed();
     assert!(pooler.counters().contains(" cancelled=2 "));
 }
 
@@ -196,7 +198,7 @@
 
 /// A session read that must see this position.
 fn after(id: &str, position: &str) -> Vec<u8> {
-    query(&ask(id, "own-orders").replace("cluster=2", &format!("cluster=2,after={position}")))
+    query(&request_sql(id, "own-orders").replace("cluster=2", &format!("cluster=2,after={position}")))
 }
 
 #[rstest]
@@ -206,24 +208,24 @@
     let discovery = Discovery::listen();
     let stands = std::sync::Arc::new(std::sync::atomic::AtomicU64::new(0));
     let told = stands.clone();
-    let replica = Answering::new(move |sql| match sql.contains("c=order-write") {
+    let replica = AnsweringMember::new(move |sql| match sql.contains("c=order-write") {
         true => [frame(b'E', b"SERROR\0C25006\0\0"), frame(b'Z', b"I")].concat(),
         false => at(b"replica", "reader", told.load(std::sync::atomic::Ordering::SeqCst)),
     });
-    let primary = Answering::new(|_| served(b"primary", "writer"));
-    let known = list(41, true, &[replica.line("s-1", "here"), primary.line("s-2", "there")]);
+    let primary = AnsweringMember::new(|_| answer_with_role(b"primary", "writer"));
+    let known = list(41, true, &[replica.list_entry("s-1", "here"), primary.list_entry("s-2", "there")]);
     let marks = (r#""writeMarks":"remembered""#, &*format!(r#""writeMarks":"{marks}""#));
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &[marks]);
     let mut client = client(&pooler);
     // A write of another session shows who the primary is, and a read where the replica stands.
-    client.send(&query(&ask("w", "order-write").replace("7f3a", "other")));
+    client.send(&query(&request_sql("w", "order-write").replace("7f3a", "other")));
     assert!(client.answer()[1].1.ends_with(b"primary"));
     // What was written before the pooler's start is behind it by now, to the millisecond.
     std::thread::sleep(std::time::Duration::from_millis(2));
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     let position = now.as_millis() as u64;
     stands.store(position, std::sync::atomic::Ordering::SeqCst);
-    client.send(&query(&ask("r", "reports")));
+    client.send(&query(&request_sql("r", "reports")));
     assert!(client.answer()[1].1.ends_with(b"replica"));
     for (id, must_see, by) in [
         ("1", position, "replica"),
@@ -249,88 +251,92 @@
     (r#""effect":"idempotency_key","group":"cell","dedupWindow":2"#, r#""effect":"non_idempotent""#);
 
 /// A machine that has shown that it is the primary, whose connection from then is closed.
-fn primary(db: &Db, client: &mut Wire) {
-    client.send(&query(&ask("0", "order-write")));
+fn primary(db: &ScriptedMember, client: &mut Wire) {
+    client.send(&query(&request_sql("0", "order-write")));
     let mut wire = db.accept();
-    asked(&mut wire);
-    wire.send(&served(VALUE, "writer"));
+    read_query(&mut wire);
+    wire.send(&answer_with_role(VALUE, "writer"));
     assert_eq!(client.answer()[0].0, b'T');
     // The pooler has seen the end of the connection: what is asked next cannot be written to it.
     wire.0.shutdown(std::net::Shutdown::Write).unwrap();
-    wire.ends();
+    wire.expect_closed();
 }
 
 #[rstest]
 #[case::before_its_first_byte(false)]
 #[case::after_its_last_byte(true)]
 fn a_write_that_must_never_run_twice_goes_on_only_where_it_cannot_have_run(#[case] written: bool) {
-    let db = Db::listen();
-    let (discovery, known) = (Discovery::listen(), list(41, true, &[db.line("s-1", "here")]));
+    let db = ScriptedMember::listen();
+    let (discovery, known) = (Discovery::listen(), list(41, true, &[db.list_entry("s-1", "here")]));
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &[NEVER_TWICE]);
     let mut client = client(&pooler);
     primary(&db, &mut client);
-    client.send(&query(&ask("1", "order-write")));
+    client.send(&query(&request_sql("1", "order-write")));
     if !written {
-        drop(db.connection());
+        drop(db.accept_without_startup());
         let mut wire = db.accept();
-        assert!(asked(&mut wire).contains("id=1,"));
-        wire.send(&served(VALUE, "writer"));
+        assert!(read_query(&mut wire).contains("id=1,"));
+        wire.send(&answer_with_role(VALUE, "writer"));
         assert_eq!(client.answer()[0].0, b'T');
     } else {
-        assert!(asked(&mut db.accept()).contains("id=1,"));
+        assert!(read_query(&mut db.accept()).contains("id=1,"));
         assert_eq!(client.error(), ("58000".to_string(), None));
         // What the machine gets next is another request.
-        client.send(&query(&ask("2", "order-write")));
-        assert!(asked(&mut db.accept()).contains("id=2,"));
+        client.send(&query(&request_sql("2", "order-write")));
+        assert!(read_query(&mut db.accept()).contains("id=2,"));
     }
 }
 
 #[test]
 fn a_request_of_no_tenant_is_served_where_there_are_none_and_where_there_are() {
     for customers in [r#""customers":[{"name":"acme","quotaPerS":1000}],"#, ""] {
-        let db = Answering::new(|_| served(VALUE, "reader"));
-        let (discovery, known) = (Discovery::listen(), list(41, true, &[db.line("s-1", "here")]));
+        let db = AnsweringMember::new(|_| answer_with_role(VALUE, "reader"));
+        let (discovery, known) = (Discovery::listen(), list(41, true, &[db.list_entry("s-1", "here")]));
         let edit = (r#""customers":[{"name":"acme","quotaPerS":1000}],"#, customers);
         let pooler = Pooler::start(PROGRAM, &known, &discovery, &[edit]);
         let mut client = client(&pooler);
-        client.send(&query(&ask("1", "reports").replace(",t=acme", "")));
+        client.send(&query(&request_sql("1", "reports").replace(",t=acme", "")));
         assert_eq!(client.answer()[0].0, b'T');
     }
 }
 
 #[test]
 fn a_drain_told_while_a_read_waits_for_its_turn_is_kept() {
-    let (drained, other) = (Db::listen(), Db::listen());
+    let (drained, other) = (ScriptedMember::listen(), ScriptedMember::listen());
     let agent = Discovery::listen();
-    let known = list(41, true, &[drained.line("s-1", "here"), other.line("s-2", "there")]);
+    let known = list(41, true, &[drained.list_entry("s-1", "here"), other.list_entry("s-2", "there")]);
     let pooler = Pooler::start(PROGRAM, &known, &agent, &[PUSHED]);
-    let mut watch = agent.call().0;
+    let mut watch = agent.accept_request().0;
     let mut client = client(&pooler);
     // The connection to the choice is being made when the drain is told; what was sent there may end there, and
     // when it fails nothing goes there again.
-    client.send(&query(&ask("1", "reports")));
-    let connecting = drained.connection();
-    tell(&mut watch, true, &list(42, false, &[drained.line("s-1", "here").replace("SERVING", "DRAINING")]));
+    client.send(&query(&request_sql("1", "reports")));
+    let connecting = drained.accept_without_startup();
+    tell(
+        &mut watch,
+        true,
+        &list(42, false, &[drained.list_entry("s-1", "here").replace("SERVING", "DRAINING")]),
+    );
     while !pooler.counters().contains(" lists=2") {}
     drop(connecting);
     let mut wire = other.accept();
-    assert!(asked(&mut wire).contains("id=1,"));
-    wire.send(&served(VALUE, "reader"));
+    assert!(read_query(&mut wire).contains("id=1,"));
+    wire.send(&answer_with_role(VALUE, "reader"));
     assert_eq!(client.answer()[0].0, b'T');
-    client.send(&query(&ask("2", "reports")));
-    assert!(asked(&mut wire).contains("id=2,"));
+    client.send(&query(&request_sql("2", "reports")));
+    assert!(read_query(&mut wire).contains("id=2,"));
 }
 
 #[test]
 fn a_load_report_that_comes_with_an_answer_tells_where_a_replica_stands() {
-    let db = Db::listen();
-    let (discovery, known) = (Discovery::listen(), list(41, true, &[db.line("s-1", "here")]));
+    let db = ScriptedMember::listen();
+    let (discovery, known) = (Discovery::listen(), list(41, true, &[db.list_entry("s-1", "here")]));
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &[]);
     let mut client = client(&pooler);
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_secs_f64();
-    client.send(&query(&ask("1", "reports")));
+    client.send(&query(&request_sql("1", "reports")));
     let mut wire = db.accept();
-    asked(&mut wire);
+    read_query(&mut wire);
     let usage = |report: &str| {
         let told = frame(b'S', format!("usage\0{report}\0").as_bytes());
         [row(VALUE), told, frame(b'Z', b"I")].concat()
@@ -339,13 +345,16 @@
     client.answer();
     // Nobody is known to be fresh, or to be the primary: this one waits.
     let mut other = self::client(&pooler);
-    other.send(&query(&ask("2", "browse")));
-    client.send(&query(&ask("3", "reports")));
-    assert!(asked(&mut wire).contains("id=3,"));
+    other.send(&query(&request_sql("2", "browse")));
+    client.send(&query(&request_sql("3", "reports")));
+    assert!(read_query(&mut wire).contains("id=3,"));
     wire.send(&usage(&format!("x0={now:.3},x1=0")));
     client.answer();
-    assert!(asked(&mut wire).contains("id=2,"), "served once the report has told that the replica is fresh");
-    wire.send(&served(VALUE, "reader"));
+    assert!(
+        read_query(&mut wire).contains("id=2,"),
+        "served once the report has told that the replica is fresh"
+    );
+    wire.send(&answer_with_role(VALUE, "reader"));
     assert_eq!(other.answer()[0].0, b'T');
     assert!(pooler.counters().contains(" unreadable=1 "));
 }
--- a/crates/daemon/tests/directory.rs
+++ b/crates/daemon/tests/directory.rs
@@ -55,7 +55,7 @@
     const READS: u64 = 20;
     let rig = started(2, 3);
     let ask = |n: usize, class: &str, statement: &str| {
-        let mut wire = Wire::over(TcpStream::connect(rig.seats[n].listen).unwrap());
+        let mut wire = Wire::from_stream(TcpStream::connect(rig.seats[n].listen).unwrap());
         let id = format!("{:016x}", fastrand::u64(1..));
         let about = format!("/* id={id},c={class},t=acme,d=1500,k={id},cluster=2 */ {statement}");
         wire.send(&[startup(), query(&about)].concat());
--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -14,21 +14,22 @@
 
 /// A fleet before one machine.
 struct World {
-    folder: Operator,
+    folder: OperatorFolder,
     file: PathBuf,
     listen: SocketAddr,
     supervisor: Child,
     _discovery: Discovery,
-    _db: Answering,
+    _db: AnsweringMember,
 }
 
 impl World {
     fn new(name: &str) -> World {
-        let folder = Operator::new(name, "");
-        let (db, discovery) = (Answering::new(|_| served(b"\x9f", "writer")), Discovery::listen());
-        let list = list(41, true, &[db.line("s-1", "here")]);
+        let folder = OperatorFolder::new(name, "");
+        let (db, discovery) =
+            (AnsweringMember::new(|_| answer_with_role(b"\x9f", "writer")), Discovery::listen());
+        let list = list(41, true, &[db.list_entry("s-1", "here")]);
         let platform = folder.0.join("platform.json");
-        std::fs::write(&platform, platform_of(&list, &discovery)).unwrap();
+        std::fs::write(&platform, platform_config(&list, &discovery)).unwrap();
         // Ports that are free now, one behind the other, below those that clients get.
         let free = |from: u16| {
             (from..from + COUNT as u16).all(|p| std::net::TcpListener::bind(("127.0.0.1", p)).is_ok())
@@ -94,7 +95,7 @@
     fn reads(&self, n: usize) -> bool {
         let address = SocketAddr::new(self.listen.ip(), self.listen.port() + n as u16);
         let Ok(stream) = std::net::TcpStream::connect(address) else { return false };
-        let mut wire = Wire::over(stream);
+        let mut wire = Wire::from_stream(stream);
         // One that ends between requests has taken nothing.
         if !wire.try_send(&startup()) {
             return false;
@@ -102,7 +103,7 @@
         wire.answer();
         // No two requests of one id at a time.
         let id = ASKED.fetch_add(1, std::sync::atomic::Ordering::SeqCst).to_string();
-        wire.try_send(&query(&ask(&id, "reports")))
+        wire.try_send(&query(&request_sql(&id, "reports")))
             && wire.answer().first().is_some_and(|message| message.0 == b'T')
     }
 }
@@ -205,7 +206,7 @@
 
 #[test]
 fn a_fleet_s_file_that_cannot_be_used_is_told_by_its_key() {
-    let folder = Operator::new("fleet-file", "");
+    let folder = OperatorFolder::new("fleet-file", "");
     let file = folder.0.join("fleet.toml");
     let run = |text: &str| {
         std::fs::write(&file, text).unwrap();
--- a/crates/daemon/tests/incident.rs
+++ b/crates/daemon/tests/incident.rs
@@ -26,15 +26,15 @@
 
 #[test]
 fn a_read_that_has_run_and_may_not_run_twice_is_failed_where_its_answer_is_too_old() {
-    let (db, discovery) = (Db::listen(), Discovery::listen());
-    let known = list(41, true, &[db.line("s-1", "here")]);
+    let (db, discovery) = (ScriptedMember::listen(), Discovery::listen());
+    let known = list(41, true, &[db.list_entry("s-1", "here")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &FRESH_ONCE);
     let mut client = client(&pooler);
-    let mut wire = primary_found(&db, &mut client, VALUE);
-    client.send(&query(&ask("1", "reports")));
-    assert!(asked(&mut wire).contains("id=1,"));
+    let mut wire = establish_primary(&db, &mut client, VALUE);
+    client.send(&query(&request_sql("1", "reports")));
+    assert!(read_query(&mut wire).contains("id=1,"));
     // It was the primary when it was asked, and says now that it is none: its answer may lack a commit.
-    wire.send(&served(VALUE, "reader"));
+    wire.send(&answer_with_role(VALUE, "reader"));
     assert_eq!(client.error().0, "58000", "another try would run it once more");
     let counters = pooler.counters();
     assert!(counters.contains(" refused=0 failed=1 ") && counters.contains(" sent=2 "), "{counters}");
@@ -42,20 +42,20 @@
 
 /// What a machine may say that does not prove that nothing ran, though a code in it says so.
 #[rstest]
-#[case::behind_part_of_a_row([&row(VALUE)[..27], &turned_away()].concat())]
-#[case::behind_a_whole_row([row(VALUE), turned_away()].concat())]
-#[case::behind_another_error([error("XX000"), turned_away()].concat())]
+#[case::behind_part_of_a_row([&row(VALUE)[..27], &refusal()].concat())]
+#[case::behind_a_whole_row([row(VALUE), refusal()].concat())]
+#[case::behind_another_error([error("XX000"), refusal()].concat())]
 #[case::before_noise([error("53300"), b"\x9f\x03\x00\xfe\xc1".to_vec()].concat())]
 fn a_code_that_says_that_nothing_ran_is_not_believed_where_the_answer_contradicts_it(
     #[case] answer: Vec<u8>,
 ) {
-    let (db, discovery) = (Db::listen(), Discovery::listen());
-    let known = list(41, true, &[db.line("s-1", "here")]);
+    let (db, discovery) = (ScriptedMember::listen(), Discovery::listen());
+    let known = list(41, true, &[db.list_entry("s-1", "here")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &FRESH_ONCE);
     let mut client = client(&pooler);
-    let mut wire = primary_found(&db, &mut client, VALUE);
-    client.send(&query(&ask("1", "reports")));
-    asked(&mut wire);
+    let mut wire = establish_primary(&db, &mut client, VALUE);
+    client.send(&query(&request_sql("1", "reports")));
+    read_query(&mut wire);
     wire.send(&answer);
     assert_eq!(client.error().0, "58000");
     assert!(pooler.counters().contains(" violations=0 "));
@@ -68,44 +68,44 @@
 
 #[test]
 fn a_list_that_takes_longer_to_come_than_any_call_waited_is_heard() {
-    let (near, far, discovery) = (Db::listen(), Db::listen(), Discovery::listen());
-    let known = list(41, true, &[near.line("s-1", "here"), far.line("s-2", "there")]);
+    let (near, far, discovery) = (ScriptedMember::listen(), ScriptedMember::listen(), Discovery::listen());
+    let known = list(41, true, &[near.list_entry("s-1", "here"), far.list_entry("s-2", "there")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &[]);
-    drop(discovery.followed());
+    drop(discovery.accept_watch());
     // Every call is answered, and each after 3.5 s: a call that is given up before is never heard of.
-    let drained = [near.draining_line("s-1", "here"), far.line("s-2", "there")];
-    discovery.answer_in_turn(&list(42, true, &drained), Duration::from_millis(3_500));
+    let drained = [near.draining_list_entry("s-1", "here"), far.list_entry("s-2", "there")];
+    discovery.answer_sequentially(&list(42, true, &drained), Duration::from_millis(3_500));
     let from = Instant::now();
     while !pooler.counters().contains(" lists=3 ") {
         assert!(from.elapsed() < TOLD_AFTER, "{}", pooler.counters());
-        std::thread::sleep(COUNTERS_PAUSE);
+        std::thread::sleep(COUNTERS_INTERVAL);
     }
-    read_from(&far, &mut client(&pooler), "1");
+    serve_read(&far, &mut client(&pooler), "1");
 }
 
 /// The client's request 2 is answered by `far`; the connection to the machine that drains ends without having got it.
-fn goes_elsewhere(far: &Db, client: &mut Wire, drained: &mut Wire) {
+fn goes_elsewhere(far: &ScriptedMember, client: &mut Wire, drained: &mut Wire) {
     let mut wire = far.accept();
-    assert!(asked(&mut wire).contains("id=2,"), "it went to the machine that drains");
-    wire.send(&served(VALUE, "reader"));
+    assert!(read_query(&mut wire).contains("id=2,"), "it went to the machine that drains");
+    wire.send(&answer_with_role(VALUE, "reader"));
     assert_eq!(client.answer()[0].0, b'T');
-    drained.ends();
+    drained.expect_closed();
 }
 
 #[test]
 fn what_was_told_while_the_process_was_held_up_is_taken_in_before_anything_is_sent() {
-    let (near, far, discovery) = (Db::listen(), Db::listen(), Discovery::listen());
-    let known = list(41, true, &[near.line("s-1", "here"), far.line("s-2", "there")]);
+    let (near, far, discovery) = (ScriptedMember::listen(), ScriptedMember::listen(), Discovery::listen());
+    let known = list(41, true, &[near.list_entry("s-1", "here"), far.list_entry("s-2", "there")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &[]);
-    let mut watch = discovery.followed();
+    let mut watch = discovery.accept_watch();
     let mut client = client(&pooler);
     // A connection to the machine is open: a request would be written to it at once.
-    let mut open = read_from(&near, &mut client, "1");
+    let mut open = serve_read(&near, &mut client, "1");
     // The request is there first, so that its event is the first to be taken up.
     pooler.signal("STOP");
-    client.send(&query(&ask("2", "reports")));
+    client.send(&query(&request_sql("2", "reports")));
     std::thread::sleep(HELD_UP);
-    tell(&mut watch, &(list(42, false, &[near.draining_line("s-1", "here")]) + "\n"));
+    write_chunk(&mut watch, &(list(42, false, &[near.draining_list_entry("s-1", "here")]) + "\n"));
     std::thread::sleep(HELD_UP);
     pooler.signal("CONT");
     goes_elsewhere(&far, &mut client, &mut open);
@@ -113,15 +113,15 @@
 
 #[test]
 fn the_list_is_read_and_answers_are_given_though_clients_have_used_up_the_memory() {
-    let (near, far, discovery) = (Db::listen(), Db::listen(), Discovery::listen());
-    let known = list(41, true, &[near.line("s-1", "here"), far.line("s-2", "there")]);
+    let (near, far, discovery) = (ScriptedMember::listen(), ScriptedMember::listen(), Discovery::listen());
+    let known = list(41, true, &[near.list_entry("s-1", "here"), far.list_entry("s-2", "there")]);
     let small = [(r#""memory_mb":192"#, r#""memory_mb":2"#)];
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &small);
-    let watch = discovery.followed();
+    let watch = discovery.accept_watch();
     let mut asking = client(&pooler);
-    asking.send(&query(&ask("1", "reports")));
+    asking.send(&query(&request_sql("1", "reports")));
     let mut wire = near.accept();
-    asked(&mut wire);
+    read_query(&mut wire);
     // Half of the longest message that may come, of more clients than the memory has room for.
     let whole = query(&"x".repeat(150 * 1024));
     let mut holding: Vec<Wire> = (0..12).map(|_| client(&pooler)).collect();
@@ -132,12 +132,12 @@
     let _many: Vec<Wire> = (0..200).map(|_| client(&pooler)).collect();
     // A new connection to discovery needs memory of its own.
     drop(watch);
-    let mut watch = discovery.followed();
-    let drained = [near.draining_line("s-1", "here"), far.line("s-2", "there")];
-    tell(&mut watch, &(list(42, true, &drained) + "\n"));
+    let mut watch = discovery.accept_watch();
+    let drained = [near.draining_list_entry("s-1", "here"), far.list_entry("s-2", "there")];
+    write_chunk(&mut watch, &(list(42, true, &drained) + "\n"));
     while !pooler.counters().contains(" lists=4 ") {}
     assert_eq!(pooler.counter("lists_failed"), 1, "the end of the first watch alone");
-    wire.send(&served(VALUE, "reader"));
+    wire.send(&answer_with_role(VALUE, "reader"));
     assert!(["T", "E"].contains(&&*char::from(asking.answer()[0].0).to_string()), "some answer is given");
     assert!(pooler.counters().contains(" violations=0 "));
 }
@@ -145,20 +145,20 @@
 /// What was written to a watch was told, also where a reset comes right behind it.
 #[test]
 fn what_came_before_a_reset_of_the_watch_is_taken_in() {
-    let (near, far, discovery) = (Db::listen(), Db::listen(), Discovery::listen());
-    let known = list(41, true, &[near.line("s-1", "here"), far.line("s-2", "there")]);
+    let (near, far, discovery) = (ScriptedMember::listen(), ScriptedMember::listen(), Discovery::listen());
+    let known = list(41, true, &[near.list_entry("s-1", "here"), far.list_entry("s-2", "there")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &[]);
-    let mut watch = discovery.followed();
+    let mut watch = discovery.accept_watch();
     let mut client = client(&pooler);
-    let mut open = read_from(&near, &mut client, "1");
+    let mut open = serve_read(&near, &mut client, "1");
     // Both have arrived before either is looked at, as far as a stopped program can tell.
     pooler.signal("STOP");
-    tell(&mut watch, &(list(42, false, &[near.draining_line("s-1", "here")]) + "\n"));
+    write_chunk(&mut watch, &(list(42, false, &[near.draining_list_entry("s-1", "here")]) + "\n"));
     socket2::SockRef::from(&watch).set_linger(Some(Duration::ZERO)).unwrap();
     drop(watch);
-    client.send(&query(&ask("2", "reports")));
+    client.send(&query(&request_sql("2", "reports")));
     pooler.signal("CONT");
     goes_elsewhere(&far, &mut client, &mut open);
     // The version that came last is the one that is gone on from.
-    assert!(discovery.call().1.contains("since=42 "));
+    assert!(discovery.accept_request().1.contains("since=42 "));
 }
--- a/crates/daemon/tests/pipelining.rs
+++ b/crates/daemon/tests/pipelining.rs
@@ -25,14 +25,14 @@
 
 /// Reads that wait for nothing, one after another.
 fn reads(ids: &[&str]) -> Vec<u8> {
-    ids.iter().flat_map(|id| query(&ask(id, "reports"))).collect()
+    ids.iter().flat_map(|id| query(&request_sql(id, "reports"))).collect()
 }
 
 /// So many connections of the pooler's, each with the query that came on it.
-fn out(db: &Db, count: usize) -> Vec<(Wire, String)> {
+fn out(db: &ScriptedMember, count: usize) -> Vec<(Wire, String)> {
     let accept = |_| {
         let mut wire = db.accept();
-        let sql = asked(&mut wire);
+        let sql = read_query(&mut wire);
         (wire, sql)
     };
     (0..count).map(accept).collect()
@@ -52,33 +52,33 @@
 
 #[test]
 fn reads_sent_at_once_are_out_side_by_side_and_answered_in_their_order() {
-    let db = Db::listen();
-    let (pooler, _discovery) = with_one(PROGRAM, &db, &[]);
+    let db = ScriptedMember::listen();
+    let (pooler, _discovery) = start_with_one_member(PROGRAM, &db, &[]);
     let mut client = client(&pooler);
     let ids = ["1", "2", "3", "4", "5", "6", "7", "8"];
     client.send(&reads(&ids));
     let mut out = out(&db, ids.len());
     for id in ids.iter().rev() {
-        of(&mut out, id).send(&served(id.as_bytes(), "reader"));
+        of(&mut out, id).send(&answer_with_role(id.as_bytes(), "reader"));
     }
     for id in ids {
         assert_eq!(value(&mut client), id.as_bytes());
     }
     let counters = pooler.counters();
-    assert_eq!((counted(&counters, "taken"), counted(&counters, "pipelined")), (8, 7));
+    assert_eq!((counter_value(&counters, "taken"), counter_value(&counters, "pipelined")), (8, 7));
 }
 
 /// The time of each runs from its own last byte, not from the answer to the one before it.
 #[test]
 fn what_is_sent_ahead_is_refused_in_its_own_time() {
-    let db = Db::listen();
-    let (pooler, _discovery) = with_one(PROGRAM, &db, &[]);
+    let db = ScriptedMember::listen();
+    let (pooler, _discovery) = start_with_one_member(PROGRAM, &db, &[]);
     let mut client = client(&pooler);
-    client.send(&[query(&ask("1", "reports")), ask_row("2", "reports", "7f3a", 300)].concat());
+    client.send(&[query(&request_sql("1", "reports")), ask_row("2", "reports", "7f3a", 300)].concat());
     let mut out = out(&db, 2);
     // The second is over while the first is still out.
-    waits_for(&pooler, "refused", 1);
-    of(&mut out, "1").send(&served(VALUE, "reader"));
+    wait_for_counter(&pooler, "refused", 1);
+    of(&mut out, "1").send(&answer_with_role(VALUE, "reader"));
     assert_eq!(value(&mut client), VALUE);
     assert_eq!(client.error().0, "53300");
 }
@@ -91,23 +91,23 @@
     #[case] earlier: &str,
     #[case] later: &str,
 ) {
-    let db = Db::listen();
-    let (pooler, _discovery) = with_one(PROGRAM, &db, &[]);
+    let db = ScriptedMember::listen();
+    let (pooler, _discovery) = start_with_one_member(PROGRAM, &db, &[]);
     let mut client = client(&pooler);
-    let mut wire = primary_found(&db, &mut client, VALUE);
+    let mut wire = establish_primary(&db, &mut client, VALUE);
     client.send(&[ask_row("1", earlier, "7f3a", 8500), ask_row("2", later, "7f3a", 8500)].concat());
-    assert!(asked(&mut wire).contains("id=1,"));
-    waits_for(&pooler, "taken", 3);
+    assert!(read_query(&mut wire).contains("id=1,"));
+    wait_for_counter(&pooler, "taken", 3);
     std::thread::sleep(A_WHILE);
     assert_eq!(
-        counted(&pooler.counters(), "sent"),
+        counter_value(&pooler.counters(), "sent"),
         2,
         "the later one was sent ahead of the earlier one's end"
     );
-    wire.send(&served(b"first", "writer"));
+    wire.send(&answer_with_role(b"first", "writer"));
     assert_eq!(value(&mut client), b"first");
-    assert!(asked(&mut wire).contains("id=2,"));
-    wire.send(&served(b"second", "writer"));
+    assert!(read_query(&mut wire).contains("id=2,"));
+    wire.send(&answer_with_role(b"second", "writer"));
     assert_eq!(value(&mut client), b"second");
 }
 
@@ -120,35 +120,35 @@
     #[case] later: &str,
     #[case] row: &str,
 ) {
-    let db = Db::listen();
-    let (pooler, _discovery) = with_one(PROGRAM, &db, &[]);
+    let db = ScriptedMember::listen();
+    let (pooler, _discovery) = start_with_one_member(PROGRAM, &db, &[]);
     let mut client = client(&pooler);
-    let mut wire = primary_found(&db, &mut client, VALUE);
+    let mut wire = establish_primary(&db, &mut client, VALUE);
     client.send(&[ask_row("1", earlier, "7f3a", 8500), ask_row("2", later, row, 8500)].concat());
-    assert!(asked(&mut wire).contains("id=1,"));
+    assert!(read_query(&mut wire).contains("id=1,"));
     let mut second = db.accept();
-    assert!(asked(&mut second).contains("id=2,"));
-    second.send(&served(b"second", "writer"));
-    wire.send(&served(b"first", "writer"));
+    assert!(read_query(&mut second).contains("id=2,"));
+    second.send(&answer_with_role(b"second", "writer"));
+    wire.send(&answer_with_role(b"first", "writer"));
     assert_eq!(value(&mut client), b"first");
     assert_eq!(value(&mut client), b"second");
 }
 
 #[test]
 fn a_read_behind_a_write_that_hangs_is_refused_within_its_time() {
-    let db = Db::listen();
-    let (pooler, _discovery) = with_one(PROGRAM, &db, &[]);
+    let db = ScriptedMember::listen();
+    let (pooler, _discovery) = start_with_one_member(PROGRAM, &db, &[]);
     let mut client = client(&pooler);
     client.send(
         &[ask_row("1", "order-write", "7f3a", 8500), ask_row("2", "own-orders", "7f3a", 2000)].concat(),
     );
     let mut wire = db.accept();
-    asked(&mut wire);
+    read_query(&mut wire);
     let from = Instant::now();
-    waits_for(&pooler, "refused", 1);
+    wait_for_counter(&pooler, "refused", 1);
     assert!(from.elapsed() < Duration::from_secs(2), "{:?}", from.elapsed());
-    assert_eq!(counted(&pooler.counters(), "sent"), 1);
-    wire.send(&served(VALUE, "writer"));
+    assert_eq!(counter_value(&pooler.counters(), "sent"), 1);
+    wire.send(&answer_with_role(VALUE, "writer"));
     assert_eq!(value(&mut client), VALUE);
     assert_eq!(client.error().0, "53300");
 }
@@ -157,57 +157,57 @@
 #[case::leaves(false)]
 #[case::cancels(true)]
 fn a_close_or_a_cancel_ends_all_that_is_out(#[case] cancels: bool) {
-    let db = Db::listen();
-    let (pooler, _discovery) = with_one(PROGRAM, &db, &[]);
-    let (mut client, key) = with_key(&pooler);
+    let db = ScriptedMember::listen();
+    let (pooler, _discovery) = start_with_one_member(PROGRAM, &db, &[]);
+    let (mut client, key) = client_with_cancel_key(&pooler);
     client.send(&reads(&["1", "2", "3"]));
     let mut out = out(&db, 3);
     let from = Instant::now();
     if cancels {
-        cancel(&pooler, &key);
+        send_cancel_request(&pooler, &key);
         for _ in 0..3 {
             assert_eq!(client.error().0, "57014");
         }
     } else {
         drop(client);
     }
-    out.iter_mut().for_each(|(wire, _)| wire.ends());
+    out.iter_mut().for_each(|(wire, _)| wire.expect_closed());
     assert!(from.elapsed() < Duration::from_secs(2), "given up at their own time only: {:?}", from.elapsed());
     let counters = pooler.counters();
-    assert_eq!((counted(&counters, "gone"), counted(&counters, "sent")), (3, 3));
+    assert_eq!((counter_value(&counters, "gone"), counter_value(&counters, "sent")), (3, 3));
 }
 
 #[test]
 fn what_waits_for_an_earlier_command_is_not_sent_for_a_client_that_has_gone() {
-    let db = Db::listen();
-    let (pooler, _discovery) = with_one(PROGRAM, &db, &[]);
+    let db = ScriptedMember::listen();
+    let (pooler, _discovery) = start_with_one_member(PROGRAM, &db, &[]);
     let mut client = client(&pooler);
     client.send(
         &[ask_row("1", "order-write", "7f3a", 8500), ask_row("2", "own-orders", "7f3a", 8500)].concat(),
     );
     let mut wire = db.accept();
-    asked(&mut wire);
-    waits_for(&pooler, "taken", 2);
+    read_query(&mut wire);
+    wait_for_counter(&pooler, "taken", 2);
     drop(client);
-    wire.ends();
-    waits_for(&pooler, "gone", 2);
+    wire.expect_closed();
+    wait_for_counter(&pooler, "gone", 2);
     std::thread::sleep(A_WHILE);
-    assert_eq!(counted(&pooler.counters(), "sent"), 1);
+    assert_eq!(counter_value(&pooler.counters(), "sent"), 1);
 }
 
 #[test]
 fn an_error_and_an_empty_query_in_the_middle_keep_their_places() {
-    let db = Db::listen();
-    let (pooler, _discovery) = with_one(PROGRAM, &db, &[]);
+    let db = ScriptedMember::listen();
+    let (pooler, _discovery) = start_with_one_member(PROGRAM, &db, &[]);
     let mut client = client(&pooler);
     let parse = frame(b'P', b"\0SELECT 1\0\0\0");
     let sync = frame(b'S', b"");
     let (first, last) = (reads(&["1"]), reads(&["2"]));
     client.send(&[&first[..], &query("SELECT 1"), &query(""), &parse, &sync, &last].concat());
     let mut out = out(&db, 2);
-    of(&mut out, "2").send(&served(b"last", "reader"));
-    waits_for(&pooler, "served", 1);
-    of(&mut out, "1").send(&served(b"first", "reader"));
+    of(&mut out, "2").send(&answer_with_role(b"last", "reader"));
+    wait_for_counter(&pooler, "served", 1);
+    of(&mut out, "1").send(&answer_with_role(b"first", "reader"));
     assert_eq!(value(&mut client), b"first");
     assert_eq!(client.error().0, "42601");
     assert_eq!(client.answer()[0].0, b'I');
@@ -222,45 +222,45 @@
     #[case] bytes: &[u8],
     #[case] code: Option<&str>,
 ) {
-    let db = Db::listen();
-    let (pooler, _discovery) = with_one(PROGRAM, &db, &[]);
+    let db = ScriptedMember::listen();
+    let (pooler, _discovery) = start_with_one_member(PROGRAM, &db, &[]);
     let mut client = client(&pooler);
     client.send(&[&reads(&["1", "2"]), bytes, &reads(&["3"])].concat());
     let mut out = out(&db, 2);
-    of(&mut out, "2").send(&served(b"second", "reader"));
-    of(&mut out, "1").send(&served(b"first", "reader"));
+    of(&mut out, "2").send(&answer_with_role(b"second", "reader"));
+    of(&mut out, "1").send(&answer_with_role(b"first", "reader"));
     assert_eq!(value(&mut client), b"first");
     assert_eq!(value(&mut client), b"second");
     if let Some(code) = code {
         assert_eq!(client.error().0, code);
     }
-    client.ends();
-    assert_eq!(counted(&pooler.counters(), "taken"), 2);
+    client.expect_closed();
+    assert_eq!(counter_value(&pooler.counters(), "taken"), 2);
 }
 
 /// What begins while others are out has to be completed, too.
 #[test]
 fn a_message_that_does_not_end_is_answered_behind_what_is_owed() {
-    let db = Db::listen();
-    let (pooler, _discovery) = with_one(PROGRAM, &db, &[]);
+    let db = ScriptedMember::listen();
+    let (pooler, _discovery) = start_with_one_member(PROGRAM, &db, &[]);
     let mut client = client(&pooler);
     client.send(&[&reads(&["1"])[..], &reads(&["2"])[..20]].concat());
     let mut out = out(&db, 1);
-    waits_for(&pooler, "overdue", 1);
-    of(&mut out, "1").send(&served(VALUE, "reader"));
+    wait_for_counter(&pooler, "overdue", 1);
+    of(&mut out, "1").send(&answer_with_role(VALUE, "reader"));
     assert_eq!(value(&mut client), VALUE);
     assert_eq!(client.error().0, "08P01");
-    client.ends();
+    client.expect_closed();
 }
 
 /// A client has so long to ask for the first time, whatever else it sends.
 #[test]
 fn what_asks_for_nothing_gives_no_more_time_to_ask() {
-    let db = Db::listen();
-    let (pooler, _discovery) = with_one(PROGRAM, &db, &[]);
+    let db = ScriptedMember::listen();
+    let (pooler, _discovery) = start_with_one_member(PROGRAM, &db, &[]);
     let mut client = client(&pooler);
     let from = Instant::now();
-    while counted(&pooler.counters(), "overdue") == 0 {
+    while counter_value(&pooler.counters(), "overdue") == 0 {
         assert!(from.elapsed() < Duration::from_secs(5), "it holds its place without asking");
         client.try_send(&frame(b'S', b""));
         std::thread::sleep(A_WHILE);
@@ -271,34 +271,35 @@
 fn commands_beyond_the_bound_of_a_connection_wait_unread() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
     let held = gate.clone();
-    let db = Answering::new(move |sql| {
+    let db = AnsweringMember::new(move |sql| {
         let opened = held.0.lock().unwrap();
         drop(held.1.wait_while(opened, |opened| !*opened).unwrap());
         let id = sql.split("id=").nth(1).and_then(|rest| rest.split(',').next()).unwrap_or_default();
-        served(id.as_bytes(), "reader")
+        answer_with_role(id.as_bytes(), "reader")
     });
     let discovery = Discovery::listen();
-    let known = list(41, true, &[db.line("s-1", "here")]);
+    let known = list(41, true, &[db.list_entry("s-1", "here")]);
     let pooler = Pooler::start(PROGRAM, &known, &discovery, &[]);
     let mut client = client(&pooler);
     let ids: Vec<String> = (0..MOST_COMMANDS + 20).map(|n| n.to_string()).collect();
-    ids.iter().for_each(|id| client.send(&query(&ask(id, "reports"))));
-    waits_for(&pooler, "taken", MOST_COMMANDS);
+    ids.iter().for_each(|id| client.send(&query(&request_sql(id, "reports"))));
+    wait_for_counter(&pooler, "taken", MOST_COMMANDS);
     std::thread::sleep(A_WHILE);
-    assert_eq!(counted(&pooler.counters(), "taken"), MOST_COMMANDS);
+    assert_eq!(counter_value(&pooler.counters(), "taken"), MOST_COMMANDS);
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
     for id in &ids {
         assert_eq!(value(&mut client), id.as_bytes());
     }
-    assert_eq!(counted(&pooler.counters(), "served"), ids.len() as u64);
+    assert_eq!(counter_value(&pooler.counters(), "served"), ids.len() as u64);
 }
 
 /// An answer that waits for another is held in memory, of which there is only so much.
 #[test]
 fn answers_that_wait_are_charged_to_the_memory() {
-    let db = Db::listen();
-    let (pooler, _discovery) = with_one(PROGRAM, &db, &[(r#""memory_mb":192"#, r#""memory_mb":1"#)]);
+    let db = ScriptedMember::listen();
+    let (pooler, _discovery) =
+        start_with_one_member(PROGRAM, &db, &[(r#""memory_mb":192"#, r#""memory_mb":1"#)]);
     let mut client = client(&pooler);
     let ids: Vec<String> = (0..12).map(|n| n.to_string()).collect();
     let named: Vec<&str> = ids.iter().map(String::as_str).collect();
@@ -306,15 +307,17 @@
     let mut out = out(&db, ids.len());
     let large = VALUE.repeat(64 * 1024 / VALUE.len());
     for id in &ids[1..] {
-        of(&mut out, id).send(&served(&large, "reader"));
+        of(&mut out, id).send(&answer_with_role(&large, "reader"));
     }
     let done = |counters: &str| {
-        counted(counters, "served") + counted(counters, "failed") + counted(counters, "refused")
+        counter_value(counters, "served")
+            + counter_value(counters, "failed")
+            + counter_value(counters, "refused")
     };
     while done(&pooler.counters()) < ids.len() as u64 - 1 {
         std::thread::sleep(A_WHILE / 4);
     }
-    of(&mut out, "0").send(&served(VALUE, "reader"));
+    of(&mut out, "0").send(&answer_with_role(VALUE, "reader"));
     let replies: Vec<u8> = ids.iter().map(|_| client.answer()[0].0).collect();
     assert!(replies.contains(&b'T') && replies.contains(&b'E'), "{replies:?}");
     // The connection goes on.
@@ -324,8 +327,8 @@
 
 #[test]
 fn after_sigterm_all_that_is_out_on_a_connection_is_answered() {
-    let db = Db::listen();
-    let (mut pooler, _discovery) = with_one(PROGRAM, &db, &[]);
+    let db = ScriptedMember::listen();
+    let (mut pooler, _discovery) = start_with_one_member(PROGRAM, &db, &[]);
     let mut client = client(&pooler);
     client.send(&reads(&["1", "2", "3"]));
     let mut out = out(&db, 3);
@@ -335,11 +338,11 @@
         std::thread::sleep(Duration::from_millis(50));
     }
     for id in ["3", "1", "2"] {
-        of(&mut out, id).send(&served(id.as_bytes(), "reader"));
+        of(&mut out, id).send(&answer_with_role(id.as_bytes(), "reader"));
     }
     for id in ["1", "2", "3"] {
         assert_eq!(value(&mut client), id.as_bytes());
     }
-    client.ends();
-    assert_eq!(pooler.ended().code(), Some(0));
+    client.expect_closed();
+    assert_eq!(pooler.wait_for_exit().code(), Some(0));
 }
--- a/crates/daemon/tests/pooling.rs
+++ b/crates/daemon/tests/pooling.rs
@@ -16,7 +16,7 @@
     pooler: Pooler,
     address: SocketAddr,
     discovery: Discovery,
-    operator: Operator,
+    operator: OperatorFolder,
 }
 
 impl World {
@@ -29,10 +29,10 @@
         let settings = format!(
             "[pool]\nlisten = \"127.0.0.1:0\"\nwrite_class = \"order-write\"\nread_class = \"reports\"\ngroup = 2\n{more}"
         );
-        let operator = Operator::new(&format!("pool-{name}"), &settings);
-        let known = [&primary, &replica].map(|server| server.line("SERVING"));
-        let pooler = Pooler::operated(PROGRAM, &list(41, true, &known), &discovery, &operator);
-        let line = pooler.logged("ordinary clients connect to ");
+        let operator = OperatorFolder::new(&format!("pool-{name}"), &settings);
+        let known = [&primary, &replica].map(|server| server.list_entry("SERVING"));
+        let pooler = Pooler::start_with_operator(PROGRAM, &list(41, true, &known), &discovery, &operator);
+        let line = pooler.wait_for_log("ordinary clients connect to ");
         let address = line.split("connect to ").nth(1).unwrap().split(',').next().unwrap().parse().unwrap();
         World { primary, replica, pooler, address, discovery, operator }
     }
@@ -78,7 +78,7 @@
     let mut client = world.client();
     assert_eq!(value(&mut client, "SELECT who"), "s-1", "reads go to the replica");
     assert_eq!(client.execute("INSERT INTO items VALUES ($1)", &[&"x"]).unwrap(), 1);
-    assert_eq!(world.primary.rows(), 1, "and writes to the primary");
+    assert_eq!(world.primary.committed_rows(), 1, "and writes to the primary");
     let echo = client.prepare("SELECT $1").unwrap();
     for text in ["a", "b", "c"] {
         assert_eq!(client.query_one(&echo, &[&text]).unwrap().get::<_, &str>(0), text);
@@ -90,7 +90,7 @@
     inner.execute("INSERT INTO items VALUES (3)", &[]).unwrap();
     inner.rollback().unwrap();
     transaction.commit().unwrap();
-    assert_eq!(world.primary.rows(), 2);
+    assert_eq!(world.primary.committed_rows(), 2);
     let mut transaction = client.transaction().unwrap();
     assert_eq!(code(transaction.query("SELECT fail", &[])), "22012");
     assert_eq!(code(transaction.query("SELECT 1", &[])), "25P02");
@@ -98,7 +98,7 @@
     let mut copy = client.copy_in("COPY items FROM STDIN").unwrap();
     copy.write_all(&b"line\n".repeat(10_000)).unwrap();
     assert_eq!(copy.finish().unwrap(), 10_000);
-    assert_eq!(world.primary.rows(), 10_002);
+    assert_eq!(world.primary.committed_rows(), 10_002);
     let mut text = String::new();
     client.copy_out("COPY items TO STDOUT").unwrap().read_to_string(&mut text).unwrap();
     assert_eq!(text, "line 0\nline 1\nline 2\n");
@@ -141,7 +141,7 @@
             });
         }
     });
-    assert_eq!(world.primary.rows(), 300);
+    assert_eq!(world.primary.committed_rows(), 300);
     assert!(world.primary.connections().1 <= 3 && world.replica.connections().1 <= 3);
 }
 
@@ -173,7 +173,7 @@
         let mut next = world.client();
         assert_eq!(value(&mut next, "BEGIN; SHOW app.me; COMMIT"), "");
     }
-    assert_eq!(world.primary.rows(), 0);
+    assert_eq!(world.primary.committed_rows(), 0);
 }
 
 #[test]
@@ -184,20 +184,20 @@
     client.batch_execute("SET app.me TO 'one'").unwrap();
     let mut transaction = client.transaction().unwrap();
     transaction.execute("INSERT INTO items VALUES (1)", &[]).unwrap();
-    world.primary.kill();
+    world.primary.close_connections();
     assert_eq!(code(transaction.execute("INSERT INTO items VALUES (1)", &[])), "08006");
     assert_eq!(code(transaction.execute("INSERT INTO items VALUES (1)", &[])), "25P02");
     transaction.rollback().unwrap();
     assert_eq!(client.query_one(&echo, &[&"again"]).unwrap().get::<_, &str>(0), "again");
     assert_eq!(value(&mut client, "BEGIN; SHOW app.me; COMMIT"), "one");
-    world.primary.dies(true);
+    world.primary.set_fail_on_commit(true);
     let mut transaction = client.transaction().unwrap();
     transaction.execute("INSERT INTO items VALUES (1)", &[]).unwrap();
     assert_eq!(code(transaction.commit()), "08007", "nobody knows");
-    let commits = world.primary.asked("COMMIT");
+    let commits = world.primary.statement_count("COMMIT");
     assert_eq!(value(&mut client, "SELECT 1"), "SELECT 1");
-    assert_eq!(world.primary.asked("COMMIT"), commits, "and it is not asked again");
-    assert_eq!(world.primary.rows(), 0);
+    assert_eq!(world.primary.statement_count("COMMIT"), commits, "and it is not asked again");
+    assert_eq!(world.primary.committed_rows(), 0);
 }
 
 #[test]
@@ -220,7 +220,7 @@
     let begun = Instant::now();
     std::thread::scope(|scope| {
         let asking = scope.spawn(|| code(one.batch_execute("SELECT sleep 8000")));
-        wait(|| world.replica.asked("SELECT sleep") == 1);
+        wait(|| world.replica.statement_count("SELECT sleep") == 1);
         token.cancel_query(NoTls).unwrap();
         assert_eq!(asking.join().unwrap(), "57014");
     });
@@ -228,7 +228,7 @@
     // One that comes when its session does nothing touches nobody.
     std::thread::scope(|scope| {
         let asking = scope.spawn(|| value(&mut two, "SELECT sleep 400"));
-        wait(|| world.replica.asked("SELECT sleep") == 2);
+        wait(|| world.replica.statement_count("SELECT sleep") == 2);
         token.cancel_query(NoTls).unwrap();
         assert_eq!(asking.join().unwrap(), "slept");
     });
@@ -244,7 +244,7 @@
     client.batch_execute("ROLLBACK").unwrap();
     assert_eq!(code(client.batch_execute("SELECT sleep 5000")), "57014");
     assert_eq!(value(&mut client, "SELECT 1"), "SELECT 1");
-    assert_eq!(world.primary.rows(), 0);
+    assert_eq!(world.primary.committed_rows(), 0);
 }
 
 #[test]
@@ -253,9 +253,10 @@
     let (mut one, mut two) = (world.client(), world.client());
     one.batch_execute("BEGIN READ ONLY").unwrap();
     two.batch_execute("BEGIN READ ONLY").unwrap();
-    let (mut call, _) = world.discovery.call();
-    let drained = list(42, false, &[world.replica.line("DRAINING")]);
-    call.write_all(&[HEAD.as_bytes(), &chunks([format!("{drained}\n").as_bytes()])].concat()).unwrap();
+    let (mut call, _) = world.discovery.accept_request();
+    let drained = list(42, false, &[world.replica.list_entry("DRAINING")]);
+    call.write_all(&[RESPONSE_HEAD.as_bytes(), &encode_chunks([format!("{drained}\n").as_bytes()])].concat())
+        .unwrap();
     std::thread::sleep(Duration::from_millis(300));
     // The one ends in time, the other does not; what is new goes elsewhere.
     assert_eq!(value(&mut one, "SELECT who"), "s-1");
@@ -279,12 +280,12 @@
     client.batch_execute("RESET dewferry.class").unwrap();
     assert_eq!(value(&mut client, "SELECT who"), "s-1");
     client.batch_execute("INSERT INTO items VALUES (1)").unwrap();
-    assert_eq!(world.primary.rows(), 1);
+    assert_eq!(world.primary.committed_rows(), 1);
 }
 
 #[test]
 fn who_does_not_know_the_password_waits_and_learns_nothing() {
-    let folder = Operator::new("pool-users-file", "");
+    let folder = OperatorFolder::new("pool-users-file", "");
     let users = folder.0.join("users");
     let add = |name: &str, password: &str| {
         let mut command = std::process::Command::new(PROGRAM);
@@ -311,16 +312,17 @@
     assert!(begun.elapsed() > Duration::from_millis(300));
     add("other", "word");
     world.pooler.signal("HUP");
-    world.pooler.logged("config.");
+    world.pooler.wait_for_log("config.");
     assert!(connect("other", "word").is_ok());
 }
 
 #[test]
 fn clients_may_be_made_to_speak_tls() {
-    let authority = Authority::default();
-    let folder = Operator::new("pool-tls-files", "");
+    let authority = CertificateAuthority::default();
+    let folder = OperatorFolder::new("pool-tls-files", "");
     let (cert, key) = authority.issue("127.0.0.1", 2040);
-    let (cert, key) = (private(&folder.0, "cert.pem", &cert), private(&folder.0, "key.pem", &key));
+    let (cert, key) =
+        (write_private_file(&folder.0, "cert.pem", &cert), write_private_file(&folder.0, "key.pem", &key));
     let world = World::new("tls", &format!("tls_cert = {cert}\ntls_key = {key}\ntls_required = true\n"));
     let port = world.address.port();
     let plain = format!("host=127.0.0.1 port={port} user=app dbname=shop sslmode=disable");
@@ -340,11 +342,11 @@
 
 #[test]
 fn servers_are_reached_over_tls_alone_where_an_authority_is_named() {
-    let (authority, other) = (Authority::default(), Authority::default());
-    let folder = Operator::new("pool-server-tls-files", "");
-    let ca = private(&folder.0, "ca.pem", &authority.pem);
+    let (authority, other) = (CertificateAuthority::default(), CertificateAuthority::default());
+    let folder = OperatorFolder::new("pool-server-tls-files", "");
+    let ca = write_private_file(&folder.0, "ca.pem", &authority.pem);
     let secured =
-        |name, replica| Postgres::secured(name, replica, authority.acceptor("127.0.0.1", 2040, false));
+        |name, replica| Postgres::with_tls(name, replica, authority.acceptor("127.0.0.1", 2040, false));
     let settings = format!("server_tls_ca = {ca}\n");
     let world = World::before(secured("s-0", false), secured("s-1", true), "server-tls", &settings);
     let mut client = world.client();
@@ -352,29 +354,30 @@
     assert_eq!(client.query("SELECT big 5000", &[]).unwrap().len(), 5_000);
     // Who is vouched for by somebody else gets nothing.
     let false_ones =
-        ["s-0", "s-1"].map(|name| Postgres::secured(name, false, other.acceptor("127.0.0.1", 2040, false)));
+        ["s-0", "s-1"].map(|name| Postgres::with_tls(name, false, other.acceptor("127.0.0.1", 2040, false)));
     let [first, second] = false_ones;
     let world = World::before(first, second, "server-tls-false", &settings);
     let mut client = world.client();
     assert!(client.batch_execute("INSERT INTO items VALUES (1)").is_err());
-    assert!(world.pooler.logged("pool.server_tls").contains("vouches"));
-    assert_eq!((world.primary.asked("INSERT"), world.replica.asked("INSERT")), (0, 0));
+    assert!(world.pooler.wait_for_log("pool.server_tls").contains("vouches"));
+    assert_eq!((world.primary.statement_count("INSERT"), world.replica.statement_count("INSERT")), (0, 0));
 }
 
 #[test]
 fn servers_are_shown_a_certificate_and_a_password_bound_to_the_connection() {
-    let authority = Authority::default();
-    let folder = Operator::new("pool-server-login-files", "");
+    let authority = CertificateAuthority::default();
+    let folder = OperatorFolder::new("pool-server-login-files", "");
     let (cert, key) = authority.issue("pooler", 2040);
-    let ca = private(&folder.0, "ca.pem", &authority.pem);
-    let (cert, key) = (private(&folder.0, "cert.pem", &cert), private(&folder.0, "key.pem", &key));
-    let password = private(&folder.0, "password", "word\n");
+    let ca = write_private_file(&folder.0, "ca.pem", &authority.pem);
+    let (cert, key) =
+        (write_private_file(&folder.0, "cert.pem", &cert), write_private_file(&folder.0, "key.pem", &key));
+    let password = write_private_file(&folder.0, "password", "word\n");
     let login =
         format!("server_user = \"pooler\"\nserver_password_file = {password}\nserver_tls_ca = {ca}\n");
     let own = format!("server_tls_cert = {cert}\nserver_tls_key = {key}\n");
     let server = |name, replica, password: &str| {
-        let server = Postgres::secured(name, replica, authority.acceptor("127.0.0.1", 2040, true));
-        server.password(password);
+        let server = Postgres::with_tls(name, replica, authority.acceptor("127.0.0.1", 2040, true));
+        server.require_password(password);
         server
     };
     let ask = |name: &str, settings: &str, password: &str| {
@@ -385,23 +388,24 @@
     };
     let (world, served) = ask("server-login", &format!("{login}{own}"), "word");
     assert!(served);
-    assert!(world.primary.proved().iter().all(|mechanism| mechanism == "SCRAM-SHA-256-PLUS"));
-    assert!(!world.primary.proved().is_empty());
+    assert!(world.primary.login_mechanisms().iter().all(|mechanism| mechanism == "SCRAM-SHA-256-PLUS"));
+    assert!(!world.primary.login_mechanisms().is_empty());
     // Without a certificate, or with another password, nothing is reached.
     let (world, served) = ask("server-login-bare", &login, "word");
-    assert!(!served && world.primary.asked("INSERT") == 0);
+    assert!(!served && world.primary.statement_count("INSERT") == 0);
     let (world, served) = ask("server-login-wrong", &format!("{login}{own}"), "another");
-    assert!(!served && world.primary.asked("INSERT") == 0);
+    assert!(!served && world.primary.statement_count("INSERT") == 0);
 }
 
 #[test]
 fn a_password_is_bound_to_the_connection_where_there_is_tls() {
-    let authority = Authority::default();
-    let folder = Operator::new("pool-binding-files", "");
+    let authority = CertificateAuthority::default();
+    let folder = OperatorFolder::new("pool-binding-files", "");
     let (cert, key) = authority.issue("127.0.0.1", 2040);
-    let (cert, key) = (private(&folder.0, "cert.pem", &cert), private(&folder.0, "key.pem", &key));
+    let (cert, key) =
+        (write_private_file(&folder.0, "cert.pem", &cert), write_private_file(&folder.0, "key.pem", &key));
     let verifier = scram::Verifier::new("word", b"a salt", 4_096);
-    let users = private(&folder.0, "users", &format!("app {verifier}\n"));
+    let users = write_private_file(&folder.0, "users", &format!("app {verifier}\n"));
     let world = World::new("binding", &format!("tls_cert = {cert}\ntls_key = {key}\nusers = {users}\n"));
     let mut builder = openssl::ssl::SslConnector::builder(openssl::ssl::SslMethod::tls()).unwrap();
     let ca = openssl::x509::X509::from_pem(authority.pem.as_bytes()).unwrap();
@@ -444,9 +448,10 @@
         World::settled("drain-many", "drain_s = 1\nclients = 250\nservers = 220\nservers_each = 210\n");
     let mut clients: Vec<Client> = (0..200).map(|_| world.client()).collect();
     clients.iter_mut().for_each(|client| client.batch_execute("BEGIN READ ONLY").unwrap());
-    let (mut call, _) = world.discovery.call();
-    let drained = list(42, false, &[world.replica.line("DRAINING")]);
-    call.write_all(&[HEAD.as_bytes(), &chunks([format!("{drained}\n").as_bytes()])].concat()).unwrap();
+    let (mut call, _) = world.discovery.accept_request();
+    let drained = list(42, false, &[world.replica.list_entry("DRAINING")]);
+    call.write_all(&[RESPONSE_HEAD.as_bytes(), &encode_chunks([format!("{drained}\n").as_bytes()])].concat())
+        .unwrap();
     wait(|| world.replica.connections().0 == 0);
     for client in &mut clients {
         assert_eq!(code(client.batch_execute("SELECT 1")), "57P01");
@@ -467,7 +472,7 @@
         let line = status.lines().find(|line| line.starts_with("VmRSS")).unwrap().to_string();
         line.split_whitespace().nth(1).unwrap().parse::<u64>().unwrap()
     };
-    wait(|| world.replica.asked("SELECT big") == 1);
+    wait(|| world.replica.statement_count("SELECT big") == 1);
     let mut other = world.client();
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_secs(1) {
--- a/crates/daemon/tests/registry.rs
+++ b/crates/daemon/tests/registry.rs
@@ -8,12 +8,12 @@
 const VALUE: &[u8] = b"\x9f\x00\x03";
 
 /// Three machines that answer by themselves; the first says that it is the primary.
-fn three() -> [Answering; 3] {
-    ["writer", "reader", "reader"].map(|role| Answering::new(move |_| served(VALUE, role)))
+fn three() -> [AnsweringMember; 3] {
+    ["writer", "reader", "reader"].map(|role| AnsweringMember::new(move |_| answer_with_role(VALUE, role)))
 }
 
-fn put(registry: &Registry, machines: &[Answering], name: usize, status: &str) {
-    let value = Registry::member(machines[name].address, 2, status);
+fn put(registry: &Registry, machines: &[AnsweringMember], name: usize, status: &str) {
+    let value = Registry::member_value(machines[name].address, 2, status);
     registry.write(&[(&format!("/dewferry/members/s-{name}"), Some(&value))]);
 }
 
@@ -26,12 +26,12 @@
 }
 
 /// How many of so many reads are served, and how many of them by each machine.
-fn reads(pooler: &Pooler, machines: &[Answering], count: usize) -> (usize, Vec<usize>) {
-    let before: Vec<usize> = machines.iter().map(Answering::count).collect();
+fn reads(pooler: &Pooler, machines: &[AnsweringMember], count: usize) -> (usize, Vec<usize>) {
+    let before: Vec<usize> = machines.iter().map(AnsweringMember::count).collect();
     let mut wire = client(pooler);
     let mut served = 0;
     for n in 0..count {
-        wire.send(&query(&ask(&format!("r{n}"), "reports")));
+        wire.send(&query(&request_sql(&format!("r{n}"), "reports")));
         served += usize::from(wire.answer().first().is_some_and(|(kind, _)| *kind == b'T'));
     }
     let by = machines.iter().zip(before).map(|(machine, before)| machine.count() - before);
@@ -39,7 +39,7 @@
 }
 
 /// Waits until reads go to these machines and no others.
-fn until(pooler: &Pooler, machines: &[Answering], wanted: &[bool]) {
+fn until(pooler: &Pooler, machines: &[AnsweringMember], wanted: &[bool]) {
     let begun = Instant::now();
     loop {
         let (served, by) = reads(pooler, machines, 20);
@@ -55,8 +55,8 @@
 fn members_and_drains_are_followed_and_a_bad_value_costs_its_change_alone() {
     let (machines, registry, discovery) = (three(), Registry::default(), Discovery::listen());
     (0..2).for_each(|n| put(&registry, &machines, n, "SERVING"));
-    let operator = Operator::new("registry", &settings(&[&registry]));
-    let pooler = Pooler::operated(PROGRAM, &list(0, true, &[]), &discovery, &operator);
+    let operator = OperatorFolder::new("registry", &settings(&[&registry]));
+    let pooler = Pooler::start_with_operator(PROGRAM, &list(0, true, &[]), &discovery, &operator);
     until(&pooler, &machines, &[false, true, false]);
     put(&registry, &machines, 2, "SERVING");
     until(&pooler, &machines, &[false, true, true]);
@@ -70,12 +70,12 @@
     for bad in ["not JSON", r#"{"v":2}"#, &long] {
         registry.write(&[("/dewferry/members/s-1", Some(bad))]);
     }
-    pooler.logged("registry.poisoned");
+    pooler.wait_for_log("registry.poisoned");
     until(&pooler, &machines, &[false, true, true]);
     put(&registry, &machines, 2, "DRAINING");
     until(&pooler, &machines, &[false, true, false]);
     // Changed and deleted at once: gone.
-    let value = Registry::member(machines[1].address, 2, "SERVING");
+    let value = Registry::member_value(machines[1].address, 2, "SERVING");
     registry.write(&[("/dewferry/members/s-1", Some(&value)), ("/dewferry/members/s-1", None)]);
     until(&pooler, &machines, &[true, false, false]);
 }
@@ -84,17 +84,17 @@
 fn what_happened_while_the_registry_was_away_and_compacted_is_seen() {
     let (machines, registry, discovery) = (three(), Registry::default(), Discovery::listen());
     (0..3).for_each(|n| put(&registry, &machines, n, "SERVING"));
-    let operator = Operator::new("registry-away", &settings(&[&registry]));
-    let pooler = Pooler::operated(PROGRAM, &list(0, true, &[]), &discovery, &operator);
+    let operator = OperatorFolder::new("registry-away", &settings(&[&registry]));
+    let pooler = Pooler::start_with_operator(PROGRAM, &list(0, true, &[]), &discovery, &operator);
     until(&pooler, &machines, &[false, true, true]);
-    registry.cut(true);
-    pooler.logged("registry.lost");
+    registry.set_close_at_once(true);
+    pooler.wait_for_log("registry.lost");
     registry.write(&[("/dewferry/members/s-1", None)]);
     (0..50).for_each(|_| put(&registry, &machines, 2, "SERVING"));
     registry.compact();
     assert_eq!(reads(&pooler, &machines, 20).0, 20, "the last list holds");
-    registry.cut(false);
-    pooler.logged("registry.compacted");
+    registry.set_close_at_once(false);
+    pooler.wait_for_log("registry.compacted");
     until(&pooler, &machines, &[false, false, true]);
 }
 
@@ -102,10 +102,10 @@
 fn of_three_endpoints_one_that_answers_is_enough() {
     let (machines, discovery) = (three(), Discovery::listen());
     let endpoints = [(); 3].map(|()| Registry::default());
-    endpoints[..2].iter().for_each(|endpoint| endpoint.hang(true));
+    endpoints[..2].iter().for_each(|endpoint| endpoint.set_hang(true));
     (0..3).for_each(|n| put(&endpoints[2], &machines, n, "SERVING"));
-    let operator = Operator::new("registry-three", &settings(&endpoints.each_ref()));
-    let pooler = Pooler::operated(PROGRAM, &list(0, true, &[]), &discovery, &operator);
+    let operator = OperatorFolder::new("registry-three", &settings(&endpoints.each_ref()));
+    let pooler = Pooler::start_with_operator(PROGRAM, &list(0, true, &[]), &discovery, &operator);
     until(&pooler, &machines, &[false, true, true]);
 }
 
@@ -115,16 +115,16 @@
     (0..3).for_each(|n| put(&registry, &machines, n, "SERVING"));
     let more: Vec<String> = (0..3).map(|n| format!("/dewferry/drains/other-{n}")).collect();
     more.iter().for_each(|key| registry.write(&[(key, Some(""))]));
-    let operator = Operator::new("registry-empty", &settings(&[&registry]));
-    let pooler = Pooler::operated(PROGRAM, &list(0, true, &[]), &discovery, &operator);
+    let operator = OperatorFolder::new("registry-empty", &settings(&[&registry]));
+    let pooler = Pooler::start_with_operator(PROGRAM, &list(0, true, &[]), &discovery, &operator);
     until(&pooler, &machines, &[false, true, true]);
     let mut all: Vec<(String, Option<&str>)> = more.into_iter().map(|key| (key, None)).collect();
     all.extend((0..3).map(|n| (format!("/dewferry/members/s-{n}"), None)));
     registry.write(&all.iter().map(|(key, value)| (key.as_str(), *value)).collect::<Vec<_>>());
-    pooler.logged("registry.doubted");
+    pooler.wait_for_log("registry.doubted");
     assert_eq!(reads(&pooler, &machines, 10).0, 10, "the last list holds");
     let begun = Instant::now();
-    while !pooler.config(&["status"]).1.contains("members     0") {
+    while !pooler.run_config(&["status"]).1.contains("members     0") {
         assert!(begun.elapsed() < Duration::from_secs(20), "still so after a while: believed");
     }
 }
@@ -132,18 +132,18 @@
 #[test]
 fn the_source_changes_by_a_transaction_and_back() {
     let (machines, registry, discovery) = (three(), Registry::default(), Discovery::listen());
-    let lines: Vec<String> = (0..2).map(|n| machines[n].line(&format!("s-{n}"), "here")).collect();
-    let operator = Operator::new("registry-source", "change.probation_s = 0.5");
-    let pooler = Pooler::operated(PROGRAM, &list(41, true, &lines), &discovery, &operator);
+    let lines: Vec<String> = (0..2).map(|n| machines[n].list_entry(&format!("s-{n}"), "here")).collect();
+    let operator = OperatorFolder::new("registry-source", "change.probation_s = 0.5");
+    let pooler = Pooler::start_with_operator(PROGRAM, &list(41, true, &lines), &discovery, &operator);
     until(&pooler, &machines, &[false, true, false]);
     (0..3).for_each(|n| put(&registry, &machines, n, if n == 1 { "DRAINING" } else { "SERVING" }));
     let next = operator.write("next.toml", &settings(&[&registry]));
-    let (code, text) = pooler.config(&["apply", &next]);
+    let (code, text) = pooler.run_config(&["apply", &next]);
     assert!(code == 1 && text.contains("list-unknown"), "{text}");
-    assert_eq!(pooler.config(&["apply", &next, "--allow", "list-unknown"]).0, 0);
+    assert_eq!(pooler.run_config(&["apply", &next, "--allow", "list-unknown"]).0, 0);
     until(&pooler, &machines, &[false, false, true]);
     let back = operator.write("back.toml", "change.probation_s = 0.5");
-    assert_eq!(pooler.config(&["apply", &back, "--allow", "list-unknown"]).0, 0);
+    assert_eq!(pooler.run_config(&["apply", &back, "--allow", "list-unknown"]).0, 0);
     // Until discovery has told a whole list the registry's holds, with its drain.
     assert_eq!(reads(&pooler, &machines, 20).1[1], 0);
 }
@@ -152,8 +152,8 @@
 fn a_member_is_drained_from_the_command_line() {
     let (machines, registry, discovery) = (three(), Registry::default(), Discovery::listen());
     (0..3).for_each(|n| put(&registry, &machines, n, "SERVING"));
-    let operator = Operator::new("registry-cli", &settings(&[&registry]));
-    let pooler = Pooler::operated(PROGRAM, &list(0, true, &[]), &discovery, &operator);
+    let operator = OperatorFolder::new("registry-cli", &settings(&[&registry]));
+    let pooler = Pooler::start_with_operator(PROGRAM, &list(0, true, &[]), &discovery, &operator);
     until(&pooler, &machines, &[false, true, true]);
     let run = |args: &[&str]| {
         let output = std::process::Command::new(PROGRAM)
@@ -186,23 +186,23 @@
 fn an_endpoint_that_lags_and_answers_in_single_bytes_or_twice_takes_nothing_back() {
     let (machines, registry, discovery) = (three(), Registry::default(), Discovery::listen());
     (0..3).for_each(|n| put(&registry, &machines, n, "SERVING"));
-    let lagging = registry.another();
+    let lagging = registry.add_endpoint();
     for endpoint in [&registry, &lagging] {
-        endpoint.fault(|faults| (faults.split, faults.twice) = (true, true));
+        endpoint.change_faults(|faults| (faults.byte_by_byte, faults.duplicate_events) = (true, true));
     }
-    lagging.cut(true);
+    lagging.set_close_at_once(true);
     let both = settings(&[&registry, &lagging]);
-    let operator = Operator::new("registry-lag", &format!("{both}serializable = true\n"));
-    let pooler = Pooler::operated(PROGRAM, &list(0, true, &[]), &discovery, &operator);
+    let operator = OperatorFolder::new("registry-lag", &format!("{both}serializable = true\n"));
+    let pooler = Pooler::start_with_operator(PROGRAM, &list(0, true, &[]), &discovery, &operator);
     until(&pooler, &machines, &[false, true, true]);
     put(&registry, &machines, 1, "DRAINING");
     until(&pooler, &machines, &[false, false, true]);
     // The drain is not known at the endpoint that is left.
-    lagging.fault(|faults| (faults.behind, faults.cut) = (1, false));
-    registry.cut(true);
-    pooler.logged("registry.stale");
+    lagging.change_faults(|faults| (faults.revisions_behind, faults.close_at_once) = (1, false));
+    registry.set_close_at_once(true);
+    pooler.wait_for_log("registry.stale");
     assert_eq!(reads(&pooler, &machines, 20), (20, vec![0, 0, 20]));
-    lagging.fault(|faults| faults.behind = 0);
+    lagging.change_faults(|faults| faults.revisions_behind = 0);
     put(&registry, &machines, 1, "SERVING");
     until(&pooler, &machines, &[false, true, true]);
 }
@@ -211,28 +211,28 @@
 fn errors_that_are_no_json_slow_answers_and_silent_watches_are_got_over() {
     let (machines, registry, discovery) = (three(), Registry::default(), Discovery::listen());
     (0..3).for_each(|n| put(&registry, &machines, n, "SERVING"));
-    registry.fault(|faults| faults.status = 503);
+    registry.change_faults(|faults| faults.status = 503);
     let text = settings(&[&registry]).replace("call_s", "silence_s = 1\ncall_s");
-    let operator = Operator::new("registry-errors", &text);
-    let pooler = Pooler::operated(PROGRAM, &list(0, true, &[]), &discovery, &operator);
-    assert!(pooler.logged("registry.lost").contains("not of the agreed form"));
-    registry.fault(|faults| (faults.status, faults.slow) = (0, Duration::from_millis(200)));
+    let operator = OperatorFolder::new("registry-errors", &text);
+    let pooler = Pooler::start_with_operator(PROGRAM, &list(0, true, &[]), &discovery, &operator);
+    assert!(pooler.wait_for_log("registry.lost").contains("not of the agreed form"));
+    registry.change_faults(|faults| (faults.status, faults.delay) = (0, Duration::from_millis(200)));
     until(&pooler, &machines, &[false, true, true]);
     // A watch that tells nothing is given up for another, which tells what the first did not.
-    registry.fault(|faults| faults.stall = true);
+    registry.change_faults(|faults| faults.stall_watches = true);
     put(&registry, &machines, 1, "DRAINING");
-    assert!(pooler.logged("registry.lost").contains("no answer in time"));
-    registry.fault(|faults| faults.stall = false);
+    assert!(pooler.wait_for_log("registry.lost").contains("no answer in time"));
+    registry.change_faults(|faults| faults.stall_watches = false);
     until(&pooler, &machines, &[false, false, true]);
 }
 
 #[test]
 fn a_source_changed_under_load_fails_nothing_and_keeps_drains() {
     let (machines, registry, discovery) = (three(), Registry::default(), Discovery::listen());
-    let mut lines: Vec<String> = (0..3).map(|n| machines[n].line(&format!("s-{n}"), "here")).collect();
-    lines[1] = line(machines[1].address, "s-1", "here", "DRAINING");
-    let operator = Operator::new("registry-load", "change.probation_s = 0.5");
-    let pooler = Pooler::operated(PROGRAM, &list(41, true, &lines), &discovery, &operator);
+    let mut lines: Vec<String> = (0..3).map(|n| machines[n].list_entry(&format!("s-{n}"), "here")).collect();
+    lines[1] = list_entry(machines[1].address, "s-1", "here", "DRAINING");
+    let operator = OperatorFolder::new("registry-load", "change.probation_s = 0.5");
+    let pooler = Pooler::start_with_operator(PROGRAM, &list(41, true, &lines), &discovery, &operator);
     until(&pooler, &machines, &[false, false, true]);
     (0..3).for_each(|n| put(&registry, &machines, n, "SERVING"));
     registry.write(&[("/dewferry/drains/s-1", Some("still"))]);
@@ -245,7 +245,7 @@
             scope.spawn(move || {
                 let (mut wire, mut asked) = (client(pooler), 0);
                 while !over.load(std::sync::atomic::Ordering::SeqCst) {
-                    wire.send(&query(&ask(&format!("load{n}-{asked}"), "reports")));
+                    wire.send(&query(&request_sql(&format!("load{n}-{asked}"), "reports")));
                     assert_eq!(wire.answer().first().map(|(kind, _)| *kind), Some(b'T'), "{n}, {asked}");
                     asked += 1;
                 }
@@ -253,8 +253,8 @@
             })
         });
         let load: Vec<_> = load.collect();
-        assert_eq!(pooler.config(&["apply", &next, "--allow", "list-unknown"]).0, 0);
-        pooler.logged("registry.following");
+        assert_eq!(pooler.run_config(&["apply", &next, "--allow", "list-unknown"]).0, 0);
+        pooler.wait_for_log("registry.following");
         over.store(true, std::sync::atomic::Ordering::SeqCst);
         let asked: usize = load.into_iter().map(|one| one.join().unwrap()).sum();
         assert!(asked > 0);
@@ -269,7 +269,7 @@
     let (machines, registry) = (three(), Registry::default());
     (0..3).for_each(|n| put(&registry, &machines, n, "SERVING"));
     registry.write(&[("/dewferry/drains/s-1", Some("disk"))]);
-    let operator = Operator::new("registry-whole", &settings(&[&registry]));
+    let operator = OperatorFolder::new("registry-whole", &settings(&[&registry]));
     let run = |args: &[&str]| {
         let mut command = std::process::Command::new(PROGRAM);
         command.arg("registry").args(args).arg("--operator").arg(operator.file());
@@ -331,15 +331,15 @@
 #[test]
 fn a_first_list_that_lacks_most_of_what_stands_is_held_back_for_a_while() {
     let (machines, registry, discovery) = (three(), Registry::default(), Discovery::listen());
-    let mut lines: Vec<String> = (0..3).map(|n| machines[n].line(&format!("s-{n}"), "here")).collect();
-    lines.push(line("127.0.0.1:1".parse().unwrap(), "s-3", "here", "DRAINING"));
-    let operator = Operator::new("registry-first", "change.probation_s = 0.3");
-    let pooler = Pooler::operated(PROGRAM, &list(41, true, &lines), &discovery, &operator);
+    let mut lines: Vec<String> = (0..3).map(|n| machines[n].list_entry(&format!("s-{n}"), "here")).collect();
+    lines.push(list_entry("127.0.0.1:1".parse().unwrap(), "s-3", "here", "DRAINING"));
+    let operator = OperatorFolder::new("registry-first", "change.probation_s = 0.3");
+    let pooler = Pooler::start_with_operator(PROGRAM, &list(41, true, &lines), &discovery, &operator);
     until(&pooler, &machines, &[false, true, true]);
     put(&registry, &machines, 0, "SERVING");
     let next = operator.write("next.toml", &settings(&[&registry]));
-    assert_eq!(pooler.config(&["apply", &next, "--allow", "list-unknown"]).0, 0);
-    pooler.logged("lacks 3 of the 4 members");
+    assert_eq!(pooler.run_config(&["apply", &next, "--allow", "list-unknown"]).0, 0);
+    pooler.wait_for_log("lacks 3 of the 4 members");
     assert_eq!(reads(&pooler, &machines, 10).1[0], 0, "the list of before holds");
     until(&pooler, &machines, &[true, false, false]);
 }
--- a/crates/daemon/tests/registry_secured.rs
+++ b/crates/daemon/tests/registry_secured.rs
@@ -12,24 +12,28 @@
 
 /// A primary and two replicas, listed in a registry; its prefix's keys.
 struct World {
-    machines: [Answering; 3],
+    machines: [AnsweringMember; 3],
     registry: Registry,
     discovery: Discovery,
-    operator: Operator,
+    operator: OperatorFolder,
 }
 
 impl World {
     fn new(name: &str, registry: Registry) -> World {
-        let machines =
-            ["writer", "reader", "reader"].map(|role| Answering::new(move |_| served(VALUE, role)));
-        let world =
-            World { machines, registry, discovery: Discovery::listen(), operator: Operator::new(name, "") };
+        let machines = ["writer", "reader", "reader"]
+            .map(|role| AnsweringMember::new(move |_| answer_with_role(VALUE, role)));
+        let world = World {
+            machines,
+            registry,
+            discovery: Discovery::listen(),
+            operator: OperatorFolder::new(name, ""),
+        };
         (0..3).for_each(|n| world.put(n, "SERVING"));
         world
     }
 
     fn put(&self, name: usize, status: &str) {
-        let value = Registry::member(self.machines[name].address, 2, status);
+        let value = Registry::member_value(self.machines[name].address, 2, status);
         self.registry.write(&[(&format!("/dewferry/members/s-{name}"), Some(&value))]);
     }
 
@@ -40,12 +44,12 @@
     }
 
     fn file(&self, name: &str, text: &str) -> String {
-        private(&self.operator.0, name, text)
+        write_private_file(&self.operator.0, name, text)
     }
 
     fn start(&self, more: &str) -> Pooler {
         self.operator.write("dewferry.toml", &self.settings(more));
-        Pooler::operated(PROGRAM, &list(0, true, &[]), &self.discovery, &self.operator)
+        Pooler::start_with_operator(PROGRAM, &list(0, true, &[]), &self.discovery, &self.operator)
     }
 
     /// Waits until reads go to the one replica and not to the other.
@@ -56,7 +60,7 @@
             let mut wire = client(pooler);
             let mut served = 0;
             for n in 0..20 {
-                wire.send(&query(&ask(&format!("r{n}"), "reports")));
+                wire.send(&query(&request_sql(&format!("r{n}"), "reports")));
                 served += usize::from(wire.answer().first().is_some_and(|(kind, _)| *kind == b'T'));
             }
             let used = [1, 2].map(|n: usize| self.machines[n].count() > before[n - 1]);
@@ -73,8 +77,8 @@
     /// Waits until the registry has taken so many calls.
     fn until_called(&self, calls: usize) {
         let begun = Instant::now();
-        while self.registry.used().0 < calls {
-            let made = self.registry.used().0;
+        while self.registry.usage().0 < calls {
+            let made = self.registry.usage().0;
             assert!(begun.elapsed() < Duration::from_secs(20), "{made} calls in place of {calls}");
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -91,7 +95,7 @@
 }
 
 /// Settings for calls over TLS with a client's certificate.
-fn tls(world: &World, authority: &Authority, until: i32, suffix: &str) -> String {
+fn tls(world: &World, authority: &CertificateAuthority, until: i32, suffix: &str) -> String {
     let (cert, key) = authority.issue("pooler", until);
     let ca = world.file(&format!("ca{suffix}.pem"), &authority.pem);
     let cert = world.file(&format!("cert{suffix}.pem"), &cert);
@@ -101,8 +105,8 @@
 
 #[test]
 fn a_registry_is_followed_over_tls_and_certificates_change_by_a_transaction() {
-    let authority = Authority::default();
-    let world = World::new("tls", Registry::secured(authority.acceptor("127.0.0.1", 2040, true)));
+    let authority = CertificateAuthority::default();
+    let world = World::new("tls", Registry::with_tls(authority.acceptor("127.0.0.1", 2040, true)));
     let first = tls(&world, &authority, 2040, "");
     let pooler = world.start(&first);
     world.until(&pooler, [true, true]);
@@ -113,22 +117,22 @@
     let next = tls(&world, &authority, 2041, "-2");
     let broken = next.replace("key-2.pem", "key.pem");
     let file = world.operator.write("next.toml", &world.settings(&broken));
-    let (code, text) = pooler.config(&["apply", &file]);
+    let (code, text) = pooler.run_config(&["apply", &file]);
     assert!(code == 1 && text.contains("registry-files") && text.contains("key.pem"), "{text}");
     let run_out = tls(&world, &authority, 2024, "-3");
     let file = world.operator.write("next.toml", &world.settings(&run_out));
-    let (code, text) = pooler.config(&["apply", &file]);
+    let (code, text) = pooler.run_config(&["apply", &file]);
     assert!(code == 1 && text.contains("cert-3.pem: has run out"), "{text}");
     let file = world.operator.write("next.toml", &world.settings(&next));
-    assert_eq!(pooler.config(&["apply", &file]).0, 0);
-    pooler.logged("registry.following");
+    assert_eq!(pooler.run_config(&["apply", &file]).0, 0);
+    pooler.wait_for_log("registry.following");
     world.put(1, "SERVING");
     world.until(&pooler, [true, true]);
     // A key that others may read is no key.
     let open = world.operator.0.join("key.pem");
     std::fs::set_permissions(&open, std::os::unix::fs::PermissionsExt::from_mode(0o644)).unwrap();
     let file = world.operator.write("next.toml", &world.settings(&first));
-    let (code, text) = pooler.config(&["apply", &file]);
+    let (code, text) = pooler.run_config(&["apply", &file]);
     assert!(code == 1 && text.contains("0600"), "{text}");
 }
 
@@ -141,44 +145,44 @@
     #[case] until: i32,
     #[case] words: &str,
 ) {
-    let authority = Authority::default();
+    let authority = CertificateAuthority::default();
     let world =
-        World::new(&format!("tls-{story}"), Registry::secured(authority.acceptor(name, until, false)));
+        World::new(&format!("tls-{story}"), Registry::with_tls(authority.acceptor(name, until, false)));
     let settings = tls(&world, &authority, 2040, "");
     let pooler = world.start(&settings);
-    assert!(pooler.logged("registry.tls").contains(words));
+    assert!(pooler.wait_for_log("registry.tls").contains(words));
     let (code, text) = world.run(&["view"]);
     assert!(code == 2 && text.contains(words), "{text}");
     if story == "name" {
         // The name that it has is asked for instead.
         let file =
             world.operator.write("next.toml", &world.settings(&format!("{settings}tls_name = \"{name}\"")));
-        assert_eq!(pooler.config(&["apply", &file]).0, 0);
+        assert_eq!(pooler.run_config(&["apply", &file]).0, 0);
         world.until(&pooler, [true, true]);
     }
 }
 
 #[test]
 fn who_is_vouched_for_by_nobody_or_speaks_no_tls_is_not_followed() {
-    let (authority, other) = (Authority::default(), Authority::default());
-    let world = World::new("tls-ca", Registry::secured(other.acceptor("127.0.0.1", 2040, false)));
+    let (authority, other) = (CertificateAuthority::default(), CertificateAuthority::default());
+    let world = World::new("tls-ca", Registry::with_tls(other.acceptor("127.0.0.1", 2040, false)));
     let pooler = world.start(&tls(&world, &authority, 2040, ""));
-    assert!(pooler.logged("registry.tls").contains("vouches"));
+    assert!(pooler.wait_for_log("registry.tls").contains("vouches"));
     let world = World::new("tls-plain", Registry::default());
     let settings = tls(&world, &authority, 2040, "");
     let pooler = world.start(&settings);
     // The registry waits for a request that never comes: that is a call not answered in time.
-    pooler.logged("registry.lost");
+    pooler.wait_for_log("registry.lost");
     assert_eq!(world.run(&["view"]).0, 2);
 }
 
 #[test]
 fn files_that_were_replaced_in_place_are_read_again_once_they_no_longer_serve() {
-    let (old, new) = (Authority::default(), Authority::default());
-    let world = World::new("tls-place", Registry::secured(new.acceptor("127.0.0.1", 2040, true)));
+    let (old, new) = (CertificateAuthority::default(), CertificateAuthority::default());
+    let world = World::new("tls-place", Registry::with_tls(new.acceptor("127.0.0.1", 2040, true)));
     let settings = tls(&world, &old, 2040, "");
     let pooler = world.start(&settings);
-    pooler.logged("registry.tls");
+    pooler.wait_for_log("registry.tls");
     tls(&world, &new, 2040, "");
     world.until(&pooler, [true, true]);
 }
@@ -186,27 +190,27 @@
 #[test]
 fn a_login_is_renewed_when_its_token_runs_out_in_the_middle_of_the_watch() {
     let world = World::new("login", Registry::default());
-    world.registry.user("pooler", "first");
+    world.registry.require_login("pooler", "first");
     let password = world.file("password", "first\n");
     let settings = format!("user = \"pooler\"\npassword_file = {password}\n");
     let pooler = world.start(&settings);
     world.until(&pooler, [true, true]);
     // The list is there a moment before the registry has taken the call for the watch.
     world.until_called(LOGIN_LIST_AND_WATCH);
-    world.registry.user("pooler", "first");
+    world.registry.require_login("pooler", "first");
     world.put(1, "DRAINING");
     world.until(&pooler, [false, true]);
     let wanted = LOGIN_LIST_AND_WATCH + 2;
-    assert_eq!(world.registry.used().0, wanted, "a login and a watch, and no whole list");
+    assert_eq!(world.registry.usage().0, wanted, "a login and a watch, and no whole list");
     // Another password is read from the same file.
     world.file("password", "second\n");
-    world.registry.user("pooler", "second");
+    world.registry.require_login("pooler", "second");
     world.put(1, "SERVING");
     world.until(&pooler, [true, true]);
     assert!(world.run(&["view"]).1.contains("3 members"));
     // A wrong one: the last list holds.
-    world.registry.user("pooler", "third");
-    assert!(pooler.logged("registry.lost").contains("authentication failed"));
+    world.registry.require_login("pooler", "third");
+    assert!(pooler.wait_for_log("registry.lost").contains("authentication failed"));
     world.until(&pooler, [true, true]);
     let (code, text) = world.run(&["view"]);
     assert!(code == 2 && text.contains("authentication failed"), "{text}");
@@ -220,7 +224,7 @@
     let password = world.file("password", "first\n");
     let settings = format!("user = \"pooler\"\npassword_file = {password}\n");
     let file = world.operator.write("next.toml", &world.settings(&settings));
-    let (code, text) = pooler.config(&["plan", &file]);
+    let (code, text) = pooler.run_config(&["plan", &file]);
     assert!(code == 1 && text.contains("registry-clear"), "{text}");
 }
 
@@ -237,23 +241,23 @@
     }
     pooler.kill();
     // While it is down the registry cannot be reached: it comes up on what was kept.
-    world.registry.cut(true);
+    world.registry.set_close_at_once(true);
     let mut pooler = world.start("");
     world.until(&pooler, [true, true]);
     pooler.kill();
     // What happened meanwhile comes with the watch alone.
     world.put(1, "DRAINING");
-    world.registry.cut(false);
-    let bytes = world.registry.used().1;
+    world.registry.set_close_at_once(false);
+    let bytes = world.registry.usage().1;
     let mut pooler = world.start("");
     world.until(&pooler, [false, true]);
-    let bytes = world.registry.used().1 - bytes;
+    let bytes = world.registry.usage().1 - bytes;
     assert!(bytes < 700, "{bytes} bytes for one change");
     pooler.kill();
     // A spoilt one is passed over.
     std::fs::write(&view, b"dewferry view 1\nand no more").unwrap();
     let pooler = world.start("");
-    pooler.logged("not used");
+    pooler.wait_for_log("not used");
     world.until(&pooler, [false, true]);
 }
 
@@ -261,21 +265,21 @@
 fn the_poolers_own_key_stands_while_it_lives() {
     let world = World::new("own", Registry::default());
     let mut pooler = world.start("register = \"/poolers\"\nlease_s = 2\n");
-    pooler.logged("registry.registered");
+    pooler.wait_for_log("registry.registered");
     let value = world.registry.value("/poolers/n0").unwrap();
     assert!(value.contains(r#""address":"127.0.0.1"#), "{value}");
     // A lease that is gone, whatever the reason, is asked for anew.
-    world.registry.expire();
+    world.registry.expire_leases();
     assert_eq!(world.registry.value("/poolers/n0"), None);
-    pooler.logged("registry.unregistered");
-    pooler.logged("registry.registered");
+    pooler.wait_for_log("registry.unregistered");
+    pooler.wait_for_log("registry.registered");
     assert!(world.registry.value("/poolers/n0").is_some());
     pooler.signal("TERM");
-    assert!(pooler.ended().success());
+    assert!(pooler.wait_for_exit().success());
     assert_eq!(world.registry.value("/poolers/n0"), None);
     let file = world.operator.write("bad.toml", &world.settings("register = \"/dewferry/members\"\n"));
     let mut command = std::process::Command::new(PROGRAM);
-    command.args(["config", "check", &file, "--config"]).arg(pooler.platform());
+    command.args(["config", "check", &file, "--config"]).arg(pooler.platform_file());
     let output = command.output().unwrap();
     let text = String::from_utf8([output.stdout, output.stderr].concat()).unwrap();
     assert!(text.contains("registry.register"), "{text}");
@@ -284,14 +288,14 @@
 #[test]
 fn a_token_that_runs_out_between_the_list_and_the_watch_is_renewed_at_once() {
     let world = World::new("login-late", Registry::default());
-    world.registry.user("pooler", "first");
+    world.registry.require_login("pooler", "first");
     // Each call is answered late enough for the token to end while the watch is asked for.
-    world.registry.fault(|faults| faults.slow = Duration::from_millis(150));
+    world.registry.change_faults(|faults| faults.delay = Duration::from_millis(150));
     let password = world.file("password", "first\n");
     let pooler = world.start(&format!("user = \"pooler\"\npassword_file = {password}\n"));
     world.until_called(LOGIN_LIST_AND_WATCH);
-    world.registry.user("pooler", "first");
+    world.registry.require_login("pooler", "first");
     world.put(1, "DRAINING");
     world.until(&pooler, [false, true]);
-    assert_eq!(world.registry.used().0, LOGIN_LIST_AND_WATCH + 2, "a login and a watch, and no other calls");
+    assert_eq!(world.registry.usage().0, LOGIN_LIST_AND_WATCH + 2, "a login and a watch, and no other calls");
 }
--- a/crates/daemon/tests/upgrade.rs
+++ b/crates/daemon/tests/upgrade.rs
@@ -11,17 +11,17 @@
 
 /// A daemon that can be succeeded, before a machine of its own.
 struct World {
-    db: Answering,
-    _replica: Answering,
+    db: AnsweringMember,
+    _replica: AnsweringMember,
     discovery: Discovery,
-    operator: Operator,
+    operator: OperatorFolder,
     settings: String,
     list: String,
 }
 
 impl World {
     fn new(name: &str) -> World {
-        World::with(name, |_| served(VALUE, "writer"), |_| served(VALUE, "reader"))
+        World::with(name, |_| answer_with_role(VALUE, "writer"), |_| answer_with_role(VALUE, "reader"))
     }
 
     /// One whose primary and replica answer like this.
@@ -30,8 +30,8 @@
         primary: impl Fn(&str) -> Vec<u8> + Send + Sync + 'static,
         replica: impl Fn(&str) -> Vec<u8> + Send + Sync + 'static,
     ) -> World {
-        let db = Answering::new(primary);
-        let operator = Operator::new(name, "");
+        let db = AnsweringMember::new(primary);
+        let operator = OperatorFolder::new(name, "");
         let path = |name: &str| operator.0.join(name).to_str().unwrap().to_string();
         let (handover, pid) = (path("handover"), path("pid"));
         let settings = format!(
@@ -39,19 +39,19 @@
         );
         operator.write("dewferry.toml", &settings);
         // A read that one of them is slow to answer has another to go to.
-        let replica = Answering::new(replica);
-        let list = list(41, true, &[db.line("s-1", "here"), replica.line("s-2", "here")]);
+        let replica = AnsweringMember::new(replica);
+        let list = list(41, true, &[db.list_entry("s-1", "here"), replica.list_entry("s-2", "here")]);
         World { db, _replica: replica, discovery: Discovery::listen(), operator, settings, list }
     }
 
     fn start(&self) -> Pooler {
-        Pooler::operated(PROGRAM, &self.list, &self.discovery, &self.operator)
+        Pooler::start_with_operator(PROGRAM, &self.list, &self.discovery, &self.operator)
     }
 
     /// A successor of the daemon that listens there.
     fn succeed(&self, old: &Pooler) -> Pooler {
         let address = old.address.to_string();
-        Pooler::succeeding(PROGRAM, &self.list, &self.discovery, &self.operator, &address)
+        Pooler::start_successor(PROGRAM, &self.list, &self.discovery, &self.operator, &address)
     }
 
     fn pid(&self) -> u32 {
@@ -80,13 +80,13 @@
                         return;
                     }
                     let mut wire = kept.take().unwrap_or_else(|| {
-                        let mut wire = Wire::over(std::net::TcpStream::connect(address).unwrap());
+                        let mut wire = Wire::from_stream(std::net::TcpStream::connect(address).unwrap());
                         wire.send(&startup());
                         wire.answer();
                         wire
                     });
                     let class = if number % 2 == 0 { "order-write" } else { "reports" };
-                    let sent = wire.try_send(&query(&ask(&format!("{thread}-{number}"), class)));
+                    let sent = wire.try_send(&query(&request_sql(&format!("{thread}-{number}"), class)));
                     let answer = if sent { wire.answer() } else { Vec::new() };
                     match answer.first() {
                         Some((b'T', _)) => {
@@ -132,19 +132,19 @@
     let first = old.pid();
     assert_eq!(world.pid(), first);
     let mut new = world.succeed(&old);
-    assert!(new.logged("handover.known").contains("members=2"));
-    new.logged("handover.stands");
-    assert_eq!(old.ended().code(), Some(0));
+    assert!(new.wait_for_log("handover.known").contains("members=2"));
+    new.wait_for_log("handover.stands");
+    assert_eq!(old.wait_for_exit().code(), Some(0));
     assert_eq!((new.address, world.pid()), (address, new.pid()));
     load.more(100);
     // What only one daemon may have is the successor's: it takes changes, and can be succeeded in turn.
-    assert_eq!(new.config(&["status"]).0, 0);
+    assert_eq!(new.run_config(&["status"]).0, 0);
     let third = world.succeed(&new);
-    third.logged("handover.stands");
-    assert_eq!(new.ended().code(), Some(0));
+    third.wait_for_log("handover.stands");
+    assert_eq!(new.wait_for_exit().code(), Some(0));
     load.more(100);
     assert_eq!(load.end(), Vec::<String>::new());
-    assert_eq!(third.config(&["status"]).0, 0);
+    assert_eq!(third.run_config(&["status"]).0, 0);
     assert!(world.db.count() > 300);
 }
 
@@ -161,16 +161,16 @@
                 "owed-2" => std::thread::sleep(SLOW / 3),
                 _ => {}
             }
-            served(id.as_bytes(), role)
+            answer_with_role(id.as_bytes(), role)
         }
     };
     let world = World::with("upgrade-owed", answer("writer"), answer("reader"));
     let mut old = world.start();
-    let mut wire = Wire::over(std::net::TcpStream::connect(old.address).unwrap());
+    let mut wire = Wire::from_stream(std::net::TcpStream::connect(old.address).unwrap());
     wire.send(&startup());
     wire.answer();
     // The primary is known from then on.
-    wire.send(&query(&ask("first", "order-write")));
+    wire.send(&query(&request_sql("first", "order-write")));
     wire.answer();
     let commands = [
         ("owed-1", "reports", "7f3a"),
@@ -178,11 +178,11 @@
         ("waits-3", "order-write", "7f3a"),
         ("owed-4", "reports", "99aa"),
     ];
-    let on_row = |(id, class, row): (&str, &str, &str)| query(&ask(id, class).replace("7f3a", row));
+    let on_row = |(id, class, row): (&str, &str, &str)| query(&request_sql(id, class).replace("7f3a", row));
     wire.send(&commands.map(on_row).concat());
-    waits_for(&old, "taken", 1 + commands.len() as u64);
+    wait_for_counter(&old, "taken", 1 + commands.len() as u64);
     let new = world.succeed(&old);
-    new.logged("handover.taken");
+    new.wait_for_log("handover.taken");
     for (id, ..) in commands {
         if id == "waits-3" {
             // It waits for the first, and has reached nobody: it is sent away, in its place.
@@ -193,8 +193,8 @@
         assert_eq!(answer.first().map(|(kind, _)| *kind), Some(b'T'), "{id}: {answer:?}");
         assert_eq!(&answer[1].1[6..], id.as_bytes());
     }
-    new.logged("handover.stands");
-    assert_eq!(old.ended().code(), Some(0));
+    new.wait_for_log("handover.stands");
+    assert_eq!(old.wait_for_exit().code(), Some(0));
 }
 
 #[test]
@@ -207,22 +207,22 @@
     for (step, line) in ["handover.known", "handover.taken", "listens on "].into_iter().enumerate() {
         let mut new = world.succeed(&old);
         if line != "listens on " {
-            new.logged(line);
+            new.wait_for_log(line);
         }
         new.kill();
-        old.logged("handover.back");
+        old.wait_for_log("handover.back");
         load.more(50);
-        assert_eq!(old.config(&["status"]).0, 0, "after step {step}");
+        assert_eq!(old.run_config(&["status"]).0, 0, "after step {step}");
     }
     // What the killed ones did to the history does no harm: a change is taken and outlasts the daemon.
     let changed = format!("{}[tenant.new]\nquota_per_s = 5\n", world.settings);
     let file = world.operator.write("changed.toml", &changed);
-    let (code, words) = old.config(&["apply", &file, "--confirm-within", "60"]);
+    let (code, words) = old.run_config(&["apply", &file, "--confirm-within", "60"]);
     assert_eq!(code, 0, "{words}");
-    assert_eq!(old.config(&["confirm"]).0, 0);
+    assert_eq!(old.run_config(&["confirm"]).0, 0);
     let new = world.succeed(&old);
-    new.logged("handover.stands");
-    assert!(new.config(&["show"]).1.contains("quota_per_s = 5"));
+    new.wait_for_log("handover.stands");
+    assert!(new.run_config(&["show"]).1.contains("quota_per_s = 5"));
     // Answers under way in a process that is killed are lost with it, and no others.
     let bad = load.end();
     assert!(bad.len() <= 4, "{bad:?}");
@@ -240,12 +240,12 @@
         .operator
         .write("dewferry.toml", &format!("{good}[override]\n\"s-1\" = \"drain\"\n\"s-2\" = \"drain\"\n"));
     let mut new = world.succeed(&old);
-    new.logged("handover.yielded");
-    assert_eq!(new.ended().code(), Some(5));
-    old.logged("handover.back");
+    new.wait_for_log("handover.yielded");
+    assert_eq!(new.wait_for_exit().code(), Some(5));
+    old.wait_for_log("handover.back");
     world.operator.write("dewferry.toml", good);
     load.more(100);
-    assert_eq!(old.config(&["status"]).0, 0);
+    assert_eq!(old.run_config(&["status"]).0, 0);
     drop(load.end());
 }
 
@@ -256,7 +256,7 @@
     let refused = |what: &str| {
         let output = std::process::Command::new(PROGRAM)
             .args(["serve", "--take-over", "--config"])
-            .arg(old.platform())
+            .arg(old.platform_file())
             .arg("--operator")
             .arg(world.operator.file())
             .output()
@@ -265,12 +265,12 @@
         assert!(output.status.code() == Some(2) && words.contains(what), "{words}");
     };
     let mut held = client(&old);
-    held.send(&query(&ask("1", "reports")));
+    held.send(&query(&request_sql("1", "reports")));
     assert_eq!(held.answer()[0].0, b'T');
     old.signal("TERM");
-    old.logged("asked to end");
+    old.wait_for_log("asked to end");
     refused("draining");
-    assert_eq!(old.ended().code(), Some(0));
+    assert_eq!(old.wait_for_exit().code(), Some(0));
     let output = std::process::Command::new(PROGRAM)
         .args(["serve", "--take-over", "--config", "/nowhere", "--operator", "/nowhere"])
         .output()
--- a/crates/footprint/src/stand_in/discovery.rs
+++ b/crates/footprint/src/stand_in/discovery.rs
@@ -72,7 +72,7 @@
                 Err(_) => return,
             }
             if Instant::now() >= beat {
-                self.write(&peers::chunks([&b"\n"[..]]));
+                self.write(&peers::encode_chunks([&b"\n"[..]]));
                 beat = Instant::now() + BEAT;
             }
         }
@@ -96,7 +96,7 @@
             }
         }
         let whole = self.whole.lock().unwrap_or_else(PoisonError::into_inner);
-        if stream.write_all(peers::HEAD.as_bytes()).and_then(|()| stream.write_all(&whole)).is_ok() {
+        if stream.write_all(peers::RESPONSE_HEAD.as_bytes()).and_then(|()| stream.write_all(&whole)).is_ok() {
             *self.watch.lock().unwrap_or_else(PoisonError::into_inner) = Some(stream);
             self.calls.fetch_add(1, Ordering::SeqCst);
         }
@@ -110,5 +110,5 @@
 
 /// A document as one line, in a chunk.
 fn line(document: &str) -> Vec<u8> {
-    peers::chunks([format!("{document}\n").as_bytes()])
+    peers::encode_chunks([format!("{document}\n").as_bytes()])
 }
--- a/crates/peers/src/authority.rs
+++ b/crates/peers/src/authority.rs
@@ -8,13 +8,13 @@
 use rcgen::{date_time_ymd, BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair};
 
 /// An authority that vouches for others.
-pub struct Authority {
+pub struct CertificateAuthority {
     issuer: Issuer<'static, KeyPair>,
     /// Its certificate.
     pub pem: String,
 }
 
-impl Default for Authority {
+impl Default for CertificateAuthority {
     fn default() -> Self {
         let key = KeyPair::generate().unwrap();
         let mut params = CertificateParams::new(Vec::new()).unwrap();
@@ -22,11 +22,11 @@
         params.distinguished_name.push(DnType::CommonName, "an authority");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         let pem = params.self_signed(&key).unwrap().pem();
-        Authority { issuer: Issuer::new(params, key), pem }
+        CertificateAuthority { issuer: Issuer::new(params, key), pem }
     }
 }
 
-impl Authority {
+impl CertificateAuthority {
     /// A certificate of a name or address that holds until the end of a year, and its key.
     pub fn issue(&self, name: &str, until: i32) -> (String, String) {
         let key = KeyPair::generate().unwrap();
@@ -50,7 +50,7 @@
 }
 
 /// Writes a file that only its owner may read; its path, as TOML writes it.
-pub fn private(folder: &Path, name: &str, text: &str) -> String {
+pub fn write_private_file(folder: &Path, name: &str, text: &str) -> String {
     use std::os::unix::fs::PermissionsExt;
     let path = folder.join(name);
     std::fs::write(&path, text).unwrap();
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -6,8 +6,11 @@
 mod postgres;
 mod registry;
 
-pub use authority::{private, Authority};
-pub use platform::{cancel, counted, primary_found, waits_for, with_key, with_one};
+pub use authority::{write_private_file, CertificateAuthority};
+pub use platform::{
+    client_with_cancel_key, counter_value, establish_primary, send_cancel_request, start_with_one_member,
+    wait_for_counter,
+};
 pub use postgres::Postgres;
 pub use registry::{Faults, Registry};
 
@@ -24,7 +27,7 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 
 /// Pause between two looks at the counters: the log leaves lines out past 200 of one kind in 10 s.
-pub const COUNTERS_PAUSE: Duration = Duration::from_millis(50);
+pub const COUNTERS_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How many poolers have been started: each has a configuration file of its own.
 static STARTED: AtomicUsize = AtomicUsize::new(0);
@@ -41,7 +44,7 @@
 "specifics":{"consistency":["bounded","session","any","write"],"stalenessBound":[3,0,0,0],"whenBehind":"silent","writeMarks":"remembered"}}"#;
 
 /// The platform's configuration with this list.
-pub fn platform_of(list: &str, discovery: &Discovery) -> String {
+pub fn platform_config(list: &str, discovery: &Discovery) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be964",
         "limits":{{"memory_mb":192,"sockets":1024}},"known":{list},"settings":{SETTINGS}}}"#,
@@ -66,38 +69,43 @@
     }
 
     /// Starts the program with an operator's file as well; control socket and history are in the same folder.
-    pub fn operated(program: &str, list: &str, discovery: &Discovery, operator: &Operator) -> Pooler {
-        Pooler::operated_with(program, list, discovery, operator, &[])
+    pub fn start_with_operator(
+        program: &str,
+        list: &str,
+        discovery: &Discovery,
+        operator: &OperatorFolder,
+    ) -> Pooler {
+        Pooler::start_with_operator_and_edits(program, list, discovery, operator, &[])
     }
 
     /// The same on a platform's configuration in which each of `edits` is made.
-    pub fn operated_with(
+    pub fn start_with_operator_and_edits(
         program: &str,
         list: &str,
         discovery: &Discovery,
-        operator: &Operator,
+        operator: &OperatorFolder,
         edits: &[(&str, &str)],
     ) -> Pooler {
         Pooler::begin(program, list, discovery, edits, Some(operator), &[])
     }
 
     /// The same with more variables in its environment.
-    pub fn operated_in(
+    pub fn start_with_environment(
         program: &str,
         list: &str,
         discovery: &Discovery,
-        operator: &Operator,
+        operator: &OperatorFolder,
         environment: &[(&str, &str)],
     ) -> Pooler {
         Pooler::begin(program, list, discovery, &[], Some(operator), environment)
     }
 
     /// A successor of the daemon that listens there with the same operator's file.
-    pub fn succeeding(
+    pub fn start_successor(
         program: &str,
         list: &str,
         discovery: &Discovery,
-        operator: &Operator,
+        operator: &OperatorFolder,
         listen: &str,
     ) -> Pooler {
         let edits = [("127.0.0.1:0", listen)];
@@ -109,10 +117,10 @@
         list: &str,
         discovery: &Discovery,
         edits: &[(&str, &str)],
-        operator: Option<&Operator>,
+        operator: Option<&OperatorFolder>,
         environment: &[(&str, &str)],
     ) -> Pooler {
-        let mut text = platform_of(list, discovery);
+        let mut text = platform_config(list, discovery);
         for (from, to) in edits {
             assert!(text.contains(from), "{from} is not in the configuration");
             text = text.replace(from, to);
@@ -142,14 +150,14 @@
         let folder = operator.map(|operator| operator.0.clone());
         let (program, address) = (program.to_string(), ([127, 0, 0, 1], 0).into());
         let mut pooler = Pooler { child, log: Mutex::new(log), config: path, folder, program, address };
-        let line = pooler.logged("listens on ");
+        let line = pooler.wait_for_log("listens on ");
         let address = line.split("listens on ").nth(1).and_then(|rest| rest.split(',').next());
         pooler.address = address.unwrap().parse().unwrap();
         pooler
     }
 
     /// Runs `dewferry config` with these arguments against this daemon; its exit code and what it prints.
-    pub fn config(&self, args: &[&str]) -> (i32, String) {
+    pub fn run_config(&self, args: &[&str]) -> (i32, String) {
         let folder = self.folder.as_ref().expect("an operator's folder");
         let output = Command::new(&self.program)
             .arg("config")
@@ -166,7 +174,7 @@
     }
 
     /// The platform's configuration file.
-    pub fn platform(&self) -> &std::path::Path {
+    pub fn platform_file(&self) -> &std::path::Path {
         &self.config
     }
 
@@ -185,7 +193,7 @@
     }
 
     /// Waits for a line of the log that holds `text`.
-    pub fn logged(&self, text: &str) -> String {
+    pub fn wait_for_log(&self, text: &str) -> String {
         let mut others = Vec::new();
         loop {
             let line = self.log.lock().unwrap().recv_timeout(PATIENCE);
@@ -204,26 +212,26 @@
 
     /// The value of one counter.
     pub fn counter(&self, name: &str) -> u64 {
-        counted(&self.counters(), name)
+        counter_value(&self.counters(), name)
     }
 
     /// Waits until a counter is past this value.
-    pub fn counts_past(&self, name: &str, value: u64) {
+    pub fn wait_for_counter_above(&self, name: &str, value: u64) {
         let begun = std::time::Instant::now();
         while self.counter(name) <= value {
             assert!(begun.elapsed() < PATIENCE, "{name} stays at {value}");
-            std::thread::sleep(COUNTERS_PAUSE);
+            std::thread::sleep(COUNTERS_INTERVAL);
         }
     }
 
     /// The counters, which also shows that all that came before is dealt with.
     pub fn counters(&self) -> String {
         self.signal("USR1");
-        self.logged("taken=")
+        self.wait_for_log("taken=")
     }
 
     /// Waits for its end.
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let begun = std::time::Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
@@ -244,15 +252,15 @@
 }
 
 /// An operator's folder for one test; gone with it.
-pub struct Operator(pub PathBuf);
+pub struct OperatorFolder(pub PathBuf);
 
-impl Operator {
+impl OperatorFolder {
     /// A folder with a file of these settings, and with the control socket.
-    pub fn new(name: &str, settings: &str) -> Operator {
+    pub fn new(name: &str, settings: &str) -> OperatorFolder {
         let folder = std::env::temp_dir().join(format!("dewferry-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
-        let operator = Operator(folder);
+        let operator = OperatorFolder(folder);
         operator.write("dewferry.toml", settings);
         operator
     }
@@ -271,7 +279,7 @@
     }
 }
 
-impl Drop for Operator {
+impl Drop for OperatorFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -283,7 +291,7 @@
 pub struct Wire(pub TcpStream);
 
 impl Wire {
-    pub fn over(stream: TcpStream) -> Wire {
+    pub fn from_stream(stream: TcpStream) -> Wire {
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         stream.set_nodelay(true).unwrap();
         Wire(stream)
@@ -326,7 +334,7 @@
     }
 
     /// Waits for the end of the connection, with nothing before it.
-    pub fn ends(&mut self) {
+    pub fn expect_closed(&mut self) {
         match self.0.read(&mut [0]) {
             Ok(0) => {}
             Err(error) if error.kind() == ErrorKind::ConnectionReset => {}
@@ -349,13 +357,13 @@
 }
 
 /// A query of a class, in the agreed form.
-pub fn ask(id: &str, class: &str) -> String {
+pub fn request_sql(id: &str, class: &str) -> String {
     format!("/* id={id},c={class},t=acme,d=8500,k=5c0f,cluster=2 */ SELECT doc FROM items WHERE id = '7f3a'")
 }
 
 /// A client whose startup is done.
 pub fn client(pooler: &Pooler) -> Wire {
-    let mut wire = Wire::over(TcpStream::connect(pooler.address).unwrap());
+    let mut wire = Wire::from_stream(TcpStream::connect(pooler.address).unwrap());
     wire.send(&startup());
     wire.answer();
     wire
@@ -368,48 +376,48 @@
     listener
 }
 
-pub struct Db(TcpListener);
+pub struct ScriptedMember(TcpListener);
 
-impl Db {
-    pub fn listen() -> Db {
-        Db(listener())
+impl ScriptedMember {
+    pub fn listen() -> ScriptedMember {
+        ScriptedMember(listener())
     }
 
     /// Its line in the list.
-    pub fn line(&self, name: &str, zone: &str) -> String {
-        line(self.0.local_addr().unwrap(), name, zone, "SERVING")
+    pub fn list_entry(&self, name: &str, zone: &str) -> String {
+        list_entry(self.0.local_addr().unwrap(), name, zone, "SERVING")
     }
 
     /// Its line in the list while it drains.
-    pub fn draining_line(&self, name: &str, zone: &str) -> String {
-        line(self.0.local_addr().unwrap(), name, zone, "DRAINING")
+    pub fn draining_list_entry(&self, name: &str, zone: &str) -> String {
+        list_entry(self.0.local_addr().unwrap(), name, zone, "DRAINING")
     }
 
     /// The next connection, before its startup.
-    pub fn connection(&self) -> Wire {
-        Wire::over(self.0.accept().expect("the pooler connects").0)
+    pub fn accept_without_startup(&self) -> Wire {
+        Wire::from_stream(self.0.accept().expect("the pooler connects").0)
     }
 
     /// The next connection, once its startup is done.
     pub fn accept(&self) -> Wire {
-        let mut wire = self.connection();
-        greet(&mut wire);
+        let mut wire = self.accept_without_startup();
+        complete_startup(&mut wire);
         wire
     }
 }
 
 /// One read, answered by the next connection of this machine.
-pub fn read_from(db: &Db, client: &mut Wire, id: &str) -> Wire {
-    client.send(&query(&ask(id, "reports")));
+pub fn serve_read(db: &ScriptedMember, client: &mut Wire, id: &str) -> Wire {
+    client.send(&query(&request_sql(id, "reports")));
     let mut wire = db.accept();
-    assert!(asked(&mut wire).contains(&format!("id={id},")));
-    wire.send(&served(b"\x9f\x00\x03", "reader"));
+    assert!(read_query(&mut wire).contains(&format!("id={id},")));
+    wire.send(&answer_with_role(b"\x9f\x00\x03", "reader"));
     assert_eq!(client.answer()[0].0, b'T');
     wire
 }
 
 /// The next query that a db machine gets on a connection.
-pub fn asked(wire: &mut Wire) -> String {
+pub fn read_query(wire: &mut Wire) -> String {
     let (kind, body) = wire.message().expect("a query");
     assert_eq!(kind, b'Q');
     String::from_utf8(body[..body.len() - 1].to_vec()).unwrap()
@@ -427,21 +435,21 @@
 }
 
 /// A whole answer: the row, the role and ReadyForQuery.
-pub fn served(value: &[u8], role: &str) -> Vec<u8> {
+pub fn answer_with_role(value: &[u8], role: &str) -> Vec<u8> {
     let role = frame(b'S', format!("server_role\0{role}\0").as_bytes());
     [row(value), role, frame(b'Z', b"I")].concat()
 }
 
 /// A db machine that answers by itself, a thread a connection, until the test ends.
-pub struct Answering {
+pub struct AnsweringMember {
     pub address: SocketAddr,
-    pub asked: Arc<AtomicUsize>,
+    pub query_count: Arc<AtomicUsize>,
 }
 
-impl Answering {
+impl AnsweringMember {
     /// Answers each query with what `answer` makes of it.
-    pub fn new(answer: impl Fn(&str) -> Vec<u8> + Send + Sync + 'static) -> Answering {
-        let db = Db::listen();
+    pub fn new(answer: impl Fn(&str) -> Vec<u8> + Send + Sync + 'static) -> AnsweringMember {
+        let db = ScriptedMember::listen();
         let address = db.0.local_addr().unwrap();
         let (answer, asked) = (Arc::new(answer), Arc::new(AtomicUsize::new(0)));
         let count = asked.clone();
@@ -451,9 +459,9 @@
                 let Ok((stream, _)) = db.0.accept() else { continue };
                 let (answer, count) = (answer.clone(), count.clone());
                 std::thread::spawn(move || {
-                    let mut wire = Wire::over(stream);
+                    let mut wire = Wire::from_stream(stream);
                     wire.0.set_read_timeout(None).unwrap();
-                    greet(&mut wire);
+                    complete_startup(&mut wire);
                     while let Some((b'Q', body)) = wire.message() {
                         count.fetch_add(1, Ordering::Relaxed);
                         let sql = String::from_utf8_lossy(&body[..body.len() - 1]).into_owned();
@@ -464,28 +472,28 @@
                 });
             }
         });
-        Answering { address, asked }
+        AnsweringMember { address, query_count: asked }
     }
 
     /// Its line in the list.
-    pub fn line(&self, name: &str, zone: &str) -> String {
-        line(self.address, name, zone, "SERVING")
+    pub fn list_entry(&self, name: &str, zone: &str) -> String {
+        list_entry(self.address, name, zone, "SERVING")
     }
 
     pub fn count(&self) -> usize {
-        self.asked.load(Ordering::Relaxed)
+        self.query_count.load(Ordering::Relaxed)
     }
 }
 
 /// A machine's line in the list.
-pub fn line(address: SocketAddr, name: &str, zone: &str, status: &str) -> String {
+pub fn list_entry(address: SocketAddr, name: &str, zone: &str, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"{zone}","type":"m2","group":2,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
 /// Takes a pooler's startup message and answers it.
-pub fn greet(wire: &mut Wire) {
+pub fn complete_startup(wire: &mut Wire) {
     let mut length = [0; 4];
     if wire.0.read_exact(&mut length).is_ok() {
         let mut body = vec![0; u32::from_be_bytes(length) as usize - 4];
@@ -495,7 +503,7 @@
 }
 
 /// The error with which a db machine turns a request away.
-pub fn turned_away() -> Vec<u8> {
+pub fn refusal() -> Vec<u8> {
     [frame(b'E', b"SERROR\0VERROR\0C53300\0Mfull\0\0"), frame(b'Z', b"I")].concat()
 }
 
@@ -508,7 +516,7 @@
 
     /// One that is back where it was before. A process that is just being started may hold a copy of the old socket for
     /// a moment.
-    pub fn back_at(address: SocketAddr) -> Discovery {
+    pub fn listen_at(address: SocketAddr) -> Discovery {
         let begun = std::time::Instant::now();
         let listener = loop {
             match TcpListener::bind(address) {
@@ -526,7 +534,7 @@
     }
 
     /// The next call and its first line.
-    pub fn call(&self) -> (TcpStream, String) {
+    pub fn accept_request(&self) -> (TcpStream, String) {
         let mut stream = self.0.accept().expect("the pooler calls").0;
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         stream.set_nodelay(true).unwrap();
@@ -539,16 +547,16 @@
     }
 
     /// Answers the next call with nothing new: the list is followed from then on over the watch that is returned.
-    pub fn followed(&self) -> TcpStream {
-        let mut watch = self.call().0;
-        watch.write_all(HEAD.as_bytes()).unwrap();
-        tell(&mut watch, "\n");
+    pub fn accept_watch(&self) -> TcpStream {
+        let mut watch = self.accept_request().0;
+        watch.write_all(RESPONSE_HEAD.as_bytes()).unwrap();
+        write_chunk(&mut watch, "\n");
         watch
     }
 
     /// Answers every call with this list, one call after another and each after this time, until the test ends.
-    pub fn answer_in_turn(self, list: &str, each: Duration) {
-        let answer = [HEAD.as_bytes(), &chunks([list.as_bytes(), b"\n"])].concat();
+    pub fn answer_sequentially(self, list: &str, each: Duration) {
+        let answer = [RESPONSE_HEAD.as_bytes(), &encode_chunks([list.as_bytes(), b"\n"])].concat();
         std::thread::spawn(move || {
             let mut watches = Vec::new();
             // Goes on for as long as the process does, however long nobody calls.
@@ -565,8 +573,8 @@
 }
 
 /// Writes a piece of the list, or an empty line, to a watch; one that has ended takes nothing.
-pub fn tell(watch: &mut TcpStream, text: &str) {
-    let _ = watch.write_all(&chunks([text.as_bytes()]));
+pub fn write_chunk(watch: &mut TcpStream, text: &str) {
+    let _ = watch.write_all(&encode_chunks([text.as_bytes()]));
 }
 
 /// A list in discovery's form.
@@ -574,11 +582,11 @@
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, lines.join(","))
 }
 
-pub const HEAD: &str =
+pub const RESPONSE_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// The pieces as a chunk each.
-pub fn chunks<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Vec<u8> {
+pub fn encode_chunks<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Vec<u8> {
     let chunk = |piece: &[u8]| [format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat();
     pieces.into_iter().flat_map(chunk).collect()
 }
--- a/crates/peers/src/postgres.rs
+++ b/crates/peers/src/postgres.rs
@@ -13,7 +13,7 @@
 use scram::{ChannelBinding, Server, Verifier};
 
 use crate::registry::Both;
-use crate::{frame, line, Message};
+use crate::{frame, list_entry, Message};
 
 #[derive(Default)]
 struct Shared {
@@ -47,7 +47,7 @@
     }
 
     /// A server that speaks TLS alone.
-    pub fn secured(name: &str, replica: bool, acceptor: SslAcceptor) -> Postgres {
+    pub fn with_tls(name: &str, replica: bool, acceptor: SslAcceptor) -> Postgres {
         Postgres::with(name, replica, Some(acceptor))
     }
 
@@ -66,8 +66,8 @@
     }
 
     /// Its line in the list.
-    pub fn line(&self, status: &str) -> String {
-        line(self.address, &self.name, "here", status)
+    pub fn list_entry(&self, status: &str) -> String {
+        list_entry(self.address, &self.name, "here", status)
     }
 
     /// Connections that are open, and that ever were.
@@ -76,22 +76,22 @@
     }
 
     /// Rows that were committed.
-    pub fn rows(&self) -> usize {
+    pub fn committed_rows(&self) -> usize {
         self.shared.rows.load(Ordering::SeqCst)
     }
 
     /// Statements so far that begin with this.
-    pub fn asked(&self, start: &str) -> usize {
+    pub fn statement_count(&self, start: &str) -> usize {
         self.shared.asked.lock().unwrap().iter().filter(|text| text.starts_with(start)).count()
     }
 
     /// Asks for this password from now on, by SCRAM-SHA-256, bound to the connection where the client likes.
-    pub fn password(&self, password: &str) {
+    pub fn require_password(&self, password: &str) {
         *self.shared.password.lock().unwrap() = Some(Verifier::new(password, b"a salt", 2));
     }
 
     /// The mechanisms by which the password was proved so far.
-    pub fn proved(&self) -> Vec<String> {
+    pub fn login_mechanisms(&self) -> Vec<String> {
         self.shared.proved.lock().unwrap().clone()
     }
 
@@ -128,13 +128,13 @@
     }
 
     /// Ends all connections.
-    pub fn kill(&self) {
+    pub fn close_connections(&self) {
         let open = self.shared.open.lock().unwrap();
         open.values().for_each(|(stream, _)| drop(stream.shutdown(Shutdown::Both)));
     }
 
     /// Whether connections end when they are asked to commit.
-    pub fn dies(&self, dies: bool) {
+    pub fn set_fail_on_commit(&self, dies: bool) {
         self.shared.dies.store(dies, Ordering::SeqCst);
     }
 
--- a/crates/peers/src/registry.rs
+++ b/crates/peers/src/registry.rs
@@ -65,19 +65,19 @@
     /// Calls are taken in and never answered.
     pub hang: bool,
     /// Calls end at once, and so do open watches.
-    pub cut: bool,
+    pub close_at_once: bool,
     /// Watches tell nothing more.
-    pub stall: bool,
+    pub stall_watches: bool,
     /// Each byte goes by itself.
-    pub split: bool,
+    pub byte_by_byte: bool,
     /// The status that calls are answered with, and a page that is not JSON; none where 0.
     pub status: u16,
     /// How long an answer is thought about.
-    pub slow: Duration,
+    pub delay: Duration,
     /// The endpoint does not know of so many of the latest revisions.
-    pub behind: u64,
+    pub revisions_behind: u64,
     /// Watches tell each change twice.
-    pub twice: bool,
+    pub duplicate_events: bool,
 }
 
 /// The registry that endpoints belong to.
@@ -119,12 +119,12 @@
 
 impl Registry {
     /// A registry that is called over TLS.
-    pub fn secured(acceptor: SslAcceptor) -> Registry {
+    pub fn with_tls(acceptor: SslAcceptor) -> Registry {
         Registry::over(Arc::default(), Some(acceptor))
     }
 
     /// Another endpoint of the same registry.
-    pub fn another(&self) -> Registry {
+    pub fn add_endpoint(&self) -> Registry {
         Registry::over(self.cluster.clone(), None)
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// The value of a member.
-    pub fn member(address: SocketAddr, group: u32, status: &str) -> String {
+    pub fn member_value(address: SocketAddr, group: u32, status: &str) -> String {
         format!(r#"{{"v":1,"address":"{address}","zone":"here","group":{group},"status":"{status}"}}"#)
     }
 
@@ -182,7 +182,7 @@
     }
 
     /// Has this user log in from now on; tokens given before are no longer valid.
-    pub fn user(&self, user: &str, password: &str) {
+    pub fn require_login(&self, user: &str, password: &str) {
         self.change(|state| {
             state.token += 1;
             state.user = Some((user.into(), password.into()));
@@ -190,7 +190,7 @@
     }
 
     /// Ends all leases, as if their keepers had been silent for too long.
-    pub fn expire(&self) {
+    pub fn expire_leases(&self) {
         self.change(|state| {
             let all: Vec<u64> = state.leases.keys().copied().collect();
             all.into_iter().for_each(|lease| state.end(lease));
@@ -198,19 +198,19 @@
     }
 
     /// Changes what goes wrong here.
-    pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
+    pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.shared.faults.lock().unwrap());
         self.cluster.changed.notify_all();
     }
 
     /// Whether calls are taken in and never answered.
-    pub fn hang(&self, hangs: bool) {
-        self.fault(|faults| faults.hang = hangs);
+    pub fn set_hang(&self, hangs: bool) {
+        self.change_faults(|faults| faults.hang = hangs);
     }
 
     /// Whether calls and watches end at once.
-    pub fn cut(&self, cuts: bool) {
-        self.fault(|faults| faults.cut = cuts);
+    pub fn set_close_at_once(&self, cuts: bool) {
+        self.change_faults(|faults| faults.close_at_once = cuts);
     }
 
     fn faults(&self) -> Faults {
@@ -218,7 +218,7 @@
     }
 
     /// Calls so far, and bytes answered.
-    pub fn used(&self) -> (usize, usize) {
+    pub fn usage(&self) -> (usize, usize) {
         (self.shared.calls.load(Ordering::SeqCst), self.shared.bytes.load(Ordering::SeqCst))
     }
 
@@ -233,11 +233,11 @@
         let mut body = vec![0; field("Content-Length: ")?.parse().ok()?];
         reader.read_exact(&mut body).ok()?;
         self.shared.calls.fetch_add(1, Ordering::SeqCst);
-        std::thread::sleep(self.faults().slow);
+        std::thread::sleep(self.faults().delay);
         while self.faults().hang {
             std::thread::sleep(Duration::from_millis(10));
         }
-        let Faults { cut, split, status, .. } = self.faults();
+        let Faults { close_at_once: cut, byte_by_byte: split, status, .. } = self.faults();
         stream.split = split;
         if cut {
             return None;
@@ -296,7 +296,7 @@
     fn range(&self, stream: &mut Stream, call: &Value) -> Option<()> {
         let state = self.cluster.state.lock().unwrap();
         let (from, to, asked) = (text(&call["key"]), text(&call["range_end"]), number(&call["revision"]));
-        let known = state.revision() - self.faults().behind;
+        let known = state.revision() - self.faults().revisions_behind;
         let revision = if asked == 0 { known } else { asked };
         let answer = if revision < state.compacted {
             json!({"code": 11, "message": "etcdserver: mvcc: required revision has been compacted"})
@@ -397,10 +397,10 @@
         loop {
             let state = self.cluster.state.lock().unwrap();
             let faults = self.faults();
-            if faults.cut {
+            if faults.close_at_once {
                 return None;
             }
-            let (revision, compacted) = (state.revision() - faults.behind, state.compacted);
+            let (revision, compacted) = (state.revision() - faults.revisions_behind, state.compacted);
             let gone = next <= compacted && next < revision;
             let valid = state.valid(token);
             let mut events = Vec::new();
@@ -424,7 +424,7 @@
                     (json!(true), json!(compacted.to_string()));
             } else if !created {
                 result["created"] = json!(true);
-            } else if next <= revision && !faults.stall {
+            } else if next <= revision && !faults.stall_watches {
                 (result["events"], next) = (json!(events), revision + 1);
             } else {
                 // Waits for the next change; some changes may come together.
@@ -434,7 +434,7 @@
             drop(state);
             created = true;
             let line = format!("{}\n", json!({ "result": result }));
-            let line = if faults.twice { line.repeat(2) } else { line };
+            let line = if faults.duplicate_events { line.repeat(2) } else { line };
             let chunk = format!("{:x}\r\n{line}\r\n", line.len());
             self.send(stream, chunk.as_bytes())?;
             if gone || !valid {
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -191,7 +191,7 @@
         let Ok(stream) = TcpStream::connect_timeout(&self.places[at], Duration::from_millis(500)) else {
             return Came::Silent;
         };
-        let mut wire = Wire::over(stream);
+        let mut wire = Wire::from_stream(stream);
         let _ = wire.0.set_read_timeout(Some(Duration::from_millis(3_500)));
         if !wire.try_send(&[startup(), query(sql)].concat()) {
             return Came::Silent;
--- a/crates/rig/src/store.rs
+++ b/crates/rig/src/store.rs
@@ -6,15 +6,15 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use peers::{frame, line, list, row, Answering};
+use peers::{frame, list, list_entry, row, AnsweringMember};
 
 type Data = Arc<Mutex<HashMap<String, Vec<(f64, u64)>>>>;
 
 /// The data, and the machines before it.
 pub struct Store {
     data: Data,
-    primary: Answering,
-    replica: Answering,
+    primary: AnsweringMember,
+    replica: AnsweringMember,
     /// Reads that each has answered, and writes.
     pub at_primary: Arc<AtomicU64>,
     pub at_replica: Arc<AtomicU64>,
@@ -45,7 +45,7 @@
         let counters: [Arc<AtomicU64>; 3] = Default::default();
         let [at_primary, at_replica, writes] = counters;
         let (kept, reads, written) = (data.clone(), at_primary.clone(), writes.clone());
-        let primary = Answering::new(move |sql| {
+        let primary = AnsweringMember::new(move |sql| {
             let (key, value) = quoted(sql);
             let Ok(mut data) = kept.lock() else { return Vec::new() };
             let at = now();
@@ -65,7 +65,7 @@
             answer(newest, "writer", at)
         });
         let (kept, reads) = (data.clone(), at_replica.clone());
-        let replica = Answering::new(move |sql| {
+        let replica = AnsweringMember::new(move |sql| {
             if sql.contains("INSERT") {
                 return [frame(b'E', b"SERROR\0VERROR\0C25006\0Mread only\0\0"), frame(b'Z', b"I")].concat();
             }
@@ -81,8 +81,8 @@
 
     /// The machines as a list.
     pub fn list(&self) -> String {
-        let primary = line(self.primary.address, "s-primary", "here", "SERVING");
-        let replica = line(self.replica.address, "s-replica", "here", "SERVING");
+        let primary = list_entry(self.primary.address, "s-primary", "here", "SERVING");
+        let replica = list_entry(self.replica.address, "s-replica", "here", "SERVING");
         list(41, true, &[primary, replica])
     }
 
--- a/crates/scale/src/standin/discovery.rs
+++ b/crates/scale/src/standin/discovery.rs
@@ -62,7 +62,7 @@
         listener,
         watches: Vec::new(),
         free: Vec::new(),
-        blank: peers::chunks([&b"\n"[..]]).into(),
+        blank: peers::encode_chunks([&b"\n"[..]]).into(),
     };
     answer(&Reply::Ready)?;
     let mut events = Events::with_capacity(BATCH);
@@ -115,7 +115,7 @@
         let result = watch.read().and_then(|()| {
             if watch.told.is_none() && watch.call.ends_with(b"\r\n\r\n") {
                 let since = since(&watch.call).ok_or(ErrorKind::InvalidData)?;
-                watch.push(peers::HEAD.as_bytes().into());
+                watch.push(peers::RESPONSE_HEAD.as_bytes().into());
                 let news = self.list.news(since).unwrap_or_else(|| self.blank.clone());
                 watch.push(news);
                 watch.told = Some(self.list.version());
--- a/crates/scale/src/standin/list.rs
+++ b/crates/scale/src/standin/list.rs
@@ -75,7 +75,7 @@
     fn document(&self, whole: bool, databases: &[usize]) -> Rc<[u8]> {
         let lines: Vec<String> = databases.iter().map(|database| self.line(*database)).collect();
         let text = format!("{}\n", peers::list(self.version, whole, &lines));
-        peers::chunks([text.as_bytes()]).into()
+        peers::encode_chunks([text.as_bytes()]).into()
     }
 
     fn line(&self, database: usize) -> String {
@@ -84,7 +84,7 @@
         let name = database_name(database);
         // The group is the stand-in's own: the line of the tests has a fixed one.
         let group = database / self.group_size;
-        peers::line(address, &name, &zone, status).replace("\"group\":2", &format!("\"group\":{group}"))
+        peers::list_entry(address, &name, &zone, status).replace("\"group\":2", &format!("\"group\":{group}"))
     }
 }
 
--- a/crates/tls/tests/session.rs
+++ b/crates/tls/tests/session.rs
@@ -7,7 +7,7 @@
 
 use buffer::{Budget, Fill};
 use openssl::ssl::{ErrorCode, Ssl, SslStream, SslVersion};
-use peers::Authority;
+use peers::CertificateAuthority;
 use rstest::rstest;
 use tls::{ClientContext, ClientFiles, Session, TlsError, Transport};
 
@@ -50,7 +50,7 @@
     }
 }
 
-fn client(authority: &Authority, own: Option<(&str, &str)>) -> ClientContext {
+fn client(authority: &CertificateAuthority, own: Option<(&str, &str)>) -> ClientContext {
     let own = own.map(|(cert, key)| (cert.as_bytes(), key.as_bytes()));
     ClientContext::new(ClientFiles { ca: authority.pem.as_bytes(), identity: own }, NOW).unwrap()
 }
@@ -107,7 +107,7 @@
     #[values(SslVersion::TLS1_2, SslVersion::TLS1_3)] version: SslVersion,
     #[values(false, true)] of_clients: bool,
 ) {
-    let authority = Authority::default();
+    let authority = CertificateAuthority::default();
     let acceptor = authority.acceptor("127.0.0.1", 2040, of_clients);
     let mut ssl = Ssl::new(acceptor.context()).unwrap();
     ssl.set_min_proto_version(Some(version)).unwrap();
@@ -146,7 +146,7 @@
     #[case] until: i32,
     #[case] fault: TlsError,
 ) {
-    let authority = Authority::default();
+    let authority = CertificateAuthority::default();
     let (near, far) = pipe(1 << 20);
     let mut stream = server(&authority.acceptor(name, until, false), far);
     let budget = Budget::new(1 << 20);
@@ -156,7 +156,7 @@
 
 #[test]
 fn nobody_else_vouches_and_a_missing_client_certificate_is_told() {
-    let (authority, other) = (Authority::default(), Authority::default());
+    let (authority, other) = (CertificateAuthority::default(), CertificateAuthority::default());
     let budget = Budget::new(1 << 20);
     let link = |client: &ClientContext| {
         Transport::new(Some(Session::new(client, "127.0.0.1", &budget).unwrap()), &budget)
@@ -178,7 +178,7 @@
 
 #[test]
 fn what_is_not_tls_or_is_cut_off_ends_it() {
-    let authority = Authority::default();
+    let authority = CertificateAuthority::default();
     let budget = Budget::new(1 << 20);
     let session = || Session::new(&client(&authority, None), "127.0.0.1", &budget).unwrap();
     let (mut near, mut far) = pipe(1 << 20);
@@ -230,7 +230,7 @@
 
 #[test]
 fn what_came_before_an_end_without_a_word_is_taken_first() {
-    let authority = Authority::default();
+    let authority = CertificateAuthority::default();
     let (near, far) = pipe(1 << 20);
     let mut stream = server(&authority.acceptor("127.0.0.1", 2040, false), far);
     let budget = Budget::new(1 << 20);
@@ -246,7 +246,7 @@
 
 #[test]
 fn files_are_checked_before_anybody_is_called() {
-    let authority = Authority::default();
+    let authority = CertificateAuthority::default();
     let (cert, key) = authority.issue("pooler", 2040);
     let (old, old_key) = authority.issue("pooler", 2024);
     let ca = authority.pem.as_bytes();
