--- a/crates/daemon/tests/directory.rs
+++ b/crates/daemon/tests/directory.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use peers::{query, startup, Wire};
-use rig::{Control, Faults, Rig, Shape, Sums};
+use rig::{ControlInstances, Faults, LoadTotals, Rig, RigConfig};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dewferry");
 /// Longer than a control instance is silent after its start, and longer than any lease.
@@ -16,18 +16,25 @@
 const WRITE_BOUND: Duration = Duration::from_secs(3);
 const LAG: Duration = Duration::from_millis(300);
 
-fn shape(instances: usize, control: usize) -> Shape {
-    Shape { instances, talk: true, folders: false, lag: LAG, probes: false, control }
+fn shape(instances: usize, control: usize) -> RigConfig {
+    RigConfig {
+        instances,
+        exchange_state: true,
+        state_folders: false,
+        replica_lag: LAG,
+        probes: false,
+        control,
+    }
 }
 
 /// Poolers and control instances that have found each other.
 fn started(instances: usize, control: usize) -> Rig {
     let rig = Rig::new(PROGRAM, shape(instances, control));
-    assert!(rig.meet(START).is_some(), "{:#}", rig.status(0));
+    assert!(rig.wait_until_converged(START).is_some(), "{:#}", rig.status(0));
     rig
 }
 
-fn control(rig: &mut Rig) -> &mut Control {
+fn control(rig: &mut Rig) -> &mut ControlInstances {
     rig.control.as_mut().expect("control instances")
 }
 
@@ -36,8 +43,8 @@
 }
 
 /// Sessions at work, moving at random, through what is done; nothing stale, and every group has its quorum in the end.
-fn through(rig: &mut Rig, seed: u64, does: impl FnOnce(&mut Rig)) -> Sums {
-    rig.through(seed, START, does)
+fn through(rig: &mut Rig, seed: u64, does: impl FnOnce(&mut Rig)) -> LoadTotals {
+    rig.run_under_load(seed, START, does)
 }
 
 #[test]
@@ -55,7 +62,7 @@
     const READS: u64 = 20;
     let rig = started(2, 3);
     let ask = |n: usize, class: &str, statement: &str| {
-        let mut wire = Wire::from_stream(TcpStream::connect(rig.seats[n].listen).unwrap());
+        let mut wire = Wire::from_stream(TcpStream::connect(rig.instances[n].listen).unwrap());
         let id = format!("{:016x}", fastrand::u64(1..));
         let about = format!("/* id={id},c={class},t=acme,d=1500,k={id},cluster=2 */ {statement}");
         wire.send(&[startup(), query(&about)].concat());
@@ -64,7 +71,7 @@
         assert_eq!(answer.first().map(|(kind, _)| *kind), Some(b'T'), "{answer:?}");
     };
     let read = |n| ask(n, "own-orders", "SELECT doc FROM items WHERE id = 'moves'");
-    let at_replica = || rig.store.at_replica.load(Ordering::Relaxed);
+    let at_replica = || rig.store.replica_reads.load(Ordering::Relaxed);
     let write = |n, session| {
         let values = format!("('{session}', '\\x0000000000000001')");
         ask(n, "order-write", &format!("INSERT INTO items (id, doc) VALUES {values} RETURNING doc"));
@@ -87,11 +94,11 @@
     let sums = through(&mut rig, 2, |rig| {
         control(rig).kill(0);
         pause(3_000);
-        control(rig).begin(0);
+        control(rig).start(0);
         pause(3_500);
-        control(rig).stop(1, true);
+        control(rig).set_stopped(1, true);
         pause(3_000);
-        control(rig).stop(1, false);
+        control(rig).set_stopped(1, false);
         pause(1_000);
     });
     assert_eq!(sums.refused, 0, "a quorum of each group was there throughout");
@@ -107,13 +114,13 @@
         pause(4_500);
         let status = rig.status(0);
         assert_eq!(status["groups_with_quorum"].as_u64(), Some(0), "{status:#}");
-        assert!(rig.peers(0, &["explain", "session", "k"]).contains("there is no quorum"));
-        control(rig).begin(0);
-        control(rig).begin(1);
-        assert!(rig.meet(START).is_some(), "{:#}", rig.status(0));
+        assert!(rig.run_peers_command(0, &["explain", "session", "k"]).contains("there is no quorum"));
+        control(rig).start(0);
+        control(rig).start(1);
+        assert!(rig.wait_until_converged(START).is_some(), "{:#}", rig.status(0));
     });
     assert!(sums.refused > 0, "writes without a quorum are refused");
-    let log = std::fs::read_to_string(rig.log(0)).unwrap();
+    let log = std::fs::read_to_string(rig.log_file(0)).unwrap();
     assert!(log.contains("directory.lost") && log.contains("directory.whole"), "{log}");
     let sums = through(&mut rig, 4, |_| pause(1_500));
     assert_eq!(sums.refused, 0, "writes are taken again");
@@ -127,14 +134,14 @@
             let n = round % 3;
             rig.kill(n);
             pause(300);
-            rig.begin(n);
-            rig.listens(n);
+            rig.start(n);
+            rig.wait_until_listening(n);
             pause(700);
         }
         // Longer than a lease: others own its sessions by the time it goes on.
-        rig.stop(1, true);
+        rig.set_stopped(1, true);
         pause(5_000);
-        rig.stop(1, false);
+        rig.set_stopped(1, false);
         pause(1_000);
     });
 }
@@ -144,26 +151,33 @@
     let mut rig = started(3, 3);
     through(&mut rig, 6, |rig| {
         // Heartbeats of one arrive, their answers do not.
-        (0..3).for_each(|n| control(rig).between(0, n, |faults| faults.cut_back = true));
+        (0..3).for_each(|n| control(rig).change_faults_between(0, n, |faults| faults.block_replies = true));
         pause(3_500);
-        (0..3).for_each(|n| control(rig).between(0, n, |faults| *faults = Faults::default()));
+        (0..3).for_each(|n| control(rig).change_faults_between(0, n, |faults| *faults = Faults::default()));
         // One is cut off from the other poolers alone, then from control as well.
-        rig.between(&[1], |faults| faults.cut = true);
+        rig.change_faults_between(&[1], |faults| faults.block = true);
         pause(2_500);
-        (0..3).for_each(|n| control(rig).between(1, n, |faults| faults.cut = true));
+        (0..3).for_each(|n| control(rig).change_faults_between(1, n, |faults| faults.block = true));
         pause(3_500);
-        rig.everywhere(|faults| *faults = Faults::default());
-        control(rig).everywhere(|faults| *faults = Faults::default());
+        rig.change_all_faults(|faults| *faults = Faults::default());
+        control(rig).change_all_faults(|faults| *faults = Faults::default());
         pause(1_000);
         let bad = |faults: &mut Faults| {
             let late_by = Duration::from_millis(700);
-            *faults = Faults { loss: 0.2, twice: 0.2, spoil: 0.05, late: 0.2, late_by, ..Faults::default() };
+            *faults = Faults {
+                loss: 0.2,
+                duplication: 0.2,
+                corruption: 0.05,
+                delayed_share: 0.2,
+                delay: late_by,
+                ..Faults::default()
+            };
         };
-        rig.everywhere(bad);
-        control(rig).everywhere(bad);
+        rig.change_all_faults(bad);
+        control(rig).change_all_faults(bad);
         pause(4_000);
-        rig.everywhere(|faults| *faults = Faults::default());
-        control(rig).everywhere(|faults| *faults = Faults::default());
+        rig.change_all_faults(|faults| *faults = Faults::default());
+        control(rig).change_all_faults(|faults| *faults = Faults::default());
     });
 }
 
@@ -173,9 +187,9 @@
     const RESTARTS: usize = 9;
     let sums = through(&mut rig, 7, |rig| {
         for round in 0..RESTARTS {
-            rig.end(round % 3);
-            rig.begin(round % 3);
-            rig.listens(round % 3);
+            rig.terminate(round % 3);
+            rig.start(round % 3);
+            rig.wait_until_listening(round % 3);
             pause(200);
         }
     });
@@ -200,13 +214,13 @@
     assert!(dropped["sealed by no key that is held here"].as_u64() > Some(100), "{dropped:#}");
     // One that starts with another key is alone, and refuses writes of sessions.
     rig.kill(1);
-    rig.key("ff".repeat(32).as_str());
-    rig.begin(1);
-    rig.listens(1);
+    rig.write_key("ff".repeat(32).as_str());
+    rig.start(1);
+    rig.wait_until_listening(1);
     pause(1_500);
     assert_eq!(rig.status(1)["groups_with_quorum"].as_u64(), Some(0));
     for n in [0, 1] {
-        let log = std::fs::read_to_string(rig.log(n)).unwrap();
+        let log = std::fs::read_to_string(rig.log_file(n)).unwrap();
         let told = log.lines().filter(|line| line.contains("directory.dropped")).count();
         assert!(told <= 2, "{told} lines:\n{log}");
     }
@@ -252,10 +266,10 @@
 fn one_that_ends_gives_its_sessions_back_at_once() {
     let mut rig = started(2, 3);
     through(&mut rig, 9, |rig| {
-        rig.end(1);
+        rig.terminate(1);
         let begun = Instant::now();
-        rig.begin(1);
-        rig.listens(1);
+        rig.start(1);
+        rig.wait_until_listening(1);
         assert!(begun.elapsed() < Duration::from_secs(2));
     });
 }
--- a/crates/rig/examples/reads.rs
+++ b/crates/rig/examples/reads.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use rig::{Load, Rig, Shape};
+use rig::{Load, Rig, RigConfig};
 
 fn main() {
     let args: Vec<String> = std::env::args().collect();
@@ -14,13 +14,19 @@
     let control = number(5, 0) as usize;
     let talk = args.get(5).is_none_or(|word| word != "alone");
     let sessions = number(6, 24) as usize;
-    let shape =
-        Shape { instances, talk, folders: false, lag: Duration::from_millis(1_500), probes: false, control };
+    let shape = RigConfig {
+        instances,
+        exchange_state: talk,
+        state_folders: false,
+        replica_lag: Duration::from_millis(1_500),
+        probes: false,
+        control,
+    };
     let mut rig = Rig::new(program, shape);
     if talk {
-        rig.meet(Duration::from_secs(20)).expect("they meet");
+        rig.wait_until_converged(Duration::from_secs(20)).expect("they meet");
     }
-    let places = rig.seats.iter().map(|seat| seat.listen).collect();
+    let places = rig.instances.iter().map(|seat| seat.listen).collect();
     let load = Load::new(places, sessions, Duration::from_secs(3), seed);
     let mut rng = fastrand::Rng::with_seed(seed);
     let begun = Instant::now();
@@ -36,38 +42,39 @@
             (0, _) => rig.kill(n),
             (2, _) => cut(&rig, n, true),
             (4, Some(control)) => control.kill(of_control),
-            (5, Some(control)) => control.stop(of_control, true),
-            _ => rig.stop(n, true),
+            (5, Some(control)) => control.set_stopped(of_control, true),
+            _ => rig.set_stopped(n, true),
         }
         std::thread::sleep(Duration::from_secs(2));
         match (kind, &mut rig.control) {
-            (0, _) => rig.begin(n),
+            (0, _) => rig.start(n),
             (2, _) => cut(&rig, n, false),
-            (4, Some(control)) => control.begin(of_control),
-            (5, Some(control)) => control.stop(of_control, false),
-            _ => rig.stop(n, false),
+            (4, Some(control)) => control.start(of_control),
+            (5, Some(control)) => control.set_stopped(of_control, false),
+            _ => rig.set_stopped(n, false),
         }
     }
-    let sums = load.end();
+    let sums = load.finish();
     let count = |counter: &std::sync::atomic::AtomicU64| counter.load(std::sync::atomic::Ordering::Relaxed);
-    let (near, far) = (count(&rig.store.at_replica), count(&rig.store.at_primary));
+    let (near, far) = (count(&rig.store.replica_reads), count(&rig.store.primary_reads));
     println!(
         "reads at once {} stale {}; later {} stale {}",
-        sums.reads, sums.stale, sums.later, sums.later_stale
+        sums.reads, sums.stale_reads, sums.delayed_reads, sums.stale_delayed_reads
     );
     println!("at the replica {near}, at the primary {far}");
-    let took = |q| sums.took.value_at_quantile(q) as f64 / 1e3;
+    let took = |q| sums.write_latency_us.value_at_quantile(q) as f64 / 1e3;
     println!("writes {} p50 {:.1} ms p99 {:.1} ms", sums.writes, took(0.5), took(0.99));
-    println!("refused {} failed {} silent {}", sums.refused, sums.failed, sums.silent);
+    println!("refused {} failed {} silent {}", sums.refused, sums.failed, sums.unanswered);
     if talk {
-        println!("met after {:?}", rig.meet(Duration::from_secs(30)));
+        println!("met after {:?}", rig.wait_until_converged(Duration::from_secs(30)));
     }
 }
 
 /// Cuts an instance off from all others, and from the control instances, or lets it be again.
 fn cut(rig: &Rig, n: usize, cut: bool) {
-    rig.between(&[n], |faults| faults.cut = cut);
+    rig.change_faults_between(&[n], |faults| faults.block = cut);
     if let Some(control) = &rig.control {
-        (0..control.count()).for_each(|other| control.between(n, other, |faults| faults.cut = cut));
+        (0..control.count())
+            .for_each(|other| control.change_faults_between(n, other, |faults| faults.block = cut));
     }
 }
--- a/crates/rig/src/control.rs
+++ b/crates/rig/src/control.rs
@@ -12,7 +12,7 @@
 const REGIONS: usize = 3;
 
 /// The control instances.
-pub struct Control {
+pub struct ControlInstances {
     program: PathBuf,
     folder: PathBuf,
     addresses: Vec<SocketAddr>,
@@ -21,15 +21,15 @@
     relays: Vec<Vec<Relay>>,
 }
 
-impl Control {
+impl ControlInstances {
     /// So many control instances for so many poolers; none is started.
-    pub(crate) fn new(program: &Path, folder: &Path, count: usize, poolers: usize) -> Control {
+    pub(crate) fn new(program: &Path, folder: &Path, count: usize, poolers: usize) -> ControlInstances {
         let addresses: Vec<SocketAddr> = (0..count).map(|_| free()).collect();
         let relay = |pooler: usize, n: usize| Relay::new(addresses[n], (500_000 + pooler * 1_000 + n) as u64);
         let relays = (0..poolers).map(|pooler| (0..count).map(|n| relay(pooler, n)).collect()).collect();
         let processes = (0..count).map(|_| Process::default()).collect();
         let control =
-            Control { program: program.into(), folder: folder.into(), addresses, processes, relays };
+            ControlInstances { program: program.into(), folder: folder.into(), addresses, processes, relays };
         let text = format!("[peers]\nkeys = [\"{}\"]\n{}", folder.join("key").display(), control.listed());
         std::fs::write(control.operator(), text).expect("a file");
         control
@@ -63,7 +63,7 @@
     }
 
     /// Starts one.
-    pub fn begin(&mut self, n: usize) {
+    pub fn start(&mut self, n: usize) {
         let log = self.folder.join(format!("c{n}.log"));
         let log = std::fs::OpenOptions::new().create(true).append(true).open(log).expect("a log");
         let mut command = Command::new(&self.program);
@@ -77,17 +77,17 @@
     }
 
     /// SIGSTOP or SIGCONT.
-    pub fn stop(&mut self, n: usize, stopped: bool) {
+    pub fn set_stopped(&mut self, n: usize, stopped: bool) {
         self.processes[n].stop(stopped);
     }
 
     /// Changes what the relays between a pooler and a control instance do, both ways.
-    pub fn between(&self, pooler: usize, n: usize, change: impl Fn(&mut Faults)) {
-        self.relays[pooler][n].change(change);
+    pub fn change_faults_between(&self, pooler: usize, n: usize, change: impl Fn(&mut Faults)) {
+        self.relays[pooler][n].change_faults(change);
     }
 
     /// Changes what all relays to control instances do.
-    pub fn everywhere(&self, change: impl Fn(&mut Faults)) {
-        self.relays.iter().flatten().for_each(|relay| relay.change(&change));
+    pub fn change_all_faults(&self, change: impl Fn(&mut Faults)) {
+        self.relays.iter().flatten().for_each(|relay| relay.change_faults(&change));
     }
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub use control::Control;
-pub use load::{Load, Sums};
+pub use control::ControlInstances;
+pub use load::{Load, LoadTotals};
 use process::Process;
 pub use relay::{Faults, Relay};
 pub use store::Store;
@@ -39,21 +39,21 @@
 
 /// What a rig is made of.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct RigConfig {
     pub instances: usize,
     /// Whether they talk.
-    pub talk: bool,
+    pub exchange_state: bool,
     /// Whether each has a folder.
-    pub folders: bool,
+    pub state_folders: bool,
     /// How far the replica is behind.
-    pub lag: Duration,
+    pub replica_lag: Duration,
     pub probes: bool,
     /// Control instances that keep whose sessions are whose, in place of talk of all with all; none at 0.
     pub control: usize,
 }
 
 /// An instance's place.
-pub struct Seat {
+pub struct Instance {
     pub name: String,
     /// Where its clients connect.
     pub listen: SocketAddr,
@@ -62,13 +62,13 @@
 
 /// All of it.
 pub struct Rig {
-    pub shape: Shape,
+    pub shape: RigConfig,
     pub store: Arc<Store>,
-    pub seats: Vec<Seat>,
+    pub instances: Vec<Instance>,
     /// The relay from one to another.
     pub relays: Vec<Vec<Option<Relay>>>,
     /// The control instances, where there are any.
-    pub control: Option<Control>,
+    pub control: Option<ControlInstances>,
     program: PathBuf,
     folder: PathBuf,
     peers: Vec<SocketAddr>,
@@ -89,35 +89,35 @@
 
 impl Rig {
     /// All instances, started, listening.
-    pub fn new(program: &str, shape: Shape) -> Rig {
+    pub fn new(program: &str, shape: RigConfig) -> Rig {
         let number = RIGS.fetch_add(1, Ordering::SeqCst);
         let folder = std::env::temp_dir().join(format!("dewferry-rig-{}-{number}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
-        let store = Store::new(shape.lag);
+        let store = Store::new(shape.replica_lag);
         let peers: Vec<SocketAddr> = (0..shape.instances).map(|_| free()).collect();
         let relay = |a: usize, b: usize| (a != b).then(|| Relay::new(peers[b], (a * 1_000 + b) as u64));
         let relays =
             (0..shape.instances).map(|a| (0..shape.instances).map(|b| relay(a, b)).collect()).collect();
-        let seat = |n| Seat { name: format!("n{n}"), listen: free(), process: Process::default() };
+        let seat = |n| Instance { name: format!("n{n}"), listen: free(), process: Process::default() };
         let seats = (0..shape.instances).map(seat).collect();
         let program = PathBuf::from(program);
-        let control =
-            (shape.control > 0).then(|| Control::new(&program, &folder, shape.control, shape.instances));
-        let mut rig = Rig { shape, store, seats, relays, control, program, folder, peers };
-        rig.key(KEY);
+        let control = (shape.control > 0)
+            .then(|| ControlInstances::new(&program, &folder, shape.control, shape.instances));
+        let mut rig = Rig { shape, store, instances: seats, relays, control, program, folder, peers };
+        rig.write_key(KEY);
         if let Some(control) = &mut rig.control {
-            (0..control.count()).for_each(|n| control.begin(n));
+            (0..control.count()).for_each(|n| control.start(n));
         }
-        for n in 0..rig.seats.len() {
-            rig.begin(n);
+        for n in 0..rig.instances.len() {
+            rig.start(n);
         }
-        (0..rig.seats.len()).for_each(|n| rig.listens(n));
+        (0..rig.instances.len()).for_each(|n| rig.wait_until_listening(n));
         rig
     }
 
     /// Puts a key in the file that all read at their start.
-    pub fn key(&self, text: &str) {
+    pub fn write_key(&self, text: &str) {
         use std::io::Write;
         use std::os::unix::fs::OpenOptionsExt;
         let path = self.folder.join("key");
@@ -128,7 +128,7 @@
     }
 
     /// The folder of one.
-    pub fn dir(&self, n: usize) -> PathBuf {
+    pub fn state_folder(&self, n: usize) -> PathBuf {
         self.folder.join(format!("dir-{n}"))
     }
 
@@ -146,14 +146,15 @@
                     text += &route(&self.peers[other].to_string(), relay.address);
                 }
             }
-        } else if self.shape.talk {
+        } else if self.shape.exchange_state {
             // Each is reached over its relay, by whoever asks at a seed, too.
             let seeds = (0..self.peers.len()).map(|other| match &self.relays[n][other] {
                 Some(relay) => format!("\"{}\"", relay.address),
                 None => format!("\"{}\"", self.peers[n]),
             });
             let seeds: Vec<String> = seeds.collect();
-            let dir = self.shape.folders.then(|| format!("dir = \"{}\"\n", self.dir(n).display()));
+            let dir =
+                self.shape.state_folders.then(|| format!("dir = \"{}\"\n", self.state_folder(n).display()));
             let more = format!("seeds = [{}]\n{}", seeds.join(", "), dir.unwrap_or_default());
             text += &self.peers_section(n, &more);
             for (other, relay) in self.relays[n].iter().enumerate() {
@@ -172,13 +173,13 @@
     }
 
     /// Starts one.
-    pub fn begin(&mut self, n: usize) {
+    pub fn start(&mut self, n: usize) {
         let zone = (n % 2).to_string();
         let settings = SETTINGS
             .replace("ZONE", &zone)
             .replace("FLEET", &self.shape.instances.to_string())
             .replace("PROBES", &self.shape.probes.to_string());
-        let listen = self.seats[n].listen;
+        let listen = self.instances[n].listen;
         let text = format!(
             r#"{{"name":"n{n}","listen":"{listen}","discovery":"127.0.0.1:1","seed":"{:x}",
             "limits":{{"memory_mb":192,"sockets":512}},"known":{},"settings":{settings}}}"#,
@@ -189,66 +190,67 @@
             (self.folder.join(format!("n{n}.json")), self.folder.join(format!("n{n}.toml")));
         std::fs::write(&platform, text).expect("a file");
         std::fs::write(&operator, self.operator(n)).expect("a file");
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log(n)).expect("a log");
+        let log =
+            std::fs::OpenOptions::new().create(true).append(true).open(self.log_file(n)).expect("a log");
         let mut command = Command::new(&self.program);
         command.args(["serve", "--config"]).arg(&platform).arg("--operator").arg(&operator);
-        self.seats[n].process.start(command.stderr(Stdio::from(log)));
+        self.instances[n].process.start(command.stderr(Stdio::from(log)));
     }
 
     /// The log of one.
-    pub fn log(&self, n: usize) -> PathBuf {
+    pub fn log_file(&self, n: usize) -> PathBuf {
         self.folder.join(format!("n{n}.log"))
     }
 
     /// Waits until one takes clients in.
-    pub fn listens(&self, n: usize) {
+    pub fn wait_until_listening(&self, n: usize) {
         let begun = Instant::now();
-        while TcpStream::connect(self.seats[n].listen).is_err() {
-            let log = || std::fs::read_to_string(self.log(n)).unwrap_or_default();
+        while TcpStream::connect(self.instances[n].listen).is_err() {
+            let log = || std::fs::read_to_string(self.log_file(n)).unwrap_or_default();
             assert!(begun.elapsed() < PATIENCE, "n{n} does not listen: {}", log());
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
     /// Whether one runs.
-    pub fn runs(&self, n: usize) -> bool {
-        self.seats[n].process.runs()
+    pub fn is_running(&self, n: usize) -> bool {
+        self.instances[n].process.runs()
     }
 
     /// SIGKILL.
     pub fn kill(&mut self, n: usize) {
-        self.seats[n].process.kill();
+        self.instances[n].process.kill();
     }
 
     /// SIGTERM, and its end.
-    pub fn end(&mut self, n: usize) {
-        let Seat { name, process, .. } = &mut self.seats[n];
+    pub fn terminate(&mut self, n: usize) {
+        let Instance { name, process, .. } = &mut self.instances[n];
         process.end(name);
     }
 
     /// SIGSTOP or SIGCONT.
-    pub fn stop(&mut self, n: usize, stopped: bool) {
-        self.seats[n].process.stop(stopped);
+    pub fn set_stopped(&mut self, n: usize, stopped: bool) {
+        self.instances[n].process.stop(stopped);
     }
 
     /// Changes what the relays between two sets do, both ways.
-    pub fn between(&self, some: &[usize], change: impl Fn(&mut Faults)) {
+    pub fn change_faults_between(&self, some: &[usize], change: impl Fn(&mut Faults)) {
         for (a, row) in self.relays.iter().enumerate() {
             for (b, relay) in row.iter().enumerate() {
                 if some.contains(&a) != some.contains(&b) {
-                    relay.iter().for_each(|relay| relay.change(&change));
+                    relay.iter().for_each(|relay| relay.change_faults(&change));
                 }
             }
         }
     }
 
     /// Changes what all relays do.
-    pub fn everywhere(&self, change: impl Fn(&mut Faults)) {
-        self.relays.iter().flatten().flatten().for_each(|relay| relay.change(&change));
+    pub fn change_all_faults(&self, change: impl Fn(&mut Faults)) {
+        self.relays.iter().flatten().flatten().for_each(|relay| relay.change_faults(&change));
     }
 
     /// Runs `dewferry peers` at one; what it prints.
-    pub fn peers(&self, n: usize, args: &[&str]) -> String {
+    pub fn run_peers_command(&self, n: usize, args: &[&str]) -> String {
         let output = Command::new(&self.program)
             .arg("peers")
             .args(args)
@@ -260,15 +262,15 @@
 
     /// What one says of itself and the others.
     pub fn status(&self, n: usize) -> serde_json::Value {
-        serde_json::from_str(&self.peers(n, &["status", "--json"])).unwrap_or_default()
+        serde_json::from_str(&self.run_peers_command(n, &["status", "--json"])).unwrap_or_default()
     }
 
     /// Waits until all that run hold the same and count each other as alive, or have leases of every group of control
     /// instances; how long that took. None where it does not come to that.
-    pub fn meet(&self, patience: Duration) -> Option<Duration> {
+    pub fn wait_until_converged(&self, patience: Duration) -> Option<Duration> {
         let begun = Instant::now();
         while begun.elapsed() < patience {
-            let running: Vec<usize> = (0..self.seats.len()).filter(|n| self.runs(*n)).collect();
+            let running: Vec<usize> = (0..self.instances.len()).filter(|n| self.is_running(*n)).collect();
             let all: Vec<serde_json::Value> = running.iter().map(|n| self.status(*n)).collect();
             let met = match &self.control {
                 Some(_) => all.iter().all(has_every_quorum),
@@ -286,19 +288,30 @@
 impl Rig {
     /// Sessions at work, moving at random over all instances, through what is done. Panics where a read was stale, where they
     /// did hardly anything, or where the instances do not meet in `patience` afterwards.
-    pub fn through(&mut self, seed: u64, patience: Duration, does: impl FnOnce(&mut Rig)) -> Sums {
+    pub fn run_under_load(
+        &mut self,
+        seed: u64,
+        patience: Duration,
+        does: impl FnOnce(&mut Rig),
+    ) -> LoadTotals {
         const SESSIONS: usize = 6;
         const LATER: Duration = Duration::from_millis(1_000);
         const MARGIN: Duration = Duration::from_millis(500);
-        let places = self.seats.iter().map(|seat| seat.listen).collect();
+        let places = self.instances.iter().map(|seat| seat.listen).collect();
         let load = Load::new(places, SESSIONS, LATER, seed);
         std::thread::sleep(MARGIN);
         does(self);
         std::thread::sleep(MARGIN);
-        let sums = load.end();
-        assert_eq!((sums.stale, sums.later_stale), (0, 0), "of {} and {}", sums.reads, sums.later);
+        let sums = load.finish();
+        assert_eq!(
+            (sums.stale_reads, sums.stale_delayed_reads),
+            (0, 0),
+            "of {} and {}",
+            sums.reads,
+            sums.delayed_reads
+        );
         assert!(sums.reads > 50 && sums.writes > 20, "{} reads, {} writes", sums.reads, sums.writes);
-        assert!(self.meet(patience).is_some(), "{:#}", self.status(0));
+        assert!(self.wait_until_converged(patience).is_some(), "{:#}", self.status(0));
         sums
     }
 }
@@ -326,7 +339,7 @@
 
 impl Drop for Rig {
     fn drop(&mut self) {
-        for n in 0..self.seats.len() {
+        for n in 0..self.instances.len() {
             self.kill(n);
         }
         if std::thread::panicking() {
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -10,38 +10,38 @@
 
 /// What came of it.
 #[derive(Clone)]
-pub struct Sums {
+pub struct LoadTotals {
     /// Reads right behind a write, and those of them that saw less than was answered.
     pub reads: u64,
-    pub stale: u64,
+    pub stale_reads: u64,
     /// Reads some seconds later, and those of them that saw less.
-    pub later: u64,
-    pub later_stale: u64,
+    pub delayed_reads: u64,
+    pub stale_delayed_reads: u64,
     /// Writes answered, and requests refused, failed, or not answered in time.
     pub writes: u64,
     pub refused: u64,
     pub failed: u64,
-    pub silent: u64,
+    pub unanswered: u64,
     /// What the first failed request was told.
     pub first_failure: Option<String>,
     /// What writes took (microseconds).
-    pub took: Histogram<u64>,
+    pub write_latency_us: Histogram<u64>,
 }
 
-impl Default for Sums {
-    fn default() -> Sums {
+impl Default for LoadTotals {
+    fn default() -> LoadTotals {
         let took = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds of a histogram");
-        Sums {
+        LoadTotals {
             reads: 0,
-            stale: 0,
-            later: 0,
-            later_stale: 0,
+            stale_reads: 0,
+            delayed_reads: 0,
+            stale_delayed_reads: 0,
             writes: 0,
             refused: 0,
             failed: 0,
-            silent: 0,
+            unanswered: 0,
             first_failure: None,
-            took,
+            write_latency_us: took,
         }
     }
 }
@@ -54,7 +54,7 @@
     Silent,
 }
 
-impl Sums {
+impl LoadTotals {
     fn note_failure(&mut self, words: String) {
         self.failed += 1;
         self.first_failure.get_or_insert(words);
@@ -64,7 +64,7 @@
 /// Sessions at work, until it is dropped or ended.
 pub struct Load {
     over: Arc<AtomicBool>,
-    sums: Arc<Mutex<Sums>>,
+    sums: Arc<Mutex<LoadTotals>>,
     threads: Vec<std::thread::JoinHandle<()>>,
 }
 
@@ -73,7 +73,7 @@
 impl Load {
     /// So many sessions, each of which moves at random; `later` is the pause before the second read.
     pub fn new(places: Vec<SocketAddr>, sessions: usize, later: Duration, seed: u64) -> Load {
-        let (over, sums) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Sums::default())));
+        let (over, sums) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(LoadTotals::default())));
         let threads: Vec<_> = (0..sessions)
             .map(|session| {
                 let (places, over, sums) = (places.clone(), over.clone(), sums.clone());
@@ -88,17 +88,17 @@
     }
 
     /// What has come of it so far.
-    pub fn sums(&self) -> Sums {
+    pub fn totals(&self) -> LoadTotals {
         self.sums.lock().expect("sums").clone()
     }
 
     /// Ends it.
-    pub fn end(mut self) -> Sums {
+    pub fn finish(mut self) -> LoadTotals {
         self.over.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             thread.join().expect("a session ends");
         }
-        self.sums()
+        self.totals()
     }
 }
 
@@ -117,7 +117,7 @@
 }
 
 impl Session {
-    fn run(&mut self, over: &AtomicBool, sums: &Mutex<Sums>, later: Duration) {
+    fn run(&mut self, over: &AtomicBool, sums: &Mutex<LoadTotals>, later: Duration) {
         let mut number = 0;
         while !over.load(Ordering::Relaxed) {
             number += 1;
@@ -133,11 +133,11 @@
                 match came {
                     Came::Value(_) => {
                         sums.writes += 1;
-                        let _ = sums.took.record(begun.elapsed().as_micros() as u64);
+                        let _ = sums.write_latency_us.record(begun.elapsed().as_micros() as u64);
                     }
                     Came::Refused => sums.refused += 1,
                     Came::Failed(words) => sums.note_failure(words),
-                    Came::Silent => sums.silent += 1,
+                    Came::Silent => sums.unanswered += 1,
                 }
             }
             if served {
@@ -163,7 +163,7 @@
         self.ask(at, &sql)
     }
 
-    fn read(&mut self, at: usize, sums: &Mutex<Sums>, later: bool) {
+    fn read(&mut self, at: usize, sums: &Mutex<LoadTotals>, later: bool) {
         let id = IDS.fetch_add(1, Ordering::Relaxed);
         let sql = format!(
             "/* id={id:016x},c=own-orders,t=acme,d=1500,cluster=2 */ SELECT doc FROM items WHERE id = '{}'",
@@ -175,14 +175,15 @@
             Came::Value(value) => {
                 let stale = u64::from(value < self.written);
                 if later {
-                    (sums.later, sums.later_stale) = (sums.later + 1, sums.later_stale + stale);
+                    (sums.delayed_reads, sums.stale_delayed_reads) =
+                        (sums.delayed_reads + 1, sums.stale_delayed_reads + stale);
                 } else {
-                    (sums.reads, sums.stale) = (sums.reads + 1, sums.stale + stale);
+                    (sums.reads, sums.stale_reads) = (sums.reads + 1, sums.stale_reads + stale);
                 }
             }
             Came::Refused => sums.refused += 1,
             Came::Failed(words) => sums.note_failure(words),
-            Came::Silent => sums.silent += 1,
+            Came::Silent => sums.unanswered += 1,
         }
     }
 
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -11,16 +11,16 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     /// Nothing passes.
-    pub cut: bool,
+    pub block: bool,
     /// No answer to a datagram passes.
-    pub cut_back: bool,
+    pub block_replies: bool,
     /// Share of the datagrams that is lost, comes twice, has a byte spoilt.
     pub loss: f64,
-    pub twice: f64,
-    pub spoil: f64,
+    pub duplication: f64,
+    pub corruption: f64,
     /// Share that comes so much later, and how much.
-    pub late: f64,
-    pub late_by: Duration,
+    pub delayed_share: f64,
+    pub delay: Duration,
 }
 
 /// A relay to one instance, for one other.
@@ -75,7 +75,7 @@
         relay
     }
 
-    pub fn change(&self, change: impl Fn(&mut Faults)) {
+    pub fn change_faults(&self, change: impl Fn(&mut Faults)) {
         if let Ok(mut faults) = self.faults.lock() {
             change(&mut faults);
         }
@@ -117,17 +117,17 @@
         }
         let Some(to) = (if is_answer { speaker } else { Some(to) }) else { continue };
         let does = faults.lock().map(|faults| *faults).unwrap_or_default();
-        if does.cut || (does.cut_back && is_answer) || rng.f64() < does.loss {
+        if does.block || (does.block_replies && is_answer) || rng.f64() < does.loss {
             continue;
         }
         let mut datagram = bytes[..count].to_vec();
-        if rng.f64() < does.spoil {
+        if rng.f64() < does.corruption {
             let at = rng.usize(..count.max(1));
             datagram[at] ^= 1 << rng.u32(..8);
         }
         passed.fetch_add(count as u64, Ordering::Relaxed);
-        let late = if rng.f64() < does.late { does.late_by } else { Duration::ZERO };
-        if rng.f64() < does.twice {
+        let late = if rng.f64() < does.delayed_share { does.delay } else { Duration::ZERO };
+        if rng.f64() < does.duplication {
             let at = Instant::now() + late + Duration::from_millis(rng.u64(..50));
             later.push(Later(at, datagram.clone(), to));
         }
@@ -165,7 +165,7 @@
             Ok(0) => break,
             Ok(count) => {
                 // A cut stream is silent, and goes on where it stopped.
-                while faults.lock().is_ok_and(|faults| faults.cut) && !over.load(Ordering::Relaxed) {
+                while faults.lock().is_ok_and(|faults| faults.block) && !over.load(Ordering::Relaxed) {
                     std::thread::sleep(Duration::from_millis(5));
                 }
                 if to.write_all(&bytes[..count]).is_err() {
--- a/crates/rig/src/store.rs
+++ b/crates/rig/src/store.rs
@@ -16,8 +16,8 @@
     primary: AnsweringMember,
     replica: AnsweringMember,
     /// Reads that each has answered, and writes.
-    pub at_primary: Arc<AtomicU64>,
-    pub at_replica: Arc<AtomicU64>,
+    pub primary_reads: Arc<AtomicU64>,
+    pub replica_reads: Arc<AtomicU64>,
     pub writes: Arc<AtomicU64>,
 }
 
@@ -76,7 +76,14 @@
             let newest = seen.map(|(_, value)| *value).max().unwrap_or(0);
             answer(newest, "reader", position)
         });
-        Arc::new(Store { data, primary, replica, at_primary, at_replica, writes })
+        Arc::new(Store {
+            data,
+            primary,
+            replica,
+            primary_reads: at_primary,
+            replica_reads: at_replica,
+            writes,
+        })
     }
 
     /// The machines as a list.
@@ -87,7 +94,7 @@
     }
 
     /// The newest value of a key.
-    pub fn newest(&self, key: &str) -> u64 {
+    pub fn newest_value(&self, key: &str) -> u64 {
         let data = self.data.lock().expect("the data");
         data.get(key).into_iter().flatten().map(|(_, value)| *value).max().unwrap_or(0)
     }
