--- a/crates/footprint/src/guard.rs
+++ b/crates/footprint/src/guard.rs
@@ -1,7 +1,7 @@
 //! Keeps a run within its time and within its share of the machine.
 
 use crate::MeasureError;
-use measure::{Machine, Process};
+use measure::{Host, Process};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 
 /// Asked before each measurement whether it may begin.
 pub struct Guard {
-    machine: Machine,
+    machine: Host,
     begun: Instant,
     limit: Duration,
     interrupted: Arc<AtomicBool>,
@@ -27,11 +27,11 @@
             signal_hook::flag::register(signal, interrupted.clone())
                 .map_err(|cause| MeasureError::Socket { what: "signals", cause })?;
         }
-        Ok(Guard { machine: Machine::this()?, begun: Instant::now(), limit, interrupted })
+        Ok(Guard { machine: Host::current()?, begun: Instant::now(), limit, interrupted })
     }
 
     /// The machine that is measured on.
-    pub fn machine(&self) -> &Machine {
+    pub fn machine(&self) -> &Host {
         &self.machine
     }
 
@@ -53,7 +53,7 @@
         if self.begun.elapsed() > self.limit {
             return Err(MeasureError::OutOfTime { seconds: self.limit.as_secs() });
         }
-        let mut needed = Process::own().sample()?.resident;
+        let mut needed = Process::current().sample()?.resident;
         for process in processes {
             needed += process.sample()?.resident;
         }
--- a/crates/footprint/src/report.rs
+++ b/crates/footprint/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::error::file;
 use crate::MeasureError;
-use measure::{Coefficient, Fit, Machine, Point, Spread};
+use measure::{Coefficient, Fit, Host, Point, Spread};
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -185,7 +185,7 @@
 
 #[derive(Serialize)]
 struct Document<'a> {
-    machine: &'a Machine,
+    machine: &'a Host,
     seed: u64,
     repeats: usize,
     partial: &'a Option<String>,
@@ -220,14 +220,14 @@
     }
 
     /// The whole report as JSON.
-    pub fn json(&self, machine: &Machine, seed: u64, repeats: usize) -> String {
+    pub fn json(&self, machine: &Host, seed: u64, repeats: usize) -> String {
         let (partial, notes, quantities) = (&self.partial, &self.notes[..], self.fitted());
         let document = Document { machine, seed, repeats, partial, notes, quantities };
         serde_json::to_string_pretty(&document).unwrap_or_default()
     }
 
     /// The whole report for people.
-    pub fn text(&self, machine: &Machine, seed: u64, repeats: usize) -> String {
+    pub fn text(&self, machine: &Host, seed: u64, repeats: usize) -> String {
         let mut lines = vec![format!("machine: {machine}"), format!("seed {seed}, {repeats} repeats")];
         lines.extend(self.fitted().iter().map(Fitted::to_string));
         lines.extend(self.notes.iter().map(|note| format!("note: {note}")));
@@ -240,7 +240,7 @@
     let Definition { name, unit, scale, per, target } = quantity.definition();
     let scaled: Vec<Point> = points.iter().map(|point| Point::new(point.size, point.value * scale)).collect();
     let linear = Fit::linear(&scaled).ok()?;
-    let (at_target, extrapolated) = (linear.at(target), linear.extrapolates(target));
+    let (at_target, extrapolated) = (linear.value_at(target), linear.extrapolates(target));
     let square = Fit::square(&scaled).ok();
     Some(Fitted { name, unit, per, linear, square, sizes: spreads(&scaled), target, at_target, extrapolated })
 }
--- a/crates/footprint/src/runs/configuration.rs
+++ b/crates/footprint/src/runs/configuration.rs
@@ -27,7 +27,7 @@
             bytes += change(&scene.pooler, number)?;
         }
         let after = scene.pooler.sample()?;
-        let processor = after.processor_since(&before).as_secs_f64();
+        let processor = after.processor_time_since(&before).as_secs_f64();
         report.add(Quantity::ConfigurationProcessor, count as f64, processor);
         report.add(Quantity::ConfigurationBytes, count as f64, bytes as f64);
         bench.guard.check(&[scene.pooler.process])?;
--- a/crates/footprint/src/runs/databases.rs
+++ b/crates/footprint/src/runs/databases.rs
@@ -16,7 +16,7 @@
     for databases in bench.shuffled(&LISTED) {
         let scene = bench.scene(databases, super::GROUP_SIZE)?;
         let started = scene.pooler.sample()?;
-        report.add(Quantity::StartProcessor, databases as f64, started.processor().as_secs_f64());
+        report.add(Quantity::StartProcessor, databases as f64, started.processor_time().as_secs_f64());
         let (sample, share) = scene.watch(WATCH)?;
         report.add(Quantity::ListedDatabaseMemory, databases as f64, sample.anonymous as f64);
         report.add(Quantity::ListedDatabaseProcessor, databases as f64, share);
--- a/crates/footprint/src/runs/list.rs
+++ b/crates/footprint/src/runs/list.rs
@@ -60,5 +60,5 @@
     std::thread::sleep(APPLIED);
     until("changes of the list", || scene.pooler.counters().is_ok_and(|counters| counters.lists >= lists))?;
     let after = scene.pooler.sample()?;
-    Ok((after.processor_since(&before).as_secs_f64(), bytes))
+    Ok((after.processor_time_since(&before).as_secs_f64(), bytes))
 }
--- a/crates/footprint/src/runs/mod.rs
+++ b/crates/footprint/src/runs/mod.rs
@@ -189,7 +189,7 @@
         let before = self.pooler.sample()?;
         std::thread::sleep(time);
         let after = self.pooler.sample()?;
-        Ok((after, after.share_since(&before)))
+        Ok((after, after.core_share_since(&before)))
     }
 }
 
--- a/crates/footprint/src/runs/statements.rs
+++ b/crates/footprint/src/runs/statements.rs
@@ -89,7 +89,7 @@
     let window = Window {
         rate: a_second(load.served()?, served),
         probes: a_second(scene.databases.probes(), probes),
-        share: sample.share_since(&before),
+        share: sample.core_share_since(&before),
         sample,
         errors: load.errors(),
     };
--- a/crates/measure/src/fit.rs
+++ b/crates/measure/src/fit.rs
@@ -172,7 +172,7 @@
     }
 
     /// The curve's value at a size.
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         let square = self.square.map_or(0.0, |square| square.value * size * size);
         self.intercept.value + self.slope.value * size + square
     }
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -7,6 +7,6 @@
 mod spread;
 
 pub use fit::{Coefficient, Fit, FitError, Model, Point};
-pub use machine::Machine;
+pub use machine::Host;
 pub use process::{Process, Sample, SampleError};
 pub use spread::Spread;
--- a/crates/measure/src/machine.rs
+++ b/crates/measure/src/machine.rs
@@ -11,7 +11,7 @@
 
 /// Processors, memory and kernel of a machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Machine {
+pub struct Host {
     /// Processors that this process may use.
     pub cores: usize,
     /// The processor's name as the kernel tells it, or "unknown".
@@ -28,10 +28,10 @@
     pub descriptors: u64,
 }
 
-impl Machine {
+impl Host {
     /// Describes the machine that this runs on.
-    pub fn this() -> Result<Machine, SampleError> {
-        Ok(Machine {
+    pub fn current() -> Result<Host, SampleError> {
+        Ok(Host {
             cores: std::thread::available_parallelism().map_or(1, usize::from),
             processor: processor(),
             memory: memory("MemTotal:")?,
@@ -43,7 +43,7 @@
     }
 }
 
-impl fmt::Display for Machine {
+impl fmt::Display for Host {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
--- a/crates/measure/src/process.rs
+++ b/crates/measure/src/process.rs
@@ -64,28 +64,28 @@
 impl Sample {
     /// User and system time together: as exact as the scheduler tells it, which leaves out threads that have ended, and
     /// never less than the coarser sum that counts them.
-    pub fn processor(&self) -> Duration {
+    pub fn processor_time(&self) -> Duration {
         self.scheduled.max(self.user + self.system)
     }
 
     /// The processor time that was spent since an earlier sample of the same process.
-    pub fn processor_since(&self, earlier: &Sample) -> Duration {
-        self.processor().saturating_sub(earlier.processor())
+    pub fn processor_time_since(&self, earlier: &Sample) -> Duration {
+        self.processor_time().saturating_sub(earlier.processor_time())
     }
 
     /// The share of one core that was used since an earlier sample of the same process; 0 where no time has passed.
-    pub fn share_since(&self, earlier: &Sample) -> f64 {
+    pub fn core_share_since(&self, earlier: &Sample) -> f64 {
         let passed = self.at.saturating_duration_since(earlier.at).as_secs_f64();
         if passed == 0.0 {
             return 0.0;
         }
-        self.processor_since(earlier).as_secs_f64() / passed
+        self.processor_time_since(earlier).as_secs_f64() / passed
     }
 }
 
 impl Process {
     /// The process that calls.
-    pub fn own() -> Process {
+    pub fn current() -> Process {
         Process(std::process::id())
     }
 
--- a/crates/measure/src/spread.rs
+++ b/crates/measure/src/spread.rs
@@ -31,7 +31,7 @@
     }
 
     /// The standard error of the mean.
-    pub fn error(&self) -> f64 {
+    pub fn standard_error(&self) -> f64 {
         self.deviation / (self.count as f64).sqrt()
     }
 }
--- a/crates/measure/tests/fit.rs
+++ b/crates/measure/tests/fit.rs
@@ -15,7 +15,7 @@
     let fit = Fit::linear(&points(&[(0.0, 3.0), (10.0, 23.0), (20.0, 43.0), (30.0, 63.0)])).unwrap();
     assert!(near(fit.intercept.value, 3.0) && near(fit.slope.value, 2.0), "{fit:?}");
     assert!(fit.slope.error < 1e-9 && fit.residual_deviation < 1e-9, "{fit:?}");
-    assert!(near(fit.explained, 1.0) && near(fit.at(100.0), 203.0));
+    assert!(near(fit.explained, 1.0) && near(fit.value_at(100.0), 203.0));
     assert_eq!((fit.range, fit.square), ((0.0, 30.0), None));
     assert!(fit.extrapolates(31.0) && !fit.extrapolates(30.0));
 }
@@ -42,7 +42,7 @@
     let fit = Fit::square(&measured).unwrap();
     let square = fit.square.unwrap();
     assert!((square.value - 0.25).abs() < 1e-9 && (fit.slope.value - 216.0).abs() < 1e-6, "{fit:?}");
-    assert!(square.differs_from_zero(2.0) && near(fit.at(1300.0), curve(1300.0)));
+    assert!(square.differs_from_zero(2.0) && near(fit.value_at(1300.0), curve(1300.0)));
     assert_eq!(fit.model, Model::Square);
 }
 
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -330,7 +330,7 @@
     pub fn interval(&self, before: &FleetSample, after: &FleetSample) -> Interval {
         let processor = |before: &[ProcessSample], after: &[ProcessSample]| -> Vec<f64> {
             let pairs = before.iter().zip(after);
-            pairs.map(|(before, after)| after.processor_since(before).as_secs_f64()).collect()
+            pairs.map(|(before, after)| after.processor_time_since(before).as_secs_f64()).collect()
         };
         let empty: u64 = self.hollow.iter().map(|process| process.empty).sum();
         let hollow_processor = processor(&before.hollow, &after.hollow);
--- a/crates/scale/src/limits.rs
+++ b/crates/scale/src/limits.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use measure::{Machine, Process};
+use measure::{Host, Process};
 
 use crate::error::ScaleError;
 use crate::layout::{MOST, PORTS};
@@ -45,7 +45,7 @@
 impl Limits {
     /// Checks that the machine can hold the plan, and begins to count its time.
     pub fn check(
-        machine: &Machine,
+        machine: &Host,
         needs: Needs,
         most_seconds: u64,
         interrupted: Arc<AtomicBool>,
--- a/crates/scale/src/limits/tests.rs
+++ b/crates/scale/src/limits/tests.rs
@@ -1,30 +1,30 @@
 use super::*;
 
-fn machine() -> Machine {
-    Machine::this().expect("a machine")
+fn machine() -> Host {
+    Host::current().expect("a machine")
 }
 
 fn needs() -> Needs {
     Needs { poolers: 20, databases: 10, processes: 4, hollow_per_process: 10 }
 }
 
-fn check(machine: &Machine, needs: Needs, seconds: u64) -> Result<Limits, ScaleError> {
+fn check(machine: &Host, needs: Needs, seconds: u64) -> Result<Limits, ScaleError> {
     Limits::check(machine, needs, seconds, Arc::default())
 }
 
-fn refused(machine: &Machine, needs: Needs) -> String {
+fn refused(machine: &Host, needs: Needs) -> String {
     check(machine, needs, 60).err().expect("it is refused").to_string()
 }
 
 #[test]
 fn a_plan_beyond_the_machine_is_refused() {
     assert!(check(&machine(), needs(), 60).is_ok());
-    let few = Machine { descriptors: 100, ..machine() };
+    let few = Host { descriptors: 100, ..machine() };
     assert_eq!(
         refused(&few, needs()),
         "beyond this machine: the run needs 104 descriptors in a process of hollow poolers, and 100 are allowed"
     );
-    let low = Machine { ephemeral_ports: (7_000, 60_999), ..machine() };
+    let low = Host { ephemeral_ports: (7_000, 60_999), ..machine() };
     assert_eq!(
         refused(&low, needs()),
         "beyond this machine: the run needs 8500 as the highest port of a listener, and 6999 are allowed"
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_run_that_takes_over_half_of_the_memory_is_stopped() {
-    let small = Machine { memory: 2_000_000, ..machine() };
+    let small = Host { memory: 2_000_000, ..machine() };
     let limits = check(&small, needs(), 60).expect("a plan");
     let own = std::process::id();
     let error = limits.look(&[own]).expect_err("this process holds more than a megabyte").to_string();
--- a/crates/scale/src/plot.rs
+++ b/crates/scale/src/plot.rs
@@ -44,7 +44,8 @@
     for (fit, colour) in curves {
         let Some(fit) = fit else { continue };
         let steps = (0..=STEPS).map(|step| most_size * step as f64 / STEPS as f64);
-        let shown = steps.map(|size| (size, fit.at(size))).filter(|(_, value)| (0.0..=most).contains(value));
+        let shown =
+            steps.map(|size| (size, fit.value_at(size))).filter(|(_, value)| (0.0..=most).contains(value));
         chart.draw_series(LineSeries::new(shown, colour)).map_err(|error| failed(&error))?;
     }
     let points =
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-use measure::{Fit, Machine, Point, Spread};
+use measure::{Fit, Host, Point, Spread};
 use serde::Serialize;
 
 use crate::kinds::{Kind, Measurement};
@@ -48,7 +48,7 @@
     /// The command line.
     pub command: String,
     /// Where it ran.
-    pub machine: Machine,
+    pub machine: Host,
     /// The most resident memory that the run's processes held together when it was looked at (bytes), and the most
     /// processes, the command itself included.
     pub peak_memory: u64,
@@ -259,7 +259,7 @@
             format!("| {} | {} | {} |", self.figure, error(linear.slope), number(linear.residual_deviation));
         let target = |fit: &Fit| {
             let mark = if fit.extrapolates(TARGET) { " (extrapolated)" } else { "" };
-            format!("{}{mark}", number(fit.at(TARGET)))
+            format!("{}{mark}", number(fit.value_at(TARGET)))
         };
         match &self.square {
             Some(square) => format!(
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use measure::Machine;
+use measure::Host;
 
 use crate::clock::Clock;
 use crate::error::ScaleError;
@@ -43,7 +43,7 @@
 /// report.
 pub fn run(options: Options) -> Result<bool, ScaleError> {
     options.check()?;
-    let machine = Machine::this().map_err(|error| ScaleError::Process(error.to_string()))?;
+    let machine = Host::current().map_err(|error| ScaleError::Process(error.to_string()))?;
     let limits = Limits::check(&machine, needs(&options), options.most_seconds, interrupted()?)?;
     let (network, claim) = Network::claim()
         .ok_or_else(|| ScaleError::Process(String::from("every loopback network is taken by another run")))?;
