--- a/crates/simulation/examples/instances.rs
+++ b/crates/simulation/examples/instances.rs
@@ -2,11 +2,11 @@
 //! `drain COUNT LOSS SEEDS`, `cost COUNT`, `alarms COUNT SECONDS`, `catch SESSIONS`. Prints a line for each figure.
 
 use replication::fact::Stand;
-use simulation::instances::{Instances, Net};
-use simulation::storm::{storm, Storm};
+use simulation::fault_scenario::{run_fault_scenario, FaultScenario};
+use simulation::instances::{Instances, NetworkConfig};
 
-fn net(loss: f64) -> Net {
-    Net { loss, ..Net::default() }
+fn net(loss: f64) -> NetworkConfig {
+    NetworkConfig { loss, ..NetworkConfig::default() }
 }
 
 fn quantiles(name: &str, mut values: Vec<f64>) {
@@ -24,7 +24,7 @@
         all.run(1.0 / count as f64);
     }
     let begun = all.now;
-    while !all.equal() && all.now - begun < 30.0 {
+    while !all.is_converged() && all.now - begun < 30.0 {
         all.run(0.1);
     }
     println!("  met {:.1} s after the last start", all.now - begun);
@@ -36,7 +36,7 @@
     for seed in 0..seeds {
         let mut all = met(seed, count, loss);
         let some: Vec<usize> = (0..count / 3).collect();
-        all.split(&some, true);
+        all.set_partitioned(&some, true);
         let lasts = if count > 100 { 8.0 } else { 30.0 };
         let until = all.now + lasts;
         let mut session = 0;
@@ -46,13 +46,13 @@
             all.write(session % count, session);
         }
         all.run(1.0);
-        let (before, begun) = (all.bytes().0, all.now);
-        all.split(&some, false);
-        while !all.equal() && all.now - begun < 30.0 {
+        let (before, begun) = (all.sent_bytes().0, all.now);
+        all.set_partitioned(&some, false);
+        while !all.is_converged() && all.now - begun < 30.0 {
             all.run(0.02);
         }
         times.push(all.now - begun);
-        bytes.push((all.bytes().0 - before) as f64 / 1e6);
+        bytes.push((all.sent_bytes().0 - before) as f64 / 1e6);
     }
     quantiles(&format!("heal {count} instances, loss {loss}: seconds"), times);
     quantiles(&format!("heal {count} instances, loss {loss}: MB sent by all"), bytes);
@@ -64,7 +64,7 @@
     for seed in 0..seeds {
         let (member, teller) = (format!("s-{seed}"), seed as usize % count);
         let begun = all.now;
-        all.with(teller, |node, now| node.tell(now, &member, 0.0, 1, seed + 1, Stand::Draining));
+        all.with_node(teller, |node, now| node.tell(now, &member, 0.0, 1, seed + 1, Stand::Draining));
         let knows = |all: &mut Instances, n: usize| {
             all.node(n).is_some_and(|node| node.told(&member, 0.0) == Stand::Draining)
         };
@@ -82,7 +82,7 @@
 fn cost(count: usize) {
     let mut all = met(1, count, 0.0);
     for busy in [false, true] {
-        let (before, far, begun) = (all.bytes().0, all.bytes().1, all.now);
+        let (before, far, begun) = (all.sent_bytes().0, all.sent_bytes().1, all.now);
         let real = std::time::Instant::now();
         let seconds = if count > 100 { 2.0 } else { 10.0 };
         while all.now - begun < seconds {
@@ -102,8 +102,8 @@
         let each = (all.now - begun) * count as f64;
         println!(
             "cost {count} instances, busy {busy}: {:.0} bytes/s an instance, {:.0} of them to other zones, {:.2}% of a core here",
-            (all.bytes().0 - before) as f64 / each,
-            (all.bytes().1 - far) as f64 / each,
+            (all.sent_bytes().0 - before) as f64 / each,
+            (all.sent_bytes().1 - far) as f64 / each,
             100.0 * real.elapsed().as_secs_f64() / each
         );
     }
@@ -115,9 +115,9 @@
     let mut rng = fastrand::Rng::with_seed(3);
     while all.now - begun < seconds {
         let n = rng.usize(..count);
-        all.stop(n);
+        all.pause(n);
         all.run(0.5);
-        all.go_on(n);
+        all.resume(n);
         all.run(4.5);
     }
     let kind = |notice: &replication::Notice| match notice {
@@ -127,7 +127,7 @@
     };
     println!(
         "alarms {count} instances, 10% loss, stops of 0.5 s every 5 s: in {seconds} s {:?}",
-        all.noticed(kind)
+        all.count_notices(kind)
     );
     let mut times = Vec::new();
     for n in 1..count.min(8) {
@@ -165,14 +165,14 @@
         Some("storm") => {
             let mut reads = 0;
             for seed in 0..number(2, 100.0) as u64 {
-                let rough = Net { loss: 0.1, twice: 0.1, way: (0.000_2, 0.003), late: (0.05, 0.4) };
-                let net = if seed % 2 == 0 { rough } else { Net::default() };
+                let rough = NetworkConfig { loss: 0.1, duplication: 0.1, latency: (0.000_2, 0.003), extra_delay: (0.05, 0.4) };
+                let net = if seed % 2 == 0 { rough } else { NetworkConfig::default() };
                 let instances = 2 + seed as usize % 5;
                 // Now and then not all are seeds: they find each other through those that are.
                 let seeds = if seed % 3 == 0 { instances } else { instances.min(2) };
-                let shape = Storm { instances, seeds, sessions: 100, seconds: 40.0, faults: true };
-                let all = storm(seed, net, shape);
-                reads += all.tally.reads;
+                let shape = FaultScenario { instances, seeds, sessions: 100, seconds: 40.0, faults: true };
+                let all = run_fault_scenario(seed, net, shape);
+                reads += all.totals.reads;
                 if !all.breaches.is_empty() {
                     println!("seed {seed}, {instances} instances, {seeds} seeds: {:#?}", &all.breaches[..1]);
                 }
--- a/crates/simulation/src/storm.rs
+++ b/crates/simulation/src/fault_scenario.rs
@@ -1,10 +1,10 @@
 //! Sessions that move at random over instances that are killed, stopped and cut at random, all drawn by one seed.
 
-use crate::instances::{Instances, Net};
+use crate::instances::{Instances, NetworkConfig};
 
 /// A storm's bounds.
 #[derive(Clone, Copy, Debug)]
-pub struct Storm {
+pub struct FaultScenario {
     /// Instances, those of them that all know as seeds, and sessions.
     pub instances: usize,
     /// See above.
@@ -18,13 +18,13 @@
 }
 
 /// Plays it.
-pub fn storm(seed: u64, net: Net, shape: Storm) -> Instances {
-    let Storm { instances: count, seeds, sessions, seconds, faults } = shape;
+pub fn run_fault_scenario(seed: u64, net: NetworkConfig, shape: FaultScenario) -> Instances {
+    let FaultScenario { instances: count, seeds, sessions, seconds, faults } = shape;
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut all = Instances::new(seed, count, 2, seeds, net);
     if seeds < count {
         // Those that are no seeds of anybody's are remembered on disk.
-        all.with_disks();
+        all.add_disks();
     }
     for n in 0..count {
         all.start(n);
@@ -50,13 +50,13 @@
                 4 => {
                     // One that has left is nobody's concern any more: should it start again where nobody hears of it, and
                     // go on alone, nobody could know (docs/replication.md, 'What is not covered').
-                    all.cut.clear();
+                    all.blocked_directions.clear();
                     all.start(n);
                     fault_at = fault_at.max(now + 1.5);
                 }
-                1 => all.go_on(n),
-                2 => all.split(&[n], false),
-                _ => all.cut.retain(|(a, _)| *a != n),
+                1 => all.resume(n),
+                2 => all.set_partitioned(&[n], false),
+                _ => all.blocked_directions.retain(|(a, _)| *a != n),
             }
         }
         if faults && now >= fault_at {
@@ -67,10 +67,10 @@
             }
             match kind {
                 0 => all.kill(n),
-                1 => all.stop(n),
-                2 => all.split(&[n], true),
+                1 => all.pause(n),
+                2 => all.set_partitioned(&[n], true),
                 3 => (0..count).filter(|m| *m != n).for_each(|m| {
-                    all.cut.insert((n, m));
+                    all.blocked_directions.insert((n, m));
                 }),
                 // It ends as it should: it says so until all have read it, or its patience ends.
                 _ => {
--- a/crates/simulation/src/instances.rs
+++ b/crates/simulation/src/instances.rs
@@ -13,36 +13,36 @@
 /// The key of all instances.
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 /// Unix time at the beginning.
-pub const BEGIN: f64 = 1_000_000.0;
+pub const START_TIME: f64 = 1_000_000.0;
 /// A request that waits for leave to be sent is refused after this (seconds).
 const HOLD: f64 = 0.6;
 
 /// What the network does to datagrams.
 #[derive(Clone, Copy, Debug)]
-pub struct Net {
+pub struct NetworkConfig {
     /// Share that is lost.
     pub loss: f64,
     /// Share that comes twice.
-    pub twice: f64,
+    pub duplication: f64,
     /// The shortest and the longest way (seconds); the order is as it falls out.
-    pub way: (f64, f64),
+    pub latency: (f64, f64),
     /// Share that takes so much longer (seconds).
-    pub late: (f64, f64),
+    pub extra_delay: (f64, f64),
 }
 
-impl Default for Net {
-    fn default() -> Net {
-        Net { loss: 0.0, twice: 0.0, way: (0.000_2, 0.001), late: (0.0, 0.0) }
+impl Default for NetworkConfig {
+    fn default() -> NetworkConfig {
+        NetworkConfig { loss: 0.0, duplication: 0.0, latency: (0.000_2, 0.001), extra_delay: (0.0, 0.0) }
     }
 }
 
 /// What a read of a session came to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct SessionTotals {
     /// Reads in all, and those that a replica with its lag could serve.
     pub reads: u64,
     /// See above.
-    pub near: u64,
+    pub servable_by_replica: u64,
     /// Reads that would have seen less than their session was answered.
     pub stale: u64,
     /// Writes answered, refused before they were sent, and of those answered the ones that waited for others.
@@ -95,9 +95,9 @@
     order: u64,
     rng: fastrand::Rng,
     /// What the network does.
-    pub net: Net,
+    pub network: NetworkConfig,
     /// Directions that are cut: from, to.
-    pub cut: HashSet<(usize, usize)>,
+    pub blocked_directions: HashSet<(usize, usize)>,
     terms: Terms,
     writes: HashMap<u64, Write>,
     wishes: u64,
@@ -108,14 +108,14 @@
     /// What went against the rule, in words.
     pub breaches: Vec<String>,
     /// What has come of reads and writes.
-    pub tally: Tally,
+    pub totals: SessionTotals,
     /// What each instance has told, with the time.
     pub notices: Vec<(f64, usize, Notice)>,
     trace: DefaultHasher,
     /// How long a write takes at the most (seconds).
-    pub work: f64,
+    pub max_write_time: f64,
     /// How far the replica is behind (seconds).
-    pub lag: f64,
+    pub replica_lag: f64,
     keep_notices: bool,
 }
 
@@ -152,28 +152,28 @@
 
 impl Instances {
     /// So many instances in so many zones; the first `seeds` are known to all.
-    pub fn new(seed: u64, count: usize, zones: usize, seeds: usize, net: Net) -> Instances {
+    pub fn new(seed: u64, count: usize, zones: usize, seeds: usize, net: NetworkConfig) -> Instances {
         let terms = Terms { seeds: (0..seeds).map(address).collect(), ..Terms::default() };
         let mut all = Instances {
-            now: BEGIN,
+            now: START_TIME,
             seats: Vec::new(),
             events: BinaryHeap::new(),
             pending: HashMap::new(),
             order: 0,
             rng: fastrand::Rng::with_seed(seed),
-            net,
-            cut: HashSet::new(),
+            network: net,
+            blocked_directions: HashSet::new(),
             terms,
             writes: HashMap::new(),
             wishes: 0,
             answered: HashMap::new(),
             answerer: HashMap::new(),
             breaches: Vec::new(),
-            tally: Tally::default(),
+            totals: SessionTotals::default(),
             notices: Vec::new(),
             trace: DefaultHasher::new(),
-            work: 0.05,
-            lag: 1.5,
+            max_write_time: 0.05,
+            replica_lag: 1.5,
             keep_notices: count <= 64,
         };
         for n in 0..count {
@@ -199,7 +199,7 @@
     }
 
     /// Gives each a disk.
-    pub fn with_disks(&mut self) {
+    pub fn add_disks(&mut self) {
         self.seats.iter_mut().for_each(|seat| seat.disk = Some(Vec::new()));
     }
 
@@ -236,7 +236,7 @@
         seat.life += 1;
         let life = seat.life;
         let lost = self.writes.values().filter(|w| w.at == n && w.life < life).count();
-        self.tally.lost += lost as u64;
+        self.totals.lost += lost as u64;
         self.writes.retain(|_, w| w.at != n || w.life >= life);
     }
 
@@ -247,23 +247,23 @@
         while self.writes.values().any(|write| write.at == n) && self.now - begun < 1.0 {
             self.run(0.005);
         }
-        if self.writes.values().any(|write| write.at == n) || !self.runs(n) {
+        if self.writes.values().any(|write| write.at == n) || !self.is_running(n) {
             return self.kill(n);
         }
         let until = self.now + 0.3;
-        while self.now < until && self.with(n, |node, now| node.leave(now)) == Some(false) {
+        while self.now < until && self.with_node(n, |node, now| node.leave(now)) == Some(false) {
             self.run(0.01);
         }
         self.kill(n);
     }
 
     /// Stops an instance's process, which goes on later as if nothing had been.
-    pub fn stop(&mut self, n: usize) {
+    pub fn pause(&mut self, n: usize) {
         self.seats[n].stopped = true;
     }
 
     /// Lets a stopped process go on; what came for it meanwhile is there.
-    pub fn go_on(&mut self, n: usize) {
+    pub fn resume(&mut self, n: usize) {
         self.seats[n].stopped = false;
         let backlog = std::mem::take(&mut self.seats[n].backlog);
         let now = self.now;
@@ -277,14 +277,14 @@
     }
 
     /// Cuts all ways between two sets, or lets them be again.
-    pub fn split(&mut self, some: &[usize], apart: bool) {
+    pub fn set_partitioned(&mut self, some: &[usize], apart: bool) {
         for a in 0..self.seats.len() {
             for b in 0..self.seats.len() {
                 if some.contains(&a) != some.contains(&b) {
                     if apart {
-                        self.cut.insert((a, b));
+                        self.blocked_directions.insert((a, b));
                     } else {
-                        self.cut.remove(&(a, b));
+                        self.blocked_directions.remove(&(a, b));
                     }
                 }
             }
@@ -292,7 +292,7 @@
     }
 
     /// Whether an instance runs.
-    pub fn runs(&self, n: usize) -> bool {
+    pub fn is_running(&self, n: usize) -> bool {
         self.seats[n].node.is_some() && !self.seats[n].stopped
     }
 
@@ -312,7 +312,7 @@
     }
 
     /// Does something at an instance, and sends what follows.
-    pub fn with<T>(&mut self, n: usize, what: impl FnOnce(&mut Node, f64) -> T) -> Option<T> {
+    pub fn with_node<T>(&mut self, n: usize, what: impl FnOnce(&mut Node, f64) -> T) -> Option<T> {
         let now = self.now;
         let result = self.seats[n].node.as_mut().map(|node| what(node, now));
         self.after(n);
@@ -339,14 +339,21 @@
         for (to, bytes) in out {
             let to = seat_of(to);
             (now.to_bits(), n, to, bytes.len()).hash(&mut self.trace);
-            if to >= self.seats.len() || self.cut.contains(&(n, to)) || self.rng.f64() < self.net.loss {
+            if to >= self.seats.len()
+                || self.blocked_directions.contains(&(n, to))
+                || self.rng.f64() < self.network.loss
+            {
                 continue;
             }
-            let copies = 1 + usize::from(self.rng.f64() < self.net.twice);
+            let copies = 1 + usize::from(self.rng.f64() < self.network.duplication);
             let bytes = std::rc::Rc::new(bytes);
             for _ in 0..copies {
-                let (least, most) = self.net.way;
-                let late = if self.rng.f64() < self.net.late.0 { self.net.late.1 } else { 0.0 };
+                let (least, most) = self.network.latency;
+                let late = if self.rng.f64() < self.network.extra_delay.0 {
+                    self.network.extra_delay.1
+                } else {
+                    0.0
+                };
                 let at = now + least + (most - least) * self.rng.f64() + late;
                 self.schedule(at, Event::Arrive { to, bytes: bytes.clone() });
             }
@@ -417,49 +424,49 @@
         }
         let (sent, committed, work) = (write.sent, write.committed, write.work);
         if !sent {
-            let may = self.with(n, |node, now| node.may_send(now, ticket)).unwrap_or(false);
+            let may = self.with_node(n, |node, now| node.may_send(now, ticket)).unwrap_or(false);
             if may {
                 if let Some(write) = self.writes.get_mut(&id) {
                     write.sent = true;
                 }
                 self.schedule(now + work, Event::Commit(id));
             } else if now - begun > HOLD {
-                self.with(n, |node, now| node.forget(now, ticket));
+                self.with_node(n, |node, now| node.forget(now, ticket));
                 self.writes.remove(&id);
-                self.tally.refused += 1;
+                self.totals.refused += 1;
             } else {
                 self.schedule(now + 0.001, Event::Poll(id));
             }
             return;
         }
         let Some(position) = committed else { return };
-        self.with(n, |node, now| node.write_ends(now, ticket, Some(position)));
-        let may = self.with(n, |node, now| node.may_answer(now, ticket)).unwrap_or(false);
+        self.with_node(n, |node, now| node.write_ends(now, ticket, Some(position)));
+        let may = self.with_node(n, |node, now| node.may_answer(now, ticket)).unwrap_or(false);
         if !may {
             self.schedule(now + 0.001, Event::Poll(id));
             return;
         }
-        self.with(n, |node, now| node.forget(now, ticket));
+        self.with_node(n, |node, now| node.forget(now, ticket));
         self.writes.remove(&id);
-        self.tally.answered += 1;
-        self.tally.waited += u64::from(now - begun > work + 0.005);
+        self.totals.answered += 1;
+        self.totals.waited += u64::from(now - begun > work + 0.005);
         let known = self.answered.entry(session).or_insert(position);
         if position >= *known {
             *known = position;
-            self.answerer.insert(session, (n, self.seats[n].life, now - BEGIN));
+            self.answerer.insert(session, (n, self.seats[n].life, now - START_TIME));
         }
     }
 
     /// A session writes through an instance.
     pub fn write(&mut self, n: usize, session: usize) {
-        if !self.runs(n) {
+        if !self.is_running(n) {
             return;
         }
         self.wishes += 1;
         let (id, now) = (self.wishes, self.now);
         let name = format!("s{session}");
-        let Some(ticket) = self.with(n, |node, now| node.write_begins(now, &name)) else { return };
-        let work = self.rng.f64() * self.work;
+        let Some(ticket) = self.with_node(n, |node, now| node.write_begins(now, &name)) else { return };
+        let work = self.rng.f64() * self.max_write_time;
         let life = self.seats[n].life;
         let write = Write { at: n, life, ticket, session, begun: now, sent: false, work, committed: None };
         self.writes.insert(id, write);
@@ -468,42 +475,42 @@
 
     /// A session reads through an instance: what it may see is held against what it was answered.
     pub fn read(&mut self, n: usize, session: usize) {
-        if !self.runs(n) {
+        if !self.is_running(n) {
             return;
         }
         let name = format!("s{session}");
         let own = self.answered.get(&session).copied().unwrap_or(f64::NEG_INFINITY);
-        let Some(need) = self.with(n, |node, now| node.need(now, &name)) else { return };
-        self.tally.reads += 1;
+        let Some(need) = self.with_node(n, |node, now| node.need(now, &name)) else { return };
+        self.totals.reads += 1;
         if let Need::From(position) = need {
             if position < own {
-                self.tally.stale += 1;
+                self.totals.stale += 1;
                 let by = self.answerer.get(&session).copied();
                 let known = self.seats[n].node.as_ref().map(|node| node.explain(self.now, &name));
                 self.breaches.push(format!(
                     "{:.4}: n{n} reads {name} from {position:.4}, answered {own:.4} by {by:?}: {known:?}",
-                    self.now - BEGIN
+                    self.now - START_TIME
                 ));
             }
-            self.tally.near += u64::from(position <= self.now - self.lag);
+            self.totals.servable_by_replica += u64::from(position <= self.now - self.replica_lag);
         }
     }
 
     /// The time between a session's answered write and now (seconds).
-    pub fn since_write(&self, session: usize) -> f64 {
+    pub fn time_since_write(&self, session: usize) -> f64 {
         self.now - self.answered.get(&session).copied().unwrap_or(f64::NEG_INFINITY)
     }
 
     /// Whether all that run hold the same.
-    pub fn equal(&mut self) -> bool {
-        let running: Vec<usize> = (0..self.seats.len()).filter(|n| self.runs(*n)).collect();
+    pub fn is_converged(&mut self) -> bool {
+        let running: Vec<usize> = (0..self.seats.len()).filter(|n| self.is_running(*n)).collect();
         let mut digests = running.iter().filter_map(|n| self.seats[*n].node.as_ref().map(Node::digest));
         let Some(first) = digests.next() else { return true };
         digests.all(|digest| digest == first)
     }
 
     /// Bytes sent by all together, and those to other zones among them.
-    pub fn bytes(&self) -> (u64, u64) {
+    pub fn sent_bytes(&self) -> (u64, u64) {
         let counts = self.seats.iter().filter_map(|seat| seat.node.as_ref()).map(Node::counts);
         counts.fold((0, 0), |sum, counts| (sum.0 + counts.sent_bytes, sum.1 + counts.far_bytes))
     }
@@ -514,7 +521,10 @@
     }
 
     /// How many notices there were of each kind that `which` names.
-    pub fn noticed(&self, which: impl Fn(&Notice) -> Option<&'static str>) -> BTreeMap<&'static str, usize> {
+    pub fn count_notices(
+        &self,
+        which: impl Fn(&Notice) -> Option<&'static str>,
+    ) -> BTreeMap<&'static str, usize> {
         let mut all = BTreeMap::new();
         for kind in self.notices.iter().filter_map(|(_, _, notice)| which(notice)) {
             *all.entry(kind).or_insert(0) += 1;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,12 +1,12 @@
 //! Many poolers and db machines in one process on one virtual clock: the decision module itself, a model of the machines, of
 //! discovery and of the network, and a schedule of troubles. The same seed gives the same run to the last event.
-//! What the rules forbid is looked for from the machines' side and kept in [`Seen::breaches`].
+//! What the rules forbid is looked for from the machines' side and kept in [`RunResult::breaches`].
 
 #![warn(missing_docs)]
 
+pub mod fault_scenario;
 pub mod instances;
 mod machine;
-pub mod storm;
 
 use std::cmp::Reverse;
 use std::collections::hash_map::DefaultHasher;
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 use listing::follow::{self, Follower, Line};
-pub use machine::Machine;
+pub use machine::Member;
 use routing::interface::*;
 use routing::Policy;
 
@@ -40,7 +40,7 @@
 const BREACHES: usize = 100;
 
 /// What is simulated.
-pub struct Shape {
+pub struct WorldConfig {
     /// Seed of all streams of random numbers.
     pub seed: u64,
     /// Poolers.
@@ -52,51 +52,51 @@
     /// Replicas of each group.
     pub replicas: u32,
     /// Requests a second over all poolers, unevenly: a fifth of them get over half.
-    pub rate: f64,
+    pub requests_per_s: f64,
     /// What a request takes at a machine with nothing else to do (seconds, mean).
-    pub service: f64,
+    pub service_time: f64,
     /// Requests a second that a warm machine can do.
     pub capacity: f64,
     /// How late a change of the list comes (seconds, at the most).
     pub list_delay: f64,
     /// Time that discovery needs for a call (seconds); it answers them in turn.
-    pub call: f64,
+    pub list_request_time: f64,
     /// The settings of each pooler; its zone is set here.
     pub settings: Settings,
 }
 
 /// What happens to whom.
 #[derive(Clone, Debug)]
-pub enum Trouble {
+pub enum Fault {
     /// A pooler's process is killed and starts again from nothing.
-    Restart(usize),
+    RestartPooler(usize),
     /// A machine is told to drain.
-    Drain(usize),
+    DrainMember(usize),
     /// A machine's process ends; its group's first other machine that runs is primary after it.
-    End(usize),
+    StopMember(usize),
     /// A new machine takes the place of one: same group and zone, cold.
-    Join(usize),
+    ReplaceMember(usize),
     /// A machine that ended starts again under its name, cold.
-    Back(usize),
+    RestartMember(usize),
     /// A zone is cut off from all others, or no longer.
-    Cut(u32, bool),
+    IsolateZone(u32, bool),
     /// A replica's copy stands still, or goes on.
-    Freeze(usize, bool),
+    FreezeReplica(usize, bool),
     /// All connections to discovery that are open now fall silent without closing.
-    Hush,
+    SilenceDiscoveryConnections,
     /// All connections to discovery break.
-    Reset,
+    ResetDiscoveryConnections,
     /// Discovery goes down, which ends all connections to it and turns calls down, or comes back.
-    Down(bool),
+    DiscoveryDown(bool),
     /// Discovery takes calls and never answers them, or does again.
-    Hang(bool),
+    DiscoveryHangs(bool),
 }
 
 /// What was seen of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
+pub struct RunResult {
     /// Requests that came. Those that a killed pooler had in hand are in none of the next three.
-    pub asked: usize,
+    pub requests: usize,
     /// Answered by a machine in time.
     pub served: usize,
     /// Refused.
@@ -108,11 +108,11 @@
     /// Probes sent.
     pub probes: usize,
     /// Calls for the list.
-    pub calls: usize,
+    pub list_requests: usize,
     /// Pairs of a pooler's life and a machine that it had to do with: connections at the least.
-    pub pairs: usize,
+    pub pooler_member_pairs: usize,
     /// Poolers that served nobody for 4 s: turned away all that they got, 15 requests at the least, with no attempt.
-    pub serve_nobody: BTreeSet<usize>,
+    pub poolers_serving_nobody: BTreeSet<usize>,
     /// Where a rule was broken, at most a hundred.
     pub breaches: Vec<String>,
     /// Of every action, in order: equal for equal runs.
@@ -132,7 +132,7 @@
     Beat(Place),
     Changed(Place, Entry),
     Late(u64),
-    Trouble(Trouble),
+    Trouble(Fault),
 }
 
 struct Pooler {
@@ -189,14 +189,14 @@
 
 /// A run.
 pub struct World {
-    shape: Shape,
+    shape: WorldConfig,
     now: f64,
     order: u64,
     steps: BinaryHeap<Reverse<(u64, u64)>>,
     due: HashMap<u64, Step>,
     poolers: Vec<Pooler>,
     /// All machines that there ever were, by the order of their coming.
-    pub machines: Vec<Machine>,
+    pub members: Vec<Member>,
     names: HashMap<MemberId, usize>,
     requests: HashMap<u64, Asked>,
     numbers: HashMap<RequestId, u64>,
@@ -211,7 +211,7 @@
     work: fastrand::Rng,
     delays: fastrand::Rng,
     trace: DefaultHasher,
-    seen: Seen,
+    seen: RunResult,
 }
 
 /// A stream of random numbers by its name, so that a change in one leaves the others as they were.
@@ -223,14 +223,14 @@
 
 impl World {
     /// All poolers start at second 100 with the list as it is.
-    pub fn new(shape: Shape) -> World {
+    pub fn new(shape: WorldConfig) -> World {
         let mut world = World {
             now: 100.0,
             order: 0,
             steps: BinaryHeap::new(),
             due: HashMap::new(),
             poolers: Vec::new(),
-            machines: Vec::new(),
+            members: Vec::new(),
             names: HashMap::new(),
             requests: HashMap::new(),
             numbers: HashMap::new(),
@@ -244,7 +244,7 @@
             work: stream(shape.seed, "work"),
             delays: stream(shape.seed, "delays"),
             trace: DefaultHasher::new(),
-            seen: Seen::default(),
+            seen: RunResult::default(),
             shape,
         };
         for group in 0..world.shape.groups {
@@ -262,9 +262,9 @@
     }
 
     fn add(&mut self, zone: u32, group: u32, primary: bool, started: f64) {
-        let name: MemberId = format!("m{}", self.machines.len()).into();
-        self.names.insert(name.clone(), self.machines.len());
-        self.machines.push(Machine::new(name, (zone, group), primary, started));
+        let name: MemberId = format!("m{}", self.members.len()).into();
+        self.names.insert(name.clone(), self.members.len());
+        self.members.push(Member::new(name, (zone, group), primary, started));
     }
 
     fn pooler(&self, n: usize, life: u32) -> Pooler {
@@ -293,7 +293,7 @@
     }
 
     fn listed(&self) -> Vec<Entry> {
-        self.machines.iter().filter(|m| m.phase != Phase::Left).map(Machine::entry).collect()
+        self.members.iter().filter(|m| m.phase != Phase::Left).map(Member::entry).collect()
     }
 
     fn at(&mut self, at: f64, step: Step) {
@@ -303,12 +303,12 @@
     }
 
     /// Lets a trouble happen so many seconds after the start.
-    pub fn trouble(&mut self, after: f64, trouble: Trouble) {
+    pub fn schedule_fault(&mut self, after: f64, trouble: Fault) {
         self.at(100.0 + after, Step::Trouble(trouble));
     }
 
     /// Runs until so many seconds after the start; what was seen up to then.
-    pub fn run(&mut self, until: f64) -> Seen {
+    pub fn run(&mut self, until: f64) -> RunResult {
         let end = ((100.0 + until) * 1e9) as u64;
         while let Some(Reverse((at, order))) = self.steps.peek().copied().filter(|step| step.0 .0 <= end) {
             self.steps.pop();
@@ -317,7 +317,7 @@
                 self.step(step);
             }
         }
-        Seen { trace: self.trace.finish(), ..self.seen.clone() }
+        RunResult { trace: self.trace.finish(), ..self.seen.clone() }
     }
 
     fn step(&mut self, step: Step) {
@@ -363,7 +363,7 @@
 
     fn ask(&mut self) {
         let rng = &mut self.arrivals;
-        let wait = -(1.0 - rng.f64()).ln() / self.shape.rate;
+        let wait = -(1.0 - rng.f64()).ln() / self.shape.requests_per_s;
         // The square of a draw: a fifth of the poolers get nearly half, as sessions do.
         let n = (rng.f64().powi(2) * self.poolers.len() as f64) as usize % self.poolers.len();
         let group = rng.u32(..self.shape.groups);
@@ -376,7 +376,7 @@
         self.numbers.insert(id.clone(), request);
         let (attempts, out, done) = (0, BTreeMap::new(), false);
         self.requests.insert(request, Asked { pooler: n, class, id: id.clone(), attempts, out, done });
-        self.seen.asked += 1;
+        self.seen.requests += 1;
         self.at(self.now + deadline + SLACK, Step::Late(request));
         let Event::Arrival(arrival) = Event::arrival(&id, class, group, deadline) else { return };
         let session = Some(Arc::from(format!("s{}", request % 997).as_str()));
@@ -386,7 +386,7 @@
     fn feed(&mut self, n: usize, event: Event) {
         if let Event::Members { kind, entries } = &event {
             // A whole list tells of what is not on it that it is gone.
-            let gone = self.machines.iter().filter(|m| *kind == ListKind::Full && m.phase == Phase::Left);
+            let gone = self.members.iter().filter(|m| *kind == ListKind::Full && m.phase == Phase::Left);
             for name in gone.map(|m| m.name.clone()) {
                 self.poolers[n].told.entry(name).or_insert(self.now);
             }
@@ -439,7 +439,7 @@
         turned_away.requests += 1;
         let long = self.now - turned_away.first >= SERVES_NOBODY_FOR;
         if long && turned_away.requests >= SERVES_NOBODY_REQUESTS {
-            self.seen.serve_nobody.insert(n);
+            self.seen.poolers_serving_nobody.insert(n);
         }
     }
 
@@ -449,19 +449,19 @@
     }
 
     fn apart(&self, zone: u32, m: usize) -> bool {
-        let other = self.machines[m].zone;
+        let other = self.members[m].zone;
         zone != other && (self.cut.contains(&zone) || self.cut.contains(&other))
     }
 
     fn meets(&mut self, n: usize, m: usize, what: &str) {
         let pooler = &mut self.poolers[n];
-        self.seen.pairs += usize::from(pooler.met.insert(m));
-        let told = pooler.told.get(&self.machines[m].name).copied();
+        self.seen.pooler_member_pairs += usize::from(pooler.met.insert(m));
+        let told = pooler.told.get(&self.members[m].name).copied();
         if told.is_some_and(|at| self.now > at + GRACE) {
             let late = told.map_or(0.0, |at| self.now - at);
             self.breach(format!(
                 "{what} of pooler {n} to {} {late:.2} s after its drain was told",
-                self.machines[m].name
+                self.members[m].name
             ));
         }
     }
@@ -477,7 +477,7 @@
         let attempt = asked.attempts;
         asked.attempts += 1;
         let class = &settings.classes[asked.class];
-        let machine = &mut self.machines[m];
+        let machine = &mut self.members[m];
         let (mut reached, mut stale) = (false, false);
         let (after, outcome) = if apart {
             (settings.connect_timeout, Outcome::ConnectFailed)
@@ -488,15 +488,16 @@
         } else {
             reached = true;
             machine.in_flight += 1;
-            let able = self.shape.capacity * machine.warmth(self.now, settings) * self.shape.service;
+            let able =
+                self.shape.capacity * machine.capacity_share(self.now, settings) * self.shape.service_time;
             let crowd = (machine.in_flight as f64 / able).max(1.0);
-            let took = -(1.0 - self.work.f64()).ln() * self.shape.service * crowd;
+            let took = -(1.0 - self.work.f64()).ln() * self.shape.service_time * crowd;
             let bound =
                 if let Consistency::Bounded(bound) = class.consistency { bound } else { f64::INFINITY };
             stale = machine.position(self.now) < self.now - bound;
             (took + 2.0 * WAY, Outcome::Ok)
         };
-        let tipped = reached && machine.takes(self.now, self.shape.capacity, settings);
+        let tipped = reached && machine.exceeds_cold_limit(self.now, self.shape.capacity, settings);
         let (after, outcome) = if after > timeout { (timeout, Outcome::Timeout) } else { (after, outcome) };
         asked.out.insert(attempt, Out { machine: m, sent: self.now, outcome, reached });
         if attempt >= settings.max_attempts as usize {
@@ -517,7 +518,7 @@
         let Some(out) = asked.out.remove(&attempt) else { return };
         let (pooler, id) = (asked.pooler, asked.id.clone());
         let mut outcome = told.unwrap_or(out.outcome);
-        let machine = &mut self.machines[out.machine];
+        let machine = &mut self.members[out.machine];
         if out.reached {
             machine.in_flight = machine.in_flight.saturating_sub(1);
             if outcome == Outcome::Ok && !machine.up {
@@ -549,7 +550,7 @@
         let Some(asked) = self.requests.remove(&request) else { return };
         self.numbers.remove(&asked.id);
         for out in asked.out.values().filter(|out| out.reached) {
-            let machine = &mut self.machines[out.machine];
+            let machine = &mut self.members[out.machine];
             machine.in_flight = machine.in_flight.saturating_sub(1);
         }
     }
@@ -558,7 +559,7 @@
         let Some(&m) = self.names.get(&member) else { return };
         self.seen.probes += 1;
         self.meets(n, m, "a probe");
-        let up = self.machines[m].up;
+        let up = self.members[m].up;
         let apart = self.apart(self.poolers[n].zone, m);
         let (after, outcome) = match (apart, up) {
             (true, _) => (self.shape.settings.connect_timeout, Outcome::ConnectFailed),
@@ -566,7 +567,7 @@
             _ => (4.0 * WAY, Outcome::Ok),
         };
         let good = outcome == Outcome::Ok;
-        let report = if good { self.machines[m].report(self.now) } else { Report::default() };
+        let report = if good { self.members[m].report(self.now) } else { Report::default() };
         self.at(self.now + after, Step::Told(n, life, Event::Probed { member, outcome, report }));
     }
 
@@ -599,7 +600,7 @@
 
     /// Discovery answers calls in turn; one that waits too long has failed and takes its time all the same.
     fn call(&mut self, n: usize, line: Line) {
-        self.seen.calls += 1;
+        self.seen.list_requests += 1;
         let wire = Wire { answered: false, hushed: self.hangs };
         let pooler = &mut self.poolers[n];
         pooler.lines.insert(line, wire);
@@ -609,7 +610,7 @@
         } else if self.down {
             self.at(self.now + 2.0 * WAY, Step::TurnedDown(place));
         } else {
-            self.discovery_free = self.discovery_free.max(self.now) + self.shape.call;
+            self.discovery_free = self.discovery_free.max(self.now) + self.shape.list_request_time;
             if self.discovery_free - self.now <= CALL_PATIENCE {
                 self.at(self.discovery_free, Step::Listed(place));
             } else {
@@ -647,7 +648,7 @@
     /// A change of a machine's line is on its way to those that follow the list. To those that hear nothing it counts
     /// as told later.
     fn list(&mut self, m: usize) {
-        let entry = self.machines[m].entry();
+        let entry = self.members[m].entry();
         for n in 0..self.poolers.len() {
             let late = self.now + self.shape.list_delay * self.delays.f64();
             let pooler = &mut self.poolers[n];
@@ -687,7 +688,7 @@
     fn part(&mut self) {
         let counts = if self.down { f64::INFINITY } else { self.now + SILENCE_COUNTS };
         let unlisted: Vec<MemberId> =
-            self.machines.iter().filter(|m| m.phase != Phase::Active).map(|m| m.name.clone()).collect();
+            self.members.iter().filter(|m| m.phase != Phase::Active).map(|m| m.name.clone()).collect();
         for pooler in &mut self.poolers {
             for name in &unlisted {
                 pooler.told.entry(name.clone()).or_insert(counts);
@@ -702,9 +703,9 @@
         }
     }
 
-    fn befall(&mut self, trouble: Trouble) {
+    fn befall(&mut self, trouble: Fault) {
         match trouble {
-            Trouble::Restart(n) => {
+            Fault::RestartPooler(n) => {
                 let life = self.poolers[n].life + 1;
                 self.poolers[n] = self.pooler(n, life);
                 // What it had taken in is its clients' to repeat.
@@ -714,40 +715,40 @@
                 lost.into_iter().for_each(|request| self.forget(request));
                 self.begin(n);
             }
-            Trouble::Drain(m) => {
-                self.machines[m].phase = Phase::Leaving;
+            Fault::DrainMember(m) => {
+                self.members[m].phase = Phase::Leaving;
                 self.list(m);
             }
-            Trouble::End(m) => {
-                let machine = &mut self.machines[m];
+            Fault::StopMember(m) => {
+                let machine = &mut self.members[m];
                 (machine.up, machine.phase) = (false, Phase::Left);
                 if std::mem::replace(&mut machine.primary, false) {
                     let group = machine.group;
-                    if let Some(next) = self.machines.iter_mut().find(|x| x.group == group && x.up) {
+                    if let Some(next) = self.members.iter_mut().find(|x| x.group == group && x.up) {
                         next.primary = true;
                     }
                 }
                 self.list(m);
             }
-            Trouble::Join(m) => {
-                let (zone, group) = (self.machines[m].zone, self.machines[m].group);
+            Fault::ReplaceMember(m) => {
+                let (zone, group) = (self.members[m].zone, self.members[m].group);
                 self.add(zone, group, false, self.now);
-                self.list(self.machines.len() - 1);
+                self.list(self.members.len() - 1);
             }
-            Trouble::Back(m) => {
+            Fault::RestartMember(m) => {
                 let now = self.now;
-                let machine = &mut self.machines[m];
+                let machine = &mut self.members[m];
                 (machine.up, machine.phase, machine.started) = (true, Phase::Active, now);
                 self.list(m);
             }
-            Trouble::Hush => {
+            Fault::SilenceDiscoveryConnections => {
                 for pooler in self.poolers.iter_mut().filter(|pooler| !pooler.lines.is_empty()) {
                     pooler.hushed.get_or_insert(self.now);
                     pooler.lines.values_mut().for_each(|wire| wire.hushed = true);
                 }
             }
-            Trouble::Reset => self.part(),
-            Trouble::Down(down) => {
+            Fault::ResetDiscoveryConnections => self.part(),
+            Fault::DiscoveryDown(down) => {
                 self.down = down;
                 if down {
                     self.part();
@@ -755,15 +756,15 @@
                     self.reachable();
                 }
             }
-            Trouble::Hang(hangs) => {
+            Fault::DiscoveryHangs(hangs) => {
                 self.hangs = hangs;
                 if !hangs {
                     self.reachable();
                 }
             }
-            Trouble::Freeze(m, on) => self.machines[m].frozen = on.then_some(self.now),
-            Trouble::Cut(zone, true) => drop(self.cut.insert(zone)),
-            Trouble::Cut(zone, false) => drop(self.cut.remove(&zone)),
+            Fault::FreezeReplica(m, on) => self.members[m].frozen = on.then_some(self.now),
+            Fault::IsolateZone(zone, true) => drop(self.cut.insert(zone)),
+            Fault::IsolateZone(zone, false) => drop(self.cut.remove(&zone)),
         }
     }
 }
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -11,7 +11,7 @@
 const CHANCE: f64 = 4.0;
 
 /// One db machine.
-pub struct Machine {
+pub struct Member {
     /// Its name.
     pub name: MemberId,
     /// Its zone.
@@ -33,11 +33,11 @@
     recent: VecDeque<f64>,
 }
 
-impl Machine {
+impl Member {
     /// One that started at this time (seconds).
-    pub fn new(name: MemberId, (zone, group): (u32, u32), primary: bool, started: f64) -> Machine {
+    pub fn new(name: MemberId, (zone, group): (u32, u32), primary: bool, started: f64) -> Member {
         let (phase, recent) = (Phase::Active, VecDeque::new());
-        Machine { name, zone, group, primary, started, phase, up: true, in_flight: 0, frozen: None, recent }
+        Member { name, zone, group, primary, started, phase, up: true, in_flight: 0, frozen: None, recent }
     }
 
     /// Its line on the list.
@@ -67,19 +67,19 @@
     }
 
     /// Share of its capacity that it has by now.
-    pub fn warmth(&self, now: f64, settings: &Settings) -> f64 {
+    pub fn capacity_share(&self, now: f64, settings: &Settings) -> f64 {
         let part = if self.started == 0.0 { 1.0 } else { (now - self.started) / settings.warm_up };
         settings.cold_from + (1.0 - settings.cold_from) * part.clamp(0.0, 1.0)
     }
 
     /// Work has reached it: whether a cold one got more within a second than the rules allow, `capacity` being what it
     /// does in a second when it is warm.
-    pub fn takes(&mut self, now: f64, capacity: f64, settings: &Settings) -> bool {
+    pub fn exceeds_cold_limit(&mut self, now: f64, capacity: f64, settings: &Settings) -> bool {
         self.recent.push_back(now);
         while self.recent.front().is_some_and(|at| now - at > WINDOW) {
             self.recent.pop_front();
         }
-        let warmth = self.warmth(now, settings);
+        let warmth = self.capacity_share(now, settings);
         let most = settings.tip_multiple * capacity * warmth * WINDOW + CHANCE;
         warmth < 1.0 && self.recent.len() as f64 > most
     }
--- a/crates/simulation/tests/drains.rs
+++ b/crates/simulation/tests/drains.rs
@@ -6,7 +6,7 @@
 
 use fleet::settings;
 use rstest::rstest;
-use simulation::{Seen, Shape, Trouble, World};
+use simulation::{Fault, RunResult, World, WorldConfig};
 
 const POOLERS: usize = 350;
 const MACHINES: usize = 120;
@@ -20,30 +20,30 @@
     let (zones, groups, replicas) = (3, 30, 3);
     let (rate, service, capacity) = (1_500.0, 0.05, 40.0);
     let (list_delay, call) = (0.1, 0.011);
-    World::new(Shape {
+    World::new(WorldConfig {
         seed,
         poolers,
         zones,
         groups,
         replicas,
-        rate,
-        service,
+        requests_per_s: rate,
+        service_time: service,
         capacity,
         list_delay,
-        call,
+        list_request_time: call,
         settings,
     })
 }
 
 /// A quarter of the machines, replicas all, are told to drain so many seconds after the start; they stay up.
 fn drain(world: &mut World, at: f64) {
-    (1..MACHINES).step_by(4).for_each(|m| world.trouble(at, Trouble::Drain(m)));
+    (1..MACHINES).step_by(4).for_each(|m| world.schedule_fault(at, Fault::DrainMember(m)));
 }
 
-fn kept(seen: &Seen, calls: usize) {
+fn kept(seen: &RunResult, calls: usize) {
     assert_eq!(seen.breaches, [] as [String; 0], "{seen:?}");
-    assert!(seen.served as f64 >= 0.8 * seen.asked as f64, "{seen:?}");
-    assert!(seen.calls <= calls, "calls for the list: {seen:?}");
+    assert!(seen.served as f64 >= 0.8 * seen.requests as f64, "{seen:?}");
+    assert!(seen.list_requests <= calls, "calls for the list: {seen:?}");
 }
 
 /// Early on many calls are still in line and hang; later all have a watch.
@@ -54,7 +54,7 @@
 #[case::with_all_watches_open(4, 9.1)]
 fn watches_that_fall_silent_right_before_a_drain(#[case] seed: u64, #[case] at: f64) {
     let mut world = world(seed);
-    world.trouble(at, Trouble::Hush);
+    world.schedule_fault(at, Fault::SilenceDiscoveryConnections);
     drain(&mut world, at + 0.1);
     kept(&world.run(at + 12.0), POOLERS * 3);
 }
@@ -62,7 +62,7 @@
 #[test]
 fn watches_that_are_reset_before_a_drain() {
     let mut world = world(5);
-    world.trouble(7.0, Trouble::Reset);
+    world.schedule_fault(7.0, Fault::ResetDiscoveryConnections);
     drain(&mut world, 9.0);
     kept(&world.run(25.0), POOLERS * 5);
 }
@@ -70,8 +70,8 @@
 #[test]
 fn discovery_that_is_down_and_machines_that_drain_within_a_second_of_its_return() {
     let mut world = world(6);
-    world.trouble(7.0, Trouble::Down(true));
-    world.trouble(11.0, Trouble::Down(false));
+    world.schedule_fault(7.0, Fault::DiscoveryDown(true));
+    world.schedule_fault(11.0, Fault::DiscoveryDown(false));
     drain(&mut world, 11.5);
     kept(&world.run(27.0), POOLERS * 8);
 }
@@ -88,8 +88,8 @@
     #[case] calls: usize,
 ) {
     let mut world = sized(seed, poolers);
-    world.trouble(7.0, Trouble::Down(true));
-    world.trouble(7.0 + away, Trouble::Down(false));
+    world.schedule_fault(7.0, Fault::DiscoveryDown(true));
+    world.schedule_fault(7.0 + away, Fault::DiscoveryDown(false));
     drain(&mut world, 7.0 + away - 0.5);
     kept(&world.run(16.0 + away), calls);
 }
@@ -100,9 +100,9 @@
 #[case::the_fleet(15, POOLERS)]
 fn discovery_that_said_nothing_while_machines_began_to_drain(#[case] seed: u64, #[case] poolers: usize) {
     let mut world = sized(seed, poolers);
-    world.trouble(7.0, Trouble::Hang(true));
-    world.trouble(7.0, Trouble::Reset);
-    world.trouble(47.0, Trouble::Hang(false));
+    world.schedule_fault(7.0, Fault::DiscoveryHangs(true));
+    world.schedule_fault(7.0, Fault::ResetDiscoveryConnections);
+    world.schedule_fault(47.0, Fault::DiscoveryHangs(false));
     drain(&mut world, 46.5);
     kept(&world.run(56.0), poolers * 16);
 }
@@ -111,8 +111,8 @@
 #[test]
 fn calls_that_hang_around_a_drain() {
     let mut world = world(7);
-    world.trouble(0.5, Trouble::Hang(true));
-    world.trouble(2.5, Trouble::Hang(false));
+    world.schedule_fault(0.5, Fault::DiscoveryHangs(true));
+    world.schedule_fault(2.5, Fault::DiscoveryHangs(false));
     drain(&mut world, 1.5);
     kept(&world.run(14.0), POOLERS * 3);
 }
--- a/crates/simulation/tests/instances.rs
+++ b/crates/simulation/tests/instances.rs
@@ -2,23 +2,23 @@
 
 use replication::Need;
 use rstest::rstest;
-use simulation::instances::{Instances, Net};
-use simulation::storm::Storm;
+use simulation::fault_scenario::FaultScenario;
+use simulation::instances::{Instances, NetworkConfig};
 
-fn rough() -> Net {
-    Net { loss: 0.1, twice: 0.1, way: (0.000_2, 0.003), late: (0.05, 0.4) }
+fn rough() -> NetworkConfig {
+    NetworkConfig { loss: 0.1, duplication: 0.1, latency: (0.000_2, 0.003), extra_delay: (0.05, 0.4) }
 }
 
 /// Random sessions over random instances under random faults, drawn by the seed.
-fn storm(seed: u64, count: usize, net: Net, seconds: f64, faults: bool) -> Instances {
-    let shape = Storm { instances: count, seeds: count.min(3), sessions: 200, seconds, faults };
-    simulation::storm::storm(seed, net, shape)
+fn storm(seed: u64, count: usize, net: NetworkConfig, seconds: f64, faults: bool) -> Instances {
+    let shape = FaultScenario { instances: count, seeds: count.min(3), sessions: 200, seconds, faults };
+    simulation::fault_scenario::run_fault_scenario(seed, net, shape)
 }
 
 #[test]
 fn without_faults_reads_stay_near_and_writes_wait_for_nobody() {
-    let all = storm(1, 5, Net::default(), 20.0, false);
-    let tally = all.tally;
+    let all = storm(1, 5, NetworkConfig::default(), 20.0, false);
+    let tally = all.totals;
     assert_eq!((tally.stale, tally.refused, tally.lost), (0, 0, 0), "{tally:?}");
     assert!(tally.reads > 3_000 && tally.waited * 50 < tally.answered, "{tally:?}");
 }
@@ -26,9 +26,9 @@
 #[rstest]
 fn no_session_reads_what_is_older_than_its_own_write(#[values(3, 5)] count: usize) {
     for seed in 0..12 {
-        let net = if seed % 2 == 0 { rough() } else { Net::default() };
+        let net = if seed % 2 == 0 { rough() } else { NetworkConfig::default() };
         let all = storm(seed, count, net, 30.0, true);
-        println!("{count} instances, seed {seed}: {:?}", all.tally);
+        println!("{count} instances, seed {seed}: {:?}", all.totals);
         assert!(all.breaches.is_empty(), "seed {seed}: {:#?}", all.breaches);
     }
 }
@@ -43,19 +43,20 @@
 #[test]
 fn many_that_start_together_know_each_other_without_naming_all_to_all() {
     let count = 80;
-    let mut all = Instances::new(1, count, 3, 3, Net { loss: 0.1, ..Net::default() });
+    let mut all = Instances::new(1, count, 3, 3, NetworkConfig { loss: 0.1, ..NetworkConfig::default() });
     for n in 0..count {
         all.start(n);
         all.run(0.5 / count as f64);
     }
     let begun = all.now;
-    while !all.equal() && all.now - begun < 10.0 {
+    while !all.is_converged() && all.now - begun < 10.0 {
         all.run(0.1);
     }
-    assert!(all.equal(), "they know the same");
-    let each = all.bytes().0 as f64 / (count * count) as f64;
+    assert!(all.is_converged(), "they know the same");
+    let each = all.sent_bytes().0 as f64 / (count * count) as f64;
     // And that is enough for leases: a read of a session goes by what is known.
-    let knows = |all: &mut Instances| all.with(7, |node, now| matches!(node.need(now, "s"), Need::From(_)));
+    let knows =
+        |all: &mut Instances| all.with_node(7, |node, now| matches!(node.need(now, "s"), Need::From(_)));
     while knows(&mut all) != Some(true) && all.now - begun < 10.0 {
         all.run(0.05);
     }
--- a/crates/simulation/tests/mass.rs
+++ b/crates/simulation/tests/mass.rs
@@ -6,28 +6,40 @@
 use routing::interface::*;
 use routing::Policy;
 use rstest::rstest;
-use simulation::{Seen, Shape, Trouble, World};
+use simulation::{Fault, RunResult, World, WorldConfig};
 
 /// Three hundred poolers before 120 machines in 30 groups and three zones, at under a third of what these can do.
-fn shape(seed: u64, poolers: usize, fleet_size: u32) -> Shape {
+fn shape(seed: u64, poolers: usize, fleet_size: u32) -> WorldConfig {
     let (zones, groups, replicas) = (3, 30, 3);
     let (rate, service, capacity, list_delay) = (1_500.0, 0.05, 40.0, 1.0);
     // Discovery can answer all 300 within what counts as told.
     let (call, settings) = (0.013, settings(fleet_size));
-    Shape { seed, poolers, zones, groups, replicas, rate, service, capacity, list_delay, call, settings }
+    WorldConfig {
+        seed,
+        poolers,
+        zones,
+        groups,
+        replicas,
+        requests_per_s: rate,
+        service_time: service,
+        capacity,
+        list_delay,
+        list_request_time: call,
+        settings,
+    }
 }
 
-fn kept(seen: &Seen, least: f64) {
+fn kept(seen: &RunResult, least: f64) {
     assert_eq!(seen.breaches, [] as [String; 0], "{seen:?}");
-    assert!(seen.served as f64 >= least * seen.asked as f64, "{seen:?}");
+    assert!(seen.served as f64 >= least * seen.requests as f64, "{seen:?}");
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
     let run = |seed| {
         let mut world = World::new(shape(seed, 50, 50));
-        world.trouble(0.5, Trouble::Cut(1, true));
-        world.trouble(0.7, Trouble::Restart(3));
+        world.schedule_fault(0.5, Fault::IsolateZone(1, true));
+        world.schedule_fault(0.7, Fault::RestartPooler(3));
         world.run(2.0)
     };
     assert_eq!(run(1), run(1));
@@ -39,14 +51,14 @@
 fn three_hundred_that_start_in_one_instant_keep_to_their_budget() {
     let seen = World::new(shape(1, 300, 300)).run(5.0);
     kept(&seen, 0.95);
-    assert!(seen.calls <= 600, "two calls a pooler at the most: {seen:?}");
-    assert!(seen.probes <= 300 * 20 + seen.asked * 6 / 10, "{seen:?}");
-    assert!(seen.pairs <= 300 * 120 / 2, "half of all that there could be: {seen:?}");
+    assert!(seen.list_requests <= 600, "two calls a pooler at the most: {seen:?}");
+    assert!(seen.probes <= 300 * 20 + seen.requests * 6 / 10, "{seen:?}");
+    assert!(seen.pooler_member_pairs <= 300 * 120 / 2, "half of all that there could be: {seen:?}");
 }
 
 /// At most one pooler in ten may turn away all that it gets for 4 s on end, with no attempt in between.
-fn few_serve_nobody(seen: &Seen, poolers: usize) {
-    assert!(seen.serve_nobody.len() * 10 <= poolers, "{seen:?}");
+fn few_serve_nobody(seen: &RunResult, poolers: usize) {
+    assert!(seen.poolers_serving_nobody.len() * 10 <= poolers, "{seen:?}");
 }
 
 /// The machines of 300 poolers get up to half as much again as they can do: what one pooler learns of them must not keep it
@@ -57,7 +69,8 @@
 #[case::of_more_than_the_machines_can_do(10, 300, 7_200.0)]
 #[case::of_few_poolers(11, 30, 7_200.0)]
 fn under_load_few_poolers_serve_nobody(#[case] seed: u64, #[case] poolers: usize, #[case] rate: f64) {
-    let seen = World::new(Shape { rate, ..shape(seed, poolers, poolers as u32) }).run(9.0);
+    let seen =
+        World::new(WorldConfig { requests_per_s: rate, ..shape(seed, poolers, poolers as u32) }).run(9.0);
     few_serve_nobody(&seen, poolers);
 }
 
@@ -66,11 +79,11 @@
     let mut world = World::new(shape(2, 300, 300));
     for m in (0..120).step_by(2) {
         let at = 2.0 + f64::from(m as u32) * 0.08;
-        world.trouble(at, Trouble::Join(m));
-        world.trouble(at + 0.5, Trouble::Drain(m));
-        world.trouble(at + 3.0, Trouble::End(m));
+        world.schedule_fault(at, Fault::ReplaceMember(m));
+        world.schedule_fault(at + 0.5, Fault::DrainMember(m));
+        world.schedule_fault(at + 3.0, Fault::StopMember(m));
     }
-    (0..300).step_by(10).for_each(|n| world.trouble(4.0 + n as f64 * 0.01, Trouble::Restart(n)));
+    (0..300).step_by(10).for_each(|n| world.schedule_fault(4.0 + n as f64 * 0.01, Fault::RestartPooler(n)));
     let seen = world.run(16.0);
     few_serve_nobody(&seen, 300);
     kept(&seen, 0.8);
@@ -79,8 +92,8 @@
 #[test]
 fn a_zone_that_is_cut_off_is_left_from_within_and_without() {
     let mut world = World::new(shape(3, 300, 300));
-    world.trouble(2.0, Trouble::Cut(0, true));
-    world.trouble(7.0, Trouble::Cut(0, false));
+    world.schedule_fault(2.0, Fault::IsolateZone(0, true));
+    world.schedule_fault(7.0, Fault::IsolateZone(0, false));
     kept(&world.run(10.0), 0.6);
 }
 
@@ -99,21 +112,21 @@
 ) {
     // More than on the other days: what a machine gets when it is warm is over what a cold one may have.
     let shape = shape(seed, poolers, poolers as u32);
-    let mut world = World::new(Shape { rate: 3_500.0, capacity: 35.0, replicas: 2, ..shape });
+    let mut world = World::new(WorldConfig { requests_per_s: 3_500.0, capacity: 35.0, replicas: 2, ..shape });
     for m in (0..90).filter(|m| (m / 3 + m % 3) % 3 == 0) {
-        world.trouble(2.0, Trouble::End(m));
-        world.trouble(5.0, Trouble::Back(m));
+        world.schedule_fault(2.0, Fault::StopMember(m));
+        world.schedule_fault(5.0, Fault::RestartMember(m));
     }
     kept(&world.run(14.0), least);
 }
 
 #[test]
 fn lists_that_come_six_seconds_late_break_no_rule() {
-    let mut world = World::new(Shape { list_delay: 6.0, ..shape(5, 300, 300) });
+    let mut world = World::new(WorldConfig { list_delay: 6.0, ..shape(5, 300, 300) });
     for m in (0..120).step_by(3) {
-        world.trouble(1.0, Trouble::Join(m));
-        world.trouble(2.0, Trouble::Drain(m));
-        world.trouble(5.0, Trouble::End(m));
+        world.schedule_fault(1.0, Fault::ReplaceMember(m));
+        world.schedule_fault(2.0, Fault::DrainMember(m));
+        world.schedule_fault(5.0, Fault::StopMember(m));
     }
     kept(&world.run(12.0), 0.7);
 }
@@ -123,8 +136,8 @@
 fn replicas_that_stand_still_are_left_before_they_are_too_old() {
     let mut world = World::new(shape(7, 300, 300));
     for m in (1..120).step_by(4) {
-        world.trouble(2.0, Trouble::Freeze(m, true));
-        world.trouble(6.5, Trouble::Freeze(m, false));
+        world.schedule_fault(2.0, Fault::FreezeReplica(m, true));
+        world.schedule_fault(6.5, Fault::FreezeReplica(m, false));
     }
     kept(&world.run(8.0), 0.8);
 }
@@ -134,7 +147,7 @@
 fn a_fleet_size_that_is_wrong_by_a_hundred_breaks_no_rule() {
     for (poolers, told) in [(300, 3), (3, 300), (300, 1)] {
         let mut world = World::new(shape(6, poolers, told));
-        (0..120).step_by(4).for_each(|m| world.trouble(1.0, Trouble::End(m)));
+        (0..120).step_by(4).for_each(|m| world.schedule_fault(1.0, Fault::StopMember(m)));
         kept(&world.run(6.0), 0.6);
     }
 }
