--- a/crates/footprint/src/clients.rs
+++ b/crates/footprint/src/clients.rs
@@ -38,7 +38,7 @@
 
 impl Mix {
     /// Six bounded reads, two session reads and two writes in ten, evenly over the groups.
-    pub fn usual(groups: usize) -> Mix {
+    pub fn typical(groups: usize) -> Mix {
         Mix { groups, bounded: 6, own: 2, patience_ms: LONG_MS }
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// Sends a statement and waits for its answer; whether it was served.
-    pub fn ask(&mut self, statement: &[u8]) -> Result<bool, MeasureError> {
+    pub fn query(&mut self, statement: &[u8]) -> Result<bool, MeasureError> {
         self.send(statement)?;
         Ok(self.wait()? == Answer::Served)
     }
--- a/crates/footprint/src/guard.rs
+++ b/crates/footprint/src/guard.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether so many descriptors may be opened here, and as many in the pooler.
-    pub fn descriptors(&self, needed: usize) -> Result<(), MeasureError> {
+    pub fn check_descriptors(&self, needed: usize) -> Result<(), MeasureError> {
         let allowed = self.machine.descriptors.saturating_sub(SPARE_DESCRIPTORS);
         let needed = needed as u64;
         if needed > allowed {
--- a/crates/footprint/src/main.rs
+++ b/crates/footprint/src/main.rs
@@ -118,9 +118,9 @@
     let all = if args.runs.is_empty() { Run::ALL.to_vec() } else { args.runs };
     for run in all {
         progress(run);
-        if let Err(cause) = run.make(&mut bench, &mut report) {
+        if let Err(cause) = run.execute(&mut bench, &mut report) {
             eprintln!("footprint: {}: {cause}", run.name());
-            report.ended_early(&cause);
+            report.record_early_end(&cause);
             break;
         }
     }
--- a/crates/footprint/src/pooler.rs
+++ b/crates/footprint/src/pooler.rs
@@ -74,7 +74,11 @@
     }
 
     /// The same with an operator's file, a control socket and a history on disk.
-    pub fn operated(program: &Path, platform: &Platform, operator: &str) -> Result<Pooler, MeasureError> {
+    pub fn start_with_operator(
+        program: &Path,
+        platform: &Platform,
+        operator: &str,
+    ) -> Result<Pooler, MeasureError> {
         Pooler::begin(program, platform, Some(operator))
     }
 
--- a/crates/footprint/src/report.rs
+++ b/crates/footprint/src/report.rs
@@ -205,7 +205,7 @@
     }
 
     /// Says that the report is partial, and why.
-    pub fn ended_early(&mut self, cause: &MeasureError) {
+    pub fn record_early_end(&mut self, cause: &MeasureError) {
         self.partial = Some(cause.to_string());
     }
 
@@ -279,7 +279,7 @@
 
 /// A slope of two reports.
 #[derive(Clone, Debug, Serialize)]
-pub struct Compared {
+pub struct Comparison {
     pub name: String,
     pub first: Coefficient,
     pub second: Coefficient,
@@ -287,9 +287,9 @@
     pub agree: bool,
 }
 
-impl fmt::Display for Compared {
+impl fmt::Display for Comparison {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Compared { name, first, second, agree } = self;
+        let Comparison { name, first, second, agree } = self;
         let verdict = if *agree { "agree" } else { "DIFFER" };
         let errors = (first.value - second.value).abs() / first.error.hypot(second.error);
         write!(formatter, "{name}: {first}, {second}: {verdict} ({errors:.1} combined errors apart)")
@@ -297,11 +297,11 @@
 }
 
 /// Compares the slopes of two reports in JSON, by the names that both have.
-pub fn compare(first: &Path, second: &Path) -> Result<Vec<Compared>, MeasureError> {
+pub fn compare(first: &Path, second: &Path) -> Result<Vec<Comparison>, MeasureError> {
     let (first, second) = (slopes(first)?, slopes(second)?);
     let both = first.into_iter().filter_map(|(name, first)| {
         let second = *second.get(&name)?;
-        Some(Compared { agree: first.agrees_with(&second, AGREEMENT), name, first, second })
+        Some(Comparison { agree: first.agrees_with(&second, AGREEMENT), name, first, second })
     });
     Ok(both.collect())
 }
--- a/crates/footprint/src/runs/clients.rs
+++ b/crates/footprint/src/runs/clients.rs
@@ -17,7 +17,7 @@
 /// Connections that have asked once and rest since; more and more of them at one process.
 pub(super) fn idle(bench: &mut Bench, report: &mut Report) -> Result<(), MeasureError> {
     let sizes = bench.sizes(&IDLE);
-    bench.guard.descriptors(most(sizes))?;
+    bench.guard.check_descriptors(most(sizes))?;
     let databases = bench.usual_databases();
     let scene = bench.scene(databases, GROUP_SIZE)?;
     // One group, so that connections to databases do not pass for connections of clients.
@@ -27,7 +27,7 @@
     for &size in sizes {
         while wires.len() < size {
             let mut wire = Wire::connect(scene.pooler.address)?;
-            wire.ask(&mix.statement_in(0, &mut bench.random))?;
+            wire.query(&mix.statement_in(0, &mut bench.random))?;
             wires.push(wire);
             if wires.len().is_multiple_of(CHECKED) {
                 bench.guard.check(&[scene.pooler.process])?;
@@ -51,12 +51,12 @@
     let sizes = bench.sizes(&BUSY);
     let databases = bench.usual_databases();
     // Each has a connection to a database, too.
-    bench.guard.descriptors(2 * most(sizes) + databases)?;
+    bench.guard.check_descriptors(2 * most(sizes) + databases)?;
     let scene = bench.scene(databases, GROUP_SIZE)?;
-    let mix = Mix::usual(scene.databases.databases.groups());
+    let mix = Mix::typical(scene.databases.databases.groups());
     know_primaries(bench, &scene)?;
     std::thread::sleep(SETTLE);
-    scene.databases.hold(true);
+    scene.databases.set_hold_answers(true);
     let mut wires: Vec<Wire> = Vec::new();
     for &size in sizes {
         while wires.len() < size {
@@ -74,17 +74,17 @@
         report.add(Quantity::BusyClientProcessor, held as f64, share);
         bench.guard.check(&[scene.pooler.process])?;
     }
-    scene.databases.hold(false);
+    scene.databases.set_hold_answers(false);
     Ok(())
 }
 
 /// Waits until so many statements wait at the databases; fewer where the pooler holds some back.
 fn held(scene: &Scene, size: usize) -> usize {
     let until = Instant::now() + ARRIVAL;
-    while (scene.databases.held() as usize) < size && Instant::now() < until {
+    while (scene.databases.held_count() as usize) < size && Instant::now() < until {
         std::thread::sleep(LOOK);
     }
-    scene.databases.held() as usize
+    scene.databases.held_count() as usize
 }
 
 /// One write in each group, so that the pooler has heard who is primary.
@@ -93,7 +93,7 @@
     let mix = Mix::short_writes(groups);
     let mut wire = Wire::connect(scene.pooler.address)?;
     for group in 0..groups {
-        wire.ask(&mix.statement_in(group, &mut bench.random))?;
+        wire.query(&mix.statement_in(group, &mut bench.random))?;
         if group.is_multiple_of(CHECKED) {
             bench.guard.check(&[scene.pooler.process])?;
         }
--- a/crates/footprint/src/runs/databases.rs
+++ b/crates/footprint/src/runs/databases.rs
@@ -29,14 +29,14 @@
     let sizes = bench.sizes(&CONNECTIONS);
     let databases = sizes.iter().copied().max().unwrap_or(0);
     // The stand-ins' listeners and their connections.
-    bench.guard.descriptors(2 * databases)?;
+    bench.guard.check_descriptors(2 * databases)?;
     let scene = bench.scene(databases, ALONE)?;
     let mix = Mix::short_writes(databases);
     let mut wire = Wire::connect(scene.pooler.address)?;
     let mut asked = 0;
     for &size in sizes {
         while asked < size {
-            wire.ask(&mix.statement_in(asked, &mut bench.random))?;
+            wire.query(&mix.statement_in(asked, &mut bench.random))?;
             asked += 1;
             if asked.is_multiple_of(CHECKED) {
                 bench.guard.check(&[scene.pooler.process])?;
--- a/crates/footprint/src/runs/list.rs
+++ b/crates/footprint/src/runs/list.rs
@@ -52,7 +52,7 @@
     let before = scene.pooler.sample()?;
     let mut bytes = 0;
     for document in &documents {
-        let told = scene.discovery.tell(document);
+        let told = scene.discovery.push_list(document);
         bytes += told.ok_or(MeasureError::NoAnswer { what: "nobody watches the list" })?;
         std::thread::sleep(PAUSE);
     }
--- a/crates/footprint/src/runs/mod.rs
+++ b/crates/footprint/src/runs/mod.rs
@@ -81,7 +81,7 @@
     }
 
     /// Makes it, repeat by repeat; what is found goes into the report point by point.
-    pub fn make(self, bench: &mut Bench, report: &mut Report) -> Result<(), MeasureError> {
+    pub fn execute(self, bench: &mut Bench, report: &mut Report) -> Result<(), MeasureError> {
         for _ in 0..bench.repeats {
             match self {
                 Run::IdleClients => clients::idle(bench, report)?,
@@ -174,9 +174,9 @@
         change(&mut platform);
         let pooler = match operator {
             None => Pooler::start(&self.program, &platform)?,
-            Some(operator) => Pooler::operated(&self.program, &platform, operator)?,
+            Some(operator) => Pooler::start_with_operator(&self.program, &platform, operator)?,
         };
-        until("discovery's list", || discovery.calls() > 0)?;
+        until("discovery's list", || discovery.request_count() > 0)?;
         std::thread::sleep(SETTLE);
         self.guard.check(&[pooler.process])?;
         Ok(Scene { pooler, databases: servers, discovery })
--- a/crates/footprint/src/runs/statements.rs
+++ b/crates/footprint/src/runs/statements.rs
@@ -77,7 +77,7 @@
 /// Runs a load for a window.
 fn load(bench: &mut Bench, scene: &Scene, rate: usize) -> Result<Window, MeasureError> {
     know_primaries(bench, scene)?;
-    let mix = Mix::usual(scene.databases.databases.groups());
+    let mix = Mix::typical(scene.databases.databases.groups());
     let seed = bench.random.u64(..);
     let load = Load::start(scene.pooler.address, CLIENTS, rate as f64, mix, seed)?;
     std::thread::sleep(WARM);
--- a/crates/footprint/src/stand_in/databases.rs
+++ b/crates/footprint/src/stand_in/databases.rs
@@ -61,12 +61,12 @@
     }
 
     /// Whether statements are held from now on in place of being answered; those that are held are answered when this ends.
-    pub fn hold(&self, hold: bool) {
+    pub fn set_hold_answers(&self, hold: bool) {
         self.shared.hold.store(hold, Ordering::SeqCst);
     }
 
     /// Statements that are held at present.
-    pub fn held(&self) -> u64 {
+    pub fn held_count(&self) -> u64 {
         self.shared.held.load(Ordering::SeqCst)
     }
 
--- a/crates/footprint/src/stand_in/discovery.rs
+++ b/crates/footprint/src/stand_in/discovery.rs
@@ -45,13 +45,13 @@
     }
 
     /// Tells the pooler that watches one document; false where nobody watches. Its length on the wire in bytes.
-    pub fn tell(&self, document: &str) -> Option<usize> {
+    pub fn push_list(&self, document: &str) -> Option<usize> {
         let bytes = line(document);
         self.shared.write(&bytes).then_some(bytes.len())
     }
 
     /// Calls that were answered so far.
-    pub fn calls(&self) -> u64 {
+    pub fn request_count(&self) -> u64 {
         self.shared.calls.load(Ordering::SeqCst)
     }
 }
--- a/crates/footprint/tests/stand_ins.rs
+++ b/crates/footprint/tests/stand_ins.rs
@@ -25,16 +25,16 @@
     assert!(addresses.iter().all(|address| address.ip().is_loopback() && address.port() < FIRST_EPHEMERAL));
     assert_eq!((addresses.len(), servers.databases.groups()), (6, 2));
     let mut random = fastrand::Rng::with_seed(1);
-    let mix = Mix::usual(2);
+    let mix = Mix::typical(2);
     let mut wire = Wire::connect(addresses[3]).unwrap();
-    assert!(wire.ask(&mix.statement_in(1, &mut random)).unwrap());
-    servers.hold(true);
+    assert!(wire.query(&mix.statement_in(1, &mut random)).unwrap());
+    servers.set_hold_answers(true);
     // The servers look at that at their next turn.
     std::thread::sleep(Duration::from_millis(50));
     wire.send(&mix.statement_in(1, &mut random)).unwrap();
-    until(|| servers.held() == 1);
-    servers.hold(false);
-    until(|| servers.held() == 0);
+    until(|| servers.held_count() == 1);
+    servers.set_hold_answers(false);
+    until(|| servers.held_count() == 0);
     assert_eq!((servers.statements(), servers.probes(), servers.connections()), (2, 0, 1));
     drop(wire);
     until(|| servers.connections() == 0);
@@ -47,13 +47,13 @@
     let mut ports = Ports::below(FIRST_EPHEMERAL);
     let servers = DatabaseServers::start(&mut ports, 4, 2).unwrap();
     let discovery = Discovery::start(&mut ports, servers.databases.list(7).to_string()).unwrap();
-    assert_eq!(discovery.tell("{}"), None);
+    assert_eq!(discovery.push_list("{}"), None);
     let mut stream = TcpStream::connect(discovery.address).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     stream.write_all(b"GET /catalog/members?follow=1&since=0 HTTP/1.1\r\n\r\n").unwrap();
-    until(|| discovery.calls() == 1);
+    until(|| discovery.request_count() == 1);
     let change = servers.databases.change(8, 3, "DRAINING").to_string();
-    assert!(discovery.tell(&change).unwrap() > change.len());
+    assert!(discovery.push_list(&change).unwrap() > change.len());
     let mut text = String::new();
     let mut buffer = [0; 4096];
     while !text.contains("DRAINING") {
