--- a/crates/daemon/src/cli/registry_client.rs
+++ b/crates/daemon/src/cli/registry_client.rs
@@ -10,7 +10,7 @@
 use operator::Registry as Settings;
 use registry::wire::{self, after, Range, Refusal};
 use registry::{Entry, View};
-use tls::Link;
+use tls::Transport;
 
 use crate::dial::Dialer;
 use crate::files;
@@ -34,9 +34,9 @@
 
 impl TimedStream {
     /// A turn, and what it came to.
-    pub fn turn(&mut self, link: &mut Link) -> Result<Fill, String> {
+    pub fn turn(&mut self, link: &mut Transport) -> Result<Fill, String> {
         (self.came, self.timed_out) = (false, false);
-        link.turn(self).map_err(|fault| fault.to_string())
+        link.process_io(self).map_err(|fault| fault.to_string())
     }
 
     /// How long a turn waits for something to come.
@@ -121,7 +121,7 @@
         path: &str,
         body: &[u8],
         budget: &Budget,
-    ) -> Result<(TimedStream, Link), String> {
+    ) -> Result<(TimedStream, Transport), String> {
         let endpoint: SocketAddr = self.settings.endpoints[at];
         let patience = Duration::from_secs_f64(self.settings.call_s);
         let link = self.dial.link_with_request(endpoint, path, body, self.token.as_deref(), budget, now())?;
--- a/crates/daemon/src/cli/route.rs
+++ b/crates/daemon/src/cli/route.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use argh::FromArgs;
-use operator::Effective;
+use operator::EffectiveConfig;
 use route::Ask;
 use serde_json::json;
 use sql::{Kind, Scan};
@@ -70,11 +70,12 @@
 fn explain(args: &Explain) -> Result<(), String> {
     let (_, platform) = load(args.config.clone())?;
     let document = files::read_document(&args.operator)?.1;
-    let effective = Effective::new(&platform, document)
+    let effective =
+        EffectiveConfig::new(&platform, document)
         .map_err(|conflicts| crate::net::describe_conflicts(&conflicts))?;
     let scan = sql::scan(&args.sql);
-    let reads = pooling::only_reads(&scan);
-    let route = effective.routes().route(&Ask {
+    let reads = pooling::can_run_on_replica(&scan);
+    let route = effective.route_table().route(&Ask {
         user: &args.user,
         database: &args.database,
         application: &args.application,
@@ -107,7 +108,7 @@
             Kind::Session(change) => format!("session state ({change:?})"),
             Kind::Unknown(why) => format!("unknown ({why}), taken for a write"),
         };
-        let pins: Vec<&str> = statement.pins.iter().map(|pin| pin.words()).collect();
+        let pins: Vec<&str> = statement.pins.iter().map(|pin| pin.describe()).collect();
         match pins.as_slice() {
             [] => kind,
             pins => format!("{kind}; binds the session to its connection: {}", pins.join(", ")),
--- a/crates/daemon/src/net/sessions.rs
+++ b/crates/daemon/src/net/sessions.rs
@@ -18,10 +18,10 @@
 use mio::Interest;
 use operator::Pool;
 use pgwire::{code, error};
-use pooling::{Pace, Pools};
+use pooling::{PoolLimits, Pools};
 use route::Table;
 use routing::interface::{MemberId, Outcome, RequestId};
-use scram::{Guesses, Users};
+use scram::{FailedLogins, Users};
 
 use super::event_loop::{Slot, Slots, Source, TimerKind};
 use super::Context;
@@ -73,11 +73,11 @@
     server_settings: BTreeMap<String, String>,
     /// Those who may connect; anybody where there is no such list.
     users: Option<Users>,
-    guesses: Guesses,
+    guesses: FailedLogins,
     /// What clients' TLS is made from; none is spoken where there is none.
-    tls: Option<tls::Server>,
+    tls: Option<tls::ServerContext>,
     /// What TLS towards servers is made from; none is spoken where there is none.
-    server_tls: Option<tls::Client>,
+    server_tls: Option<tls::ClientContext>,
     /// Makes up what is told of users that are not known.
     key: [u8; 32],
     budget: Budget,
@@ -101,14 +101,14 @@
         )?;
         let now = context.reactor.now();
         context.reactor.set_timer(now + SWEEP_INTERVAL, TimerKind::SessionSweep);
-        let pace = Pace {
-            most: pool.servers as usize,
-            each: pool.servers_each as usize,
-            reserve: pool.servers_reserve as usize,
+        let pace = PoolLimits {
+            max_connections: pool.servers as usize,
+            max_per_key: pool.servers_each as usize,
+            reserve_per_key: pool.servers_reserve as usize,
             reserve_after: pool.reserve_after_s,
-            idle: pool.server_idle_s,
-            least: pool.servers_least as usize,
-            lifetime: pool.server_lifetime_s,
+            idle_timeout: pool.server_idle_s,
+            min_per_key: pool.servers_least as usize,
+            max_lifetime: pool.server_lifetime_s,
         };
         let mut key = [0; 32];
         files::fill_random(&mut key).map_err(io::Error::other)?;
@@ -136,7 +136,7 @@
                 .map(|file| files::read_users(file))
                 .transpose()
                 .map_err(io::Error::other)?,
-            guesses: Guesses::default(),
+            guesses: FailedLogins::default(),
             tls: files::pool_tls(pool, now).map_err(io::Error::other)?,
             server_tls: files::server_tls(pool, now).map_err(io::Error::other)?,
             key,
@@ -195,7 +195,7 @@
             .conns
             .iter()
             .filter(|(_, conn)| {
-                at_once || conn.session.as_ref().is_none_or(|s| !s.is_busy() && !s.in_transaction())
+                at_once || conn.session.as_ref().is_none_or(|s| !s.awaits_reply() && !s.in_transaction())
             })
             .map(|(slot, _)| slot)
             .collect();
@@ -203,7 +203,7 @@
             let Some(conn) = self.conns.get_mut(slot) else { continue };
             let what = "the pooler ends";
             let _ = conn.link.outbox.push(&error("FATAL", code::SHUTDOWN, what, None));
-            let _ = conn.link.turn(&mut conn.stream);
+            let _ = conn.link.process_io(&mut conn.stream);
             self.remove_client(slot, context);
         }
     }
--- a/crates/daemon/src/net/sessions/assignment.rs
+++ b/crates/daemon/src/net/sessions/assignment.rs
@@ -4,7 +4,7 @@
 
 use exchange::Answer;
 use pgwire::code;
-use pooling::{Choice, Cut, Ended, Key, Remote, Want};
+use pooling::{Acquisition, DetachReason, Disposition, Key, ServerRequest, ServerSessionState};
 use route::Ask;
 use routing::interface::{MemberId, Outcome, RequestId};
 
@@ -39,7 +39,7 @@
 }
 
 impl Sessions {
-    pub(super) fn request_server(&mut self, slot: Slot, want: &Want, context: &mut Context) {
+    pub(super) fn request_server(&mut self, slot: Slot, want: &ServerRequest, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let route = self.table.route(&Ask {
             user: &conn.user,
@@ -47,7 +47,7 @@
             application: &want.application,
             comment: want.comment.as_deref(),
             class: want.class.as_deref(),
-            reads: want.reads,
+            reads: want.read_only,
         });
         self.requests += 1;
         let id: RequestId = format!("session-{}-{}", slot.number(), self.requests).into();
@@ -99,24 +99,24 @@
                 return self.detach(slot, Outcome::Moot, None, context);
             };
             let (address, member, tenant, state) =
-                (*address, job.member.clone(), job.tenant.clone(), session.state());
+                (*address, job.member.clone(), job.tenant.clone(), session.settings_hash());
             let database = conn.database.clone();
             let Some(conn) = self.conns.get(slot) else { return };
             let key = Key { member: (*member).into(), user: self.server_user(conn), database };
-            match self.pools.take(now, &key, state, &tenant, slot.number()) {
-                Choice::Wait => return,
-                Choice::Reuse(number) => {
+            match self.pools.acquire(now, &key, state, &tenant, slot.number()) {
+                Acquisition::Wait => return,
+                Acquisition::Reuse(number) => {
                     let backend = Slot::from_number(number);
                     if self.is_alive(backend) {
                         return self.attach(slot, backend, context);
                     }
                     self.close_connection(backend);
                 }
-                Choice::Instead(number) => {
+                Acquisition::ReplaceIdle(number) => {
                     self.close_connection(Slot::from_number(number));
                     return self.open_connection(Some(slot), key, member, address, context);
                 }
-                Choice::Open => match self.unclaimed_connection(&key, address) {
+                Acquisition::Open => match self.unclaimed_connection(&key, address) {
                     Some(place) => return self.claim(slot, place),
                     None => return self.open_connection(Some(slot), key, member, address, context),
                 },
@@ -174,11 +174,11 @@
     pub(super) fn return_connection(&mut self, place: Slot, context: &mut Context) {
         let now = context.reactor.now();
         let Some(backend) = self.servers.get_mut(place) else { return };
-        let state = backend.remote.as_ref().map_or(0, Remote::state);
+        let state = backend.remote.as_ref().map_or(0, ServerSessionState::settings_hash);
         let still = backend.link.is_flushed() && backend.link.inbox.is_empty();
         let sound = !backend.tainted && backend.drain_until.is_none() && still;
         (backend.state, backend.client) = (ServerState::Idle, None);
-        if !self.pools.put(now, &backend.key, place.number(), state) || !sound {
+        if !self.pools.release(now, &backend.key, place.number(), state) || !sound {
             self.close_connection(place);
         }
         self.serve_waiting_sessions(context);
@@ -186,15 +186,21 @@
 
     /// Those who wait for a connection, as long as there are any.
     pub(super) fn serve_waiting_sessions(&mut self, context: &mut Context) {
-        while let Some(ticket) = self.pools.turn(context.reactor.now()) {
+        while let Some(ticket) = self.pools.next_ticket(context.reactor.now()) {
             self.find_connection(Slot::from_number(ticket), context);
         }
     }
 
     /// A session lets go of its connection.
-    pub(super) fn release(&mut self, slot: Slot, ended: Ended, outcome: Outcome, context: &mut Context) {
+    pub(super) fn release(
+        &mut self,
+        slot: Slot,
+        ended: Disposition,
+        outcome: Outcome,
+        context: &mut Context,
+    ) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        let remote = conn.session.as_mut().map(|session| session.take_remote());
+        let remote = conn.session.as_mut().map(|session| session.take_server_state());
         let place = conn.server.take();
         self.update_busy_time(slot, context.reactor.now());
         self.detach(slot, outcome, remote.as_ref().and_then(reported_role), context);
@@ -203,8 +209,8 @@
             backend.remote = remote;
         }
         match ended {
-            Ended::Kept => self.return_connection(place, context),
-            Ended::Closed => {
+            Disposition::Reuse => self.return_connection(place, context),
+            Disposition::Close => {
                 self.close_connection(place);
                 self.serve_waiting_sessions(context);
             }
@@ -215,8 +221,8 @@
     pub(super) fn detach(&mut self, slot: Slot, outcome: Outcome, role: Option<bool>, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let Some(job) = conn.assignment.take() else { return };
-        self.pools.give_up(slot.number());
-        let denied = conn.session.as_mut().is_some_and(|session| session.take_denied());
+        self.pools.cancel_wait(slot.number());
+        let denied = conn.session.as_mut().is_some_and(|session| session.take_write_denied());
         let ServerAssignment { id, attempt, member, busy_time: busy, .. } = job;
         let primary = if denied { Some(false) } else { role };
         match outcome {
@@ -233,16 +239,16 @@
     pub(super) fn revoke_connection(
         &mut self,
         slot: Slot,
-        cut: Cut,
+        cut: DetachReason,
         outcome: Outcome,
         context: &mut Context,
     ) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
         let mut actions = Vec::new();
         if let Some(session) = &mut conn.session {
-            session.lost(cut, &mut actions);
+            session.server_detached(cut, &mut actions);
         }
-        self.release(slot, Ended::Closed, outcome, context);
+        self.release(slot, Disposition::Close, outcome, context);
         match self.carry_out(slot, actions, context) {
             Step::Closed => self.remove_client(slot, context),
             _ => context.reactor.set_timer(context.reactor.now(), TimerKind::Session(slot)),
@@ -266,7 +272,7 @@
         };
         let mut actions = Vec::new();
         if let Some(session) = &mut conn.session {
-            session.refused(number, what, detail.as_deref(), &mut actions);
+            session.server_refused(number, what, detail.as_deref(), &mut actions);
         }
         match self.carry_out(slot, actions, context) {
             Step::Closed => self.remove_client(slot, context),
--- a/crates/daemon/src/net/sessions/client.rs
+++ b/crates/daemon/src/net/sessions/client.rs
@@ -7,9 +7,9 @@
 use mio::net::TcpStream;
 use pgwire::session::{self as wire, Piece};
 use pgwire::{code, error};
-use pooling::{Action, Cut, Session as Pooled};
+use pooling::{Action, DetachReason, Session as Pooled};
 use routing::interface::Outcome;
-use tls::Link;
+use tls::Transport;
 
 use super::assignment::{PendingRequest, ServerAssignment};
 use super::server::ServerState;
@@ -36,7 +36,7 @@
 
 pub(super) struct ClientConnection {
     pub(super) stream: TcpStream,
-    pub(super) link: Link,
+    pub(super) link: Transport,
     pub(super) stage: Stage,
     pub(super) session: Option<Box<Pooled>>,
     /// A login that has begun.
@@ -80,7 +80,7 @@
     /// Counts for how long the server is busy, and for how long the client is not.
     pub(super) fn update_busy_time(&mut self, slot: Slot, now: f64) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        let busy = conn.session.as_ref().is_some_and(|session| session.is_busy());
+        let busy = conn.session.as_ref().is_some_and(|session| session.awaits_reply());
         if busy != std::mem::replace(&mut conn.busy, busy) {
             conn.state_since = now;
         }
@@ -95,7 +95,7 @@
 
     pub(super) fn step(&mut self, slot: Slot, context: &mut Context) -> Step {
         let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
-        let Ok(fill) = conn.link.turn(&mut conn.stream) else { return Step::Closed };
+        let Ok(fill) = conn.link.process_io(&mut conn.stream) else { return Step::Closed };
         let written = conn.link.is_flushed();
         if conn.stage == Stage::Ending {
             if written {
@@ -106,7 +106,8 @@
         }
         // Written first: no event tells of the room that this makes. A fault is found out again by reading.
         let room = conn.server.and_then(|b| self.servers.get_mut(b)).is_none_or(|backend| {
-            let _ = backend.state != ServerState::InUse || backend.link.turn(&mut backend.stream).is_ok();
+            let _ =
+                backend.state != ServerState::InUse || backend.link.process_io(&mut backend.stream).is_ok();
             backend.link.outbox.len() < PENDING_LIMIT
         });
         let (mut actions, mut moved) = (Vec::new(), false);
@@ -130,18 +131,18 @@
             conn.session.as_mut().filter(|_| room && conn.link.outbox.len() < PENDING_LIMIT)
         {
             let mut bytes = 0;
-            while bytes < PENDING_LIMIT && session.takes() && !must_be_carried_out_first(&actions) {
+            while bytes < PENDING_LIMIT && session.accepts_message() && !must_be_carried_out_first(&actions) {
                 match pgwire::message(&mut conn.link.inbox) {
                     Ok(None) => break,
                     Ok(Some(message)) => {
                         bytes += message.body.len() + 5;
                         moved = true;
-                        session.client(message, &mut actions);
+                        session.handle_client_message(message, &mut actions);
                     }
                     Err(_) => {
                         let what = "malformed message, or one that is too long";
-                        actions.push(Action::Client(error("FATAL", code::TOO_LARGE, what, None)));
-                        actions.push(Action::End);
+                        actions.push(Action::SendToClient(error("FATAL", code::TOO_LARGE, what, None)));
+                        actions.push(Action::CloseClient);
                         moved = true;
                     }
                 }
@@ -163,7 +164,10 @@
     pub(super) fn is_stuck(&mut self, slot: Slot) -> bool {
         self.conns.get_mut(slot).is_some_and(|conn| {
             conn.link.outbox.is_empty()
-                && conn.session.as_ref().is_none_or(|session| session.takes() && !session.is_busy())
+                && conn
+                    .session
+                    .as_ref()
+                    .is_none_or(|session| session.accepts_message() && !session.awaits_reply())
         })
     }
 
@@ -179,7 +183,7 @@
         if conn.link.outbox.len() >= PENDING_LIMIT {
             return Step::Waiting;
         }
-        let fill = backend.link.turn(&mut backend.stream);
+        let fill = backend.link.process_io(&mut backend.stream);
         let (mut actions, mut bytes, mut broken) = (Vec::new(), 0, false);
         while bytes < PENDING_LIMIT && !must_be_carried_out_first(&actions) {
             match backend.flow.next(&mut backend.link.inbox) {
@@ -189,7 +193,7 @@
                         Piece::Message(message) => message.body.len() + 5,
                         Piece::Part(part) => part.len(),
                     };
-                    session.server(piece, &mut actions);
+                    session.handle_server_piece(piece, &mut actions);
                 }
                 Err(_) => {
                     broken = true;
@@ -201,7 +205,7 @@
             return self.carry_out(slot, actions, context);
         }
         if broken || !matches!(fill, Ok(Fill::Drained | Fill::Full)) {
-            self.revoke_connection(slot, Cut::Lost, Outcome::Reset, context);
+            self.revoke_connection(slot, DetachReason::Lost, Outcome::Reset, context);
             return Step::Progress;
         }
         Step::Waiting
@@ -219,20 +223,20 @@
         for action in actions {
             let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
             match action {
-                Action::Client(bytes) => {
+                Action::SendToClient(bytes) => {
                     if conn.link.outbox.push(&bytes).is_err() {
                         return Step::Closed;
                     }
                 }
-                Action::Server(bytes) => {
+                Action::SendToServer(bytes) => {
                     let backend = conn.server.and_then(|b| self.servers.get_mut(b));
                     if backend.is_some_and(|backend| backend.link.outbox.push(&bytes).is_err()) {
                         return Step::Closed;
                     }
                 }
-                Action::Want(want) => self.request_server(slot, &want, context),
-                Action::Release(ended) => self.release(slot, ended, Outcome::Ok, context),
-                Action::End => (conn.stage, conn.state_since) = (Stage::Ending, context.reactor.now()),
+                Action::RequestServer(want) => self.request_server(slot, &want, context),
+                Action::ReleaseServer(ended) => self.release(slot, ended, Outcome::Ok, context),
+                Action::CloseClient => (conn.stage, conn.state_since) = (Stage::Ending, context.reactor.now()),
             }
         }
         Step::Progress
@@ -244,7 +248,7 @@
         if let Some(wanted) = conn.pending_request.take() {
             context.events.push_back(Event::ServerRequestAbandoned(wanted.id));
         }
-        let ended = conn.session.as_mut().and_then(|session| session.gone());
+        let ended = conn.session.as_mut().and_then(|session| session.client_disconnected());
         match ended {
             Some(ended) => self.release(slot, ended, Outcome::Ok, context),
             None => self.abandon_attempt(slot, context),
@@ -256,5 +260,5 @@
 
 /// Whether what comes next has to wait until these are carried out.
 pub(super) fn must_be_carried_out_first(actions: &[Action]) -> bool {
-    matches!(actions.last(), Some(Action::Want(_) | Action::Release(_) | Action::End))
+    matches!(actions.last(), Some(Action::RequestServer(_) | Action::ReleaseServer(_) | Action::CloseClient))
 }
--- a/crates/daemon/src/net/sessions/login.rs
+++ b/crates/daemon/src/net/sessions/login.rs
@@ -8,8 +8,8 @@
 use pgwire::session::{self as wire, First};
 use pgwire::{code, error};
 use pooling::{Mode, Session as Pooled};
-use scram::{Channel, MECHANISM, MECHANISM_PLUS};
-use tls::{Link, Session};
+use scram::{ChannelBinding, MECHANISM, MECHANISM_PLUS};
+use tls::{Session, Transport};
 
 use super::client::{ClientConnection, Stage, Step};
 use super::Sessions;
@@ -27,7 +27,7 @@
             // What keeps a new one out is looked at again with the next sweep.
             let Ok((stream, address)) = listener.accept() else { return };
             let _ = stream.set_nodelay(true);
-            let link = Link::new(None, &self.budget);
+            let link = Transport::new(None, &self.budget);
             let nobody: Rc<str> = "".into();
             let slot = self.conns.insert(ClientConnection {
                 stream,
@@ -61,7 +61,7 @@
             First::Encryption => match &self.tls {
                 None => conn.link.outbox.push(b"N"),
                 // Whoever sends more before it is told that there is TLS, or asks for it twice, is no client.
-                Some(_) if !conn.link.inbox.is_empty() || conn.link.is_secured() => return Step::Closed,
+                Some(_) if !conn.link.inbox.is_empty() || conn.link.has_tls() => return Step::Closed,
                 Some(server) => {
                     let Ok(session) = Session::accept(server, &self.budget) else { return Step::Closed };
                     // Written without reading: what a quick client answers meanwhile is TLS already.
@@ -70,11 +70,11 @@
                     if !told || !conn.link.is_flushed() {
                         return Step::Closed;
                     }
-                    conn.link.secure(session, &self.budget);
+                    conn.link.start_tls(session, &self.budget);
                     return Step::Progress;
                 }
             },
-            First::Session(_) if self.pool.tls_required && !conn.link.is_secured() => {
+            First::Session(_) if self.pool.tls_required && !conn.link.has_tls() => {
                 conn.stage = Stage::Ending;
                 conn.link.outbox.push(&error("FATAL", code::NO_TLS, "only TLS is served here", None))
             }
@@ -89,7 +89,7 @@
             First::Session(options) if self.users.is_some() => {
                 let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
                 (conn.stage, conn.options) = (Stage::Login, options);
-                let offered: &[&str] = match conn.link.endpoint() {
+                let offered: &[&str] = match conn.link.channel_binding() {
                     Some(_) => &[MECHANISM_PLUS, MECHANISM],
                     None => &[MECHANISM],
                 };
@@ -127,12 +127,12 @@
             None => {
                 let verifier = self.users.as_ref().and_then(|users| users.get(&user));
                 let nonce = nonce(&mut self.rng);
-                let endpoint = conn.link.endpoint();
+                let endpoint = conn.link.channel_binding();
                 let chosen = match (wire::read_first(body), &endpoint) {
-                    (Some((MECHANISM_PLUS, step)), Some(bytes)) => Ok((step, Channel::Bound(bytes))),
-                    (Some((MECHANISM, step)), Some(_)) => Ok((step, Channel::Unbound)),
-                    (Some((MECHANISM, step)), None) => Ok((step, Channel::Open)),
-                    _ => Err(scram::Fault::Malformed),
+                    (Some((MECHANISM_PLUS, step)), Some(bytes)) => Ok((step, ChannelBinding::Bound(bytes))),
+                    (Some((MECHANISM, step)), Some(_)) => Ok((step, ChannelBinding::NotUsed)),
+                    (Some((MECHANISM, step)), None) => Ok((step, ChannelBinding::Unsupported)),
+                    _ => Err(scram::ScramError::Malformed),
                 };
                 let begun = chosen.and_then(|(step, channel)| {
                     scram::Server::begin(step, &user, verifier, &nonce, &self.key, channel)
@@ -152,7 +152,7 @@
             Ok(bytes) if !done => self.send_to_client(slot, &bytes),
             Ok(mut bytes) => {
                 let (options, from) = (std::mem::take(&mut conn.options), conn.peer_ip);
-                self.guesses.right(from);
+                self.guesses.record_success(from);
                 match self.welcome(slot, &options) {
                     Ok(welcome) => {
                         bytes.extend(welcome);
@@ -167,7 +167,7 @@
             }
             Err(fault) => {
                 context.counters.malformed += 1;
-                let wait = self.guesses.wrong(now, conn.peer_ip);
+                let wait = self.guesses.record_failure(now, conn.peer_ip);
                 logging::warn!(event = "pool.login", user, "{fault}");
                 (conn.stage, conn.reject_at) = (Stage::Rejected, now + wait);
                 Step::Waiting
--- a/crates/daemon/src/net/sessions/report.rs
+++ b/crates/daemon/src/net/sessions/report.rs
@@ -11,7 +11,7 @@
             let state = match (conn.stage, attached) {
                 (Stage::Startup | Stage::Login | Stage::Rejected, _) => "login",
                 (Stage::Ending, _) => "ending",
-                (Stage::Running, Some(session)) if session.is_busy() => "busy",
+                (Stage::Running, Some(session)) if session.awaits_reply() => "busy",
                 (Stage::Running, Some(session)) if session.in_transaction() => "transaction",
                 (Stage::Running, _) if conn.pending_request.is_some() => "waiting",
                 (Stage::Running, _) => "idle",
@@ -25,7 +25,7 @@
                 state: state.into(),
                 lasts_s: now - conn.state_since,
                 member: backend.map(|backend| backend.member.to_string()),
-                bound_by: pins.map(|pin| pin.words().to_string()).collect(),
+                bound_by: pins.map(|pin| pin.describe().to_string()).collect(),
             }
         };
         let mut list: Vec<control::Session> = self.conns.iter().map(|(_, conn)| one(conn)).collect();
--- a/crates/daemon/src/net/sessions/server.rs
+++ b/crates/daemon/src/net/sessions/server.rs
@@ -8,10 +8,10 @@
 use operator::Pool;
 use pgwire::code;
 use pgwire::session::{self as wire, Flow, Login, Piece};
-use pooling::{Key, Remote};
+use pooling::{Key, ServerSessionState};
 use routing::interface::{MemberId, Outcome};
-use scram::{Channel, MECHANISM, MECHANISM_PLUS};
-use tls::{Link, Session};
+use scram::{ChannelBinding, MECHANISM, MECHANISM_PLUS};
+use tls::{Session, Transport};
 
 use super::login::nonce;
 use super::Sessions;
@@ -33,13 +33,13 @@
 
 pub(super) struct ServerConnection {
     pub(super) stream: TcpStream,
-    pub(super) link: Link,
+    pub(super) link: Transport,
     pub(super) flow: Flow,
     pub(super) state: ServerState,
     pub(super) key: Key,
     pub(super) member: MemberId,
     pub(super) address: SocketAddr,
-    pub(super) remote: Option<Remote>,
+    pub(super) remote: Option<ServerSessionState>,
     /// A login at the server that has begun; what has been proved by its end.
     pub(super) login: Option<scram::Client>,
     pub(super) cancel_key: (u32, u32),
@@ -89,8 +89,8 @@
         until: f64,
     ) -> ServerConnection {
         let _ = stream.set_nodelay(true);
-        let link = Link::new(None, &self.budget);
-        let remote = Some(Remote::new(self.pool.statements as usize));
+        let link = Transport::new(None, &self.budget);
+        let remote = Some(ServerSessionState::new(self.pool.statements as usize));
         let (state, flow, cancel) = (ServerState::Connecting, Flow::default(), (0, 0));
         let (client, tainted, drain) = (None, false, None);
         let login = None;
@@ -141,7 +141,7 @@
             }
             ServerState::Cancelling => {
                 let connected = backend.stream.peer_addr().is_ok();
-                if connected && !matches!(backend.link.turn(&mut backend.stream), Ok(Fill::Drained)) {
+                if connected && !matches!(backend.link.process_io(&mut backend.stream), Ok(Fill::Drained)) {
                     self.servers.remove(place);
                 }
             }
@@ -166,30 +166,30 @@
                 if self.server_tls.is_some() { ServerState::NegotiatingTls } else { ServerState::Starting };
             backend.link.outbox.push(&first).map_err(|_| Outcome::Moot)?;
         }
-        let told = |fault: &tls::Fault, backend: &ServerConnection| {
-            if !matches!(fault, tls::Fault::Broken(_)) {
+        let told = |fault: &tls::TlsError, backend: &ServerConnection| {
+            if !matches!(fault, tls::TlsError::Io(_)) {
                 logging::warn!(event = "pool.server_tls", member = &*backend.member, "no TLS: {fault}");
             }
             Outcome::ConnectFailed
         };
-        let turned = backend.link.turn(&mut backend.stream);
+        let turned = backend.link.process_io(&mut backend.stream);
         let mut fill = turned.map_err(|fault| told(&fault, backend))?;
         if backend.state == ServerState::NegotiatingTls {
             match &*backend.link.inbox.take(2) {
                 [] if fill == Fill::Drained => return Ok(()),
                 [b'S'] => {}
                 // Turned down, or something in the clear behind it, which somebody else may have put there.
-                _ => return Err(told(&tls::Fault::NotTls, backend)),
+                _ => return Err(told(&tls::TlsError::NotTls, backend)),
             }
             let Some(client) = &self.server_tls else { return Err(Outcome::Moot) };
             let address = backend.address.ip().to_string();
             let name = self.pool.server_tls_name.as_ref().unwrap_or(&address);
             let session = Session::new(client, name, &self.budget).map_err(|fault| told(&fault, backend))?;
-            backend.link.secure(session, &self.budget);
+            backend.link.start_tls(session, &self.budget);
             backend.state = ServerState::Starting;
             let first = startup_message(backend);
             backend.link.outbox.push(&first).map_err(|_| Outcome::Moot)?;
-            let turned = backend.link.turn(&mut backend.stream);
+            let turned = backend.link.process_io(&mut backend.stream);
             fill = turned.map_err(|fault| told(&fault, backend))?;
         }
         while let Some(piece) =
@@ -203,20 +203,20 @@
                         logging::warn!(event = "pool.password", member, "the server's login: {fault}");
                         return Err(Outcome::ConnectFailed);
                     }
-                    let turned = backend.link.turn(&mut backend.stream);
+                    let turned = backend.link.process_io(&mut backend.stream);
                     fill = turned.map_err(|fault| told(&fault, backend))?;
                 }
                 b'S' => {
                     if let (Some((name, value)), Some(remote)) =
                         (pgwire::parameter(&message.body), &mut backend.remote)
                     {
-                        remote.told.insert(name.into(), value.into());
+                        remote.parameters.insert(name.into(), value.into());
                     }
                 }
                 b'K' => backend.cancel_key = wire::read_key(&message.body).unwrap_or_default(),
                 b'N' => {}
                 b'Z' => {
-                    let told = backend.remote.as_ref().map(|remote| remote.told.clone());
+                    let told = backend.remote.as_ref().map(|remote| remote.parameters.clone());
                     self.server_settings.extend(told.unwrap_or_default());
                     self.finish_handshake(place, context);
                     return Ok(());
@@ -263,7 +263,7 @@
     pub(super) fn is_alive(&mut self, slot: Slot) -> bool {
         let Some(backend) = self.servers.get_mut(slot) else { return false };
         let same = self.members.get(&backend.member).is_some_and(|member| member.address == backend.address);
-        same && matches!(backend.link.turn(&mut backend.stream), Ok(Fill::Drained))
+        same && matches!(backend.link.process_io(&mut backend.stream), Ok(Fill::Drained))
             && backend.link.inbox.is_empty()
     }
 
@@ -294,17 +294,17 @@
     pool: &Pool,
     rng: &mut fastrand::Rng,
 ) -> Result<(), String> {
-    let words = |fault: scram::Fault| fault.to_string();
+    let words = |fault: scram::ScramError| fault.to_string();
     let answer = match wire::login(body) {
         // A server that skips the proof that it knows the password is not the one that was meant.
         Login::Done if backend.login.is_none() => return Ok(()),
         asked @ Login::Mechanisms(_) if asked.has(MECHANISM) || asked.has(MECHANISM_PLUS) => {
-            let endpoint = backend.link.endpoint();
+            let endpoint = backend.link.channel_binding();
             let (mechanism, channel) = match &endpoint {
-                Some(bytes) if asked.has(MECHANISM_PLUS) => (MECHANISM_PLUS, Channel::Bound(bytes)),
+                Some(bytes) if asked.has(MECHANISM_PLUS) => (MECHANISM_PLUS, ChannelBinding::Bound(bytes)),
                 // The server finds out whether its offer was struck out on the way.
-                Some(_) => (MECHANISM, Channel::Unbound),
-                None => (MECHANISM, Channel::Open),
+                Some(_) => (MECHANISM, ChannelBinding::NotUsed),
+                None => (MECHANISM, ChannelBinding::Unsupported),
             };
             let (login, first) = scram::Client::begin(&nonce(rng), channel);
             backend.login = Some(login);
@@ -335,6 +335,6 @@
 }
 
 /// Whether a server is the primary, as far as it has told; it does so from PostgreSQL 14 on.
-pub(super) fn reported_role(remote: &Remote) -> Option<bool> {
-    remote.told.get("in_hot_standby").map(|standby| standby == "off")
+pub(super) fn reported_role(remote: &ServerSessionState) -> Option<bool> {
+    remote.parameters.get("in_hot_standby").map(|standby| standby == "off")
 }
--- a/crates/explore/src/lib.rs
+++ b/crates/explore/src/lib.rs
@@ -10,8 +10,8 @@
 use buffer::{Budget, Ring};
 use pgwire::session::{first, texts, Flow, Piece};
 use pgwire::{message, Message};
-use pooling::{Action, Cut, Ended, Mode, Remote, Session};
-use scram::{Channel, Client, Server, Users, Verifier};
+use pooling::{Action, DetachReason, Disposition, Mode, ServerSessionState, Session};
+use scram::{ChannelBinding, Client, Server, Users, Verifier};
 use sql::{Kind, Token};
 
 /// A machine that is fed.
@@ -42,18 +42,18 @@
     let (mut at, mut depth) = (0, 0usize);
     while let Some(token) = lexer.next() {
         depth = match token {
-            Token::Sign('(') => depth + 1,
-            Token::Sign(')') => depth.saturating_sub(1),
+            Token::Symbol('(') => depth + 1,
+            Token::Symbol(')') => depth.saturating_sub(1),
             _ => depth,
         };
-        assert!(lexer.at() > at, "the lexer stands still at {at}");
-        at = lexer.at();
+        assert!(lexer.offset() > at, "the lexer stands still at {at}");
+        at = lexer.offset();
     }
-    assert!(text[lexer.at()..].is_empty(), "the lexer stops at {at} of {}", text.len());
-    if !lexer.is_open() {
+    assert!(text[lexer.offset()..].is_empty(), "the lexer stops at {at} of {}", text.len());
+    if !lexer.is_unterminated() {
         // A newline ends a comment that the text may have ended in.
         let more = sql::scan(&format!("{text}\n;INSERT INTO items VALUES (1)"));
-        assert!(!more.reads_only(), "a write behind it is taken for a read");
+        assert!(!more.is_read_only(), "a write behind it is taken for a read");
         // A bracket that is open holds statements as one does in a rule; past a bound they are not told apart.
         let apart =
             !more.statements.iter().any(|one| matches!(one.kind, Kind::Unknown("too many statements")));
@@ -168,7 +168,7 @@
         }
         count
     };
-    actions.iter().map(|action| if let Action::Client(bytes) = action { of(bytes) } else { 0 }).sum()
+    actions.iter().map(|action| if let Action::SendToClient(bytes) = action { of(bytes) } else { 0 }).sum()
 }
 
 /// A session between a client and a server that say anything: nothing is sent to a server that it does not have, what
@@ -189,26 +189,33 @@
             }
         };
         match step >> 5 {
-            0..=2 if session.takes() => {
+            0..=2 if session.accepts_message() => {
                 let message = if step >> 5 == 2 { made_up(b"QPBDECHSFdcfp", step) } else { usual(step) };
                 // Each of these is answered with one; what is no message at all with one at the most.
                 asked += 1;
-                session.client(message, &mut out);
+                session.handle_client_message(message, &mut out);
+            }
+            3 | 4 if session.is_attached() => {
+                session.handle_server_piece(Piece::Message(told(step)), &mut out)
             }
-            3 | 4 if session.is_attached() => session.server(Piece::Message(told(step)), &mut out),
             5 if session.is_attached() => {
                 let message = made_up(b"123CEZTtnsISNGHcA", step);
-                session.server(Piece::Message(message), &mut out);
+                session.handle_server_piece(Piece::Message(message), &mut out);
             }
-            6 if !session.takes() && !session.is_attached() && step & 1 == 0 => {
-                session.attach(Remote::new(2), &mut out);
+            6 if !session.accepts_message() && !session.is_attached() && step & 1 == 0 => {
+                session.attach(ServerSessionState::new(2), &mut out);
             }
-            6 if !session.takes() && !session.is_attached() => {
-                session.refused("53300", "later", None, &mut out)
+            6 if !session.accepts_message() && !session.is_attached() => {
+                session.server_refused("53300", "later", None, &mut out)
             }
             7 if session.is_attached() => {
-                let cut = [Cut::Lost, Cut::Drained, Cut::IdleInTransaction, Cut::Statement];
-                session.lost(cut[usize::from(step) % 4], &mut out);
+                let cut = [
+                    DetachReason::Lost,
+                    DetachReason::Drained,
+                    DetachReason::IdleInTransaction,
+                    DetachReason::StatementTimeout,
+                ];
+                session.server_detached(cut[usize::from(step) % 4], &mut out);
                 attached = false;
             }
             _ => continue,
@@ -216,15 +223,20 @@
         attached |= session.is_attached();
         for action in &out {
             match action {
-                Action::Server(_) => assert!(attached, "something is sent to a server that there is not"),
-                Action::Release(kept) => {
+                Action::SendToServer(_) => {
+                    assert!(attached, "something is sent to a server that there is not")
+                }
+                Action::ReleaseServer(kept) => {
                     attached = false;
                     assert!(!session.is_attached(), "let go of and still held");
-                    let open = session.in_transaction() || session.is_busy();
-                    assert!(!open || *kept == Ended::Closed, "a connection with something open is passed on");
+                    let open = session.in_transaction() || session.awaits_reply();
+                    assert!(
+                        !open || *kept == Disposition::Close,
+                        "a connection with something open is passed on"
+                    );
                 }
-                Action::End => ended = true,
-                Action::Client(_) | Action::Want(_) => {}
+                Action::CloseClient => ended = true,
+                Action::SendToClient(_) | Action::RequestServer(_) => {}
             }
         }
         told_ready += readies(&out);
@@ -235,9 +247,9 @@
 /// A login and a file of users: no text upsets either, and no proof is taken that was not made with the password.
 pub fn login(bytes: &[u8]) {
     let text = String::from_utf8_lossy(bytes);
-    if let Ok(users) = Users::read(&text) {
+    if let Ok(users) = Users::parse(&text) {
         assert_eq!(
-            Users::read(&users.text()).as_ref(),
+            Users::parse(&users.to_text()).as_ref(),
             Ok(&users),
             "a file that is written is read as another"
         );
@@ -245,7 +257,7 @@
     let verifier = Verifier::new("pencil", b"salt", 1);
     let mut lines = text.split('\n');
     let mut line = || lines.next().unwrap_or_default();
-    for channel in [Channel::Open, Channel::Unbound, Channel::Bound(b"here")] {
+    for channel in [ChannelBinding::Unsupported, ChannelBinding::NotUsed, ChannelBinding::Bound(b"here")] {
         if let Ok((server, _)) = Server::begin(line(), "user", Some(&verifier), "nonce", b"secret", channel) {
             assert!(server.finish(line()).is_err(), "a proof without the password is taken");
         }
--- a/crates/footprint/src/report.rs
+++ b/crates/footprint/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::error::file;
 use crate::MeasureError;
-use measure::{Coefficient, Fit, Machine, Point, Spread};
+use measure::{Coefficient, Fit, Host, Point, Spread};
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -185,7 +185,7 @@
 
 #[derive(Serialize)]
 struct Document<'a> {
-    machine: &'a Machine,
+    machine: &'a Host,
     seed: u64,
     repeats: usize,
     partial: &'a Option<String>,
@@ -205,7 +205,7 @@
     }
 
     /// Says that the report is partial, and why.
-    pub fn ended_early(&mut self, cause: &MeasureError) {
+    pub fn record_early_end(&mut self, cause: &MeasureError) {
         self.partial = Some(cause.to_string());
     }
 
@@ -220,14 +220,14 @@
     }
 
     /// The whole report as JSON.
-    pub fn json(&self, machine: &Machine, seed: u64, repeats: usize) -> String {
+    pub fn json(&self, machine: &Host, seed: u64, repeats: usize) -> String {
         let (partial, notes, quantities) = (&self.partial, &self.notes[..], self.fitted());
         let document = Document { machine, seed, repeats, partial, notes, quantities };
         serde_json::to_string_pretty(&document).unwrap_or_default()
     }
 
     /// The whole report for people.
-    pub fn text(&self, machine: &Machine, seed: u64, repeats: usize) -> String {
+    pub fn text(&self, machine: &Host, seed: u64, repeats: usize) -> String {
         let mut lines = vec![format!("machine: {machine}"), format!("seed {seed}, {repeats} repeats")];
         lines.extend(self.fitted().iter().map(Fitted::to_string));
         lines.extend(self.notes.iter().map(|note| format!("note: {note}")));
@@ -240,7 +240,7 @@
     let Definition { name, unit, scale, per, target } = quantity.definition();
     let scaled: Vec<Point> = points.iter().map(|point| Point::new(point.size, point.value * scale)).collect();
     let linear = Fit::linear(&scaled).ok()?;
-    let (at_target, extrapolated) = (linear.at(target), linear.extrapolates(target));
+    let (at_target, extrapolated) = (linear.value_at(target), linear.extrapolates(target));
     let square = Fit::square(&scaled).ok();
     Some(Fitted { name, unit, per, linear, square, sizes: spreads(&scaled), target, at_target, extrapolated })
 }
@@ -279,7 +279,7 @@
 
 /// A slope of two reports.
 #[derive(Clone, Debug, Serialize)]
-pub struct Compared {
+pub struct Comparison {
     pub name: String,
     pub first: Coefficient,
     pub second: Coefficient,
@@ -287,9 +287,9 @@
     pub agree: bool,
 }
 
-impl fmt::Display for Compared {
+impl fmt::Display for Comparison {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Compared { name, first, second, agree } = self;
+        let Comparison { name, first, second, agree } = self;
         let verdict = if *agree { "agree" } else { "DIFFER" };
         let errors = (first.value - second.value).abs() / first.error.hypot(second.error);
         write!(formatter, "{name}: {first}, {second}: {verdict} ({errors:.1} combined errors apart)")
@@ -297,11 +297,11 @@
 }
 
 /// Compares the slopes of two reports in JSON, by the names that both have.
-pub fn compare(first: &Path, second: &Path) -> Result<Vec<Compared>, MeasureError> {
+pub fn compare(first: &Path, second: &Path) -> Result<Vec<Comparison>, MeasureError> {
     let (first, second) = (slopes(first)?, slopes(second)?);
     let both = first.into_iter().filter_map(|(name, first)| {
         let second = *second.get(&name)?;
-        Some(Compared { agree: first.agrees_with(&second, AGREEMENT), name, first, second })
+        Some(Comparison { agree: first.agrees_with(&second, AGREEMENT), name, first, second })
     });
     Ok(both.collect())
 }
--- a/crates/footprint/src/stand_in/discovery.rs
+++ b/crates/footprint/src/stand_in/discovery.rs
@@ -45,13 +45,13 @@
     }
 
     /// Tells the pooler that watches one document; false where nobody watches. Its length on the wire in bytes.
-    pub fn tell(&self, document: &str) -> Option<usize> {
+    pub fn push_list(&self, document: &str) -> Option<usize> {
         let bytes = line(document);
         self.shared.write(&bytes).then_some(bytes.len())
     }
 
     /// Calls that were answered so far.
-    pub fn calls(&self) -> u64 {
+    pub fn request_count(&self) -> u64 {
         self.shared.calls.load(Ordering::SeqCst)
     }
 }
@@ -72,7 +72,7 @@
                 Err(_) => return,
             }
             if Instant::now() >= beat {
-                self.write(&peers::chunks([&b"\n"[..]]));
+                self.write(&peers::encode_chunks([&b"\n"[..]]));
                 beat = Instant::now() + BEAT;
             }
         }
@@ -96,7 +96,7 @@
             }
         }
         let whole = self.whole.lock().unwrap_or_else(PoisonError::into_inner);
-        if stream.write_all(peers::HEAD.as_bytes()).and_then(|()| stream.write_all(&whole)).is_ok() {
+        if stream.write_all(peers::RESPONSE_HEAD.as_bytes()).and_then(|()| stream.write_all(&whole)).is_ok() {
             *self.watch.lock().unwrap_or_else(PoisonError::into_inner) = Some(stream);
             self.calls.fetch_add(1, Ordering::SeqCst);
         }
@@ -110,5 +110,5 @@
 
 /// A document as one line, in a chunk.
 fn line(document: &str) -> Vec<u8> {
-    peers::chunks([format!("{document}\n").as_bytes()])
+    peers::encode_chunks([format!("{document}\n").as_bytes()])
 }
