--- a/crates/daemon/src/cli/route.rs
+++ b/crates/daemon/src/cli/route.rs
@@ -70,8 +70,7 @@
 fn explain(args: &Explain) -> Result<(), String> {
     let (_, platform) = load(args.config.clone())?;
     let document = files::read_document(&args.operator)?.1;
-    let effective =
-        EffectiveConfig::new(&platform, document)
+    let effective = EffectiveConfig::new(&platform, document)
         .map_err(|conflicts| crate::net::describe_conflicts(&conflicts))?;
     let scan = sql::scan(&args.sql);
     let reads = pooling::can_run_on_replica(&scan);
--- a/crates/daemon/src/net/pooler.rs
+++ b/crates/daemon/src/net/pooler.rs
@@ -42,7 +42,7 @@
 use super::event_loop::{self, Handler, Reactor, Slot, Source, TimerKind};
 use super::registry::Registry;
 use super::servers::Servers;
-use super::sessions::{Detachment, ServerRequest, Sessions};
+use super::sessions::{Detachment, RoutedServerRequest, Sessions};
 use super::{Context, Event, ServerTask, TaskResult};
 use crate::counters::{count_outcome, Counters};
 use crate::files;
@@ -559,8 +559,8 @@
     }
 
     /// A session of an ordinary client wants a server: one request, whatever it does with it.
-    fn handle_server_request(&mut self, slot: Slot, wanted: ServerRequest, context: &mut Context) {
-        let ServerRequest { id, class, tenant, group } = wanted;
+    fn handle_server_request(&mut self, slot: Slot, wanted: RoutedServerRequest, context: &mut Context) {
+        let RoutedServerRequest { id, class, tenant, group } = wanted;
         let Some(&ActiveClass { number, stable_id: counted, consistency, .. }) =
             self.classes.iter().find(|c| c.name == class)
         else {
--- a/crates/daemon/src/net/pooler/configuration.rs
+++ b/crates/daemon/src/net/pooler/configuration.rs
@@ -162,7 +162,9 @@
             self.discovery.set_address(effective.discovery, context);
         }
         let (pool, now) = (&effective.document.pool, context.reactor.now());
-        self.sessions.iter_mut().for_each(|sessions| sessions.reconfigure(pool, effective.route_table(), now));
+        self.sessions
+            .iter_mut()
+            .for_each(|sessions| sessions.reconfigure(pool, effective.route_table(), now));
         self.select_list_source(&effective, context);
         self.apply_overrides(&effective, context);
         // A list of the operator's own may have been taken out.
--- a/crates/daemon/src/net/sessions.rs
+++ b/crates/daemon/src/net/sessions.rs
@@ -36,7 +36,7 @@
 
 /// What a session needs a server for, placed.
 #[derive(Debug)]
-pub(crate) struct ServerRequest {
+pub(crate) struct RoutedServerRequest {
     pub id: RequestId,
     pub class: String,
     pub tenant: String,
--- a/crates/daemon/src/net/sessions/assignment.rs
+++ b/crates/daemon/src/net/sessions/assignment.rs
@@ -11,7 +11,7 @@
 use super::client::Step;
 use super::members::Member;
 use super::server::{reported_role, ServerConnection, ServerState};
-use super::{Detachment, ServerRequest, Sessions};
+use super::{Detachment, RoutedServerRequest, Sessions};
 use crate::net::event_loop::{Slot, TimerKind};
 use crate::net::{Context, Event};
 
@@ -53,7 +53,7 @@
         let id: RequestId = format!("session-{}-{}", slot.number(), self.requests).into();
         let (tenant, group, primary) = (route.tenant.clone(), route.group, route.primary);
         conn.pending_request = Some(PendingRequest { id: id.clone(), tenant, group, primary });
-        let wanted = ServerRequest { id, class: route.class, tenant: route.tenant, group };
+        let wanted = RoutedServerRequest { id, class: route.class, tenant: route.tenant, group };
         context.events.push_back(Event::ServerRequested(slot, Box::new(wanted)));
         self.probe_for_primary(context);
     }
--- a/crates/daemon/src/net/sessions/client.rs
+++ b/crates/daemon/src/net/sessions/client.rs
@@ -236,7 +236,9 @@
                 }
                 Action::RequestServer(want) => self.request_server(slot, &want, context),
                 Action::ReleaseServer(ended) => self.release(slot, ended, Outcome::Ok, context),
-                Action::CloseClient => (conn.stage, conn.state_since) = (Stage::Ending, context.reactor.now()),
+                Action::CloseClient => {
+                    (conn.stage, conn.state_since) = (Stage::Ending, context.reactor.now())
+                }
             }
         }
         Step::Progress
