--- a/crates/daemon/src/net/clients/connection.rs
+++ b/crates/daemon/src/net/clients/connection.rs
@@ -389,7 +389,7 @@
                     context.counters.refused += 1;
                     return self.pipeline.reply(error(code::TURNED_AWAY, "no memory", None));
                 };
-                query.statement.granted(charge);
+                query.statement.set_charge(charge);
                 self.asked = true;
                 context.counters.pipelined += u64::from(!self.pipeline.is_empty());
                 context.events.push_back(Event::Asked(slot, self.pipeline.begin(), query));
--- a/crates/daemon/src/net/proxy.rs
+++ b/crates/daemon/src/net/proxy.rs
@@ -460,7 +460,9 @@
         let named = self.classes.iter().find(|class| class.name == query.class);
         let invalid = match named {
             None => Some("unknown class"),
-            Some(class) if class.effect == Effect::Keyed && !query.keyed => Some("this class needs a key"),
+            Some(class) if class.effect == Effect::Keyed && !query.has_idempotency_key => {
+                Some("this class needs a key")
+            }
             // Two requests of one id could not be told apart, and the db machine would see a second copy.
             Some(_) if self.requests.contains_key(&id) => Some("this id is in use"),
             Some(_) => None,
@@ -475,14 +477,14 @@
         let tenant = self.tenants.iter().find(|(name, _)| *name == query.tenant).map(|(_, number)| *number);
         // One that is not known has no number that the policy knows.
         let tenant = tenant.unwrap_or(usize::MAX);
-        let access = Access { group: query.group, key: query.key.clone(), consistency };
+        let access = Access { group: query.group, key: query.session_key.clone(), consistency };
         let arrival = Arrival {
             id: id.clone(),
             class,
             group: query.group,
-            left: query.patience.min(self.kill_at - now),
-            token: query.after,
-            session: query.key.filter(|_| sessions).map(Into::into),
+            left: query.timeout.min(self.kill_at - now),
+            token: query.required_position,
+            session: query.session_key.filter(|_| sessions).map(Into::into),
             tenant,
             predicted: None,
             repeat: query.repeat,
--- a/crates/daemon/src/net/servers.rs
+++ b/crates/daemon/src/net/servers.rs
@@ -280,7 +280,7 @@
     fn ask(&mut self, now: f64) -> bool {
         let Some(job) = self.job.as_ref().filter(|job| now < job.write_by) else { return false };
         let sql = match &job.task {
-            Task::Attempt(_, _, statement) => statement.with_patience(job.give_up - now),
+            Task::Attempt(_, _, statement) => statement.with_timeout(job.give_up - now),
             Task::Probe => ASK_LOAD.to_vec(),
         };
         (self.stage, self.until) = (Stage::Busy, job.give_up);
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -21,7 +21,7 @@
     }
 
     /// Holds its part of the memory for as long as it lives.
-    pub fn granted(&mut self, charge: Charge) {
+    pub fn set_charge(&mut self, charge: Charge) {
         self.charge = Some(charge);
     }
 
@@ -32,7 +32,7 @@
     }
 
     /// The same statement with another time to wait (seconds; told in whole milliseconds, at least one).
-    pub fn with_patience(&self, seconds: f64) -> Vec<u8> {
+    pub fn with_timeout(&self, seconds: f64) -> Vec<u8> {
         let millis = ((seconds * 1000.0) as u64).max(1).to_string();
         [&self.text[..self.patience.start], &millis, &self.text[self.patience.end..]].concat().into_bytes()
     }
@@ -50,15 +50,15 @@
     /// Its group of machines.
     pub group: u32,
     /// How long the client will wait (seconds).
-    pub patience: f64,
+    pub timeout: f64,
     /// Whether it carries an idempotency key.
-    pub keyed: bool,
+    pub has_idempotency_key: bool,
     /// Whether the client marked it as a repeat.
     pub repeat: bool,
     /// The position that the answer must see, where the client says which (Unix seconds).
-    pub after: Option<f64>,
+    pub required_position: Option<f64>,
     /// The quoted key, where there is one: names the session.
-    pub key: Option<String>,
+    pub session_key: Option<String>,
     /// What is to be carried out.
     pub statement: Statement,
 }
--- a/crates/pgwire/src/lib.rs
+++ b/crates/pgwire/src/lib.rs
@@ -359,13 +359,13 @@
         class: need(class).ok_or("no class in the comment")?,
         tenant: need(tenant).unwrap_or_default(),
         group,
-        patience: millis(patience)
+        timeout: millis(patience)
             .filter(|seconds| *seconds > 0.0)
             .ok_or("d is not a number of milliseconds above 0")?,
-        keyed: keyed.is_some(),
+        has_idempotency_key: keyed.is_some(),
         repeat: repeat.is_some_and(|(value, _)| value == "1"),
-        after,
-        key: rest.split('\'').nth(1).filter(|_| rest.matches('\'').count() >= 2).map(String::from),
+        required_position: after,
+        session_key: rest.split('\'').nth(1).filter(|_| rest.matches('\'').count() >= 2).map(String::from),
         statement: Statement::new(sql.into(), place),
     })))
 }
