--- a/crates/buffer/src/lib.rs
+++ b/crates/buffer/src/lib.rs
@@ -16,7 +16,7 @@
 const KEEP: usize = 4 * 1024;
 /// Most bytes that one buffer holds: the largest message either protocol may carry, with its frame. A value
 /// is at most 64 KiB, which written out in hexadecimal is twice that.
-pub const BOUND: usize = 160 * 1024;
+pub const MAX_BUFFER_BYTES: usize = 160 * 1024;
 
 /// Why reading stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -103,7 +103,7 @@
     }
 }
 
-/// A queue of bytes that grows up to [`BOUND`], as far as its budget reaches.
+/// A queue of bytes that grows up to [`MAX_BUFFER_BYTES`], as far as its budget reaches.
 pub struct Ring {
     buffer: Vec<u8>,
     head: usize,
@@ -133,11 +133,11 @@
     /// Makes room for `more` bytes, if the bound allows.
     fn reserve(&mut self, more: usize) -> Result<(), Overflow> {
         let need = self.len + more;
-        if need > BOUND {
+        if need > MAX_BUFFER_BYTES {
             return Err(Overflow);
         }
         if need > self.buffer.len() {
-            let size = need.next_power_of_two().clamp(START, BOUND);
+            let size = need.next_power_of_two().clamp(START, MAX_BUFFER_BYTES);
             self.charge.set(size)?;
             let mut buffer = vec![0; size];
             self.copy(0, &mut buffer[..self.len]);
@@ -185,7 +185,7 @@
 
     /// Pushes a short message that is owed whatever is left of the budget. A buffer goes past the budget by [`START`] at the
     /// most for it, so all together by that for each connection.
-    pub fn push_owed(&mut self, bytes: &[u8]) -> Result<(), Overflow> {
+    pub fn push_over_budget(&mut self, bytes: &[u8]) -> Result<(), Overflow> {
         if self.push(bytes).is_ok() {
             return Ok(());
         }
@@ -231,7 +231,7 @@
     }
 
     /// A copy of what stands first, `most` bytes at the most, left where it is.
-    pub fn first(&self, most: usize) -> Vec<u8> {
+    pub fn peek_up_to(&self, most: usize) -> Vec<u8> {
         let mut bytes = vec![0; most.min(self.len)];
         self.copy(0, &mut bytes);
         bytes
@@ -239,7 +239,7 @@
 
     /// Takes as many bytes as are there, `count` at the most.
     pub fn take(&mut self, count: usize) -> Vec<u8> {
-        let bytes = self.first(count);
+        let bytes = self.peek_up_to(count);
         self.skip(bytes.len());
         bytes
     }
@@ -266,7 +266,7 @@
 
     #[test]
     fn bytes_come_out_in_their_order_however_they_lie() {
-        let mut ring = Ring::new(&Budget::new(BOUND));
+        let mut ring = Ring::new(&Budget::new(MAX_BUFFER_BYTES));
         let (mut put, mut got): (u8, u8) = (0, 0);
         // Odd sizes put the seam at every place, and more goes in than out, so it grows meanwhile.
         let mut check = |bytes: Vec<u8>| {
@@ -293,8 +293,8 @@
         let (mut full, mut owing) = (Ring::new(&budget), Ring::new(&budget));
         full.push(&[1; START]).unwrap();
         assert!(owing.push(&[2; 10]).is_err());
-        owing.push_owed(&[2; 10]).unwrap();
-        assert!(owing.push_owed(&[2; START]).is_err(), "once, and short");
+        owing.push_over_budget(&[2; 10]).unwrap();
+        assert!(owing.push_over_budget(&[2; START]).is_err(), "once, and short");
         assert_eq!(budget.used(), 2 * START);
         assert_eq!(owing.take(20), [2; 10]);
         drop((full, owing));
@@ -303,14 +303,14 @@
 
     #[test]
     fn all_buffers_share_their_budget_and_give_it_back() {
-        let budget = Budget::new(BOUND + START);
+        let budget = Budget::new(MAX_BUFFER_BYTES + START);
         let (mut one, mut two) = (Ring::new(&budget), Ring::new(&budget));
-        one.push(&vec![1; BOUND]).unwrap();
+        one.push(&vec![1; MAX_BUFFER_BYTES]).unwrap();
         assert!(one.push(&[1]).is_err(), "past its own bound");
         two.push(&[2]).unwrap();
         assert!(two.push(&vec![2; START]).is_err(), "past the budget of both");
-        assert_eq!(two.fill(&mut &[3; BOUND][..]).unwrap(), Fill::Full);
-        one.skip(BOUND);
+        assert_eq!(two.fill(&mut &[3; MAX_BUFFER_BYTES][..]).unwrap(), Fill::Full);
+        one.skip(MAX_BUFFER_BYTES);
         assert_eq!(two.fill(&mut &[3; START][..]).unwrap(), Fill::Ended);
         drop((one, two));
         assert_eq!(budget.used(), 0);
--- a/crates/buffer/src/lines.rs
+++ b/crates/buffer/src/lines.rs
@@ -51,7 +51,7 @@
     }
 
     /// Bytes held.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.pending.len()
     }
 }
--- a/crates/control/tests/messages.rs
+++ b/crates/control/tests/messages.rs
@@ -51,7 +51,7 @@
             }
         }
         assert_eq!(taken, [&status[..status.len() - 1], &show[..show.len() - 1]]);
-        assert_eq!(lines.held(), 0);
+        assert_eq!(lines.buffered_bytes(), 0);
     }
     let mut lines = Lines::new(LONGEST_LINE);
     assert_eq!(lines.push(&vec![b'a'; LONGEST_LINE]), Ok(()));
--- a/crates/daemon/src/net/clients/connection.rs
+++ b/crates/daemon/src/net/clients/connection.rs
@@ -221,8 +221,8 @@
             }
             let Some(reply) = self.pipeline.next_reply() else { return Ok(true) };
             // Guards an answer that is owed against short memory: the client is told at least that it failed.
-            if self.outbox.push_owed(&reply.bytes).is_err() {
-                self.outbox.push_owed(&error(
+            if self.outbox.push_over_budget(&reply.bytes).is_err() {
+                self.outbox.push_over_budget(&error(
                     code::FAILED,
                     "no memory for the answer: it may have run",
                     None,
@@ -336,7 +336,7 @@
         match first {
             Startup::Encryption => self.outbox.push(b"N")?,
             Startup::Session => {
-                self.outbox.push_owed(&pgwire::welcome((slot.number() as u32, self.secret)))?;
+                self.outbox.push_over_budget(&pgwire::welcome((slot.number() as u32, self.secret)))?;
                 self.stage = Stage::Open;
             }
             Startup::Cancel(key) => {
--- a/crates/daemon/src/net/control.rs
+++ b/crates/daemon/src/net/control.rs
@@ -109,8 +109,11 @@
     }
 
     fn turn(&mut self, slot: Slot, context: &mut Context) -> io::Result<()> {
-        let others =
-            self.conns.iter().filter(|(other, conn)| *other != slot && conn.lines.held() > LONG).count();
+        let others = self
+            .conns
+            .iter()
+            .filter(|(other, conn)| *other != slot && conn.lines.buffered_bytes() > LONG)
+            .count();
         let Some(conn) = self.conns.get_mut(slot) else { return Ok(()) };
         conn.flush(context.reactor.now())?;
         let mut piece = [0; PIECE];
@@ -129,7 +132,7 @@
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
                 Ok(count) => {
                     conn.heard = context.reactor.now();
-                    let long = conn.lines.held() + count > LONG;
+                    let long = conn.lines.buffered_bytes() + count > LONG;
                     if long && others > 0 {
                         conn.last_word(Code::Busy, "another long call is being taken in".into(), conn.heard)?;
                     } else if conn.lines.push(&piece[..count]).is_err() {
--- a/crates/daemon/src/net/discovery.rs
+++ b/crates/daemon/src/net/discovery.rs
@@ -15,7 +15,7 @@
 
 /// Memory for the buffers of all connections to discovery (bytes), of its own: what clients and machines take of theirs must not
 /// keep the list from being read.
-const MEMORY: usize = 2 * follow::MOST * buffer::BOUND;
+const MEMORY: usize = 2 * follow::MOST * buffer::MAX_BUFFER_BYTES;
 
 struct Watch {
     line: Line,
--- a/crates/daemon/src/net/registry.rs
+++ b/crates/daemon/src/net/registry.rs
@@ -546,13 +546,13 @@
                         Piece::Head(_) => {}
                         Piece::Body(bytes) => {
                             lines.push(&bytes).map_err(|_| "a line too long")?;
-                            charge.set(lines.held()).map_err(|_| "no memory left")?;
+                            charge.set(lines.buffered_bytes()).map_err(|_| "no memory left")?;
                             while let Some(line) = lines.take() {
                                 if !line.trim_ascii().is_empty() {
                                     heard.push(Heard::Sync(Input::Told(call, wire::told(&line))));
                                 }
                             }
-                            let _ = charge.set(lines.held());
+                            let _ = charge.set(lines.buffered_bytes());
                         }
                         Piece::End => {
                             // Guards against a refusal that is not told: its body need not end with a line end.
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -141,7 +141,7 @@
                 }
                 Part::Rest => return Ok(body(inbox, u64::MAX).map(|(bytes, _)| Piece::Body(bytes))),
                 Part::Size => {
-                    let size = inbox.first(LONGEST_SIZE);
+                    let size = inbox.peek_up_to(LONGEST_SIZE);
                     match httparse::parse_chunk_size(&size) {
                         Ok(httparse::Status::Complete((length, size))) => {
                             inbox.skip(length);
@@ -166,7 +166,7 @@
                 },
                 Part::Trailer => {
                     // Nothing that stands there is needed: each line is passed over, an empty one ends it.
-                    let bytes = inbox.first(LONGEST_HEAD);
+                    let bytes = inbox.peek_up_to(LONGEST_HEAD);
                     match bytes.windows(2).position(|pair| pair == b"\r\n") {
                         Some(0) => {
                             inbox.skip(2);
@@ -184,7 +184,7 @@
 
     fn head(&mut self, inbox: &mut Ring) -> Result<Option<Piece>, Fault> {
         loop {
-            let bytes = inbox.first(LONGEST_HEAD);
+            let bytes = inbox.peek_up_to(LONGEST_HEAD);
             let mut fields = [httparse::EMPTY_HEADER; FIELDS];
             let mut response = httparse::Response::new(&mut fields);
             let length = match response.parse(&bytes) {
--- a/crates/pgwire/src/lib.rs
+++ b/crates/pgwire/src/lib.rs
@@ -5,11 +5,11 @@
 
 use std::ops::Range;
 
-use buffer::{Ring, BOUND};
+use buffer::{Ring, MAX_BUFFER_BYTES};
 use exchange::{Query, Statement};
 
 /// Longest body of a message: its frame must fit a buffer together with it.
-const LONGEST: usize = BOUND - 5;
+const LONGEST: usize = MAX_BUFFER_BYTES - 5;
 /// Longest value, and the longest message of a db machine that holds a name or a tag, or any other text.
 const LONGEST_VALUE: usize = 64 * 1024;
 const LONGEST_NAME: usize = 1024;
@@ -91,7 +91,7 @@
 /// Takes the next whole message of a db machine, if it is there. One that no db machine would send is found
 /// out by its head, so far as that shows it: nobody waits for the rest of what will never be whole.
 pub fn reply(ring: &mut Ring) -> Result<Option<Message>, FrameError> {
-    let first = ring.first(1);
+    let first = ring.peek_up_to(1);
     let longest = match first.first() {
         None => return Ok(None),
         Some(b'D') => LONGEST_VALUE + 6,
