--- a/crates/json/src/documents.rs
+++ b/crates/json/src/documents.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether a document has begun and not ended.
-    pub fn begun(&self) -> bool {
+    pub fn in_document(&self) -> bool {
         self.depth > 0 || self.odd
     }
 
@@ -60,7 +60,7 @@
     pub fn take(&mut self) -> Option<Piece> {
         while let Some(&byte) = self.pending.get(self.looked) {
             self.looked += 1;
-            if !self.begun() {
+            if !self.in_document() {
                 match byte {
                     b'\n' => {
                         if !std::mem::replace(&mut self.used, false) {
@@ -94,11 +94,11 @@
                 b'}' | b']' if !self.quoted => self.depth -= 1,
                 _ => {}
             }
-            if !self.begun() {
+            if !self.in_document() {
                 return Some(Piece::Document(self.cut()));
             }
         }
-        if !self.begun() {
+        if !self.in_document() {
             // White space between documents is not kept, nor is the room that a long document took.
             (self.pending, self.taken, self.looked) = (Vec::new(), 0, 0);
         }
@@ -146,13 +146,13 @@
     fn what_does_not_end_within_the_bound_is_turned_away() {
         let mut documents = Documents::new(10);
         documents.push(b"{\"12345").unwrap();
-        assert_eq!((documents.take(), documents.begun()), (None, true));
+        assert_eq!((documents.take(), documents.in_document()), (None, true));
         assert_eq!(documents.push(b"6789"), Err(TooLong));
         // White space between documents takes no room.
         let mut documents = Documents::new(10);
         for _ in 0..10 {
             documents.push(b"    \t  ").unwrap();
-            assert_eq!((documents.take(), documents.begun()), (None, false));
+            assert_eq!((documents.take(), documents.in_document()), (None, false));
         }
     }
 }
--- a/crates/json/src/lib.rs
+++ b/crates/json/src/lib.rs
@@ -11,7 +11,7 @@
 use tinyjson::JsonValue;
 
 /// Deepest nesting of JSON that is read. Guards the stack: the parser calls itself once a level.
-pub const DEEPEST: usize = 32;
+pub const MAX_DEPTH: usize = 32;
 
 /// A JSON value that may be absent; what is not there reads as null.
 #[derive(Clone, Copy)]
@@ -54,7 +54,7 @@
     }
 }
 
-/// Parses JSON; the fault in words where it is none or is nested deeper than [`DEEPEST`].
+/// Parses JSON; the fault in words where it is none or is nested deeper than [`MAX_DEPTH`].
 pub fn parse(text: &str) -> Result<JsonValue, String> {
     let (mut depth, mut quoted, mut escaped) = (0usize, false, false);
     for byte in text.bytes() {
@@ -66,8 +66,8 @@
             b']' | b'}' if !quoted => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEEPEST {
-            return Err(format!("JSON nested deeper than {DEEPEST} levels"));
+        if depth > MAX_DEPTH {
+            return Err(format!("JSON nested deeper than {MAX_DEPTH} levels"));
         }
     }
     text.parse().map_err(|error| format!("not JSON: {error}"))
--- a/crates/listing/src/connection.rs
+++ b/crates/listing/src/connection.rs
@@ -47,7 +47,7 @@
 
     /// Whether a document has begun and not ended.
     pub fn begun(&self) -> bool {
-        self.documents.begun()
+        self.documents.in_document()
     }
 
     /// What has passed since the last call.
