--- a/crates/daemon/src/cli/caller.rs
+++ b/crates/daemon/src/cli/caller.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use buffer::{Budget, Fill};
-use http1::Whole;
+use http1::FullResponse;
 use operator::Registry as Settings;
 use registry::wire::{self, after, Range, Refusal};
 use registry::{Entry, View};
@@ -137,8 +137,8 @@
     pub fn exchange(&mut self, at: usize, path: &str, body: &[u8]) -> Result<Vec<u8>, String> {
         let budget = Budget::new(2 * LONGEST);
         let (mut patient, mut link) = self.connect(at, path, body, &budget)?;
-        let mut whole = Whole::new(LONGEST, budget.charge());
-        let told = |fault: http1::Fault| fault.words().to_string();
+        let mut whole = FullResponse::new(LONGEST, budget.charge());
+        let told = |fault: http1::Fault| fault.description().to_string();
         let until = Instant::now() + Duration::from_secs_f64(self.settings.call_s) * WHOLE;
         loop {
             let fill = patient.turn(&mut link)?;
@@ -146,7 +146,7 @@
                 return Ok(body);
             }
             if fill == Fill::Ended {
-                return whole.ended().map(|(_, body)| body).map_err(told);
+                return whole.connection_closed().map(|(_, body)| body).map_err(told);
             }
             if patient.idle || Instant::now() > until {
                 return Err("no answer in time".into());
--- a/crates/daemon/src/cli/registry.rs
+++ b/crates/daemon/src/cli/registry.rs
@@ -7,7 +7,7 @@
 
 use argh::FromArgs;
 use buffer::{Budget, Fill, Lines};
-use http1::{Answer, Piece};
+use http1::{Piece, ResponseReader};
 use listing::Listing;
 use registry::schema::{self, Members};
 use registry::wire::{self, Write as Change};
@@ -441,7 +441,7 @@
                 Action::Watch(call, at, revision) => {
                     let body = wire::watch(&prefix, &wire::after(&prefix), revision);
                     match caller.connect(at, wire::WATCH, &body, &budget) {
-                        Ok(link) => open = Some((call, link, Answer::default(), Lines::new(LONGEST))),
+                        Ok(link) => open = Some((call, link, ResponseReader::default(), Lines::new(LONGEST))),
                         Err(_) => inputs.push(Input::Broken(call)),
                     }
                 }
@@ -472,7 +472,9 @@
             Some((call, (patient, link), answer, lines)) => {
                 let turned = patient.wait(wait).and_then(|()| patient.turn(link));
                 let told = turned.and_then(|fill| {
-                    while let Some(piece) = answer.next(&mut link.inbox).map_err(|f| f.words().to_string())? {
+                    while let Some(piece) =
+                        answer.next(&mut link.inbox).map_err(|f| f.description().to_string())?
+                    {
                         if let Piece::Body(bytes) = piece {
                             lines.push(&bytes).map_err(|_| "a line too long".to_string())?;
                         }
--- a/crates/daemon/src/dial.rs
+++ b/crates/daemon/src/dial.rs
@@ -56,8 +56,9 @@
         let mut link = Link::new(session.transpose().map_err(|fault| fault.to_string())?, budget);
         let host = endpoint.to_string();
         let host = self.settings.tls_name.as_ref().unwrap_or(&host);
-        let request = Request { method: "POST", target: path, host, authorization: token, json: Some(body) };
-        link.outbox.push(&request.bytes()).map_err(|_| "no memory left")?;
+        let request =
+            Request { method: "POST", target: path, host, authorization: token, json_body: Some(body) };
+        link.outbox.push(&request.to_bytes()).map_err(|_| "no memory left")?;
         Ok(link)
     }
 
--- a/crates/daemon/src/net/registry.rs
+++ b/crates/daemon/src/net/registry.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use buffer::{Budget, Charge, Fill, Lines};
-use http1::{Answer, Piece, Whole};
+use http1::{FullResponse, Piece, ResponseReader};
 use mio::net::TcpStream;
 use mio::Interest;
 use operator::Registry as Settings;
@@ -29,12 +29,12 @@
 
 /// What is expected of a connection.
 enum Taking {
-    Page(Whole),
-    Token(Whole),
+    Page(FullResponse),
+    Token(FullResponse),
     /// Line by line, for as long as it lives.
-    Watch(Answer, Lines, Charge),
+    Watch(ResponseReader, Lines, Charge),
     /// An answer about the pooler's own lease; true where it comes as a stream's line.
-    Lease(Whole, bool),
+    Lease(FullResponse, bool),
 }
 
 /// What a connection has heard, for whichever machine called.
@@ -222,13 +222,13 @@
                 match action {
                     Action::Login(call, endpoint) => {
                         let opened = self.dial.login().and_then(|body| {
-                            let taking = Taking::Token(Whole::new(LONGEST, self.budget.charge()));
+                            let taking = Taking::Token(FullResponse::new(LONGEST, self.budget.charge()));
                             self.open(call, endpoint, wire::AUTHENTICATE, &body, taking, context)
                         });
                         inputs.extend(self.opened(call, opened));
                     }
                     Action::Read(call, endpoint, range) => {
-                        let taking = Taking::Page(Whole::new(LONGEST, self.budget.charge()));
+                        let taking = Taking::Page(FullResponse::new(LONGEST, self.budget.charge()));
                         let opened = self.open(call, endpoint, wire::RANGE, &range.body(), taking, context);
                         inputs.extend(self.opened(call, opened));
                     }
@@ -236,7 +236,7 @@
                         let prefix = format!("{}/", self.settings.prefix).into_bytes();
                         let body = wire::watch(&prefix, &wire::after(&prefix), revision);
                         let lines = Lines::new(LONGEST);
-                        let taking = Taking::Watch(Answer::default(), lines, self.budget.charge());
+                        let taking = Taking::Watch(ResponseReader::default(), lines, self.budget.charge());
                         let opened = self.open(call, endpoint, wire::WATCH, &body, taking, context);
                         inputs.extend(self.opened(call, opened));
                     }
@@ -288,7 +288,7 @@
                             Ask::Keep(id) => (wire::KEEP, wire::about_lease(id)),
                             Ask::Revoke(id) => (wire::REVOKE, wire::about_lease(id)),
                         };
-                        let whole = Whole::new(LONGEST, self.budget.charge());
+                        let whole = FullResponse::new(LONGEST, self.budget.charge());
                         let taking = Taking::Lease(whole, matches!(ask, Ask::Keep(_)));
                         if let Err(fault) = self.open(call, endpoint, path, &body, taking, context) {
                             logging::warn!(event = "registry.call", "{fault}");
@@ -519,7 +519,7 @@
     /// answer: some come with status 200.
     fn take(&mut self, heard: &mut Vec<Heard>) -> Result<bool, String> {
         let (inbox, call) = (&mut self.link.inbox, self.call);
-        let told = |fault: http1::Fault| fault.words().to_string();
+        let told = |fault: http1::Fault| fault.description().to_string();
         match &mut self.taking {
             Taking::Page(whole) => {
                 let whole = whole.next(inbox).map_err(told)?;
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -27,12 +27,12 @@
     /// What goes into the field Authorization, if anything.
     pub authorization: Option<&'a str>,
     /// A JSON body; a request without one has no length either.
-    pub json: Option<&'a [u8]>,
+    pub json_body: Option<&'a [u8]>,
 }
 
 impl Request<'_> {
     /// Its bytes. What would break out of its field is left out of it: a line end ends a field.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         let clean = |text: &str| text.chars().filter(|c| !c.is_ascii_control()).collect::<String>();
         let (method, target, host) =
             (clean(self.method), clean(self.target).replace(' ', "%20"), clean(self.host));
@@ -40,11 +40,11 @@
         if let Some(token) = self.authorization {
             head += &format!("Authorization: {}\r\n", clean(token));
         }
-        if let Some(body) = self.json {
+        if let Some(body) = self.json_body {
             head += &format!("Content-Type: application/json\r\nContent-Length: {}\r\n", body.len());
         }
         head += "\r\n";
-        [head.as_bytes(), self.json.unwrap_or_default()].concat()
+        [head.as_bytes(), self.json_body.unwrap_or_default()].concat()
     }
 }
 
@@ -56,7 +56,7 @@
     /// Whether the body comes in chunks, so that it may go on for as long as the connection lives.
     pub chunked: bool,
     /// Whether the connection can be used for another request once the answer is whole.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// A piece of an answer.
@@ -74,26 +74,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// No head of HTTP/1.1, or one that is too long.
-    Head,
+    InvalidHead,
     /// Lengths that contradict each other, or are no lengths.
-    Length,
+    InvalidLength,
     /// No chunk.
-    Chunk,
+    InvalidChunk,
     /// The connection ended within it.
-    Cut,
+    Truncated,
     /// A body that is longer than is read, or than there is memory for.
-    Long,
+    TooLong,
 }
 
 impl Fault {
     /// The fault in words.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            Fault::Head => "not HTTP",
-            Fault::Length => "an answer without a sound length",
-            Fault::Chunk => "not a chunk",
-            Fault::Cut => "an answer cut off",
-            Fault::Long => "an answer too long",
+            Fault::InvalidHead => "not HTTP",
+            Fault::InvalidLength => "an answer without a sound length",
+            Fault::InvalidChunk => "not a chunk",
+            Fault::Truncated => "an answer cut off",
+            Fault::TooLong => "an answer too long",
         }
     }
 }
@@ -119,12 +119,12 @@
 
 /// Takes answers apart, one after the other.
 #[derive(Debug, Default)]
-pub struct Answer {
+pub struct ResponseReader {
     part: Part,
     informational: u32,
 }
 
-impl Answer {
+impl ResponseReader {
     /// The next piece that is there, if one is.
     pub fn next(&mut self, inbox: &mut Ring) -> Result<Option<Piece>, Fault> {
         loop {
@@ -148,7 +148,7 @@
                             self.part = if size == 0 { Part::Trailer } else { Part::Chunk(size) };
                         }
                         Ok(httparse::Status::Partial) if size.len() < LONGEST_SIZE => return Ok(None),
-                        _ => return Err(Fault::Chunk),
+                        _ => return Err(Fault::InvalidChunk),
                     }
                 }
                 Part::Chunk(left) => {
@@ -162,7 +162,7 @@
                         inbox.skip(2);
                         self.part = Part::Size;
                     }
-                    Some(_) => return Err(Fault::Chunk),
+                    Some(_) => return Err(Fault::InvalidChunk),
                 },
                 Part::Trailer => {
                     // Nothing that stands there is needed: each line is passed over, an empty one ends it.
@@ -175,7 +175,7 @@
                         }
                         Some(end) => inbox.skip(end + 2),
                         None if bytes.len() < LONGEST_HEAD => return Ok(None),
-                        None => return Err(Fault::Chunk),
+                        None => return Err(Fault::InvalidChunk),
                     }
                 }
             }
@@ -190,9 +190,9 @@
             let length = match response.parse(&bytes) {
                 Ok(httparse::Status::Complete(length)) => length,
                 Ok(httparse::Status::Partial) if bytes.len() < LONGEST_HEAD => return Ok(None),
-                _ => return Err(Fault::Head),
+                _ => return Err(Fault::InvalidHead),
             };
-            let (status, version) = (response.code.ok_or(Fault::Head)?, response.version.unwrap_or(0));
+            let (status, version) = (response.code.ok_or(Fault::InvalidHead)?, response.version.unwrap_or(0));
             let (mut chunked, mut sized, mut keep) = (false, None, version == 1);
             for field in response.headers.iter() {
                 let value = std::str::from_utf8(field.value).map(str::trim).unwrap_or_default();
@@ -200,14 +200,14 @@
                 if field.name.eq_ignore_ascii_case("transfer-encoding") {
                     // Of several codings only this one, by itself, can be undone here.
                     if !value.eq_ignore_ascii_case("chunked") || chunked {
-                        return Err(Fault::Length);
+                        return Err(Fault::InvalidLength);
                     }
                     chunked = true;
                 } else if field.name.eq_ignore_ascii_case("content-length") {
                     let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
-                    let length = value.parse::<u64>().ok().filter(|_| digits).ok_or(Fault::Length)?;
+                    let length = value.parse::<u64>().ok().filter(|_| digits).ok_or(Fault::InvalidLength)?;
                     if sized.is_some_and(|known| known != length) {
-                        return Err(Fault::Length);
+                        return Err(Fault::InvalidLength);
                     }
                     sized = Some(length);
                 } else if field.name.eq_ignore_ascii_case("connection") {
@@ -218,14 +218,14 @@
             if (100..200).contains(&status) {
                 self.informational += 1;
                 if self.informational > MOST_INFORMATIONAL {
-                    return Err(Fault::Head);
+                    return Err(Fault::InvalidHead);
                 }
                 continue;
             }
             self.informational = 0;
             // Both would let two readers see two different ends of the same answer.
             if chunked && sized.is_some() {
-                return Err(Fault::Length);
+                return Err(Fault::InvalidLength);
             }
             let bare = matches!(status, 204 | 304);
             self.part = match (bare, chunked, sized) {
@@ -235,34 +235,34 @@
                 _ => Part::Rest,
             };
             let keep = keep && self.part != Part::Rest;
-            return Ok(Some(Piece::Head(Head { status, chunked, keep })));
+            return Ok(Some(Piece::Head(Head { status, chunked, keep_alive: keep })));
         }
     }
 
     /// The connection has ended: whether that was the end of the answer, for one whose length nothing else
     /// tells, or between two.
-    pub fn ended(&self) -> Result<(), Fault> {
+    pub fn connection_closed(&self) -> Result<(), Fault> {
         match self.part {
             Part::Head | Part::Rest | Part::Sized(0) => Ok(()),
-            _ => Err(Fault::Cut),
+            _ => Err(Fault::Truncated),
         }
     }
 }
 
 /// Takes one answer whole, whatever its status: some servers put an error into the body of a 200.
 #[derive(Debug)]
-pub struct Whole {
-    answer: Answer,
+pub struct FullResponse {
+    answer: ResponseReader,
     head: Option<Head>,
     body: Vec<u8>,
     most: usize,
     charge: Charge,
 }
 
-impl Whole {
+impl FullResponse {
     /// An answer whose body has so many bytes at the most; they are charged to a budget while they are held.
-    pub fn new(most: usize, charge: Charge) -> Whole {
-        Whole { answer: Answer::default(), head: None, body: Vec::new(), most, charge }
+    pub fn new(most: usize, charge: Charge) -> FullResponse {
+        FullResponse { answer: ResponseReader::default(), head: None, body: Vec::new(), most, charge }
     }
 
     /// Takes what is there; the head and the body once both are whole.
@@ -273,7 +273,7 @@
                 Piece::Body(bytes) => {
                     let length = self.body.len() + bytes.len();
                     if length > self.most || self.charge.set(length).is_err() {
-                        return Err(Fault::Long);
+                        return Err(Fault::TooLong);
                     }
                     self.body.extend(bytes);
                 }
@@ -284,14 +284,14 @@
     }
 
     /// The connection has ended: what is there, where that was the end of the answer.
-    pub fn ended(&mut self) -> Result<(Head, Vec<u8>), Fault> {
-        self.answer.ended()?;
+    pub fn connection_closed(&mut self) -> Result<(Head, Vec<u8>), Fault> {
+        self.answer.connection_closed()?;
         self.finish()
     }
 
     fn finish(&mut self) -> Result<(Head, Vec<u8>), Fault> {
         let _ = self.charge.set(0);
-        Ok((self.head.take().ok_or(Fault::Cut)?, std::mem::take(&mut self.body)))
+        Ok((self.head.take().ok_or(Fault::Truncated)?, std::mem::take(&mut self.body)))
     }
 }
 
--- a/crates/http1/tests/answers.rs
+++ b/crates/http1/tests/answers.rs
@@ -1,12 +1,12 @@
 //! Answers, whole and in pieces, sound and not.
 
 use buffer::{Budget, Ring};
-use http1::{Answer, Fault, Head, Piece, Request};
+use http1::{Fault, Head, Piece, Request, ResponseReader};
 
 /// All pieces of bytes that come cut at `at`, bodies joined.
 fn pieces(bytes: &[u8], at: usize) -> Result<Vec<Piece>, Fault> {
     let mut inbox = Ring::new(&Budget::new(1 << 20));
-    let mut answer = Answer::default();
+    let mut answer = ResponseReader::default();
     let mut all: Vec<Piece> = Vec::new();
     for part in [&bytes[..at], &bytes[at..]] {
         inbox.push(part).unwrap();
@@ -17,11 +17,11 @@
             }
         }
     }
-    answer.ended().map(|()| all)
+    answer.connection_closed().map(|()| all)
 }
 
 fn head(status: u16, chunked: bool, keep: bool) -> Piece {
-    Piece::Head(Head { status, chunked, keep })
+    Piece::Head(Head { status, chunked, keep_alive: keep })
 }
 
 #[test]
@@ -57,17 +57,17 @@
     let long = [b"HTTP/1.1 200 OK\r\nx: ".to_vec(), vec![b'a'; 10_000]].concat();
     let informational = b"HTTP/1.1 100 Continue\r\n\r\n".repeat(20);
     for (bytes, fault) in [
-        (&b"SSH-2.0-x\r\n"[..], Fault::Head),
-        (&long, Fault::Head),
-        (&informational, Fault::Head),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", Fault::Length),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", Fault::Length),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", Fault::Length),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", Fault::Length),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", Fault::Chunk),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", Fault::Chunk),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", Fault::Cut),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab", Fault::Cut),
+        (&b"SSH-2.0-x\r\n"[..], Fault::InvalidHead),
+        (&long, Fault::InvalidHead),
+        (&informational, Fault::InvalidHead),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", Fault::InvalidLength),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", Fault::InvalidLength),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", Fault::InvalidLength),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", Fault::InvalidLength),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", Fault::InvalidChunk),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", Fault::InvalidChunk),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", Fault::Truncated),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab", Fault::Truncated),
     ] {
         assert_eq!(pieces(bytes, 0), Err(fault), "{}", String::from_utf8_lossy(bytes));
     }
@@ -80,9 +80,9 @@
         target: "/v3/kv x\r\nEvil: 1",
         host: "a\r\nb",
         authorization: Some("t\r\nEvil: 2"),
-        json: Some(b"{}"),
+        json_body: Some(b"{}"),
     };
-    let text = String::from_utf8(request.bytes()).unwrap();
+    let text = String::from_utf8(request.to_bytes()).unwrap();
     assert!(!text.contains("\r\nEvil") && text.ends_with("Content-Length: 2\r\n\r\n{}"), "{text}");
     assert!(text.starts_with("POST /v3/kv%20xEvil:%201 HTTP/1.1\r\n"));
 }
--- a/crates/listing/src/connection.rs
+++ b/crates/listing/src/connection.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use buffer::{Budget, Fill, Ring};
-use http1::{Answer, Fault, Head, Piece, Request};
+use http1::{Fault, Head, Piece, Request, ResponseReader};
 use json::Documents;
 
 const PATH: &str = "/catalog/members";
@@ -28,7 +28,7 @@
 pub struct Connection {
     inbox: Ring,
     outbox: Ring,
-    answer: Answer,
+    answer: ResponseReader,
     documents: Documents,
     passed: Passed,
 }
@@ -39,9 +39,9 @@
         let mut outbox = Ring::new(budget);
         let (target, host) = (format!("{PATH}?follow=1&since={since}"), address.to_string());
         let asked = Request { method: "GET", target: &target, host: &host, ..Request::default() };
-        outbox.push(&asked.bytes()).map_err(|_| "no connection")?;
+        outbox.push(&asked.to_bytes()).map_err(|_| "no connection")?;
         let (inbox, documents) = (Ring::new(budget), Documents::new(LONGEST));
-        let (answer, passed) = (Answer::default(), Passed::default());
+        let (answer, passed) = (ResponseReader::default(), Passed::default());
         Ok(Connection { inbox, outbox, answer, documents, passed })
     }
 
@@ -83,7 +83,7 @@
 
     /// Takes what is there of the answer.
     fn understand(&mut self, pieces: &mut Vec<json::Piece>) -> Result<(), Broken> {
-        while let Some(piece) = self.answer.next(&mut self.inbox).map_err(Fault::words)? {
+        while let Some(piece) = self.answer.next(&mut self.inbox).map_err(Fault::description)? {
             match piece {
                 Piece::Head(Head { status: 200, chunked: true, .. }) => {}
                 Piece::Head(_) => return Err("the call was turned down"),
--- a/crates/registry/tests/machine.rs
+++ b/crates/registry/tests/machine.rs
@@ -1,7 +1,7 @@
 //! Single cases of the sync machine and of the lease, fed by hand.
 
 use buffer::{Budget, Lines, Ring};
-use http1::{Answer, Piece};
+use http1::{Piece, ResponseReader};
 use proptest::prelude::*;
 use registry::kept::{decode, encode, Unsound};
 use registry::lease::{self, Ask, Lease};
@@ -211,7 +211,7 @@
 /// Feeds bytes of a watch's answer, then its end.
 fn feed(sync: &mut Sync, now: f64, number: u64, bytes: &[u8]) {
     let (mut inbox, mut answer, mut lines) =
-        (Ring::new(&Budget::new(1 << 20)), Answer::default(), Lines::new(1 << 16));
+        (Ring::new(&Budget::new(1 << 20)), ResponseReader::default(), Lines::new(1 << 16));
     inbox.push(bytes).unwrap();
     while let Some(piece) = answer.next(&mut inbox).unwrap() {
         if let Piece::Body(bytes) = piece {
