--- a/crates/daemon/src/net/proxy.rs
+++ b/crates/daemon/src/net/proxy.rs
@@ -749,7 +749,12 @@
         let pending: Vec<i32> = self.signals.pending().collect();
         for signal in pending {
             if signal == SIGUSR1 {
-                logging::info!(event = "counters", left_out = self.log.left_out(), "{}", context.counters);
+                logging::info!(
+                    event = "counters",
+                    left_out = self.log.suppressed_lines(),
+                    "{}",
+                    context.counters
+                );
             } else if signal == SIGHUP {
                 self.live(Lived::Reload(life::monotonic_us()), context);
             } else {
--- a/crates/daemon/src/net/proxy/configuration.rs
+++ b/crates/daemon/src/net/proxy/configuration.rs
@@ -154,7 +154,7 @@
         self.budget.resize(effective.memory / 2);
         (self.probe_timeout, self.retry_after) = (connect_timeout, retry_after);
         self.life.set_terms(life::terms(Some(&effective.document.daemon)));
-        self.log.set(effective.document.log.level);
+        self.log.set_level(effective.document.log.level);
         if let Some(control) = &mut self.control {
             control.set_idle(effective.document.control.idle_s);
         }
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -30,13 +30,13 @@
 
 impl Handle {
     /// Logs so much from now on.
-    pub fn set(&self, level: LogLevel) {
+    pub fn set_level(&self, level: LogLevel) {
         // Fails only where the log itself is gone, which ends with the process.
         let _ = self.level.reload(filter(level));
     }
 
     /// Lines left out because there were too many of their kind.
-    pub fn left_out(&self) -> u64 {
+    pub fn suppressed_lines(&self) -> u64 {
         self.left_out.load(Ordering::Relaxed)
     }
 }
