--- a/crates/daemon/src/cli/route.rs
+++ b/crates/daemon/src/cli/route.rs
@@ -5,7 +5,7 @@
 
 use argh::FromArgs;
 use operator::Effective;
-use route::Ask;
+use route::RouteRequest;
 use serde_json::json;
 use sql::{Kind, Scan};
 
@@ -73,25 +73,25 @@
     let effective = Effective::new(&platform, document).map_err(|conflicts| crate::net::words(&conflicts))?;
     let scan = sql::scan(&args.sql);
     let reads = pooling::only_reads(&scan);
-    let route = effective.routes().route(&Ask {
+    let route = effective.routes().route(&RouteRequest {
         user: &args.user,
         database: &args.database,
         application: &args.application,
         comment: scan.comment.as_deref(),
         class: args.class.as_deref(),
-        reads,
+        read_only: reads,
     });
     let statements = kinds(&scan);
     if args.json {
         let object = json!({"statements": statements, "reads": reads, "class": route.class, "tenant": route.tenant,
-            "group": route.group, "primary": route.primary, "because": route.because});
+            "group": route.group, "primary": route.primary_only, "because": route.reasons});
         println!("{object}");
         return Ok(());
     }
     statements.iter().for_each(|words| println!("statement: {words}"));
-    route.because.iter().for_each(|words| println!("because:   {words}"));
+    route.reasons.iter().for_each(|words| println!("because:   {words}"));
     let tenant = if route.tenant.is_empty() { "no tenant" } else { &route.tenant };
-    let where_to = if route.primary { "the primary" } else { "a replica, or the primary" };
+    let where_to = if route.primary_only { "the primary" } else { "a replica, or the primary" };
     println!("class {}, {tenant}, group {}: {where_to}", route.class, route.group);
     Ok(())
 }
--- a/crates/daemon/src/net/sessions/assignment.rs
+++ b/crates/daemon/src/net/sessions/assignment.rs
@@ -5,7 +5,7 @@
 use exchange::Answer;
 use pgwire::code;
 use pooling::{Choice, Cut, Ended, Key, Remote, Want};
-use route::Ask;
+use route::RouteRequest;
 use routing::interface::{MemberId, Outcome, RequestId};
 
 use super::client::Step;
@@ -41,17 +41,17 @@
 impl Sessions {
     pub(super) fn want(&mut self, slot: Slot, want: &Want, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        let route = self.table.route(&Ask {
+        let route = self.table.route(&RouteRequest {
             user: &conn.user,
             database: &conn.database,
             application: &want.application,
             comment: want.comment.as_deref(),
             class: want.class.as_deref(),
-            reads: want.reads,
+            read_only: want.reads,
         });
         self.requests += 1;
         let id: RequestId = format!("session-{}-{}", slot.number(), self.requests).into();
-        let (tenant, group, primary) = (route.tenant.clone(), route.group, route.primary);
+        let (tenant, group, primary) = (route.tenant.clone(), route.group, route.primary_only);
         conn.wanted = Some(Waiting { id: id.clone(), tenant, group, primary });
         let wanted = Wanted { id, class: route.class, tenant: route.tenant, group };
         context.events.push_back(Event::Wanted(slot, Box::new(wanted)));
--- a/crates/operator/src/effective.rs
+++ b/crates/operator/src/effective.rs
@@ -225,12 +225,12 @@
         let pool = &self.document.pool;
         let rules = self.document.route.iter().map(|(name, entry)| route::Rule {
             name: name.clone(),
-            rank: entry.rank,
+            priority: entry.rank,
             user: entry.user.clone(),
             database: entry.database.clone(),
             application: entry.application.clone(),
             comment: entry.comment.clone(),
-            reads: entry.reads,
+            read_only: entry.reads,
             class: entry.class.clone(),
             tenant: entry.tenant.clone(),
             group: entry.group,
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -11,7 +11,7 @@
     /// Its name, for people.
     pub name: String,
     /// Rules of a lower rank are looked at first; of one rank by name.
-    pub rank: u32,
+    pub priority: u32,
     /// The user; a `*` at the end stands for anything.
     pub user: Option<String>,
     /// The database; in the same way.
@@ -21,7 +21,7 @@
     /// A text that the leading comment holds.
     pub comment: Option<String>,
     /// Whether it only reads.
-    pub reads: Option<bool>,
+    pub read_only: Option<bool>,
     /// The class it gives.
     pub class: Option<String>,
     /// The tenant it gives.
@@ -32,7 +32,7 @@
 
 /// What is to be placed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ask<'a> {
+pub struct RouteRequest<'a> {
     /// Who asks.
     pub user: &'a str,
     /// Of which database.
@@ -44,7 +44,7 @@
     /// The class that the session has asked for by `SET dewferry.class`.
     pub class: Option<&'a str>,
     /// Whether it is known to read only.
-    pub reads: bool,
+    pub read_only: bool,
 }
 
 /// Where it is placed.
@@ -57,9 +57,9 @@
     /// Its group.
     pub group: u32,
     /// Whether only the primary serves its class.
-    pub primary: bool,
+    pub primary_only: bool,
     /// Why, a line for each step.
-    pub because: Vec<String>,
+    pub reasons: Vec<String>,
 }
 
 /// The rules and the defaults.
@@ -84,7 +84,7 @@
         (read, write): (String, String),
         (tenant, group): (String, u32),
     ) -> Table {
-        rules.sort_by(|a, b| (a.rank, &a.name).cmp(&(b.rank, &b.name)));
+        rules.sort_by(|a, b| (a.priority, &a.name).cmp(&(b.priority, &b.name)));
         let (mut all, mut primary) = (BTreeSet::new(), BTreeSet::new());
         for (class, alone) in classes {
             if alone {
@@ -96,11 +96,11 @@
     }
 
     /// Places something.
-    pub fn route(&self, ask: &Ask) -> Route {
+    pub fn route(&self, ask: &RouteRequest) -> Route {
         let mut because = Vec::new();
         let rule = self.rules.iter().find(|rule| rule.fits(ask));
         let (fallback, what) =
-            if ask.reads { (&self.read, "it only reads") } else { (&self.write, "it may write") };
+            if ask.read_only { (&self.read, "it only reads") } else { (&self.write, "it may write") };
         let mut class = fallback;
         match rule {
             Some(rule) => {
@@ -116,23 +116,23 @@
         } else if let Some(unknown) = ask.class {
             because.push(format!("the session asks for class {unknown}, which there is not"));
         }
-        if !ask.reads && !self.primary.contains(class) {
+        if !ask.read_only && !self.primary.contains(class) {
             because
                 .push(format!("class {class} may be served by a replica, and it may write: {}", self.write));
             class = &self.write;
         }
         Route {
             class: class.clone(),
-            primary: self.primary.contains(class),
+            primary_only: self.primary.contains(class),
             tenant: rule.and_then(|rule| rule.tenant.clone()).unwrap_or_else(|| self.tenant.clone()),
             group: rule.and_then(|rule| rule.group).unwrap_or(self.group),
-            because,
+            reasons: because,
         }
     }
 }
 
 impl Rule {
-    fn fits(&self, ask: &Ask) -> bool {
+    fn fits(&self, ask: &RouteRequest) -> bool {
         let like = |pattern: &Option<String>, text: &str| match pattern {
             None => true,
             Some(pattern) => match pattern.strip_suffix('*') {
@@ -147,6 +147,6 @@
                 .comment
                 .as_ref()
                 .is_none_or(|text| ask.comment.is_some_and(|comment| comment.contains(&**text)))
-            && self.reads.is_none_or(|reads| reads == ask.reads)
+            && self.read_only.is_none_or(|reads| reads == ask.read_only)
     }
 }
--- a/crates/route/tests/table.rs
+++ b/crates/route/tests/table.rs
@@ -1,10 +1,10 @@
 //! Rules and what they place where.
 
-use route::{Ask, Route, Rule, Table};
+use route::{Route, RouteRequest, Rule, Table};
 use rstest::rstest;
 
 fn table() -> Table {
-    let rule = |name: &str, rank| Rule { name: name.into(), rank, ..Rule::default() };
+    let rule = |name: &str, rank| Rule { name: name.into(), priority: rank, ..Rule::default() };
     let rules = vec![
         Rule { class: Some("late".into()), ..rule("z-last", 9) },
         Rule {
@@ -16,7 +16,7 @@
         Rule { comment: Some("job=night".into()), tenant: Some("night".into()), ..rule("night", 1) },
         Rule {
             application: Some("shop".into()),
-            reads: Some(true),
+            read_only: Some(true),
             class: Some("browse".into()),
             ..rule("shop", 0)
         },
@@ -26,8 +26,8 @@
     Table::new(rules, classes, ("read".into(), "order".into()), ("acme".into(), 2))
 }
 
-fn ask<'a>(user: &'a str, application: &'a str, reads: bool) -> Ask<'a> {
-    Ask { user, database: "shop", application, reads, ..Ask::default() }
+fn ask<'a>(user: &'a str, application: &'a str, reads: bool) -> RouteRequest<'a> {
+    RouteRequest { user, database: "shop", application, read_only: reads, ..RouteRequest::default() }
 }
 
 #[rstest]
@@ -36,17 +36,18 @@
 #[case(ask("reporter", "shop", false), "order", "acme", 4)]
 #[case(ask("clerk", "", true), "late", "acme", 2)]
 #[case(ask("clerk", "", false), "order", "acme", 2)]
-#[case(Ask { comment: Some("job=night,x=1"), ..ask("clerk", "", true) }, "read", "night", 2)]
-#[case(Ask { class: Some("browse"), ..ask("clerk", "", true) }, "browse", "acme", 2)]
-#[case(Ask { class: Some("browse"), ..ask("clerk", "", false) }, "order", "acme", 2)]
-#[case(Ask { class: Some("nothing"), ..ask("reporter", "", true) }, "reports", "acme", 4)]
+#[case(RouteRequest { comment: Some("job=night,x=1"), ..ask("clerk", "", true) }, "read", "night", 2)]
+#[case(RouteRequest { class: Some("browse"), ..ask("clerk", "", true) }, "browse", "acme", 2)]
+#[case(RouteRequest { class: Some("browse"), ..ask("clerk", "", false) }, "order", "acme", 2)]
+#[case(RouteRequest { class: Some("nothing"), ..ask("reporter", "", true) }, "reports", "acme", 4)]
 fn the_first_rule_that_fits_holds(
-    #[case] ask: Ask,
+    #[case] ask: RouteRequest,
     #[case] class: &str,
     #[case] tenant: &str,
     #[case] group: u32,
 ) {
-    let Route { class: is, tenant: of, group: at, primary, because } = table().route(&ask);
+    let Route { class: is, tenant: of, group: at, primary_only: primary, reasons: because } =
+        table().route(&ask);
     assert_eq!(primary, is == "order", "{because:?}");
     assert_eq!((&*is, &*of, at), (class, tenant, group), "{because:?}");
     assert!(!because.is_empty());
