--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -75,8 +75,8 @@
             }
             "openInstance" => {
                 let info = fields.at(2);
-                let settings =
-                    config::settings(&info.to_string()).map_err(|fault| format!("in 'info': {fault}"))?;
+                let settings = config::parse_settings(&info.to_string())
+                    .map_err(|fault| format!("in 'info': {fault}"))?;
                 let base = info["specifics"]["baseTime"].as_f64().unwrap_or(0.0);
                 let seed = fields.at(1);
                 let seed =
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -11,7 +11,7 @@
 use listing::News;
 use routing::interface::{Class, Consistency, Dedup, Effect, Settings, WhenBehind};
 
-pub use meaning::{Facts, Meaning, Reports};
+pub use meaning::{ConfigSummary, LoadReports, PlatformFacts};
 
 /// Why a configuration cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
     /// One service for all poolers: a call costs it something, and it is asked as the decisions say.
-    Asked,
+    Requested,
     /// Told unasked; on sockets by an agent on the pooler's own machine, whom to ask costs nothing.
     Pushed,
 }
@@ -45,7 +45,7 @@
     fn of(info: Node) -> Result<ListSource, ConfigError> {
         let mode = info.at("registryMode");
         match mode.text() {
-            Some("subscribe") => Ok(ListSource::Asked),
+            Some("subscribe") => Ok(ListSource::Requested),
             Some("automatic") => Ok(ListSource::Pushed),
             Some(other) => Err(format!(
                 "'registryMode' is \"{other}\"; accepted: \"subscribe\" (the list is asked for), \"automatic\" (it is pushed)"
@@ -72,7 +72,7 @@
 }
 
 /// Decodes the settings from the JSON text of the settings object.
-pub fn settings(text: &str) -> Result<Settings, ConfigError> {
+pub fn parse_settings(text: &str) -> Result<Settings, ConfigError> {
     decode(Node::new(&json::parse(text)?))
 }
 
@@ -130,7 +130,7 @@
         retry_after: limits.at("retryAfter").flag(),
         max_retry_after: number_or(limits, "maxRetryAfter", 0.0)?,
         connect_timeout: number_or(limits, "connectTimeout", 0.25)?,
-        subscribe: ListSource::of(info)? == ListSource::Asked,
+        subscribe: ListSource::of(info)? == ListSource::Requested,
         ask_within: number_or(rules, "askWithin", 10.0)?,
         cold_from: number_or(rules, "coldFrom", 1.0)?,
         warm_up: number_or(rules, "warmUp", 0.0)?,
@@ -158,15 +158,15 @@
     /// For random numbers; new with each start.
     pub seed: u64,
     /// Most file descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Most memory that the process may take (bytes).
-    pub memory: usize,
+    pub max_memory: usize,
     /// What the policy is handed.
     pub settings: Settings,
     /// How the list comes.
-    pub source: ListSource,
+    pub list_source: ListSource,
     /// What else the platform says of the deployment.
-    pub facts: Facts,
+    pub facts: PlatformFacts,
     /// Names of the classes, in the order of the settings.
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of the settings.
@@ -176,7 +176,7 @@
     /// How long a db machine keeps an idle connection (seconds).
     pub keepalive: f64,
     /// The list of db machines as last held.
-    pub known: News,
+    pub saved_list: News,
 }
 
 impl Config {
@@ -216,17 +216,17 @@
             discovery: address("discovery")?,
             seed: u64::from_str_radix(seed, 16)
                 .map_err(|_| format!("'seed' is not hexadecimal: '{seed}'"))?,
-            sockets: number_or(root.at("limits"), "sockets", 1024.0)? as usize,
-            memory: (number_or(root.at("limits"), "memory_mb", 192.0)? * 1e6) as usize,
+            max_descriptors: number_or(root.at("limits"), "sockets", 1024.0)? as usize,
+            max_memory: (number_or(root.at("limits"), "memory_mb", 192.0)? * 1e6) as usize,
             settings,
-            source: ListSource::of(info)?,
-            facts: Facts::of(info),
+            list_source: ListSource::of(info)?,
+            facts: PlatformFacts::of(info),
             classes: names("classes")?,
             tenants: names("customers")?,
             zones: names("zones")?,
             keepalive,
             // An old list that cannot be read is worth no more than none: discovery has a new one.
-            known: listing::news(root.at("known")).unwrap_or_default(),
+            saved_list: listing::news(root.at("known")).unwrap_or_default(),
         })
     }
 }
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -15,10 +15,10 @@
 
 /// How load reports come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReports {
     /// Not at all.
     #[default]
-    Silent,
+    Absent,
     /// With each answer and with probes.
     WithAnswers,
     /// With probes alone.
@@ -27,23 +27,23 @@
 
 /// What a platform's file says that no decision reads, but whoever sets a pooler up should know.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Facts {
+pub struct PlatformFacts {
     /// The kind of service; empty where the file names none.
     pub domain: String,
     /// How load reports come.
-    pub reports: Reports,
+    pub reports: LoadReports,
     /// Whether they tell a position and a role.
-    pub reports_tell: (bool, bool),
+    pub reports_carry: (bool, bool),
     /// Whether every answer tells the position of who gave it.
-    pub answers_tell: bool,
+    pub answers_carry_position: bool,
     /// How long something new may still go to a member after its drain was told (seconds), where the file says.
     pub drain_grace: Option<f64>,
     /// What the file says in words that are not known: the key, the word, and how it is taken.
-    pub unknown: Vec<(String, String, &'static str)>,
+    pub unknown_values: Vec<(String, String, &'static str)>,
 }
 
-impl Facts {
-    pub(crate) fn of(info: Node) -> Facts {
+impl PlatformFacts {
+    pub(crate) fn of(info: Node) -> PlatformFacts {
         let (load, specifics) = (info.at("loadInfo"), info.at("specifics"));
         let mut unknown = Vec::new();
         let mut word = |node: Node, key: String, known: &[&str], taken: &'static str| {
@@ -59,9 +59,9 @@
             &["piggyback", "pull", "silent"],
             "no load reports",
         ) {
-            "piggyback" => Reports::WithAnswers,
-            "pull" => Reports::WithProbes,
-            _ => Reports::Silent,
+            "piggyback" => LoadReports::WithAnswers,
+            "pull" => LoadReports::WithProbes,
+            _ => LoadReports::Absent,
         };
         word(
             specifics.at("whenBehind"),
@@ -99,38 +99,38 @@
             .iter()
             .filter_map(|f| Node::new(f).text())
             .collect();
-        Facts {
+        PlatformFacts {
             domain: info.at("domainType").text().unwrap_or_default().to_string(),
             reports,
-            reports_tell: (fields.contains(&POSITION), fields.contains(&ROLE)),
-            answers_tell: specifics.at("tellsPosition").flag(),
+            reports_carry: (fields.contains(&POSITION), fields.contains(&ROLE)),
+            answers_carry_position: specifics.at("tellsPosition").flag(),
             drain_grace: info.at("invariants").at("drainGrace").number(),
-            unknown,
+            unknown_values: unknown,
         }
     }
 }
 
 /// What a configuration means, a line a matter, and what of it can't be honoured.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Meaning {
+pub struct ConfigSummary {
     /// What holds: the matter and the words for it.
     pub lines: Vec<(&'static str, String)>,
     /// What deserves a second look, though the pooler copes with it.
-    pub doubts: Vec<String>,
+    pub warnings: Vec<String>,
     /// What the pooler can't honour.
-    pub faults: Vec<String>,
+    pub errors: Vec<String>,
 }
 
-impl Meaning {
+impl ConfigSummary {
     /// What this configuration means.
-    pub fn of(config: &Config) -> Meaning {
+    pub fn of(config: &Config) -> ConfigSummary {
         let (s, facts) = (&config.settings, &config.facts);
-        let mut meaning = Meaning::default();
+        let mut meaning = ConfigSummary::default();
         let mut say = |matter, words: String| meaning.lines.push((matter, words));
         say(
             "list",
-            match config.source {
-                ListSource::Asked => format!(
+            match config.list_source {
+                ListSource::Requested => format!(
                     "one service for all poolers at {}, watched; without a watch it is asked again within {} s",
                     config.discovery, s.ask_within
                 ),
@@ -178,9 +178,9 @@
                 s.cold_from, s.warm_up, s.fleet_size, s.tip_multiple, s.fall
             ),
         );
-        meaning.doubts = doubts(config);
+        meaning.warnings = doubts(config);
         if !facts.domain.is_empty() && facts.domain != DOMAIN {
-            meaning.faults.push(format!(
+            meaning.errors.push(format!(
                 "settings.domainType is \"{}\"; accepted: \"{DOMAIN}\" (sets of one primary and its replicas)",
                 facts.domain
             ));
@@ -189,16 +189,16 @@
     }
 }
 
-impl fmt::Display for Meaning {
+impl fmt::Display for ConfigSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let width = self.lines.iter().map(|(matter, _)| matter.len()).max().unwrap_or(0);
         for (matter, words) in &self.lines {
             writeln!(f, "  {matter:width$}  {words}")?;
         }
-        for doubt in &self.doubts {
+        for doubt in &self.warnings {
             writeln!(f, "look at: {doubt}")?;
         }
-        for fault in &self.faults {
+        for fault in &self.errors {
             writeln!(f, "can't be honoured: {fault}")?;
         }
         Ok(())
@@ -206,12 +206,12 @@
 }
 
 /// Whether the position of a replica that nobody sends to can be learnt.
-fn probes_tell(s: &Settings, facts: &Facts) -> bool {
-    s.probes && facts.reports != Reports::Silent && facts.reports_tell.0
+fn probes_tell(s: &Settings, facts: &PlatformFacts) -> bool {
+    s.probes && facts.reports != LoadReports::Absent && facts.reports_carry.0
 }
 
-fn known_of_members(s: &Settings, facts: &Facts) -> String {
-    let answers = match (facts.answers_tell, facts.reports == Reports::WithAnswers) {
+fn known_of_members(s: &Settings, facts: &PlatformFacts) -> String {
+    let answers = match (facts.answers_carry_position, facts.reports == LoadReports::WithAnswers) {
         (true, true) => "answers tell role and position, and carry load reports",
         (true, false) => "answers tell role and position",
         (false, true) => "answers carry load reports",
@@ -252,13 +252,14 @@
 fn doubts(config: &Config) -> Vec<String> {
     let (s, facts) = (&config.settings, &config.facts);
     let mut doubts = Vec::new();
-    for (key, word, taken) in &facts.unknown {
+    for (key, word, taken) in &facts.unknown_values {
         doubts.push(format!("settings.{key} is \"{word}\", which is not known; taken as: {taken}"));
     }
     let by_position = |class: &&routing::interface::Class| {
         matches!(class.consistency, Consistency::Bounded(_) | Consistency::Session)
     };
-    let told = facts.answers_tell || facts.reports == Reports::WithAnswers && facts.reports_tell.0;
+    let told =
+        facts.answers_carry_position || facts.reports == LoadReports::WithAnswers && facts.reports_carry.0;
     if s.when_behind == WhenBehind::Silent && !told && !probes_tell(s, facts) {
         let names = s.classes.iter().zip(&config.classes).filter(|(class, _)| by_position(class));
         let names: Vec<&str> = names.map(|(_, name)| &**name).collect();
--- a/crates/daemon/src/cli/mod.rs
+++ b/crates/daemon/src/cli/mod.rs
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use ::config::{Config, Meaning};
+use ::config::{Config, ConfigSummary};
 use argh::FromArgs;
 
 use crate::net::Operator;
@@ -152,8 +152,8 @@
 
 /// Says what a platform's configuration means; the fault where something in it can't be honoured.
 fn meant(config: &Config, json: bool) -> Result<(), String> {
-    let meaning = Meaning::of(config);
-    let usable = meaning.faults.is_empty();
+    let meaning = ConfigSummary::of(config);
+    let usable = meaning.errors.is_empty();
     let (name, listen, classes) = (&config.name, config.listen, config.classes.len());
     if json {
         let told = serde_json::json!({
@@ -161,8 +161,8 @@
             "name": name,
             "listen": listen.to_string(),
             "meaning": meaning.lines.iter().cloned().collect::<std::collections::BTreeMap<_, _>>(),
-            "doubts": meaning.doubts,
-            "faults": meaning.faults,
+            "doubts": meaning.warnings,
+            "faults": meaning.errors,
         });
         println!("{told}");
     } else {
@@ -172,7 +172,7 @@
     if usable {
         Ok(())
     } else {
-        Err(meaning.faults.join("; "))
+        Err(meaning.errors.join("; "))
     }
 }
 
--- a/crates/daemon/src/net/proxy.rs
+++ b/crates/daemon/src/net/proxy.rs
@@ -275,13 +275,13 @@
         let (fresh, begun) = Life::new(terms, pid, config.seed, context);
         let list = inherited.as_ref().and_then(Inherited::list);
         let (index, saved) = list
-            .filter(|(index, _)| *index >= config.known.index)
-            .unwrap_or_else(|| (config.known.index, config.known.listings.clone()));
+            .filter(|(index, _)| *index >= config.saved_list.index)
+            .unwrap_or_else(|| (config.saved_list.index, config.saved_list.listings.clone()));
         let trial_s = effective.document.daemon.trial_s;
         let predecessor = inherited.map(|inherited| FromPredecessor::new(inherited, trial_s, context));
         let (predecessor, comes) =
             predecessor.transpose()?.map_or((None, Vec::new()), |(from, does)| (Some(from), does));
-        let pushed = config.source == ListSource::Pushed;
+        let pushed = config.list_source == ListSource::Pushed;
         let mut proxy = Proxy {
             policy,
             sessions,
--- a/crates/operator/src/effective.rs
+++ b/crates/operator/src/effective.rs
@@ -73,14 +73,15 @@
         let mut conflicts = Vec::new();
         let mut conflict = |key: String, what: String| conflicts.push(Conflict { key, what });
         let limits = &document.limits;
-        let sockets = limits.sockets.map_or(platform.sockets, |sockets| sockets as usize);
-        if sockets > platform.sockets {
-            let what = format!("{sockets} descriptors, of which the process may hold {}", platform.sockets);
+        let sockets = limits.sockets.map_or(platform.max_descriptors, |sockets| sockets as usize);
+        if sockets > platform.max_descriptors {
+            let what =
+                format!("{sockets} descriptors, of which the process may hold {}", platform.max_descriptors);
             conflict("limits.sockets".into(), what);
         }
-        let memory = limits.memory_mb.map_or(platform.memory, |mb| (mb * 1e6) as usize);
-        if memory > platform.memory {
-            let (asked, given) = (memory as f64 / 1e6, platform.memory as f64 / 1e6);
+        let memory = limits.memory_mb.map_or(platform.max_memory, |mb| (mb * 1e6) as usize);
+        if memory > platform.max_memory {
+            let (asked, given) = (memory as f64 / 1e6, platform.max_memory as f64 / 1e6);
             conflict("limits.memory_mb".into(), format!("{asked} MB, of which the process may take {given}"));
         }
         let mut settings = platform.settings.clone();
