--- a/crates/daemon/src/net/change.rs
+++ b/crates/daemon/src/net/change.rs
@@ -302,7 +302,7 @@
             confirmed: self.machine.base().number,
             stage: stage.into(),
             until,
-            life: life.words().into(),
+            life: life.name().into(),
             pid: std::process::id(),
             served: counters.served,
             refused: counters.refused,
--- a/crates/daemon/src/net/proxy.rs
+++ b/crates/daemon/src/net/proxy.rs
@@ -168,7 +168,7 @@
     Ok(match proxy.life.stage() {
         _ if proxy.yielded => HANDED_BACK,
         lifecycle::Stage::Ended(code) => code,
-        _ => lifecycle::OWED,
+        _ => lifecycle::EXIT_PENDING,
     })
 }
 
@@ -321,7 +321,7 @@
         if proxy.predecessor.is_some() {
             proxy.pause(true, context);
         }
-        proxy.live(Lived::Bound, context);
+        proxy.live(Lived::ListenerBound, context);
         context.events.push_back(Event::Members(ListKind::Saved, saved));
         proxy.drain(context);
         proxy.inherit(context);
@@ -756,9 +756,9 @@
                     context.counters
                 );
             } else if signal == SIGHUP {
-                self.live(Lived::Reload(life::monotonic_us()), context);
+                self.live(Lived::ReloadRequested(life::monotonic_us()), context);
             } else {
-                if !self.life.stage().ends() {
+                if !self.life.stage().is_shutting_down() {
                     logging::info!(event = "ending", "asked to end");
                     if self.changes.is_none() {
                         self.kill_at = context.reactor.now() + self.kill_after;
@@ -768,7 +768,7 @@
                 }
                 // What is owed is counted now: a third one ends it at once.
                 self.age(context);
-                self.live(Lived::Stop, context);
+                self.live(Lived::StopRequested, context);
             }
         }
     }
--- a/crates/daemon/src/net/proxy/handover.rs
+++ b/crates/daemon/src/net/proxy/handover.rs
@@ -320,7 +320,7 @@
                 Some("a change of configuration is under way")
             }
             (Stage::Ready, _) => None,
-            (stage, _) => Some(stage.words()),
+            (stage, _) => Some(stage.name()),
         };
         let Some(successor) = &mut self.successor else { return };
         let mut acts = Vec::new();
@@ -343,7 +343,7 @@
                 Act::Succeeded => {
                     logging::info!(event = "handover.over", "the successor stands");
                     self.registry.iter_mut().for_each(|registry| registry.leave(context));
-                    self.live(Lived::Succeeded, context);
+                    self.live(Lived::ListenerHandedOver, context);
                 }
                 Act::Hang => self.successor.iter_mut().for_each(|successor| successor.conn = None),
                 Act::Timer(at) => context.reactor.timer(at, Due::Handover),
@@ -450,7 +450,7 @@
                     logging::error!(event = "handover.yielded", "hands back to the old daemon: {why}");
                     self.yielded = true;
                     self.pause(true, context);
-                    self.live(Lived::Succeeded, context);
+                    self.live(Lived::ListenerHandedOver, context);
                 }
                 Do::Stand => self.stand(context),
                 Do::Timer(at) => context.reactor.timer(at, Due::Handover),
--- a/crates/daemon/src/net/proxy/life.rs
+++ b/crates/daemon/src/net/proxy/life.rs
@@ -1,4 +1,4 @@
-//! The daemon's life on its sockets: carries out what [`lifecycle::Machine`] says, tells a service manager, holds the
+//! The daemon's life on its sockets: carries out what [`lifecycle::StateMachine`] says, tells a service manager, holds the
 //! pid file.
 
 use std::fs::{File, OpenOptions, TryLockError};
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 
 use exchange::Answer;
-use lifecycle::{notify, Action, Input, Machine, Owed, Stage, Terms};
+use lifecycle::{notify, Action, Input, Limits, Pending, Stage, StateMachine};
 use routing::interface::{self, RequestId};
 
 use super::{Owed as Whom, Proxy};
@@ -95,31 +95,34 @@
 
 /// The machine, and whom it speaks to.
 pub(super) struct Life {
-    machine: Machine,
+    machine: StateMachine,
     manager: Option<Manager>,
     pid: Option<PidFile>,
     rng: fastrand::Rng,
 }
 
 /// The time limits that an operator's file sets; the platform's where there is none.
-pub(super) fn terms(daemon: Option<&operator::Daemon>) -> Terms {
+pub(super) fn terms(daemon: Option<&operator::Daemon>) -> Limits {
     let env = |name: &str| std::env::var(name).ok();
-    let watchdog =
-        notify::watchdog(env("WATCHDOG_USEC").as_deref(), env("WATCHDOG_PID").as_deref(), std::process::id());
-    let terms = Terms { watchdog, ..Terms::default() };
-    daemon.map_or(terms, |daemon| Terms {
-        last_call: daemon.last_call_s,
-        drain_for: daemon.drain_for_s,
-        send_away: true,
+    let watchdog = notify::watchdog_interval(
+        env("WATCHDOG_USEC").as_deref(),
+        env("WATCHDOG_PID").as_deref(),
+        std::process::id(),
+    );
+    let terms = Limits { watchdog_interval: watchdog, ..Limits::default() };
+    daemon.map_or(terms, |daemon| Limits {
+        accept_grace: daemon.last_call_s,
+        drain_timeout: daemon.drain_for_s,
+        refuse_waiting: true,
         ..terms
     })
 }
 
 impl Life {
     /// A life that begins.
-    pub fn new(terms: Terms, pid: Option<PidFile>, seed: u64, context: &mut Context) -> (Life, Vec<Action>) {
+    pub fn new(terms: Limits, pid: Option<PidFile>, seed: u64, context: &mut Context) -> (Life, Vec<Action>) {
         let mut actions = Vec::new();
-        let machine = Machine::new(terms, context.reactor.now(), &mut actions);
+        let machine = StateMachine::new(terms, context.reactor.now(), &mut actions);
         let manager = std::env::var("NOTIFY_SOCKET").ok().filter(|name| !name.is_empty()).and_then(|name| {
             let manager = Manager::of(&name);
             manager
@@ -140,8 +143,8 @@
         most * (0.5 + 0.5 * self.rng.f64())
     }
 
-    pub fn set_terms(&mut self, terms: Terms) {
-        self.machine.set_terms(terms);
+    pub fn set_terms(&mut self, terms: Limits) {
+        self.machine.set_limits(terms);
     }
 
     /// The pid file's descriptor, for a successor.
@@ -175,10 +178,10 @@
 
 impl Proxy {
     /// What is owed now.
-    pub(super) fn owed(&self) -> Owed {
-        let mut owed = Owed::default();
+    pub(super) fn owed(&self) -> Pending {
+        let mut owed = Pending::default();
         for request in self.requests.values().filter(|request| request.client.is_some()) {
-            *if !request.out.is_empty() { &mut owed.out } else { &mut owed.waiting } += 1;
+            *if !request.out.is_empty() { &mut owed.in_flight } else { &mut owed.waiting } += 1;
         }
         owed.clients = self.clients.len() + self.sessions.as_ref().map_or(0, Sessions::len);
         owed
@@ -196,26 +199,26 @@
             match action {
                 Action::Notify(text) => self.life.tell(&text),
                 Action::Timer(at) => context.reactor.timer(at, Due::Life),
-                Action::SendAway => self.send_away(context),
-                Action::Close => {
+                Action::RefuseWaiting => self.send_away(context),
+                Action::StopAccepting => {
                     self.sessions.iter_mut().for_each(|sessions| sessions.end(false, context));
                     self.clients.close(context);
                 }
-                Action::Cut => self.cut(context),
-                Action::Read => self.reload(context),
-                Action::NotRead(why) => {
+                Action::AnswerPending => self.cut(context),
+                Action::ReadConfig => self.reload(context),
+                Action::ReloadRejected(why) => {
                     context.counters.reloads_failed += 1;
                     logging::warn!(event = "config.kept", "not read again: {why}");
                 }
                 Action::Exit(code) => {
                     let left = self.requests.iter().filter(|(_, request)| request.client.is_some());
                     let left: Vec<String> = left.map(|(id, _)| id.to_string()).take(MOST_NAMED).collect();
-                    if code != lifecycle::CLEAN {
+                    if code != lifecycle::EXIT_CLEAN {
                         let (owed, first) = (self.owed(), left.join(" "));
                         logging::error!(
                             event = "ending.owed",
                             waiting = owed.waiting,
-                            out = owed.out,
+                            out = owed.in_flight,
                             clients = owed.clients,
                             first,
                             "ends with answers owed"
@@ -238,13 +241,13 @@
                     matches!(changes.machine.stage(), At::Idle | At::Probation(_))
                 });
                 if settled {
-                    self.live(Input::Reloaded, context);
+                    self.live(Input::ReloadFinished, context);
                 }
             }
             Stage::Closing | Stage::Cutting => {
                 let owed = self.owed();
-                if owed.none() {
-                    self.live(Input::Time(owed), context);
+                if owed.is_empty() {
+                    self.live(Input::Tick(owed), context);
                 }
             }
             _ => {}
@@ -258,7 +261,7 @@
             self.sessions.iter_mut().for_each(|sessions| sessions.end(false, context));
         }
         let owed = self.owed();
-        self.live(Input::Time(owed), context);
+        self.live(Input::Tick(owed), context);
     }
 
     /// Those that wait for a server are told when to come back: not all at once.
--- a/crates/daemon/src/net/proxy/sources.rs
+++ b/crates/daemon/src/net/proxy/sources.rs
@@ -40,7 +40,7 @@
         self.tell(interface::Event::Members { kind, entries }, context);
         if any {
             self.clients.serve(context);
-            self.live(Lived::Listed, context);
+            self.live(Lived::ListReceived, context);
         }
     }
 
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -6,9 +6,9 @@
 mod machine;
 pub mod notify;
 
-pub use machine::{Action, Input, Machine, Owed, Stage, Terms};
+pub use machine::{Action, Input, Limits, Pending, Stage, StateMachine};
 
 /// Ended with nothing owed.
-pub const CLEAN: u8 = 0;
+pub const EXIT_CLEAN: u8 = 0;
 /// Ended by a signal or a time limit while answers were owed; the log lists them.
-pub const OWED: u8 = 4;
+pub const EXIT_PENDING: u8 = 4;
--- a/crates/lifecycle/src/machine.rs
+++ b/crates/lifecycle/src/machine.rs
@@ -1,6 +1,6 @@
 //! The machine.
 
-use crate::{CLEAN, OWED};
+use crate::{EXIT_CLEAN, EXIT_PENDING};
 
 /// How often it is looked whether something is still owed while the daemon ends (seconds).
 const LOOK: f64 = 0.05;
@@ -30,7 +30,7 @@
 
 impl Stage {
     /// Its name, for people and for `status`.
-    pub fn words(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Stage::Starting => "starting",
             Stage::Ready => "ready",
@@ -43,54 +43,54 @@
     }
 
     /// Whether the daemon is on its way out.
-    pub fn ends(self) -> bool {
+    pub fn is_shutting_down(self) -> bool {
         matches!(self, Stage::Draining | Stage::Closing | Stage::Cutting | Stage::Ended(_))
     }
 }
 
 /// Time limits (seconds).
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Limits {
     /// From the wish to end until nobody is taken in any more: those who were told to go elsewhere have done so by
     /// then.
-    pub last_call: f64,
+    pub accept_grace: f64,
     /// From the wish to end until what is open is cut off; infinite where it has all the time it needs.
-    pub drain_for: f64,
+    pub drain_timeout: f64,
     /// Whether those that wait for a server are sent away as soon as the daemon is to end.
-    pub send_away: bool,
+    pub refuse_waiting: bool,
     /// How often a service manager wants to hear that the loop turns; none where there is no such.
-    pub watchdog: Option<f64>,
+    pub watchdog_interval: Option<f64>,
     /// A start that takes longer than this is told to the service manager as one that goes on.
-    pub start_within: f64,
+    pub start_timeout: f64,
 }
 
-impl Default for Terms {
+impl Default for Limits {
     fn default() -> Self {
-        Terms {
-            last_call: 0.75,
-            drain_for: f64::INFINITY,
-            send_away: false,
-            watchdog: None,
-            start_within: 10.0,
+        Limits {
+            accept_grace: 0.75,
+            drain_timeout: f64::INFINITY,
+            refuse_waiting: false,
+            watchdog_interval: None,
+            start_timeout: 10.0,
         }
     }
 }
 
 /// What is owed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Owed {
+pub struct Pending {
     /// Requests that wait for a server.
     pub waiting: usize,
     /// Requests that are at one.
-    pub out: usize,
+    pub in_flight: usize,
     /// Connections of clients that are not closed yet.
     pub clients: usize,
 }
 
-impl Owed {
+impl Pending {
     /// Whether nothing is.
-    pub fn none(self) -> bool {
-        self == Owed::default()
+    pub fn is_empty(self) -> bool {
+        self == Pending::default()
     }
 }
 
@@ -98,19 +98,19 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Input {
     /// The listener is bound.
-    Bound,
+    ListenerBound,
     /// A list with a member that serves is held.
-    Listed,
+    ListReceived,
     /// The configuration is being read again; at this time of the monotonic clock (microseconds).
-    Reload(u64),
+    ReloadRequested(u64),
     /// That has come to its end, one way or the other.
-    Reloaded,
+    ReloadFinished,
     /// It is to end: a signal. A second one hurries, a third one ends it.
-    Stop,
+    StopRequested,
     /// Another process has taken over the listener: nobody comes here any more.
-    Succeeded,
+    ListenerHandedOver,
     /// Time passes; what is owed now.
-    Time(Owed),
+    Tick(Pending),
 }
 
 /// What the driver does, in this order.
@@ -118,26 +118,26 @@
 pub enum Action {
     /// Tell the service manager.
     Notify(String),
-    /// Come again with [`Input::Time`] then.
+    /// Come again with [`Input::Tick`] then.
     Timer(f64),
     /// Send away those that wait for a server, with a time to come back.
-    SendAway,
+    RefuseWaiting,
     /// Take nobody in any more; a client's connection ends as soon as nothing is owed on it.
-    Close,
+    StopAccepting,
     /// Answer all that is owed with what is known of it.
-    Cut,
+    AnswerPending,
     /// Read the configuration again.
-    Read,
+    ReadConfig,
     /// The wish to reload is not followed; why.
-    NotRead(&'static str),
-    /// End with this exit code; what is owed is listed where it is not [`CLEAN`](crate::CLEAN).
+    ReloadRejected(&'static str),
+    /// End with this exit code; what is owed is listed where it is not [`EXIT_CLEAN`](crate::EXIT_CLEAN).
     Exit(u8),
 }
 
 /// A daemon's life.
 #[derive(Debug)]
-pub struct Machine {
-    terms: Terms,
+pub struct StateMachine {
+    terms: Limits,
     stage: Stage,
     bound: bool,
     listed: bool,
@@ -148,17 +148,17 @@
     /// When nobody is taken in any more, and when what is open is cut off, or given up.
     close_at: f64,
     cut_at: f64,
-    owed: Owed,
+    owed: Pending,
     /// When the service manager was last told that the loop turns.
     beaten: f64,
     /// The earliest timer that is set; guards against one more with each input.
     set: f64,
 }
 
-impl Machine {
+impl StateMachine {
     /// A daemon that begins.
-    pub fn new(terms: Terms, now: f64, out: &mut Vec<Action>) -> Machine {
-        let mut machine = Machine {
+    pub fn new(terms: Limits, now: f64, out: &mut Vec<Action>) -> StateMachine {
+        let mut machine = StateMachine {
             terms,
             stage: Stage::Starting,
             bound: false,
@@ -168,7 +168,7 @@
             stops: 0,
             close_at: f64::INFINITY,
             cut_at: f64::INFINITY,
-            owed: Owed::default(),
+            owed: Pending::default(),
             beaten: now,
             set: f64::INFINITY,
         };
@@ -182,45 +182,45 @@
     }
 
     /// Other time limits from now on. A drain that has begun goes by those that it began with.
-    pub fn set_terms(&mut self, terms: Terms) {
-        self.terms = Terms { watchdog: self.terms.watchdog, ..terms };
+    pub fn set_limits(&mut self, terms: Limits) {
+        self.terms = Limits { watchdog_interval: self.terms.watchdog_interval, ..terms };
     }
 
     /// Takes in what happens.
     pub fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Action>) {
         match input {
-            Input::Bound => {
+            Input::ListenerBound => {
                 self.bound = true;
                 self.starts(out);
             }
-            Input::Listed => {
+            Input::ListReceived => {
                 self.listed = true;
                 self.starts(out);
             }
-            Input::Reload(monotonic) => match self.stage {
+            Input::ReloadRequested(monotonic) => match self.stage {
                 Stage::Ready => {
                     self.stage = Stage::Reloading;
                     out.push(Action::Notify(crate::notify::reloading(monotonic)));
-                    out.push(Action::Read);
+                    out.push(Action::ReadConfig);
                 }
                 // What it is started with is being read, or was: a second reading does no harm.
-                Stage::Starting => out.push(Action::Read),
-                Stage::Reloading => out.push(Action::NotRead("the last one is not done with")),
-                _ => out.push(Action::NotRead("the daemon is to end")),
+                Stage::Starting => out.push(Action::ReadConfig),
+                Stage::Reloading => out.push(Action::ReloadRejected("the last one is not done with")),
+                _ => out.push(Action::ReloadRejected("the daemon is to end")),
             },
-            Input::Reloaded if self.stage == Stage::Reloading => {
+            Input::ReloadFinished if self.stage == Stage::Reloading => {
                 self.stage = Stage::Ready;
                 out.push(Action::Notify(crate::notify::READY.into()));
             }
-            Input::Reloaded => {}
-            Input::Stop => self.stop(now, out),
-            Input::Succeeded => {
-                if !self.stage.ends() {
+            Input::ReloadFinished => {}
+            Input::StopRequested => self.stop(now, out),
+            Input::ListenerHandedOver => {
+                if !self.stage.is_shutting_down() {
                     self.stop(now, out);
                 }
                 self.close(now, out);
             }
-            Input::Time(owed) => {
+            Input::Tick(owed) => {
                 self.owed = owed;
                 if now >= self.set {
                     self.set = f64::INFINITY;
@@ -247,16 +247,17 @@
         match self.stops {
             1 => {
                 self.stage = Stage::Draining;
-                (self.close_at, self.cut_at) = (now + self.terms.last_call, now + self.terms.drain_for);
+                (self.close_at, self.cut_at) =
+                    (now + self.terms.accept_grace, now + self.terms.drain_timeout);
                 let words = crate::notify::status("draining");
                 out.push(Action::Notify(format!("{}\n{words}", crate::notify::STOPPING)));
-                if self.terms.send_away {
-                    out.push(Action::SendAway);
+                if self.terms.refuse_waiting {
+                    out.push(Action::RefuseWaiting);
                 }
             }
             2 => {
                 self.cut_at = self.cut_at.min(now + HURRY);
-                out.push(Action::SendAway);
+                out.push(Action::RefuseWaiting);
                 self.close(now, out);
             }
             _ => self.exit(out),
@@ -266,35 +267,35 @@
     fn close(&mut self, now: f64, out: &mut Vec<Action>) {
         if self.stage == Stage::Draining {
             (self.stage, self.close_at) = (Stage::Closing, now);
-            out.push(Action::Close);
+            out.push(Action::StopAccepting);
         }
     }
 
     fn exit(&mut self, out: &mut Vec<Action>) {
-        let code = if self.owed.none() { CLEAN } else { OWED };
+        let code = if self.owed.is_empty() { EXIT_CLEAN } else { EXIT_PENDING };
         self.stage = Stage::Ended(code);
         out.push(Action::Exit(code));
     }
 
     fn time(&mut self, now: f64, out: &mut Vec<Action>) {
-        if self.terms.watchdog.is_some_and(|every| now >= self.beaten + every) {
+        if self.terms.watchdog_interval.is_some_and(|every| now >= self.beaten + every) {
             self.beaten = now;
             out.push(Action::Notify(crate::notify::WATCHDOG.into()));
         }
-        if self.stage == Stage::Starting && !self.extended && now >= self.begun + self.terms.start_within {
+        if self.stage == Stage::Starting && !self.extended && now >= self.begun + self.terms.start_timeout {
             self.extended = true;
             let missing = if self.bound { "waits for a list with a member that serves" } else { "binds" };
             let words = crate::notify::status(missing);
-            out.push(Action::Notify(format!("{}\n{words}", crate::notify::extend(60.0))));
+            out.push(Action::Notify(format!("{}\n{words}", crate::notify::extend_timeout(60.0))));
         }
         if self.stage == Stage::Draining && now >= self.close_at {
             self.close(now, out);
         }
         if matches!(self.stage, Stage::Draining | Stage::Closing) {
-            if self.terms.send_away && self.owed.waiting > 0 {
-                out.push(Action::SendAway);
+            if self.terms.refuse_waiting && self.owed.waiting > 0 {
+                out.push(Action::RefuseWaiting);
             }
-            if self.stage == Stage::Closing && self.owed.none() {
+            if self.stage == Stage::Closing && self.owed.is_empty() {
                 return self.exit(out);
             }
             if now >= self.cut_at {
@@ -302,10 +303,10 @@
                     self.close(now, out);
                 }
                 (self.stage, self.cut_at) = (Stage::Cutting, now + FLUSH);
-                return out.push(Action::Cut);
+                return out.push(Action::AnswerPending);
             }
         }
-        if self.stage == Stage::Cutting && (self.owed.none() || now >= self.cut_at) {
+        if self.stage == Stage::Cutting && (self.owed.is_empty() || now >= self.cut_at) {
             self.exit(out);
         }
     }
@@ -313,13 +314,13 @@
     /// Sets a timer for what comes next, where none does for it.
     fn schedule(&mut self, now: f64, out: &mut Vec<Action>) {
         let mut next = match self.stage {
-            Stage::Starting if !self.extended => self.begun + self.terms.start_within,
+            Stage::Starting if !self.extended => self.begun + self.terms.start_timeout,
             Stage::Draining => self.close_at.min(self.cut_at).min(now + LOOK),
             Stage::Closing | Stage::Cutting => self.cut_at.min(now + LOOK),
             Stage::Ended(_) => return,
             _ => f64::INFINITY,
         };
-        if let Some(every) = self.terms.watchdog {
+        if let Some(every) = self.terms.watchdog_interval {
             next = next.min(self.beaten + every);
         }
         if next < self.set {
--- a/crates/lifecycle/src/notify.rs
+++ b/crates/lifecycle/src/notify.rs
@@ -19,13 +19,13 @@
 }
 
 /// It needs so much longer (seconds) for what it is at.
-pub fn extend(seconds: f64) -> String {
+pub fn extend_timeout(seconds: f64) -> String {
     format!("EXTEND_TIMEOUT_USEC={}", (seconds * 1e6) as u64)
 }
 
 /// How often to say that one is alive (seconds): half of what `WATCHDOG_USEC` asks for, where `WATCHDOG_PID`, if it is
 /// there, is this process. None for words that are no number, and for 0.
-pub fn watchdog(usec: Option<&str>, pid: Option<&str>, own: u32) -> Option<f64> {
+pub fn watchdog_interval(usec: Option<&str>, pid: Option<&str>, own: u32) -> Option<f64> {
     if pid.is_some_and(|pid| pid.parse() != Ok(own)) {
         return None;
     }
