--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 
 use json::Node;
-use listing::News;
+use listing::ListUpdate;
 use routing::interface::{Class, Consistency, Dedup, Effect, Settings, WhenBehind};
 
 pub use meaning::{ConfigSummary, LoadReports, PlatformFacts};
@@ -176,7 +176,7 @@
     /// How long a db machine keeps an idle connection (seconds).
     pub keepalive: f64,
     /// The list of db machines as last held.
-    pub saved_list: News,
+    pub saved_list: ListUpdate,
 }
 
 impl Config {
@@ -226,7 +226,7 @@
             zones: names("zones")?,
             keepalive,
             // An old list that cannot be read is worth no more than none: discovery has a new one.
-            saved_list: listing::news(root.at("known")).unwrap_or_default(),
+            saved_list: listing::parse_update(root.at("known")).unwrap_or_default(),
         })
     }
 }
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -136,7 +136,7 @@
                 ),
                 ListSource::Pushed => format!(
                     "pushed: the agent at {} is followed, and asked again {} s after it was lost",
-                    config.discovery, listing::follow::PAUSE_AT_AGENT
+                    config.discovery, listing::follow::AGENT_RETRY_DELAY
                 ),
             },
         );
--- a/crates/daemon/src/net/discovery.rs
+++ b/crates/daemon/src/net/discovery.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use buffer::Budget;
-use listing::connection::{Broken, Connection};
-use listing::follow::{self, Follower, Line, Step};
+use listing::connection::{Connection, ConnectionError};
+use listing::follow::{self, ConnectionId, Follower, Step};
 use mio::net::TcpStream;
 use mio::Interest;
 use routing::interface::ListKind;
@@ -15,10 +15,10 @@
 
 /// Memory for the buffers of all connections to discovery (bytes), of its own: what clients and machines take of theirs must not
 /// keep the list from being read.
-const MEMORY: usize = 2 * follow::MOST * buffer::MAX_BUFFER_BYTES;
+const MEMORY: usize = 2 * follow::MAX_CONNECTIONS * buffer::MAX_BUFFER_BYTES;
 
 struct Watch {
-    line: Line,
+    line: ConnectionId,
     /// When it was called.
     opened: f64,
     /// It has come up.
@@ -31,7 +31,7 @@
 
 impl Watch {
     /// Reads and writes as far as it goes; what is whole of the answer.
-    fn turn(&mut self, pieces: &mut Vec<json::Piece>) -> Result<(), Broken> {
+    fn turn(&mut self, pieces: &mut Vec<json::Piece>) -> Result<(), ConnectionError> {
         // One that was reset has no peer any more, though what came before is there to be read.
         self.connected |= self.stream.peer_addr().is_ok();
         if !self.connected {
@@ -40,7 +40,7 @@
                 _ => Err("no connection"),
             };
         }
-        self.connection.turn(&mut self.stream, pieces)
+        self.connection.transfer(&mut self.stream, pieces)
     }
 }
 
@@ -51,7 +51,7 @@
     watches: Slots<Watch>,
     budget: Budget,
     /// What is wrong at present; logged when it changes, not with each call that fails.
-    trouble: Option<Broken>,
+    trouble: Option<ConnectionError>,
 }
 
 impl Discovery {
@@ -65,7 +65,7 @@
 
     /// Where the list is pushed, sees to it that there is a watch: nobody else will ask for one.
     pub fn follow(&mut self, context: &mut Context) {
-        self.step(context, |follower, now, out| follower.follow(now, out));
+        self.step(context, |follower, now, out| follower.ensure_followed(now, out));
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -74,7 +74,7 @@
 
     /// The version of the list that is held.
     pub fn index(&self) -> u64 {
-        self.follower.index()
+        self.follower.version()
     }
 
     /// Watches the list at another address from now on; the watch that is open is kept until that has answered.
@@ -94,12 +94,12 @@
 
     /// Opens the watch and asks for the whole list.
     pub fn listen_afresh(&mut self, context: &mut Context) {
-        self.step(context, |follower, now, out| follower.listen_afresh(now, out));
+        self.step(context, |follower, now, out| follower.request_full_list(now, out));
     }
 
     /// Opens the watch from the list held.
     pub fn listen(&mut self, context: &mut Context) {
-        self.step(context, |follower, now, out| follower.listen(now, out));
+        self.step(context, |follower, now, out| follower.send_list_request(now, out));
     }
 
     /// Tells the follower of one thing and carries out what follows from it.
@@ -115,7 +115,7 @@
                 Step::Open(line, index) => {
                     if let Err(why) = self.open(line, index, context) {
                         let mut steps = Vec::new();
-                        self.follower.broke(line, context.reactor.now(), why, &mut steps);
+                        self.follower.connection_failed(line, context.reactor.now(), why, &mut steps);
                         self.carry_out(steps, context);
                     }
                 }
@@ -142,14 +142,14 @@
         context.events.push_back(Event::Members(kind, Vec::new()));
     }
 
-    fn lost(&mut self, why: Broken, kind: ListKind, context: &mut Context) {
+    fn lost(&mut self, why: ConnectionError, kind: ListKind, context: &mut Context) {
         if self.trouble.replace(why) != Some(why) {
             logging::warn!(event = "discovery.lost", "discovery: {why}");
         }
         self.tell(kind, context);
     }
 
-    fn open(&mut self, line: Line, index: u64, context: &mut Context) -> Result<(), Broken> {
+    fn open(&mut self, line: ConnectionId, index: u64, context: &mut Context) -> Result<(), ConnectionError> {
         let stream = TcpStream::connect(self.address).map_err(|_| "no connection")?;
         let connection = Connection::new(self.address, index, &self.budget)?;
         let opened = context.reactor.now();
@@ -166,7 +166,7 @@
         let Some(watch) = self.watches.get_mut(slot) else { return };
         let (line, mut pieces) = (watch.line, Vec::new());
         let mut result = watch.turn(&mut pieces);
-        let begun = watch.connection.begun();
+        let begun = watch.connection.in_document();
         if !pieces.is_empty() && !std::mem::replace(&mut watch.answered, true) {
             let after_s = context.reactor.now() - watch.opened;
             logging::info!(event = "discovery.answered", line, after_s);
@@ -178,29 +178,38 @@
             }
         }
         match result {
-            Ok(()) => self.follower.bytes(line, context.reactor.now(), begun),
-            Err(why) => self.step(context, |follower, now, out| follower.broke(line, now, why, out)),
+            Ok(()) => self.follower.bytes_received(line, context.reactor.now(), begun),
+            Err(why) => {
+                self.step(context, |follower, now, out| follower.connection_failed(line, now, why, out))
+            }
         }
     }
 
     /// Takes in one document or empty line.
-    fn piece(&mut self, line: Line, piece: json::Piece, context: &mut Context) -> Result<(), Broken> {
+    fn piece(
+        &mut self,
+        line: ConnectionId,
+        piece: json::Piece,
+        context: &mut Context,
+    ) -> Result<(), ConnectionError> {
         let json::Piece::Document(bytes) = piece else {
             // Nothing has changed since the list held: that, too, answers a call.
-            self.step(context, |follower, now, out| follower.blank(line, now, out));
+            self.step(context, |follower, now, out| follower.empty_line_received(line, now, out));
             return Ok(());
         };
         let text = std::str::from_utf8(&bytes).map_err(|_| "a list that is not text")?;
         let news = listing::parse(text).ok_or("what is no list")?;
         // Guards against a list that would take away all there is: nobody could be asked any more.
-        if news.whole && news.listings.is_empty() {
+        if news.is_full && news.listings.is_empty() {
             return Err("a whole list that names nobody");
         }
         let mut counts = false;
-        self.step(context, |follower, now, out| counts = follower.news(line, now, news.index, out));
+        self.step(context, |follower, now, out| {
+            counts = follower.update_received(line, now, news.version, out)
+        });
         if counts {
             self.trouble = None;
-            let kind = if news.whole { ListKind::Full } else { ListKind::Incremental };
+            let kind = if news.is_full { ListKind::Full } else { ListKind::Incremental };
             context.events.push_back(Event::Members(kind, news.listings));
         }
         Ok(())
@@ -216,6 +225,6 @@
     pub fn due(&mut self, context: &mut Context) {
         // What has arrived by now still counts, though its event has not been taken up yet.
         self.read(context);
-        self.step(context, |follower, now, out| follower.due(now, out));
+        self.step(context, |follower, now, out| follower.on_timer(now, out));
     }
 }
--- a/crates/daemon/src/net/proxy.rs
+++ b/crates/daemon/src/net/proxy.rs
@@ -275,8 +275,8 @@
         let (fresh, begun) = Life::new(terms, pid, config.seed, context);
         let list = inherited.as_ref().and_then(Inherited::list);
         let (index, saved) = list
-            .filter(|(index, _)| *index >= config.saved_list.index)
-            .unwrap_or_else(|| (config.saved_list.index, config.saved_list.listings.clone()));
+            .filter(|(index, _)| *index >= config.saved_list.version)
+            .unwrap_or_else(|| (config.saved_list.version, config.saved_list.listings.clone()));
         let trial_s = effective.document.daemon.trial_s;
         let predecessor = inherited.map(|inherited| FromPredecessor::new(inherited, trial_s, context));
         let (predecessor, comes) =
--- a/crates/daemon/src/net/proxy/handover.rs
+++ b/crates/daemon/src/net/proxy/handover.rs
@@ -167,7 +167,7 @@
         zone: listing.zone.clone(),
         group: listing.group,
         phase: if listing.phase == Phase::Active { "serving" } else { "draining" }.into(),
-        since: listing.since,
+        since: listing.started_at,
     }
 }
 
@@ -178,7 +178,7 @@
         zone: place.zone.clone(),
         group: place.group,
         phase: if place.phase == "serving" { Phase::Active } else { Phase::Leaving },
-        since: place.since,
+        started_at: place.since,
     })
 }
 
--- a/crates/daemon/src/net/proxy/sharing.rs
+++ b/crates/daemon/src/net/proxy/sharing.rs
@@ -217,7 +217,7 @@
         let version = self.discovery.index();
         let source = source_of(self.registry.is_some(), self.discovery.address());
         if let Some(peers) = self.coordination.as_mut().and_then(Coordination::peers) {
-            let members = listings.iter().map(|listing| (&*listing.name, listing.since, listing.phase));
+            let members = listings.iter().map(|listing| (&*listing.name, listing.started_at, listing.phase));
             peers.list(now, (source, version), members);
         }
     }
--- a/crates/daemon/src/net/proxy/sources.rs
+++ b/crates/daemon/src/net/proxy/sources.rs
@@ -45,7 +45,7 @@
     }
 
     fn entry(&self, listing: Listing) -> Entry {
-        let Listing { name, zone, group, phase, since, .. } = listing;
+        let Listing { name, zone, group, phase, started_at: since, .. } = listing;
         let known = self.zones.iter().position(|known| *known == zone);
         // A zone that the settings do not name is at least not the own one.
         let zone = known.unwrap_or(self.zones.len());
--- a/crates/daemon/src/net/servers.rs
+++ b/crates/daemon/src/net/servers.rs
@@ -340,7 +340,7 @@
         if kind != ListKind::Incremental {
             self.machines.values_mut().for_each(|machine| machine.gone = true);
         }
-        for Listing { name, address, phase, since, .. } in listings {
+        for Listing { name, address, phase, started_at: since, .. } in listings {
             let (address, since, listed) = (*address, *since, now);
             let fresh = || Machine { address, since, listed, gone: false, idle: Vec::new() };
             let machine = self.machines.entry(name.clone()).or_insert_with(fresh);
--- a/crates/footprint/tests/stand_ins.rs
+++ b/crates/footprint/tests/stand_ins.rs
@@ -64,5 +64,5 @@
     assert!(text.starts_with("HTTP/1.1 200 OK\r\n") && text.contains(r#""index":7"#), "{text}");
     assert!(text.contains(r#""name":"s-0003""#), "{text}");
     let news = listing::parse(&change).unwrap();
-    assert_eq!((news.index, news.whole, news.listings.len(), news.listings[0].group), (8, false, 1, 1));
+    assert_eq!((news.version, news.is_full, news.listings.len(), news.listings[0].group), (8, false, 1, 1));
 }
--- a/crates/listing/src/connection.rs
+++ b/crates/listing/src/connection.rs
@@ -13,11 +13,11 @@
 const LONGEST: usize = 4 * 1024 * 1024;
 
 /// Why a connection is of no further use, for the log.
-pub type Broken = &'static str;
+pub type ConnectionError = &'static str;
 
 /// Bytes that have passed since the last look.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Passed {
+pub struct ByteCounts {
     /// Written.
     pub sent: usize,
     /// Read.
@@ -30,37 +30,37 @@
     outbox: Ring,
     answer: ResponseReader,
     documents: Documents,
-    passed: Passed,
+    passed: ByteCounts,
 }
 
 impl Connection {
     /// Calls the address for what has changed since that version of the list.
-    pub fn new(address: SocketAddr, since: u64, budget: &Budget) -> Result<Connection, Broken> {
+    pub fn new(address: SocketAddr, since: u64, budget: &Budget) -> Result<Connection, ConnectionError> {
         let mut outbox = Ring::new(budget);
         let (target, host) = (format!("{PATH}?follow=1&since={since}"), address.to_string());
         let asked = Request { method: "GET", target: &target, host: &host, ..Request::default() };
         outbox.push(&asked.to_bytes()).map_err(|_| "no connection")?;
         let (inbox, documents) = (Ring::new(budget), Documents::new(LONGEST));
-        let (answer, passed) = (ResponseReader::default(), Passed::default());
+        let (answer, passed) = (ResponseReader::default(), ByteCounts::default());
         Ok(Connection { inbox, outbox, answer, documents, passed })
     }
 
     /// Whether a document has begun and not ended.
-    pub fn begun(&self) -> bool {
+    pub fn in_document(&self) -> bool {
         self.documents.in_document()
     }
 
     /// What has passed since the last call.
-    pub fn take_passed(&mut self) -> Passed {
+    pub fn take_byte_counts(&mut self) -> ByteCounts {
         std::mem::take(&mut self.passed)
     }
 
     /// Writes and reads as far as it goes; `pieces` takes what is whole of the answer.
-    pub fn turn(
+    pub fn transfer(
         &mut self,
         stream: &mut (impl Read + Write),
         pieces: &mut Vec<json::Piece>,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), ConnectionError> {
         let waiting = self.outbox.len();
         let drained = self.outbox.drain(stream);
         self.passed.sent += waiting - self.outbox.len();
@@ -82,7 +82,7 @@
     }
 
     /// Takes what is there of the answer.
-    fn understand(&mut self, pieces: &mut Vec<json::Piece>) -> Result<(), Broken> {
+    fn understand(&mut self, pieces: &mut Vec<json::Piece>) -> Result<(), ConnectionError> {
         while let Some(piece) = self.answer.next(&mut self.inbox).map_err(Fault::description)? {
             match piece {
                 Piece::Head(Head { status: 200, chunked: true, .. }) => {}
--- a/crates/listing/src/follow.rs
+++ b/crates/listing/src/follow.rs
@@ -10,29 +10,29 @@
 /// A call without any answer for so long (seconds) hangs, and makes room for others.
 const HUNG: f64 = 30.0;
 /// Most connections at a time, the watch included: to a service that is asked, within the spare descriptors, ...
-pub const MOST: usize = 3;
+pub const MAX_CONNECTIONS: usize = 3;
 /// ... and to an agent, which is called often and answers at once.
 const MOST_AT_AGENT: usize = 2;
 /// An agent answers at once, at no cost, and is silent while discovery is down; what it gets at the return counts at
 /// once. It is called again after so long without an answer (seconds), below any grace ...
 const CALL_AT_AGENT: f64 = 0.2;
 /// ... and so long after it turned a call down, or ended a connection (seconds).
-pub const PAUSE_AT_AGENT: f64 = 0.25;
+pub const AGENT_RETRY_DELAY: f64 = 0.25;
 
 /// A timer may come early by what rounding takes off its time (seconds).
 const ROUNDING: f64 = 0.001;
 
 /// Number of a connection to discovery, given out once.
-pub type Line = u64;
+pub type ConnectionId = u64;
 
 /// What is to be done, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Call on a new connection for what has changed since that version, and go on listening there.
-    Open(Line, u64),
+    Open(ConnectionId, u64),
     /// Close a connection.
-    Close(Line),
-    /// Call [`Follower::due`] at that time (Unix seconds).
+    Close(ConnectionId),
+    /// Call [`Follower::on_timer`] at that time (Unix seconds).
     Timer(f64),
     /// The list is followed, and nothing has changed.
     Unchanged,
@@ -45,7 +45,7 @@
 /// A connection that has answered, and goes on telling of changes.
 #[derive(Clone, Copy, Debug)]
 struct Watch {
-    line: Line,
+    line: ConnectionId,
     /// When the last whole document or empty line came, or a document began.
     heard: f64,
     /// A document has begun and not ended.
@@ -59,7 +59,7 @@
 /// A connection on which a call has been made and nothing whole has come yet.
 #[derive(Clone, Copy, Debug)]
 struct Call {
-    line: Line,
+    line: ConnectionId,
     made: f64,
     /// When it was made, or a document began.
     heard: f64,
@@ -74,15 +74,15 @@
     /// The list is pushed to an agent: nobody else says when to call.
     pushed: bool,
     index: u64,
-    lines: Line,
+    lines: ConnectionId,
     watch: Option<Watch>,
-    /// Calls without an answer, the oldest first; at most [`MOST`].
+    /// Calls without an answer, the oldest first; at most [`MAX_CONNECTIONS`].
     calls: Vec<Call>,
     /// An agent that says nothing is called again and again: that the list is lost is told once.
     lost: bool,
     /// When an agent is to be asked again.
     again: Option<f64>,
-    /// When [`Follower::due`] is called next: one timer is set at a time.
+    /// When [`Follower::on_timer`] is called next: one timer is set at a time.
     armed: Option<f64>,
 }
 
@@ -94,19 +94,19 @@
     }
 
     /// The version of the list that is held.
-    pub fn index(&self) -> u64 {
+    pub fn version(&self) -> u64 {
         self.index
     }
 
     /// Where the list is pushed, sees to it that there is a call or a watch.
-    pub fn follow(&mut self, now: f64, out: &mut Vec<Step>) {
+    pub fn ensure_followed(&mut self, now: f64, out: &mut Vec<Step>) {
         if self.pushed && self.watch.is_none() && self.calls.is_empty() {
-            self.listen(now, out);
+            self.send_list_request(now, out);
         }
     }
 
     /// Calls from the list held. The watch and earlier calls are kept until one of the calls is answered.
-    pub fn listen(&mut self, now: f64, out: &mut Vec<Step>) {
+    pub fn send_list_request(&mut self, now: f64, out: &mut Vec<Step>) {
         self.again = None;
         self.make_room(now, out);
         self.lines += 1;
@@ -119,7 +119,8 @@
     /// Closes a call where there are as many connections as there may be. The oldest has the best place in a line, and is
     /// closed only once it hangs; of the others the one that was made first goes.
     fn make_room(&mut self, now: f64, out: &mut Vec<Step>) {
-        let most = if self.pushed { MOST_AT_AGENT } else { MOST } - usize::from(self.watch.is_some());
+        let most =
+            if self.pushed { MOST_AT_AGENT } else { MAX_CONNECTIONS } - usize::from(self.watch.is_some());
         while self.calls.len() >= most {
             let hangs = now >= self.calls[0].made + HUNG;
             let next = if hangs || self.calls.len() == 1 { 0 } else { 1 };
@@ -129,12 +130,12 @@
 
     /// Calls for the whole list at another service. What comes over a watch that is open still counts until the call is
     /// answered.
-    pub fn listen_afresh(&mut self, now: f64, out: &mut Vec<Step>) {
+    pub fn request_full_list(&mut self, now: f64, out: &mut Vec<Step>) {
         // The versions of one service mean nothing to another.
         self.index = 0;
         self.watch.iter_mut().for_each(|watch| watch.left = true);
         self.close_calls(out);
-        self.listen(now, out);
+        self.send_list_request(now, out);
     }
 
     /// Follows the list no more.
@@ -181,7 +182,7 @@
 
     /// Something came over a connection, after which a document has begun there and not ended, or not. What comes
     /// of a document gives it as long again for the rest, once.
-    pub fn bytes(&mut self, line: Line, now: f64, begun: bool) {
+    pub fn bytes_received(&mut self, line: ConnectionId, now: f64, begun: bool) {
         let watch = self.watch.iter_mut().filter(|watch| watch.line == line);
         let calls = self.calls.iter_mut().filter(|call| call.line == line);
         let watch = watch.map(|watch| (&mut watch.begun, &mut watch.heard));
@@ -193,14 +194,14 @@
     }
 
     /// An empty line came: nothing has changed.
-    pub fn blank(&mut self, line: Line, now: f64, out: &mut Vec<Step>) {
+    pub fn empty_line_received(&mut self, line: ConnectionId, now: f64, out: &mut Vec<Step>) {
         if self.heard(line, now, out) == Some(true) {
             out.push(Step::Unchanged);
         }
     }
 
     /// News of that version came. Whether they count.
-    pub fn news(&mut self, line: Line, now: f64, index: u64, out: &mut Vec<Step>) -> bool {
+    pub fn update_received(&mut self, line: ConnectionId, now: f64, index: u64, out: &mut Vec<Step>) -> bool {
         let counts = self.heard(line, now, out).is_some();
         if self.watch.is_some_and(|watch| watch.line == line && !watch.left) {
             self.index = index;
@@ -210,7 +211,7 @@
 
     /// Notes a whole document or empty line. Whether the list was not known to be followed before; none for a
     /// connection that does not count.
-    fn heard(&mut self, line: Line, now: f64, out: &mut Vec<Step>) -> Option<bool> {
+    fn heard(&mut self, line: ConnectionId, now: f64, out: &mut Vec<Step>) -> Option<bool> {
         let fresh = Watch { line, heard: now, begun: false, silent: false, left: false };
         let was_lost = match self.watch {
             Some(watch) if watch.line == line => {
@@ -236,7 +237,13 @@
     }
 
     /// A connection has broken, or what came over it is of no use.
-    pub fn broke(&mut self, line: Line, now: f64, why: &'static str, out: &mut Vec<Step>) {
+    pub fn connection_failed(
+        &mut self,
+        line: ConnectionId,
+        now: f64,
+        why: &'static str,
+        out: &mut Vec<Step>,
+    ) {
         out.push(Step::Close(line));
         if self.watch.take_if(|watch| watch.line == line).is_some() {
             if self.calls.is_empty() {
@@ -265,10 +272,10 @@
         }
         let known = std::mem::replace(&mut self.lost, true);
         if self.pushed && !failed {
-            self.listen(now, out);
+            self.send_list_request(now, out);
         } else if self.pushed {
-            self.again = Some(now + PAUSE_AT_AGENT);
-            self.arm(now + PAUSE_AT_AGENT, out);
+            self.again = Some(now + AGENT_RETRY_DELAY);
+            self.arm(now + AGENT_RETRY_DELAY, out);
         }
         if !(self.pushed && known) {
             out.push(how);
@@ -276,13 +283,13 @@
     }
 
     /// Looks whether anything has been silent for too long: what is cut off would stay open for ever.
-    pub fn due(&mut self, now: f64, out: &mut Vec<Step>) {
+    pub fn on_timer(&mut self, now: f64, out: &mut Vec<Step>) {
         let now = now + ROUNDING;
         if self.armed.is_some_and(|at| now >= at) {
             self.armed = None;
         }
         match self.again {
-            Some(at) if now >= at => self.listen(now, out),
+            Some(at) if now >= at => self.send_list_request(now, out),
             Some(at) => self.arm(at, out),
             None => {}
         }
@@ -303,7 +310,7 @@
             self.lost = true;
             out.push(Step::Silent("silent"));
             if self.pushed {
-                self.listen(now, out);
+                self.send_list_request(now, out);
             }
         }
     }
--- a/crates/listing/src/lib.rs
+++ b/crates/listing/src/lib.rs
@@ -13,11 +13,11 @@
 
 /// The list of db machines, or what has changed in it.
 #[derive(Clone, Debug, Default)]
-pub struct News {
+pub struct ListUpdate {
     /// The version of the list, as its source counts them.
-    pub index: u64,
+    pub version: u64,
     /// Whether it is the whole list.
-    pub whole: bool,
+    pub is_full: bool,
     /// Its lines.
     pub listings: Vec<Listing>,
 }
@@ -36,21 +36,21 @@
     /// Where it stands in its life.
     pub phase: Phase,
     /// When it last started (Unix seconds); 0 means long ago.
-    pub since: f64,
+    pub started_at: f64,
 }
 
 /// Reads one message of the list from its JSON text; none where it is not of the agreed form.
-pub fn parse(text: &str) -> Option<News> {
-    json::parse(text).ok().and_then(|value| news(Node::new(&value)))
+pub fn parse(text: &str) -> Option<ListUpdate> {
+    json::parse(text).ok().and_then(|value| parse_update(Node::new(&value)))
 }
 
 /// Reads one message of the list; none where it is not of the agreed form. A single entry that cannot be
 /// read is left out: the others are of use without it.
-pub fn news(root: Node) -> Option<News> {
+pub fn parse_update(root: Node) -> Option<ListUpdate> {
     let listings = root.at("endpoints").items()?.iter().filter_map(|entry| listing(Node::new(entry)));
-    Some(News {
-        index: root.at("index").number()? as u64,
-        whole: root.at("snapshot").flag(),
+    Some(ListUpdate {
+        version: root.at("index").number()? as u64,
+        is_full: root.at("snapshot").flag(),
         listings: listings.collect(),
     })
 }
@@ -70,6 +70,6 @@
         zone: entry.at("zone").text()?.to_string(),
         group: entry.at("group").number()? as u32,
         phase,
-        since: entry.at("since_ms").number().unwrap_or(0.0) / 1000.0,
+        started_at: entry.at("since_ms").number().unwrap_or(0.0) / 1000.0,
     })
 }
--- a/crates/operator/src/effective.rs
+++ b/crates/operator/src/effective.rs
@@ -195,7 +195,7 @@
             zone: member.zone.clone(),
             group: member.group,
             phase: if member.status == Access::Draining { Phase::Leaving } else { Phase::Active },
-            since: 0.0,
+            started_at: 0.0,
         });
         if !conflicts.is_empty() {
             return Err(conflicts);
--- a/crates/registry/src/schema.rs
+++ b/crates/registry/src/schema.rs
@@ -58,7 +58,7 @@
         zone: value.zone,
         group: value.group,
         phase: if value.status == Status::Draining { Phase::Leaving } else { Phase::Active },
-        since: value.since_ms / 1000.0,
+        started_at: value.since_ms / 1000.0,
     })
 }
 
--- a/crates/registry/tests/form.rs
+++ b/crates/registry/tests/form.rs
@@ -54,7 +54,7 @@
     let value =
         br#"{"v":1,"address":"10.1.0.18:5432","zone":"a","group":3,"status":"DRAINING","since_ms":1500}"#;
     let listing = member("s-1", value).unwrap();
-    assert_eq!((listing.group, listing.phase, listing.since), (3, Phase::Leaving, 1.5));
+    assert_eq!((listing.group, listing.phase, listing.started_at), (3, Phase::Leaving, 1.5));
     for (bad, words) in [
         (&b"x"[..], "expected value"),
         (b"\xff", "expected value"),
--- a/crates/scale/src/hollow/pooler.rs
+++ b/crates/scale/src/hollow/pooler.rs
@@ -5,8 +5,8 @@
 use std::io;
 
 use ::config::Config;
-use listing::connection::Broken;
-use listing::follow::{Follower, Line, Step};
+use listing::connection::ConnectionError;
+use listing::follow::{ConnectionId, Follower, Step};
 use listing::Listing;
 use mio::{Interest, Token};
 use replication::reports;
@@ -93,7 +93,7 @@
 
     /// Looks at all connections to discovery: what was cut off may pass again.
     pub fn look_at_watches(&mut self, world: &mut World) {
-        let lines: Vec<Line> = self.watches.iter().map(|watch| watch.line).collect();
+        let lines: Vec<ConnectionId> = self.watches.iter().map(|watch| watch.line).collect();
         lines.into_iter().for_each(|line| self.watch_ready(line, world));
     }
 
@@ -105,7 +105,7 @@
             Due::Discovery => {
                 // What has arrived by now still counts, though its event has not been taken up yet.
                 self.look_at_watches(world);
-                self.follow(world, |follower, now, out| follower.due(now, out));
+                self.follow(world, |follower, now, out| follower.on_timer(now, out));
             }
             Due::Peers => self.peers_due(world),
             Due::Request => {
@@ -134,7 +134,9 @@
         for action in actions {
             match action {
                 Action::Timer { at, cookie } => world.timers.set(at, self.owner, Due::Policy(cookie)),
-                Action::Listen => self.follow(world, |follower, now, out| follower.listen(now, out)),
+                Action::Listen => {
+                    self.follow(world, |follower, now, out| follower.send_list_request(now, out))
+                }
                 // Without requests the decisions neither send nor probe; a hollow pooler has no connections to close.
                 _ => {}
             }
@@ -155,7 +157,7 @@
         match step {
             Step::Open(line, since) => {
                 if let Err(why) = self.open(line, since, world) {
-                    self.follow(world, |follower, now, out| follower.broke(line, now, why, out));
+                    self.follow(world, |follower, now, out| follower.connection_failed(line, now, why, out));
                 }
             }
             Step::Close(line) => self.watches.retain(|watch| watch.line != line),
@@ -166,7 +168,7 @@
         }
     }
 
-    fn open(&mut self, line: Line, since: u64, world: &mut World) -> Result<(), Broken> {
+    fn open(&mut self, line: ConnectionId, since: u64, world: &mut World) -> Result<(), ConnectionError> {
         let mut watch = Watch::open(line, world.network.discovery(), since, &world.budget)?;
         let token = Token(self.owner.place * SOURCES + source_of(line));
         let both = Interest::READABLE | Interest::WRITABLE;
@@ -175,7 +177,7 @@
         Ok(())
     }
 
-    fn watch_ready(&mut self, line: Line, world: &mut World) {
+    fn watch_ready(&mut self, line: ConnectionId, world: &mut World) {
         let Some(watch) = self.watches.iter_mut().find(|watch| watch.line == line) else { return };
         if world.apart(self.zone, super::DISCOVERY_ZONE) {
             return;
@@ -193,24 +195,33 @@
             }
         }
         match result {
-            Ok(()) => self.follower.bytes(line, world.clock.now(), begun),
-            Err(why) => self.follow(world, |follower, now, out| follower.broke(line, now, why, out)),
+            Ok(()) => self.follower.bytes_received(line, world.clock.now(), begun),
+            Err(why) => {
+                self.follow(world, |follower, now, out| follower.connection_failed(line, now, why, out))
+            }
         }
     }
 
     /// Takes in one document or empty line.
-    fn piece(&mut self, line: Line, piece: json::Piece, world: &mut World) -> Result<(), Broken> {
+    fn piece(
+        &mut self,
+        line: ConnectionId,
+        piece: json::Piece,
+        world: &mut World,
+    ) -> Result<(), ConnectionError> {
         let json::Piece::Document(bytes) = piece else {
-            self.follow(world, |follower, now, out| follower.blank(line, now, out));
+            self.follow(world, |follower, now, out| follower.empty_line_received(line, now, out));
             return Ok(());
         };
         let text = std::str::from_utf8(&bytes).map_err(|_| "a list that is not text")?;
         let news = listing::parse(text).ok_or("what is no list")?;
         let mut counts = false;
-        self.follow(world, |follower, now, out| counts = follower.news(line, now, news.index, out));
+        self.follow(world, |follower, now, out| {
+            counts = follower.update_received(line, now, news.version, out)
+        });
         if counts {
-            self.version = news.index;
-            let kind = if news.whole { ListKind::Full } else { ListKind::Incremental };
+            self.version = news.version;
+            let kind = if news.is_full { ListKind::Full } else { ListKind::Incremental };
             self.members(kind, news.listings, world);
             world.heard.push((self.version, self.owner.place, world.clock.now()));
         }
@@ -219,7 +230,8 @@
 
     fn members(&mut self, kind: ListKind, listings: Vec<Listing>, world: &mut World) {
         if let Some(peers) = self.peers.as_mut().filter(|_| kind.is_news()) {
-            let databases = listings.iter().map(|listing| (&*listing.name, listing.since, listing.phase));
+            let databases =
+                listings.iter().map(|listing| (&*listing.name, listing.started_at, listing.phase));
             reports::tell_list(&mut peers.node, world.clock.now(), (LIST, self.version), databases);
         }
         let entries = listings.into_iter().map(entry).collect();
@@ -286,7 +298,7 @@
         let Some(peers) = &mut self.peers else { return };
         if tells {
             reports::tell_views(&mut peers.node, now, &found);
-            peers.node.works_by(now, self.follower.index(), 0, env!("CARGO_PKG_VERSION"));
+            peers.node.works_by(now, self.follower.version(), 0, env!("CARGO_PKG_VERSION"));
         }
         let heard = reports::heard(&peers.node, now, &found);
         let others = peers.node.alive() as u32;
@@ -307,13 +319,13 @@
 }
 
 /// The source of a connection to discovery.
-fn source_of(line: Line) -> usize {
+fn source_of(line: ConnectionId) -> usize {
     1 + (line % WATCHES) as usize
 }
 
 /// A line of the list as the decisions are told it.
 fn entry(listing: Listing) -> Entry {
-    let Listing { name, zone, group, phase, since, .. } = listing;
+    let Listing { name, zone, group, phase, started_at: since, .. } = listing;
     // A zone that the settings do not name is at least not the own one.
     let zone = (0..ZONES).find(|number| zone_name(*number) == zone).unwrap_or(ZONES);
     Entry { member: name, zone: zone as u32, group, phase, started_at: since, primary: false }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -14,7 +14,7 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-use listing::follow::{self, Follower, Line};
+use listing::follow::{self, ConnectionId, Follower};
 pub use machine::Machine;
 use routing::interface::*;
 use routing::Policy;
@@ -141,7 +141,7 @@
     zone: u32,
     follower: Follower,
     /// Its connections to discovery.
-    lines: BTreeMap<Line, Wire>,
+    lines: BTreeMap<ConnectionId, Wire>,
     /// Since when a connection has been silent, with no answer since.
     hushed: Option<f64>,
     /// When the last change that is on its way to it arrives: a watch keeps its order.
@@ -161,7 +161,7 @@
 }
 
 /// A connection to discovery: the pooler, its life and the number there.
-type Place = (usize, u32, Line);
+type Place = (usize, u32, ConnectionId);
 
 /// How it is with one.
 #[derive(Clone, Copy, Default)]
@@ -330,15 +330,17 @@
             Step::Ended(request, attempt) => self.ended(request, attempt, None),
             Step::Timer(..) | Step::Told(..) => {}
             Step::Look(n, life) if self.poolers[n].life == life => {
-                self.follow(n, |follower, now, out| follower.due(now, out));
+                self.follow(n, |follower, now, out| follower.on_timer(now, out));
             }
             Step::Look(..) => {}
             Step::Listed(place) => self.answered(place),
             Step::TurnedDown(place) if self.speaks(place) => {
-                self.follow(place.0, |follower, now, out| follower.broke(place.2, now, "turned down", out));
+                self.follow(place.0, |follower, now, out| {
+                    follower.connection_failed(place.2, now, "turned down", out)
+                });
             }
             Step::Beat(place) if self.speaks(place) => {
-                self.follow(place.0, |follower, now, out| follower.blank(place.2, now, out));
+                self.follow(place.0, |follower, now, out| follower.empty_line_received(place.2, now, out));
                 self.at(self.now + BEAT, Step::Beat(place));
             }
             Step::Changed(place, entry) if self.speaks(place) => {
@@ -427,7 +429,7 @@
                     self.ended(request, attempt, Some(Outcome::Cancelled));
                 }
             }
-            Action::Listen => self.follow(n, |follower, now, out| follower.listen(now, out)),
+            Action::Listen => self.follow(n, |follower, now, out| follower.send_list_request(now, out)),
             _ => {}
         }
     }
@@ -598,7 +600,7 @@
     }
 
     /// Discovery answers calls in turn; one that waits too long has failed and takes its time all the same.
-    fn call(&mut self, n: usize, line: Line) {
+    fn call(&mut self, n: usize, line: ConnectionId) {
         self.seen.calls += 1;
         let wire = Wire { answered: false, hushed: self.hangs };
         let pooler = &mut self.poolers[n];
@@ -638,7 +640,7 @@
 
     fn news(&mut self, (n, _, line): Place, kind: ListKind, entries: Vec<Entry>) {
         let mut counts = false;
-        self.follow(n, |follower, now, out| counts = follower.news(line, now, 0, out));
+        self.follow(n, |follower, now, out| counts = follower.update_received(line, now, 0, out));
         if counts {
             self.feed(n, Event::Members { kind, entries });
         }
@@ -652,7 +654,7 @@
             let late = self.now + self.shape.list_delay * self.delays.f64();
             let pooler = &mut self.poolers[n];
             let open = pooler.lines.iter().filter(|(_, wire)| wire.answered && !wire.hushed);
-            let open: Vec<Line> = open.map(|(line, _)| *line).collect();
+            let open: Vec<ConnectionId> = open.map(|(line, _)| *line).collect();
             if open.is_empty() && entry.phase != Phase::Active {
                 let anew = self.now.max(self.back) + SILENCE_COUNTS;
                 let counts = match pooler.hushed {
@@ -695,9 +697,11 @@
         }
 
         for n in 0..self.poolers.len() {
-            let lines: Vec<Line> = self.poolers[n].lines.keys().copied().collect();
+            let lines: Vec<ConnectionId> = self.poolers[n].lines.keys().copied().collect();
             for line in lines {
-                self.follow(n, |follower, now, out| follower.broke(line, now, "the connection broke", out));
+                self.follow(n, |follower, now, out| {
+                    follower.connection_failed(line, now, "the connection broke", out)
+                });
             }
         }
     }
--- a/crates/transaction/tests/explored.rs
+++ b/crates/transaction/tests/explored.rs
@@ -79,7 +79,7 @@
 
 fn listing(name: &str, phase: Phase) -> Listing {
     let address = "127.0.0.1:9".parse().unwrap();
-    Listing { name: name.into(), address, zone: String::new(), group: 0, phase, since: 0.0 }
+    Listing { name: name.into(), address, zone: String::new(), group: 0, phase, started_at: 0.0 }
 }
 
 impl Daemon {
