--- a/crates/daemon/src/net/clients/connection.rs
+++ b/crates/daemon/src/net/clients/connection.rs
@@ -6,7 +6,7 @@
 use buffer::{Budget, Fill, Overflow, Ring};
 use exchange::Answer;
 use mio::net::TcpStream;
-use pgwire::{code, Asked, FrameError, Message, Startup};
+use pgwire::{sqlstate, ClientQuery, FrameError, Message, Startup};
 
 use super::pipeline::{Afterwards, CommandNumber, Pipeline};
 use crate::net::event_loop::{Due, Slot};
@@ -138,7 +138,11 @@
                 // A message whose rest will never fit must not hold its memory and its client for ever. While replies are
                 // owed, the next of them looks again.
                 let stuck = self.stage != Stage::Ending && self.pipeline.is_empty() && self.outbox.is_empty();
-                return if stuck { self.fatal(code::NO_MEMORY, "no memory", slot, context) } else { Ok(()) };
+                return if stuck {
+                    self.fatal(sqlstate::OUT_OF_MEMORY, "no memory", slot, context)
+                } else {
+                    Ok(())
+                };
             }
         }
         self.discard(slot, context)
@@ -178,10 +182,10 @@
                 Ok(true) => {}
                 Ok(false) => return Ok(()),
                 Err(FrameError::Malformed) => {
-                    self.fatal(code::VIOLATION, "malformed message", slot, context)?;
+                    self.fatal(sqlstate::PROTOCOL_VIOLATION, "malformed message", slot, context)?;
                 }
                 Err(FrameError::TooLong) => {
-                    self.fatal(code::TOO_LARGE, "message too long", slot, context)?;
+                    self.fatal(sqlstate::PROGRAM_LIMIT_EXCEEDED, "message too long", slot, context)?;
                 }
             }
         }
@@ -191,7 +195,7 @@
 
     /// Takes the client's first message; false while it is not there in full.
     fn take_startup(&mut self, slot: Slot, context: &mut Context) -> Result<Result<bool, FrameError>, Over> {
-        match pgwire::startup(&mut self.inbox) {
+        match pgwire::read_startup(&mut self.inbox) {
             Ok(Some(first)) => self.startup(first, slot, context).map(|()| Ok(true)),
             Ok(None) => Ok(Ok(false)),
             Err(fault) => Ok(Err(fault)),
@@ -205,7 +209,7 @@
         serving: bool,
         context: &mut Context,
     ) -> Result<Result<bool, FrameError>, Over> {
-        match pgwire::message(&mut self.inbox) {
+        match pgwire::read_message(&mut self.inbox) {
             Ok(Some(message)) => self.message(message, slot, serving, context).map(|()| Ok(true)),
             Ok(None) => Ok(Ok(false)),
             Err(fault) => Ok(Err(fault)),
@@ -223,7 +227,7 @@
             // Guards an answer that is owed against short memory: the client is told at least that it failed.
             if self.outbox.push_over_budget(&reply.bytes).is_err() {
                 self.outbox.push_over_budget(&error(
-                    code::FAILED,
+                    sqlstate::SYSTEM_ERROR,
                     "no memory for the answer: it may have run",
                     None,
                 ))?;
@@ -328,7 +332,7 @@
         if self.inbox.is_empty() {
             return self.linger(slot, serving, context);
         }
-        self.fatal(code::VIOLATION, "message not completed in time", slot, context)?;
+        self.fatal(sqlstate::PROTOCOL_VIOLATION, "message not completed in time", slot, context)?;
         self.turn(slot, serving, context)
     }
 
@@ -336,14 +340,17 @@
         match first {
             Startup::Encryption => self.outbox.push(b"N")?,
             Startup::Session => {
-                self.outbox.push_over_budget(&pgwire::welcome((slot.number() as u32, self.secret)))?;
+                self.outbox
+                    .push_over_budget(&pgwire::startup_response((slot.number() as u32, self.secret)))?;
                 self.stage = Stage::Open;
             }
             Startup::Cancel(key) => {
                 context.events.push_back(Event::Cancel(key));
                 return Err(Over::Peer);
             }
-            Startup::Unknown => self.fatal(code::UNSUPPORTED, "unknown protocol", slot, context)?,
+            Startup::Unknown => {
+                self.fatal(sqlstate::FEATURE_NOT_SUPPORTED, "unknown protocol", slot, context)?
+            }
         }
         Ok(())
     }
@@ -359,35 +366,44 @@
             b'X' => self.pipeline.reply_last(Vec::new(), Afterwards::Close),
             b'S' => {
                 self.skipping = false;
-                self.pipeline.reply(pgwire::ready());
+                self.pipeline.reply(pgwire::ready_for_query());
             }
             _ if self.skipping => {}
             b'Q' => self.query(&message.body, slot, serving, context),
             b'P' | b'B' | b'D' | b'E' | b'C' => {
                 self.skipping = true;
                 let what = "only simple queries are served";
-                self.pipeline.reply(pgwire::error("ERROR", code::UNSUPPORTED, what, None));
+                self.pipeline.reply(pgwire::error_response(
+                    "ERROR",
+                    sqlstate::FEATURE_NOT_SUPPORTED,
+                    what,
+                    None,
+                ));
             }
-            b'F' => self.pipeline.reply(error(code::UNSUPPORTED, "function calls are not served", None)),
+            b'F' => self.pipeline.reply(error(
+                sqlstate::FEATURE_NOT_SUPPORTED,
+                "function calls are not served",
+                None,
+            )),
             // Flush asks for nothing here; the rest belongs to exchanges that are over or were never begun.
             b'H' | b'p' | b'd' | b'c' | b'f' => {}
-            _ => self.fatal(code::VIOLATION, "unknown message", slot, context)?,
+            _ => self.fatal(sqlstate::PROTOCOL_VIOLATION, "unknown message", slot, context)?,
         }
         Ok(())
     }
 
     fn query(&mut self, body: &[u8], slot: Slot, serving: bool, context: &mut Context) {
-        match pgwire::asked(body) {
-            Ok(Asked::Nothing) if serving => {
+        match pgwire::parse_client_query(body) {
+            Ok(ClientQuery::Empty) if serving => {
                 self.asked = true;
                 self.pipeline.reply(empty());
             }
-            Ok(Asked::Nothing) => self.pipeline.begin_unready(),
-            Ok(Asked::Query(mut query)) => {
+            Ok(ClientQuery::Empty) => self.pipeline.begin_unready(),
+            Ok(ClientQuery::Query(mut query)) => {
                 // Guards against many statements that are each within their bound and together are not.
                 let Ok(charge) = self.inbox.charge(query.statement.len() + COMMAND_MEMORY) else {
                     context.counters.refused += 1;
-                    return self.pipeline.reply(error(code::TURNED_AWAY, "no memory", None));
+                    return self.pipeline.reply(error(sqlstate::TOO_MANY_CONNECTIONS, "no memory", None));
                 };
                 query.statement.set_charge(charge);
                 self.asked = true;
@@ -396,7 +412,7 @@
             }
             Err(what) => {
                 context.counters.malformed += 1;
-                self.pipeline.reply(error(code::SYNTAX, what, None));
+                self.pipeline.reply(error(sqlstate::SYNTAX_ERROR, what, None));
             }
         }
     }
@@ -404,7 +420,7 @@
     /// Says what is wrong, behind the replies that are owed, and ends the connection once that is read.
     fn fatal(&mut self, code: &str, what: &str, slot: Slot, context: &mut Context) -> Result<(), Over> {
         context.counters.malformed += 1;
-        self.pipeline.reply_last(pgwire::error("FATAL", code, what, None), Afterwards::Linger);
+        self.pipeline.reply_last(pgwire::error_response("FATAL", code, what, None), Afterwards::Linger);
         self.deliver(slot, context).map(|_| ())
     }
 
@@ -449,7 +465,7 @@
         match self.inbox.charge(bytes.len()) {
             Ok(charge) => self.pipeline.finish(number, bytes, Some(charge)),
             Err(Overflow) => {
-                let bytes = error(code::FAILED, "no memory for the answer: it may have run", None);
+                let bytes = error(sqlstate::SYSTEM_ERROR, "no memory for the answer: it may have run", None);
                 self.pipeline.finish(number, bytes, None)
             }
         }
@@ -457,7 +473,7 @@
 
     /// Tells the client that all its commands that were being carried out are cancelled.
     pub fn cancelled(&mut self) {
-        self.pipeline.finish_running(&error(code::CANCELLED, "cancelled on request", None));
+        self.pipeline.finish_running(&error(sqlstate::QUERY_CANCELED, "cancelled on request", None));
     }
 
     /// Whether an empty query waits until the pooler can serve.
@@ -474,27 +490,27 @@
 
 /// The reply to an empty query.
 fn empty() -> Vec<u8> {
-    [pgwire::empty_response(), pgwire::ready()].concat()
+    [pgwire::empty_response(), pgwire::ready_for_query()].concat()
 }
 
 /// The reply to a command that has failed.
 fn error(code: &str, what: &str, detail: Option<&str>) -> Vec<u8> {
-    [pgwire::error("ERROR", code, what, detail), pgwire::ready()].concat()
+    [pgwire::error_response("ERROR", code, what, detail), pgwire::ready_for_query()].concat()
 }
 
 /// The reply that a final answer is.
 fn reply(answer: Answer) -> Vec<u8> {
     match answer {
         Answer::Served(mut value) => {
-            value.extend(pgwire::ready());
+            value.extend(pgwire::ready_for_query());
             value
         }
         Answer::Refused(backoff) => {
             let millis = Some((backoff * 1000.0).ceil()).filter(|millis| *millis > 0.0);
             let detail = millis.map(|millis| (millis as u64).to_string());
-            error(code::TURNED_AWAY, "refused: try again later", detail.as_deref())
+            error(sqlstate::TOO_MANY_CONNECTIONS, "refused: try again later", detail.as_deref())
         }
-        Answer::Failed => error(code::FAILED, "failed: it may have run", None),
-        Answer::Invalid(what) => error(code::BAD_VALUE, what, None),
+        Answer::Failed => error(sqlstate::SYSTEM_ERROR, "failed: it may have run", None),
+        Answer::Invalid(what) => error(sqlstate::INVALID_PARAMETER_VALUE, what, None),
     }
 }
--- a/crates/daemon/src/net/servers.rs
+++ b/crates/daemon/src/net/servers.rs
@@ -8,7 +8,7 @@
 use listing::Listing;
 use mio::net::TcpStream;
 use mio::Interest;
-use pgwire::{code, Message};
+use pgwire::{sqlstate, Message};
 use routing::interface::{ListKind, MemberId, Outcome, Phase, Report, RequestId};
 
 use super::event_loop::{Due, Slot, Slots, Source};
@@ -80,8 +80,8 @@
     fn outcome(&self) -> Option<Outcome> {
         Some(match self.code.as_deref() {
             Some(_) if self.described => Outcome::Error,
-            Some(code::TURNED_AWAY) => Outcome::Full,
-            Some(code::READ_ONLY | code::BEHIND) => Outcome::Miss,
+            Some(sqlstate::TOO_MANY_CONNECTIONS) => Outcome::Full,
+            Some(sqlstate::READ_ONLY_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD) => Outcome::Miss,
             Some(_) => Outcome::Error,
             None if self.complete && self.row => Outcome::Ok,
             None => return None,
@@ -169,7 +169,7 @@
         }
         let _ = self.stream.set_nodelay(true);
         self.stage = Stage::Starting;
-        self.outbox.push(&pgwire::hello(USER, DATABASE)).map_err(drop)?;
+        self.outbox.push(&pgwire::startup_message(USER, DATABASE)).map_err(drop)?;
         Ok(true)
     }
 
@@ -197,7 +197,7 @@
     /// Takes message by message.
     fn understand(&mut self, now: f64) -> Step {
         loop {
-            match pgwire::reply(&mut self.inbox) {
+            match pgwire::read_server_message(&mut self.inbox) {
                 Ok(None) => return Step::Waiting,
                 Ok(Some(message)) => match self.message(message, now) {
                     Step::Waiting => {}
@@ -216,7 +216,7 @@
             (Stage::Starting, b'R') if message.body == [0; 4] => {}
             (Stage::Starting, b'E') => {
                 let (code, _) = pgwire::error_code(&message.body);
-                let full = code == code::TURNED_AWAY;
+                let full = code == sqlstate::TOO_MANY_CONNECTIONS;
                 return Step::Broken(if full { Outcome::Full } else { Outcome::ConnectFailed });
             }
             (Stage::Starting, b'Z') => {
@@ -224,7 +224,7 @@
                     return Step::Broken(Outcome::Moot);
                 }
             }
-            (Stage::Busy | Stage::Idle, b'S') => match pgwire::parameter(&message.body) {
+            (Stage::Busy | Stage::Idle, b'S') => match pgwire::read_parameter_status(&message.body) {
                 Some((POSITION, value)) => {
                     self.reply.position = value.parse::<f64>().ok().map(|millis| millis / 1000.0);
                 }
@@ -249,14 +249,14 @@
                 }
                 match self.job.as_ref().map(|job| &job.task) {
                     Some(Task::Probe) if kind == b'D' => {
-                        self.reply.report = pgwire::column(&message.body).and_then(report);
+                        self.reply.report = pgwire::read_single_column(&message.body).and_then(report);
                     }
                     Some(Task::Probe) => {}
                     // Guards against many answers that are each within their bound and together are not.
                     _ if self.held.set(self.reply.value.len() + message.body.len()).is_err() => {
                         return Step::Broken(Outcome::Error);
                     }
-                    _ => pgwire::forward(&mut self.reply.value, &message),
+                    _ => pgwire::append_message(&mut self.reply.value, &message),
                 }
             }
             // A second error contradicts the first, or belongs to another request.
--- a/crates/daemon/src/net/sessions.rs
+++ b/crates/daemon/src/net/sessions.rs
@@ -17,7 +17,7 @@
 use mio::net::TcpListener;
 use mio::Interest;
 use operator::Pool;
-use pgwire::{code, error};
+use pgwire::{error_response, sqlstate};
 use pooling::{Pace, Pools};
 use route::Table;
 use routing::interface::{MemberId, Outcome, RequestId};
@@ -198,7 +198,7 @@
         for slot in idle {
             let Some(conn) = self.conns.get_mut(slot) else { continue };
             let what = "the pooler ends";
-            let _ = conn.link.outbox.push(&error("FATAL", code::SHUTDOWN, what, None));
+            let _ = conn.link.outbox.push(&error_response("FATAL", sqlstate::ADMIN_SHUTDOWN, what, None));
             let _ = conn.link.turn(&mut conn.stream);
             self.remove(slot, context);
         }
--- a/crates/daemon/src/net/sessions/assignment.rs
+++ b/crates/daemon/src/net/sessions/assignment.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use exchange::Answer;
-use pgwire::code;
+use pgwire::sqlstate;
 use pooling::{Choice, Cut, Ended, Key, Remote, Want};
 use route::RouteRequest;
 use routing::interface::{MemberId, Outcome, RequestId};
@@ -250,10 +250,10 @@
             Answer::Refused(backoff) => {
                 let millis = Some((backoff * 1000.0).ceil()).filter(|millis| *millis > 0.0);
                 detail = millis.map(|millis| (millis as u64).to_string());
-                (code::TURNED_AWAY, "refused: try again later")
+                (sqlstate::TOO_MANY_CONNECTIONS, "refused: try again later")
             }
-            Answer::Invalid(what) => (code::BAD_VALUE, *what),
-            Answer::Failed | Answer::Served(_) => (code::FAILED, "no server was reached"),
+            Answer::Invalid(what) => (sqlstate::INVALID_PARAMETER_VALUE, *what),
+            Answer::Failed | Answer::Served(_) => (sqlstate::SYSTEM_ERROR, "no server was reached"),
         };
         let mut actions = Vec::new();
         if let Some(session) = &mut conn.session {
--- a/crates/daemon/src/net/sessions/cancel.rs
+++ b/crates/daemon/src/net/sessions/cancel.rs
@@ -25,7 +25,7 @@
         };
         let Some(backend) = self.backends.get_mut(place) else { return };
         backend.tainted = true;
-        let (bytes, address) = (wire::cancel(backend.cancel), backend.address);
+        let (bytes, address) = (wire::cancel_request(backend.cancel), backend.address);
         let (key, member) = (backend.key.clone(), backend.member.clone());
         let Ok(stream) = TcpStream::connect(address) else { return };
         let until = context.reactor.now() + CANCEL_TIMEOUT;
--- a/crates/daemon/src/net/sessions/client.rs
+++ b/crates/daemon/src/net/sessions/client.rs
@@ -6,7 +6,7 @@
 use buffer::Fill;
 use mio::net::TcpStream;
 use pgwire::session::{self as wire, Piece};
-use pgwire::{code, error};
+use pgwire::{error_response, sqlstate};
 use pooling::{Action, Cut, Session as Pooled};
 use routing::interface::Outcome;
 use tls::Link;
@@ -114,14 +114,14 @@
             return if fill == Fill::Ended { Step::Over } else { Step::Still };
         }
         if conn.stage == Stage::Login {
-            return match pgwire::message(&mut conn.link.inbox) {
+            return match pgwire::read_message(&mut conn.link.inbox) {
                 Ok(None) if fill == Fill::Drained => Step::Still,
                 Ok(Some(message)) if message.kind == b'p' => self.login(slot, &message.body, context),
                 _ => Step::Over,
             };
         }
         if conn.stage == Stage::First {
-            match wire::first(&mut conn.link.inbox) {
+            match wire::read_startup(&mut conn.link.inbox) {
                 Ok(None) => {}
                 Ok(Some(first)) => return self.first(slot, first, context),
                 Err(_) => return Step::Over,
@@ -131,7 +131,7 @@
         {
             let mut bytes = 0;
             while bytes < PENDING_LIMIT && session.takes() && !stops(&actions) {
-                match pgwire::message(&mut conn.link.inbox) {
+                match pgwire::read_message(&mut conn.link.inbox) {
                     Ok(None) => break,
                     Ok(Some(message)) => {
                         bytes += message.body.len() + 5;
@@ -140,7 +140,12 @@
                     }
                     Err(_) => {
                         let what = "malformed message, or one that is too long";
-                        actions.push(Action::Client(error("FATAL", code::TOO_LARGE, what, None)));
+                        actions.push(Action::Client(error_response(
+                            "FATAL",
+                            sqlstate::PROGRAM_LIMIT_EXCEEDED,
+                            what,
+                            None,
+                        )));
                         actions.push(Action::End);
                         moved = true;
                     }
--- a/crates/daemon/src/net/sessions/limits.rs
+++ b/crates/daemon/src/net/sessions/limits.rs
@@ -1,6 +1,6 @@
 //! Time limits of sessions and connections.
 
-use pgwire::{code, error};
+use pgwire::{error_response, sqlstate};
 use pooling::Cut;
 use routing::interface::Outcome;
 
@@ -50,7 +50,7 @@
             let Some(conn) = self.conns.get_mut(slot) else { continue };
             (conn.stage, conn.since) = (Stage::Ending, now);
             let what = "password authentication failed";
-            let _ = conn.link.outbox.push(&error("FATAL", code::WRONG_PASSWORD, what, None));
+            let _ = conn.link.outbox.push(&error_response("FATAL", sqlstate::INVALID_PASSWORD, what, None));
             self.ready(slot, context);
         }
         for (slot, cut) in overdue {
--- a/crates/daemon/src/net/sessions/login.rs
+++ b/crates/daemon/src/net/sessions/login.rs
@@ -5,8 +5,8 @@
 
 use mio::Interest;
 use operator::PoolMode;
-use pgwire::session::{self as wire, First};
-use pgwire::{code, error};
+use pgwire::session::{self as wire, FirstMessage};
+use pgwire::{error_response, sqlstate};
 use pooling::{Mode, Session as Pooled};
 use scram::{Channel, MECHANISM, MECHANISM_PLUS};
 use tls::{Link, Session};
@@ -55,10 +55,10 @@
         }
     }
 
-    pub(super) fn first(&mut self, slot: Slot, first: First, context: &mut Context) -> Step {
+    pub(super) fn first(&mut self, slot: Slot, first: FirstMessage, context: &mut Context) -> Step {
         let Some(conn) = self.conns.get_mut(slot) else { return Step::Still };
         let pushed = match first {
-            First::Encryption => match &self.tls {
+            FirstMessage::Encryption => match &self.tls {
                 None => conn.link.outbox.push(b"N"),
                 // Whoever sends more before it is told that there is TLS, or asks for it twice, is no client.
                 Some(_) if !conn.link.inbox.is_empty() || conn.link.is_secured() => return Step::Over,
@@ -74,28 +74,38 @@
                     return Step::Moved;
                 }
             },
-            First::Session(_) if self.pool.tls_required && !conn.link.is_secured() => {
+            FirstMessage::Session(_) if self.pool.tls_required && !conn.link.is_secured() => {
                 conn.stage = Stage::Ending;
-                conn.link.outbox.push(&error("FATAL", code::NO_TLS, "only TLS is served here", None))
+                conn.link.outbox.push(&error_response(
+                    "FATAL",
+                    sqlstate::INVALID_AUTHORIZATION,
+                    "only TLS is served here",
+                    None,
+                ))
             }
-            First::Cancel(number, secret) => {
+            FirstMessage::Cancel(number, secret) => {
                 self.cancel(number, secret, context);
                 return Step::Over;
             }
-            First::Unknown => {
+            FirstMessage::Unknown => {
                 conn.stage = Stage::Ending;
-                conn.link.outbox.push(&error("FATAL", code::UNSUPPORTED, "unknown protocol", None))
+                conn.link.outbox.push(&error_response(
+                    "FATAL",
+                    sqlstate::FEATURE_NOT_SUPPORTED,
+                    "unknown protocol",
+                    None,
+                ))
             }
-            First::Session(options) if self.users.is_some() => {
+            FirstMessage::Session(options) if self.users.is_some() => {
                 let Some(conn) = self.conns.get_mut(slot) else { return Step::Still };
                 (conn.stage, conn.options) = (Stage::Login, options);
                 let offered: &[&str] = match conn.link.endpoint() {
                     Some(_) => &[MECHANISM_PLUS, MECHANISM],
                     None => &[MECHANISM],
                 };
-                conn.link.outbox.push(&wire::ask_login(offered))
+                conn.link.outbox.push(&wire::authentication_sasl(offered))
             }
-            First::Session(options) => {
+            FirstMessage::Session(options) => {
                 let welcome = self.welcome(slot, &options);
                 let Some(conn) = self.conns.get_mut(slot) else { return Step::Still };
                 match welcome {
@@ -105,7 +115,12 @@
                     }
                     Err(what) => {
                         conn.stage = Stage::Ending;
-                        conn.link.outbox.push(&error("FATAL", code::UNSUPPORTED, &what, None))
+                        conn.link.outbox.push(&error_response(
+                            "FATAL",
+                            sqlstate::FEATURE_NOT_SUPPORTED,
+                            &what,
+                            None,
+                        ))
                     }
                 }
             }
@@ -128,7 +143,7 @@
                 let verifier = self.users.as_ref().and_then(|users| users.get(&user));
                 let nonce = nonce(&mut self.rng);
                 let endpoint = conn.link.endpoint();
-                let chosen = match (wire::read_first(body), &endpoint) {
+                let chosen = match (wire::read_sasl_initial_response(body), &endpoint) {
                     (Some((MECHANISM_PLUS, step)), Some(bytes)) => Ok((step, Channel::Bound(bytes))),
                     (Some((MECHANISM, step)), Some(_)) => Ok((step, Channel::Unbound)),
                     (Some((MECHANISM, step)), None) => Ok((step, Channel::Open)),
@@ -139,12 +154,12 @@
                 });
                 begun.map(|(server, told)| {
                     conn.login = Some(server);
-                    wire::login_step(false, &told)
+                    wire::authentication_sasl_step(false, &told)
                 })
             }
             Some(server) => {
                 let step = std::str::from_utf8(body).unwrap_or_default();
-                server.finish(step).map(|told| wire::login_step(true, &told))
+                server.finish(step).map(|told| wire::authentication_sasl_step(true, &told))
             }
         };
         let done = conn.login.is_none();
@@ -159,7 +174,7 @@
                         self.conns.get_mut(slot).into_iter().for_each(|conn| conn.stage = Stage::Running);
                     }
                     Err(what) => {
-                        bytes.extend(error("FATAL", code::UNSUPPORTED, &what, None));
+                        bytes.extend(error_response("FATAL", sqlstate::FEATURE_NOT_SUPPORTED, &what, None));
                         self.conns.get_mut(slot).into_iter().for_each(|conn| conn.stage = Stage::Ending);
                     }
                 }
@@ -201,12 +216,12 @@
             PoolMode::Session => Mode::Session,
         };
         conn.session = Some(Box::new(Pooled::new(mode, start, self.told.clone())));
-        let mut bytes = wire::texts(b'R', &[], &[0; 4]);
+        let mut bytes = wire::message_of_strings(b'R', &[], &[0; 4]);
         for (name, value) in &self.told {
-            bytes.extend(wire::texts(b'S', &[name, value], &[]));
+            bytes.extend(wire::message_of_strings(b'S', &[name, value], &[]));
         }
-        bytes.extend(wire::key((slot.number() as u32, secret)));
-        bytes.extend(wire::ready(b'I'));
+        bytes.extend(wire::backend_key_data((slot.number() as u32, secret)));
+        bytes.extend(wire::ready_for_query(b'I'));
         Ok(bytes)
     }
 }
--- a/crates/daemon/src/net/sessions/server.rs
+++ b/crates/daemon/src/net/sessions/server.rs
@@ -6,8 +6,8 @@
 use mio::net::TcpStream;
 use mio::Interest;
 use operator::Pool;
-use pgwire::code;
-use pgwire::session::{self as wire, Flow, Login, Piece};
+use pgwire::session::{self as wire, Authentication, Piece, ServerMessageReader};
+use pgwire::sqlstate;
 use pooling::{Key, Remote};
 use routing::interface::{MemberId, Outcome};
 use scram::{Channel, MECHANISM, MECHANISM_PLUS};
@@ -34,7 +34,7 @@
 pub(super) struct Backend {
     pub(super) stream: TcpStream,
     pub(super) link: Link,
-    pub(super) flow: Flow,
+    pub(super) flow: ServerMessageReader,
     pub(super) state: ServerState,
     pub(super) key: Key,
     pub(super) member: MemberId,
@@ -89,7 +89,7 @@
         let _ = stream.set_nodelay(true);
         let link = Link::new(None, &self.budget);
         let remote = Some(Remote::new(self.pool.statements as usize));
-        let (state, flow, cancel) = (ServerState::Connecting, Flow::default(), (0, 0));
+        let (state, flow, cancel) = (ServerState::Connecting, ServerMessageReader::default(), (0, 0));
         let (client, tainted, drain) = (None, false, None);
         let login = None;
         Backend {
@@ -157,7 +157,7 @@
                 };
             }
             let first = match &self.server_tls {
-                Some(_) => wire::ask_tls(),
+                Some(_) => wire::ssl_request(),
                 None => hello(backend),
             };
             backend.state =
@@ -206,12 +206,12 @@
                 }
                 b'S' => {
                     if let (Some((name, value)), Some(remote)) =
-                        (pgwire::parameter(&message.body), &mut backend.remote)
+                        (pgwire::read_parameter_status(&message.body), &mut backend.remote)
                     {
                         remote.told.insert(name.into(), value.into());
                     }
                 }
-                b'K' => backend.cancel = wire::read_key(&message.body).unwrap_or_default(),
+                b'K' => backend.cancel = wire::read_backend_key(&message.body).unwrap_or_default(),
                 b'N' => {}
                 b'Z' => {
                     let told = backend.remote.as_ref().map(|remote| remote.told.clone());
@@ -221,13 +221,13 @@
                 }
                 b'E' => {
                     let (number, _) = pgwire::error_code(&message.body);
-                    let (member, words) = (&*backend.member, wire::words(&message.body));
+                    let (member, words) = (&*backend.member, wire::read_error_text(&message.body));
                     logging::warn!(
                         event = "pool.refused",
                         member,
                         "the server turns a connection away: {words}"
                     );
-                    let full = number == code::TURNED_AWAY;
+                    let full = number == sqlstate::TOO_MANY_CONNECTIONS;
                     return Err(if full { Outcome::Full } else { Outcome::ConnectFailed });
                 }
                 _ => return Err(Outcome::ConnectFailed),
@@ -293,28 +293,32 @@
     rng: &mut fastrand::Rng,
 ) -> Result<(), String> {
     let words = |fault: scram::Fault| fault.to_string();
-    let answer = match wire::login(body) {
+    let answer = match wire::read_authentication(body) {
         // A server that skips the proof that it knows the password is not the one that was meant.
-        Login::Done if backend.login.is_none() => return Ok(()),
-        asked @ Login::Mechanisms(_) if asked.has(MECHANISM) || asked.has(MECHANISM_PLUS) => {
+        Authentication::Complete if backend.login.is_none() => return Ok(()),
+        asked @ Authentication::Mechanisms(_) if asked.offers(MECHANISM) || asked.offers(MECHANISM_PLUS) => {
             let endpoint = backend.link.endpoint();
             let (mechanism, channel) = match &endpoint {
-                Some(bytes) if asked.has(MECHANISM_PLUS) => (MECHANISM_PLUS, Channel::Bound(bytes)),
+                Some(bytes) if asked.offers(MECHANISM_PLUS) => (MECHANISM_PLUS, Channel::Bound(bytes)),
                 // The server finds out whether its offer was struck out on the way.
                 Some(_) => (MECHANISM, Channel::Unbound),
                 None => (MECHANISM, Channel::Open),
             };
             let (login, first) = scram::Client::begin(&nonce(rng), channel);
             backend.login = Some(login);
-            wire::login_first(mechanism, &first)
+            wire::sasl_initial_response(mechanism, &first)
         }
-        Login::Step(step) => {
+        Authentication::SaslContinue(step) => {
             let file =
                 pool.server_password_file.as_ref().ok_or("it asks for a password, and none is kept here")?;
             let login = backend.login.as_mut().ok_or("a step before the first")?;
-            wire::texts(b'p', &[], login.answer(step, &files::password(file)?).map_err(words)?.as_bytes())
+            wire::message_of_strings(
+                b'p',
+                &[],
+                login.answer(step, &files::password(file)?).map_err(words)?.as_bytes(),
+            )
         }
-        Login::Last(last) => {
+        Authentication::SaslFinal(last) => {
             let login = backend.login.take().ok_or("a step before the first")?;
             return login.finish(last).map_err(words);
         }
@@ -325,7 +329,7 @@
 
 /// The first message of a session at a server.
 pub(super) fn hello(backend: &Backend) -> Vec<u8> {
-    wire::hello(&[("user", &backend.key.user), ("database", &backend.key.database)])
+    wire::startup_message(&[("user", &backend.key.user), ("database", &backend.key.database)])
 }
 
 /// Whether a server is the primary, as far as it has told; it does so from PostgreSQL 14 on.
--- a/crates/explore/src/lib.rs
+++ b/crates/explore/src/lib.rs
@@ -8,8 +8,8 @@
 use std::path::{Path, PathBuf};
 
 use buffer::{Budget, Ring};
-use pgwire::session::{first, texts, Flow, Piece};
-use pgwire::{message, Message};
+use pgwire::session::{message_of_strings, read_startup, Piece, ServerMessageReader};
+use pgwire::{read_message, Message};
 use pooling::{Action, Cut, Ended, Mode, Remote, Session};
 use scram::{Channel, Client, Server, Users, Verifier};
 use sql::{Kind, Token};
@@ -65,7 +65,7 @@
 /// Takes all messages there are off a ring that is filled with so many bytes at a time.
 fn taken(bytes: &[u8], at_a_time: usize) -> (Vec<u8>, bool) {
     let budget = Budget::new(64 * 1024 * 1024);
-    let (mut ring, mut flow, mut out) = (Ring::new(&budget), Flow::default(), Vec::new());
+    let (mut ring, mut flow, mut out) = (Ring::new(&budget), ServerMessageReader::default(), Vec::new());
     for part in bytes.chunks(at_a_time.max(1)) {
         if ring.push(part).is_err() {
             return (out, false);
@@ -74,7 +74,9 @@
             match flow.next(&mut ring) {
                 Ok(None) => break,
                 Ok(Some(Piece::Part(part))) => out.extend(part),
-                Ok(Some(Piece::Message(message))) => out.extend(texts(message.kind, &[], &message.body)),
+                Ok(Some(Piece::Message(message))) => {
+                    out.extend(message_of_strings(message.kind, &[], &message.body))
+                }
                 Err(_) => return (out, false),
             }
         }
@@ -92,11 +94,11 @@
     let budget = Budget::new(64 * 1024 * 1024);
     let mut ring = Ring::new(&budget);
     if ring.push(bytes).is_ok() {
-        let _ = first(&mut ring);
+        let _ = read_startup(&mut ring);
     }
     let mut ring = Ring::new(&budget);
     if ring.push(bytes).is_ok() {
-        while let Ok(Some(_)) = message(&mut ring) {}
+        while let Ok(Some(_)) = read_message(&mut ring) {}
     }
 }
 
--- a/crates/pgwire/src/lib.rs
+++ b/crates/pgwire/src/lib.rs
@@ -19,34 +19,34 @@
 /// Most digits of a number in a statement's comment; keeps it far inside what a float holds exactly.
 const MOST_DIGITS: usize = 15;
 
-pub const PROTOCOL: u32 = 3 << 16;
+pub const PROTOCOL_VERSION: u32 = 3 << 16;
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_REQUEST: u32 = 80_877_104;
 const CANCEL_REQUEST: u32 = 80_877_102;
 
 /// SQLSTATE codes that are spoken or understood.
-pub mod code {
-    pub const TURNED_AWAY: &str = "53300";
-    pub const READ_ONLY: &str = "25006";
-    pub const BEHIND: &str = "72000";
-    pub const FAILED: &str = "58000";
-    pub const SYNTAX: &str = "42601";
-    pub const BAD_VALUE: &str = "22023";
-    pub const UNSUPPORTED: &str = "0A000";
-    pub const VIOLATION: &str = "08P01";
-    pub const TOO_LARGE: &str = "54000";
-    pub const NO_MEMORY: &str = "53200";
-    pub const LOST: &str = "08006";
-    pub const UNKNOWN_END: &str = "08007";
-    pub const NO_STATEMENT: &str = "26000";
-    pub const STATEMENT_THERE: &str = "42P05";
-    pub const ABORTED: &str = "25P02";
-    pub const IDLE_IN_TRANSACTION: &str = "25P03";
-    pub const CANCELLED: &str = "57014";
-    pub const SHUTDOWN: &str = "57P01";
-    pub const LIMIT: &str = "53400";
-    pub const WRONG_PASSWORD: &str = "28P01";
-    pub const NO_TLS: &str = "28000";
+pub mod sqlstate {
+    pub const TOO_MANY_CONNECTIONS: &str = "53300";
+    pub const READ_ONLY_TRANSACTION: &str = "25006";
+    pub const SNAPSHOT_TOO_OLD: &str = "72000";
+    pub const SYSTEM_ERROR: &str = "58000";
+    pub const SYNTAX_ERROR: &str = "42601";
+    pub const INVALID_PARAMETER_VALUE: &str = "22023";
+    pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
+    pub const PROTOCOL_VIOLATION: &str = "08P01";
+    pub const PROGRAM_LIMIT_EXCEEDED: &str = "54000";
+    pub const OUT_OF_MEMORY: &str = "53200";
+    pub const CONNECTION_FAILURE: &str = "08006";
+    pub const TRANSACTION_RESOLUTION_UNKNOWN: &str = "08007";
+    pub const INVALID_STATEMENT_NAME: &str = "26000";
+    pub const DUPLICATE_STATEMENT: &str = "42P05";
+    pub const IN_FAILED_TRANSACTION: &str = "25P02";
+    pub const IDLE_IN_TRANSACTION_TIMEOUT: &str = "25P03";
+    pub const QUERY_CANCELED: &str = "57014";
+    pub const ADMIN_SHUTDOWN: &str = "57P01";
+    pub const CONFIGURATION_LIMIT_EXCEEDED: &str = "53400";
+    pub const INVALID_PASSWORD: &str = "28P01";
+    pub const INVALID_AUTHORIZATION: &str = "28000";
 }
 
 /// One message, its type and what follows the length.
@@ -64,7 +64,7 @@
 }
 
 /// Takes the next whole message, if it is there.
-pub fn message(ring: &mut Ring) -> Result<Option<Message>, FrameError> {
+pub fn read_message(ring: &mut Ring) -> Result<Option<Message>, FrameError> {
     let Some((kind, body)) = head(ring)? else { return Ok(None) };
     if body > LONGEST {
         return Err(FrameError::TooLong);
@@ -90,7 +90,7 @@
 
 /// Takes the next whole message of a db machine, if it is there. One that no db machine would send is found
 /// out by its head, so far as that shows it: nobody waits for the rest of what will never be whole.
-pub fn reply(ring: &mut Ring) -> Result<Option<Message>, FrameError> {
+pub fn read_server_message(ring: &mut Ring) -> Result<Option<Message>, FrameError> {
     let first = ring.peek_up_to(1);
     let longest = match first.first() {
         None => return Ok(None),
@@ -111,9 +111,9 @@
     let Some(message) = whole(ring, kind, body) else { return Ok(None) };
     let sound = match kind {
         b'T' => described(&message.body),
-        b'D' => column(&message.body).is_some(),
+        b'D' => read_single_column(&message.body).is_some(),
         b'C' => terminated(&message.body).is_some_and(|tag| tag.bytes().all(|b| (b' '..=b'~').contains(&b))),
-        b'S' => parameter(&message.body).is_some(),
+        b'S' => read_parameter_status(&message.body).is_some(),
         b'Z' => message.body == [b'I'],
         _ => true,
     };
@@ -135,12 +135,12 @@
 }
 
 /// Takes a message without type, as clients send it first.
-pub fn startup(ring: &mut Ring) -> Result<Option<Startup>, FrameError> {
+pub fn read_startup(ring: &mut Ring) -> Result<Option<Startup>, FrameError> {
     let Some(body) = untyped(ring)? else { return Ok(None) };
     Ok(Some(match u32::from_be_bytes([body[4], body[5], body[6], body[7]]) {
         SSL_REQUEST | GSS_REQUEST => Startup::Encryption,
-        CANCEL_REQUEST => Startup::Cancel(session::read_key(&body[8..]).unwrap_or_default()),
-        version if version >> 16 == PROTOCOL >> 16 => Startup::Session,
+        CANCEL_REQUEST => Startup::Cancel(session::read_backend_key(&body[8..]).unwrap_or_default()),
+        version if version >> 16 == PROTOCOL_VERSION >> 16 => Startup::Session,
         _ => Startup::Unknown,
     }))
 }
@@ -174,9 +174,9 @@
 }
 
 /// The first message to a db machine.
-pub fn hello(user: &str, database: &str) -> Vec<u8> {
+pub fn startup_message(user: &str, database: &str) -> Vec<u8> {
     let mut out = vec![0; 4];
-    out.extend(PROTOCOL.to_be_bytes());
+    out.extend(PROTOCOL_VERSION.to_be_bytes());
     for word in ["user", user, "database", database] {
         text(&mut out, word);
     }
@@ -188,7 +188,7 @@
 
 /// The answer to a client's startup message, up to and with ReadyForQuery; the key is that by which it may ask for its request to
 /// be cancelled.
-pub fn welcome(key: (u32, u32)) -> Vec<u8> {
+pub fn startup_response(key: (u32, u32)) -> Vec<u8> {
     let mut out = Vec::new();
     frame(&mut out, b'R', |out| out.extend([0; 4]));
     for (name, value) in [
@@ -204,12 +204,12 @@
             text(out, value);
         });
     }
-    out.extend(session::key(key));
-    out.extend(ready());
+    out.extend(session::backend_key_data(key));
+    out.extend(ready_for_query());
     out
 }
 
-pub fn ready() -> Vec<u8> {
+pub fn ready_for_query() -> Vec<u8> {
     vec![b'Z', 0, 0, 0, 5, b'I']
 }
 
@@ -227,7 +227,7 @@
 }
 
 /// An ErrorResponse; `detail` goes into the field D.
-pub fn error(severity: &str, code: &str, what: &str, detail: Option<&str>) -> Vec<u8> {
+pub fn error_response(severity: &str, code: &str, what: &str, detail: Option<&str>) -> Vec<u8> {
     let mut out = Vec::new();
     frame(&mut out, b'E', |out| {
         for (field, value) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', what)] {
@@ -244,7 +244,7 @@
 }
 
 /// Appends a message as it came.
-pub fn forward(out: &mut Vec<u8>, message: &Message) {
+pub fn append_message(out: &mut Vec<u8>, message: &Message) {
     frame(out, message.kind, |out| out.extend(&message.body));
 }
 
@@ -270,7 +270,7 @@
 }
 
 /// Name and value of a ParameterStatus.
-pub fn parameter(body: &[u8]) -> Option<(&str, &str)> {
+pub fn read_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
     std::str::from_utf8(body)
         .ok()?
         .strip_suffix('\0')?
@@ -285,7 +285,7 @@
 }
 
 /// The only column of a DataRow; none where its length is not that of the message.
-pub fn column(body: &[u8]) -> Option<&[u8]> {
+pub fn read_single_column(body: &[u8]) -> Option<&[u8]> {
     column_length(body, body.len()).ok()?;
     body.get(6..)
 }
@@ -300,16 +300,16 @@
 
 /// A query message of a client.
 #[derive(Debug)]
-pub enum Asked {
-    Nothing,
+pub enum ClientQuery {
+    Empty,
     Query(Box<Query>),
 }
 
 /// Reads the body of a query message; what is wrong with it where it is not of the agreed form.
-pub fn asked(body: &[u8]) -> Result<Asked, &'static str> {
+pub fn parse_client_query(body: &[u8]) -> Result<ClientQuery, &'static str> {
     let sql = terminated(body).ok_or("a query must be UTF-8 and end with its only zero")?;
     if sql.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty() {
-        return Ok(Asked::Nothing);
+        return Ok(ClientQuery::Empty);
     }
     let start = sql.find("/*").filter(|at| sql[..*at].trim().is_empty()).ok_or("no leading comment")?;
     let end = sql.find("*/").filter(|at| *at >= start + 2).ok_or("the comment does not end")?;
@@ -354,7 +354,7 @@
         None => None,
     };
     let group = group.and_then(|(group, _)| group.parse().ok()).ok_or("no group number in the comment")?;
-    Ok(Asked::Query(Box::new(Query {
+    Ok(ClientQuery::Query(Box::new(Query {
         id: need(id).ok_or("no id in the comment")?,
         class: need(class).ok_or("no class in the comment")?,
         tenant: need(tenant).unwrap_or_default(),
--- a/crates/pgwire/src/session.rs
+++ b/crates/pgwire/src/session.rs
@@ -4,7 +4,8 @@
 use buffer::Ring;
 
 use crate::{
-    head, text, untyped, whole, FrameError, Message, CANCEL_REQUEST, GSS_REQUEST, PROTOCOL, SSL_REQUEST,
+    head, text, untyped, whole, FrameError, Message, CANCEL_REQUEST, GSS_REQUEST, PROTOCOL_VERSION,
+    SSL_REQUEST,
 };
 
 /// Longest message of a server that is taken whole; rows and copied data are passed on in parts.
@@ -18,7 +19,7 @@
 
 /// A client's first message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum First {
+pub enum FirstMessage {
     /// It wants a session, with these names and values.
     Session(Vec<(String, String)>),
     /// It asks for encryption.
@@ -30,20 +31,20 @@
 }
 
 /// Takes a message without type, as clients send it first.
-pub fn first(ring: &mut Ring) -> Result<Option<First>, FrameError> {
+pub fn read_startup(ring: &mut Ring) -> Result<Option<FirstMessage>, FrameError> {
     let Some(body) = untyped(ring)? else { return Ok(None) };
     let length = body.len();
     let word = |at: usize| body.get(at..at + 4).map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]));
     Ok(Some(match word(4) {
-        Some(SSL_REQUEST | GSS_REQUEST) if length == 8 => First::Encryption,
+        Some(SSL_REQUEST | GSS_REQUEST) if length == 8 => FirstMessage::Encryption,
         Some(CANCEL_REQUEST) => match (word(8), word(12), length) {
-            (Some(number), Some(secret), 16) => First::Cancel(number, secret),
+            (Some(number), Some(secret), 16) => FirstMessage::Cancel(number, secret),
             _ => return Err(FrameError::Malformed),
         },
-        Some(version) if version >> 16 == PROTOCOL >> 16 => {
-            First::Session(options(&body[8..]).ok_or(FrameError::Malformed)?)
+        Some(version) if version >> 16 == PROTOCOL_VERSION >> 16 => {
+            FirstMessage::Session(options(&body[8..]).ok_or(FrameError::Malformed)?)
         }
-        _ => First::Unknown,
+        _ => FirstMessage::Unknown,
     }))
 }
 
@@ -71,12 +72,12 @@
 
 /// Takes a server's messages apart.
 #[derive(Debug, Default)]
-pub struct Flow {
+pub struct ServerMessageReader {
     /// Bytes left of a message that is passed on in parts.
     left: usize,
 }
 
-impl Flow {
+impl ServerMessageReader {
     /// The next piece that is there, if one is.
     pub fn next(&mut self, ring: &mut Ring) -> Result<Option<Piece>, FrameError> {
         if self.left == 0 {
@@ -100,7 +101,7 @@
     }
 
     /// Whether a message has begun to be passed on and is not whole.
-    pub fn is_within(&self) -> bool {
+    pub fn is_mid_message(&self) -> bool {
         self.left > 0
     }
 }
@@ -112,12 +113,12 @@
 }
 
 /// The text of a simple query.
-pub fn sql(body: &[u8]) -> Option<&str> {
+pub fn read_query(body: &[u8]) -> Option<&str> {
     split(body).filter(|(_, rest)| rest.is_empty()).map(|(text, _)| text)
 }
 
 /// Name, text and the types of a Parse; the types are left as they are.
-pub fn parse(body: &[u8]) -> Option<(&str, &str, &[u8])> {
+pub fn read_parse(body: &[u8]) -> Option<(&str, &str, &[u8])> {
     let (name, rest) = split(body)?;
     let (text, types) = split(rest)?;
     let count = usize::from(u16::from_be_bytes(*types.first_chunk()?));
@@ -125,31 +126,31 @@
 }
 
 /// Portal and statement of a Bind, and what follows them.
-pub fn bind(body: &[u8]) -> Option<(&str, &str, &[u8])> {
+pub fn read_bind(body: &[u8]) -> Option<(&str, &str, &[u8])> {
     let (portal, rest) = split(body)?;
     let (statement, rest) = split(rest)?;
     (rest.len() >= 6).then_some((portal, statement, rest))
 }
 
 /// Kind (`S` or `P`) and name of a Describe or a Close.
-pub fn target(body: &[u8]) -> Option<(u8, &str)> {
+pub fn read_target(body: &[u8]) -> Option<(u8, &str)> {
     let (kind, rest) = body.split_first()?;
-    let name = sql(rest)?;
+    let name = read_query(rest)?;
     matches!(kind, b'S' | b'P').then_some((*kind, name))
 }
 
 /// The portal of an Execute.
-pub fn execute(body: &[u8]) -> Option<&str> {
+pub fn read_execute(body: &[u8]) -> Option<&str> {
     split(body).filter(|(_, rest)| rest.len() == 4).map(|(portal, _)| portal)
 }
 
 /// The tag of a CommandComplete.
-pub fn tag(body: &[u8]) -> &str {
-    sql(body).unwrap_or_default()
+pub fn read_command_tag(body: &[u8]) -> &str {
+    read_query(body).unwrap_or_default()
 }
 
 /// The message of an ErrorResponse.
-pub fn words(body: &[u8]) -> String {
+pub fn read_error_text(body: &[u8]) -> String {
     let field = body.split(|byte| *byte == 0).find(|field| field.first() == Some(&b'M'));
     field.map(|field| String::from_utf8_lossy(&field[1..]).into_owned()).unwrap_or_default()
 }
@@ -161,7 +162,7 @@
 }
 
 /// A message of texts, each with a zero behind it, and of what follows them.
-pub fn texts(kind: u8, texts: &[&str], rest: &[u8]) -> Vec<u8> {
+pub fn message_of_strings(kind: u8, texts: &[&str], rest: &[u8]) -> Vec<u8> {
     message(kind, |out| {
         texts.iter().for_each(|word| text(out, word));
         out.extend(rest);
@@ -169,7 +170,7 @@
 }
 
 /// A Describe or a Close of a statement (`S`) or a portal (`P`).
-pub fn about(kind: u8, of: u8, name: &str) -> Vec<u8> {
+pub fn target_message(kind: u8, of: u8, name: &str) -> Vec<u8> {
     message(kind, |out| {
         out.push(of);
         text(out, name);
@@ -177,29 +178,29 @@
 }
 
 /// A message with nothing in it: Sync, Flush, ParseComplete and such.
-pub fn bare(kind: u8) -> Vec<u8> {
+pub fn empty_message(kind: u8) -> Vec<u8> {
     vec![kind, 0, 0, 0, 4]
 }
 
 /// A message as it came.
-pub fn same(came: &Message) -> Vec<u8> {
+pub fn copy_message(came: &Message) -> Vec<u8> {
     message(came.kind, |out| out.extend(&came.body))
 }
 
 /// ReadyForQuery in a state of the transaction: `I`, `T` or `E`.
-pub fn ready(status: u8) -> Vec<u8> {
+pub fn ready_for_query(status: u8) -> Vec<u8> {
     vec![b'Z', 0, 0, 0, 5, status]
 }
 
 /// Asks a server for TLS; it answers with one byte, `S` or `N`.
-pub fn ask_tls() -> Vec<u8> {
+pub fn ssl_request() -> Vec<u8> {
     [8, SSL_REQUEST].iter().flat_map(|word: &u32| word.to_be_bytes()).collect()
 }
 
 /// The first message to a server, with names and values.
-pub fn hello(options: &[(&str, &str)]) -> Vec<u8> {
+pub fn startup_message(options: &[(&str, &str)]) -> Vec<u8> {
     let mut out = vec![0; 4];
-    out.extend(PROTOCOL.to_be_bytes());
+    out.extend(PROTOCOL_VERSION.to_be_bytes());
     for (name, value) in options {
         text(&mut out, name);
         text(&mut out, value);
@@ -211,17 +212,17 @@
 }
 
 /// A request that what a connection does end.
-pub fn cancel((number, secret): (u32, u32)) -> Vec<u8> {
+pub fn cancel_request((number, secret): (u32, u32)) -> Vec<u8> {
     [16, CANCEL_REQUEST, number, secret].iter().flat_map(|word| word.to_be_bytes()).collect()
 }
 
 /// The key by which what a connection does can be ended.
-pub fn key((number, secret): (u32, u32)) -> Vec<u8> {
+pub fn backend_key_data((number, secret): (u32, u32)) -> Vec<u8> {
     message(b'K', |out| [number, secret].iter().for_each(|word| out.extend(word.to_be_bytes())))
 }
 
 /// Reads such a key.
-pub fn read_key(body: &[u8]) -> Option<(u32, u32)> {
+pub fn read_backend_key(body: &[u8]) -> Option<(u32, u32)> {
     let (number, rest) = body.split_first_chunk()?;
     let secret = rest.first_chunk()?;
     Some((u32::from_be_bytes(*number), u32::from_be_bytes(*secret)))
@@ -229,57 +230,65 @@
 
 /// What a server asks of whoever connects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Login<'a> {
+pub enum Authentication<'a> {
     /// Nothing (more).
-    Done,
+    Complete,
     /// One of these mechanisms, each with a zero behind it.
     Mechanisms(&'a [u8]),
     /// An answer to this step of the mechanism.
-    Step(&'a str),
+    SaslContinue(&'a str),
     /// Nothing but to take its last word.
-    Last(&'a str),
+    SaslFinal(&'a str),
     /// Something else.
     Other,
 }
 
-impl Login<'_> {
+impl Authentication<'_> {
     /// Whether a mechanism is among those that are asked for.
-    pub fn has(&self, mechanism: &str) -> bool {
-        matches!(self, Login::Mechanisms(list) if list.split(|byte| *byte == 0).any(|m| m == mechanism.as_bytes()))
+    pub fn offers(&self, mechanism: &str) -> bool {
+        matches!(self, Authentication::Mechanisms(list) if list.split(|byte| *byte == 0).any(|m| m == mechanism.as_bytes()))
     }
 }
 
 /// Reads the body of an Authentication message.
-pub fn login(body: &[u8]) -> Login<'_> {
-    let Some((code, rest)) = body.split_first_chunk() else { return Login::Other };
+pub fn read_authentication(body: &[u8]) -> Authentication<'_> {
+    let Some((code, rest)) = body.split_first_chunk() else { return Authentication::Other };
     let text = |rest| std::str::from_utf8(rest);
     match (u32::from_be_bytes(*code), rest) {
-        (0, []) => Login::Done,
-        (10, list) => Login::Mechanisms(list),
-        (11, step) => text(step).map_or(Login::Other, Login::Step),
-        (12, last) => text(last).map_or(Login::Other, Login::Last),
-        _ => Login::Other,
+        (0, []) => Authentication::Complete,
+        (10, list) => Authentication::Mechanisms(list),
+        (11, step) => text(step).map_or(Authentication::Other, Authentication::SaslContinue),
+        (12, last) => text(last).map_or(Authentication::Other, Authentication::SaslFinal),
+        _ => Authentication::Other,
     }
 }
 
 /// Asks for a password by a mechanism.
-pub fn ask_login(mechanisms: &[&str]) -> Vec<u8> {
+pub fn authentication_sasl(mechanisms: &[&str]) -> Vec<u8> {
     let list: String = mechanisms.iter().map(|mechanism| format!("{mechanism}\0")).collect();
-    texts(b'R', &[], &[&10u32.to_be_bytes()[..], list.as_bytes(), b"\0"].concat())
+    message_of_strings(b'R', &[], &[&10u32.to_be_bytes()[..], list.as_bytes(), b"\0"].concat())
 }
 
 /// A step of the mechanism from the server's side, or the last word of it.
-pub fn login_step(last: bool, step: &str) -> Vec<u8> {
-    texts(b'R', &[], &[&(if last { 12u32 } else { 11 }).to_be_bytes()[..], step.as_bytes()].concat())
+pub fn authentication_sasl_step(last: bool, step: &str) -> Vec<u8> {
+    message_of_strings(
+        b'R',
+        &[],
+        &[&(if last { 12u32 } else { 11 }).to_be_bytes()[..], step.as_bytes()].concat(),
+    )
 }
 
 /// The client's first step by a mechanism.
-pub fn login_first(mechanism: &str, step: &str) -> Vec<u8> {
-    texts(b'p', &[mechanism], &[&(step.len() as u32).to_be_bytes()[..], step.as_bytes()].concat())
+pub fn sasl_initial_response(mechanism: &str, step: &str) -> Vec<u8> {
+    message_of_strings(
+        b'p',
+        &[mechanism],
+        &[&(step.len() as u32).to_be_bytes()[..], step.as_bytes()].concat(),
+    )
 }
 
 /// Mechanism and first step of a client.
-pub fn read_first(body: &[u8]) -> Option<(&str, &str)> {
+pub fn read_sasl_initial_response(body: &[u8]) -> Option<(&str, &str)> {
     let (mechanism, rest) = split(body)?;
     let (length, step) = rest.split_first_chunk()?;
     (u32::from_be_bytes(*length) as usize == step.len()).then_some(())?;
--- a/crates/pooling/src/session.rs
+++ b/crates/pooling/src/session.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use pgwire::session::{self as wire, Piece};
-use pgwire::{code, error, error_code, Message};
+use pgwire::{error_code, error_response, sqlstate, Message};
 use sql::{Change, Control, Kind, Pin, Scan};
 
 use crate::remote::{self, Digest, Prepared, Remote};
@@ -83,13 +83,19 @@
 impl Cut {
     fn told(self) -> (&'static str, &'static str) {
         match self {
-            Cut::Lost => (code::LOST, "the server's connection was lost; what the transaction did is undone"),
-            Cut::Drained => (code::SHUTDOWN, "the server is drained; what the transaction did is undone"),
-            Cut::IdleInTransaction => {
-                (code::IDLE_IN_TRANSACTION, "the transaction was idle for too long; what it did is undone")
+            Cut::Lost => (
+                sqlstate::CONNECTION_FAILURE,
+                "the server's connection was lost; what the transaction did is undone",
+            ),
+            Cut::Drained => {
+                (sqlstate::ADMIN_SHUTDOWN, "the server is drained; what the transaction did is undone")
             }
+            Cut::IdleInTransaction => (
+                sqlstate::IDLE_IN_TRANSACTION_TIMEOUT,
+                "the transaction was idle for too long; what it did is undone",
+            ),
             Cut::Statement => {
-                (code::CANCELLED, "the statement took too long; what the transaction did is undone")
+                (sqlstate::QUERY_CANCELED, "the statement took too long; what the transaction did is undone")
             }
         }
     }
@@ -249,20 +255,22 @@
         match message.kind {
             b'S' if self.skipping || self.held.is_empty() => {
                 self.skipping = false;
-                out.push(Action::Client(wire::ready(b'I')));
+                out.push(Action::Client(wire::ready_for_query(b'I')));
             }
             _ if self.skipping => {}
             b'H' if self.held.is_empty() => {}
             // Of a COPY that is over.
             b'd' | b'c' | b'f' => {}
             b'Q' if self.held.is_empty() => {
-                let Some(text) = wire::sql(&message.body) else { return self.violation(out) };
+                let Some(text) = wire::read_query(&message.body) else { return self.violation(out) };
                 let scan = sql::scan(text);
                 if scan.statements.is_empty() {
-                    return out.push(Action::Client([wire::bare(b'I'), wire::ready(b'I')].concat()));
+                    return out.push(Action::Client(
+                        [wire::empty_message(b'I'), wire::ready_for_query(b'I')].concat(),
+                    ));
                 }
                 if let Some(answer) = self.own(&scan) {
-                    return out.push(Action::Client([answer, wire::ready(b'I')].concat()));
+                    return out.push(Action::Client([answer, wire::ready_for_query(b'I')].concat()));
                 }
                 self.held.push(message);
                 self.want(out);
@@ -290,11 +298,11 @@
         match &statement.kind {
             Kind::Session(Change::Set { name, value, local: false }) if name == CLASS => {
                 self.class = Some(value.trim_matches('\'').to_string());
-                Some(wire::texts(b'C', &["SET"], &[]))
+                Some(wire::message_of_strings(b'C', &["SET"], &[]))
             }
             Kind::Session(Change::Reset(name)) if name == CLASS => {
                 self.class = None;
-                Some(wire::texts(b'C', &["RESET"], &[]))
+                Some(wire::message_of_strings(b'C', &["RESET"], &[]))
             }
             _ => self.begins(scan).then(no_transactions),
         }
@@ -306,7 +314,12 @@
     }
 
     fn violation(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::Client(error("FATAL", code::VIOLATION, "malformed message", None)));
+        out.push(Action::Client(error_response(
+            "FATAL",
+            sqlstate::PROTOCOL_VIOLATION,
+            "malformed message",
+            None,
+        )));
         out.push(Action::End);
     }
 
@@ -319,13 +332,13 @@
         let mut parsed: HashMap<&str, Scan> = HashMap::new();
         for message in &self.held {
             let scan = match message.kind {
-                b'Q' => wire::sql(&message.body).map(sql::scan),
-                b'P' => wire::parse(&message.body).map(|(name, text, _)| {
+                b'Q' => wire::read_query(&message.body).map(sql::scan),
+                b'P' => wire::read_parse(&message.body).map(|(name, text, _)| {
                     let scan = sql::scan(text);
                     parsed.insert(name, scan.clone());
                     scan
                 }),
-                b'B' => wire::bind(&message.body).and_then(|(_, name, _)| {
+                b'B' => wire::read_bind(&message.body).and_then(|(_, name, _)| {
                     parsed
                         .get(name)
                         .cloned()
@@ -374,7 +387,7 @@
         for (name, value) in &self.remote.told {
             if self.told.get(name) != Some(value) {
                 self.told.insert(name.clone(), value.clone());
-                out.push(Action::Client(wire::texts(b'S', &[name, value], &[])));
+                out.push(Action::Client(wire::message_of_strings(b'S', &[name, value], &[])));
             }
         }
     }
@@ -386,18 +399,18 @@
         }
         self.stage = Stage::Idle;
         let held = std::mem::take(&mut self.held);
-        out.push(Action::Client(error("ERROR", code, what, detail)));
+        out.push(Action::Client(error_response("ERROR", code, what, detail)));
         let ended = matches!(held.last(), Some(Message { kind: b'Q' | b'S' | b'F', .. }));
         self.skipping = !ended;
         if ended {
-            out.push(Action::Client(wire::ready(b'I')));
+            out.push(Action::Client(wire::ready_for_query(b'I')));
         }
     }
 
     /// An error of the session's own in a batch, behind all that was asked before.
     fn fault(&mut self, code: &str, what: &str, out: &mut Vec<Action>) {
         self.skipping = true;
-        self.expected.push_back(Expect::Local(error("ERROR", code, what, None), false));
+        self.expected.push_back(Expect::Local(error_response("ERROR", code, what, None), false));
         self.advance(out);
     }
 
@@ -411,7 +424,7 @@
         while let Some(Expect::Local(..) | Expect::DataEnd) = self.expected.front() {
             let Some(Expect::Local(mut bytes, ready)) = self.expected.pop_front() else { continue };
             if ready {
-                bytes.extend(wire::ready(self.status));
+                bytes.extend(wire::ready_for_query(self.status));
             }
             out.push(Action::Client(bytes));
         }
@@ -429,11 +442,11 @@
                 if !self.copying {
                     self.expected.push_back(Expect::Sync);
                 }
-                out.push(Action::Server(wire::bare(b'S')));
+                out.push(Action::Server(wire::empty_message(b'S')));
             }
             _ if self.skipping => {}
             b'Q' => {
-                let Some(text) = wire::sql(body) else { return self.violation(out) };
+                let Some(text) = wire::read_query(body) else { return self.violation(out) };
                 let scan = sql::scan(text);
                 if let Some(answer) = self.own(&scan) {
                     self.expected.push_back(Expect::Local(answer, true));
@@ -444,13 +457,13 @@
                 self.remote.unnamed = None;
                 self.open = false;
                 self.expected.push_back(Expect::Query(effects));
-                out.push(Action::Server(wire::same(&message)));
+                out.push(Action::Server(wire::copy_message(&message)));
             }
             b'F' => {
                 self.expected.push_back(Expect::Query(VecDeque::new()));
-                out.push(Action::Server(wire::same(&message)));
+                out.push(Action::Server(wire::copy_message(&message)));
             }
-            b'H' => out.push(Action::Server(wire::bare(b'H'))),
+            b'H' => out.push(Action::Server(wire::empty_message(b'H'))),
             // Data of a COPY, as long as one may be under way.
             b'd' | b'c' | b'f'
                 if matches!(self.expected.front(), Some(Expect::Query(_) | Expect::Execute(_))) =>
@@ -459,18 +472,18 @@
                     self.copying = false;
                     self.expected.push_back(Expect::DataEnd);
                 }
-                out.push(Action::Server(wire::same(&message)));
+                out.push(Action::Server(wire::copy_message(&message)));
             }
             b'd' | b'c' | b'f' => {}
-            b'P' => match wire::parse(body) {
+            b'P' => match wire::read_parse(body) {
                 Some((name, text, types)) => self.parse(name, text, types, out),
                 None => self.violation(out),
             },
-            b'B' => match wire::bind(body) {
+            b'B' => match wire::read_bind(body) {
                 Some((portal, name, rest)) => self.bind(portal, name, rest, out),
                 None => self.violation(out),
             },
-            b'D' | b'C' => match wire::target(body) {
+            b'D' | b'C' => match wire::read_target(body) {
                 Some((b'S', name)) if message.kind == b'D' => self.describe(name, out),
                 Some((b'S', name)) => {
                     self.open = true;
@@ -478,7 +491,7 @@
                         self.text -= known.text.len();
                     }
                     // It stays prepared at the server, where others may use it.
-                    self.local(wire::bare(b'3'), out);
+                    self.local(wire::empty_message(b'3'), out);
                 }
                 Some((_, portal)) => {
                     self.open = true;
@@ -488,18 +501,18 @@
                     } else {
                         self.expected.push_back(Expect::Describe);
                     }
-                    out.push(Action::Server(wire::same(&message)));
+                    out.push(Action::Server(wire::copy_message(&message)));
                 }
                 None => self.violation(out),
             },
-            b'E' => match wire::execute(body) {
+            b'E' => match wire::read_execute(body) {
                 Some(portal) => {
                     self.open = true;
                     let scan = self.portals.get(portal).map(|prepared| &prepared.scan);
                     let statement = scan.and_then(|scan| scan.statements.first());
                     let effect = statement.map_or(Effect::None, |statement| Effect::of(&statement.kind));
                     self.expected.push_back(Expect::Execute(effect));
-                    out.push(Action::Server(wire::same(&message)));
+                    out.push(Action::Server(wire::copy_message(&message)));
                 }
                 None => self.violation(out),
             },
@@ -511,7 +524,7 @@
         self.open = true;
         if !name.is_empty() && self.statements.contains_key(name) {
             return self.fault(
-                code::STATEMENT_THERE,
+                sqlstate::DUPLICATE_STATEMENT,
                 &format!("prepared statement \"{name}\" already exists"),
                 out,
             );
@@ -519,14 +532,14 @@
         let prepared = Prepared::new(text, types);
         let begins = self.begins(&prepared.scan);
         if begins {
-            return self.fault(code::UNSUPPORTED, NO_TRANSACTIONS, out);
+            return self.fault(sqlstate::FEATURE_NOT_SUPPORTED, NO_TRANSACTIONS, out);
         }
         if let Some(old) = self.statements.remove(name) {
             self.text -= old.text.len();
         }
         if self.statements.len() >= MOST_STATEMENTS || self.text + text.len() > MOST_TEXT {
             let what = format!("over {MOST_STATEMENTS} prepared statements, or {MOST_TEXT} bytes of them");
-            return self.fault(code::LIMIT, &what, out);
+            return self.fault(sqlstate::CONFIGURATION_LIMIT_EXCEEDED, &what, out);
         }
         self.text += text.len();
         self.statements.insert(name.to_string(), prepared.clone());
@@ -534,7 +547,7 @@
             return self.send_unnamed(&prepared, true, out);
         }
         if self.remote.has(&prepared.digest) {
-            return self.local(wire::bare(b'1'), out);
+            return self.local(wire::empty_message(b'1'), out);
         }
         self.send_named(&prepared, true, out);
     }
@@ -542,22 +555,30 @@
     fn send_unnamed(&mut self, prepared: &Prepared, told: bool, out: &mut Vec<Action>) {
         self.remote.unnamed = Some(prepared.digest);
         self.expected.push_back(Expect::Parse { digest: prepared.digest, told, named: false });
-        out.push(Action::Server(wire::texts(b'P', &["", &prepared.text], &prepared.types)));
+        out.push(Action::Server(wire::message_of_strings(b'P', &["", &prepared.text], &prepared.types)));
     }
 
     fn send_named(&mut self, prepared: &Prepared, told: bool, out: &mut Vec<Action>) {
         for old in self.remote.add(prepared.digest) {
             self.expected.push_back(Expect::Close { told: false });
-            out.push(Action::Server(wire::about(b'C', b'S', &remote::name(&old))));
+            out.push(Action::Server(wire::target_message(b'C', b'S', &remote::name(&old))));
         }
         self.expected.push_back(Expect::Parse { digest: prepared.digest, told, named: true });
-        out.push(Action::Server(wire::texts(b'P', &[&prepared.name(), &prepared.text], &prepared.types)));
+        out.push(Action::Server(wire::message_of_strings(
+            b'P',
+            &[&prepared.name(), &prepared.text],
+            &prepared.types,
+        )));
     }
 
     /// Sees to it that a statement is prepared at the server; its name there.
     fn ensure(&mut self, name: &str, out: &mut Vec<Action>) -> Option<(String, Rc<Prepared>)> {
         let Some(prepared) = self.statements.get(name).cloned() else {
-            self.fault(code::NO_STATEMENT, &format!("prepared statement \"{name}\" does not exist"), out);
+            self.fault(
+                sqlstate::INVALID_STATEMENT_NAME,
+                &format!("prepared statement \"{name}\" does not exist"),
+                out,
+            );
             return None;
         };
         if name.is_empty() {
@@ -578,18 +599,22 @@
         self.pins
             .extend(prepared.scan.statements.iter().flat_map(|statement| statement.pins.iter().copied()));
         if self.portals.len() >= MOST_STATEMENTS && !self.portals.contains_key(portal) {
-            return self.fault(code::LIMIT, &format!("over {MOST_STATEMENTS} portals"), out);
+            return self.fault(
+                sqlstate::CONFIGURATION_LIMIT_EXCEEDED,
+                &format!("over {MOST_STATEMENTS} portals"),
+                out,
+            );
         }
         self.portals.insert(portal.to_string(), prepared);
         self.expected.push_back(Expect::Bind);
-        out.push(Action::Server(wire::texts(b'B', &[portal, &there], rest)));
+        out.push(Action::Server(wire::message_of_strings(b'B', &[portal, &there], rest)));
     }
 
     fn describe(&mut self, name: &str, out: &mut Vec<Action>) {
         self.open = true;
         let Some((there, _)) = self.ensure(name, out) else { return };
         self.expected.push_back(Expect::Describe);
-        out.push(Action::Server(wire::about(b'D', b'S', &there)));
+        out.push(Action::Server(wire::target_message(b'D', b'S', &there)));
     }
 
     /// Takes what comes from the server.
@@ -601,7 +626,7 @@
         let setup = matches!(self.expected.front(), Some(Expect::Setup));
         match message.kind {
             b'S' => {
-                if let Some((name, value)) = pgwire::parameter(&message.body) {
+                if let Some((name, value)) = pgwire::read_parameter_status(&message.body) {
                     self.remote.told.insert(name.into(), value.into());
                 }
                 if !setup {
@@ -612,7 +637,12 @@
             b'Z' => self.ready(message.body.first().copied().unwrap_or(b'I'), out),
             b'E' if setup => {
                 // A setting that the server does not take (any more).
-                out.push(Action::Client(error("FATAL", code::BAD_VALUE, &wire::words(&message.body), None)));
+                out.push(Action::Client(error_response(
+                    "FATAL",
+                    sqlstate::INVALID_PARAMETER_VALUE,
+                    &wire::read_error_text(&message.body),
+                    None,
+                )));
                 out.push(Action::Release(Ended::Closed));
                 self.leave();
                 out.push(Action::End);
@@ -627,12 +657,12 @@
                 };
                 self.expected.pop_front();
                 if told {
-                    out.push(Action::Client(wire::bare(kind)));
+                    out.push(Action::Client(wire::empty_message(kind)));
                 }
             }
             b'C' => {
-                self.complete(wire::tag(&message.body));
-                out.push(Action::Client(wire::same(&message)));
+                self.complete(wire::read_command_tag(&message.body));
+                out.push(Action::Client(wire::copy_message(&message)));
             }
             kind => {
                 if kind == b'G' && matches!(self.expected.front(), Some(Expect::Execute(_))) {
@@ -646,7 +676,7 @@
                 if over {
                     self.expected.pop_front();
                 }
-                out.push(Action::Client(wire::same(&message)));
+                out.push(Action::Client(wire::copy_message(&message)));
             }
         }
         self.advance(out);
@@ -695,12 +725,13 @@
     fn error(&mut self, message: &Message, out: &mut Vec<Action>) {
         let (number, _) = error_code(&message.body);
         (self.failed, self.copying) = (true, false);
-        self.denied |= number == code::READ_ONLY;
-        if number == code::NO_STATEMENT || wire::words(&message.body).contains("cached plan must not change")
+        self.denied |= number == sqlstate::READ_ONLY_TRANSACTION;
+        if number == sqlstate::INVALID_STATEMENT_NAME
+            || wire::read_error_text(&message.body).contains("cached plan must not change")
         {
             self.remote.stale();
         }
-        out.push(Action::Client(wire::same(message)));
+        out.push(Action::Client(wire::copy_message(message)));
         if matches!(self.expected.front(), None | Some(Expect::Query(_))) {
             return;
         }
@@ -735,7 +766,7 @@
             self.vars.settle(failed);
             self.portals.clear();
         }
-        out.push(Action::Client(wire::ready(status)));
+        out.push(Action::Client(wire::ready_for_query(status)));
         self.advance(out);
         let free = self.status == b'I' && self.expected.is_empty() && !self.open;
         if free && self.pins.is_empty() && self.mode != Mode::Session {
@@ -786,8 +817,10 @@
         }
         let (mut number, mut what) = cut.told();
         if unknown && cut != Cut::Statement {
-            (number, what) =
-                (code::UNKNOWN_END, "the server's connection was lost: what was asked may have run or not");
+            (number, what) = (
+                sqlstate::TRANSACTION_RESOLUTION_UNKNOWN,
+                "the server's connection was lost: what was asked may have run or not",
+            );
         }
         let open = self.open && !self.skipping;
         let bound = !self.pins.is_empty();
@@ -795,19 +828,19 @@
         self.leave();
         if bound {
             // What bound the session to its connection is lost with it.
-            out.push(Action::Client(error("FATAL", number, what, None)));
+            out.push(Action::Client(error_response("FATAL", number, what, None)));
             return out.push(Action::End);
         }
         if aborted {
             (self.stage, self.status, self.ending) = (Stage::Aborted, b'E', false);
         }
         for _ in 0..points {
-            out.push(Action::Client(error("ERROR", number, what, None)));
-            out.push(Action::Client(wire::ready(self.status)));
+            out.push(Action::Client(error_response("ERROR", number, what, None)));
+            out.push(Action::Client(wire::ready_for_query(self.status)));
         }
         if open {
             self.skipping = true;
-            out.push(Action::Client(error("ERROR", number, what, None)));
+            out.push(Action::Client(error_response("ERROR", number, what, None)));
         } else if points == 0 && aborted {
             self.cut = Some(cut);
         }
@@ -820,8 +853,11 @@
             matches!(first, Some(Kind::Control(Control::Commit | Control::Rollback)))
         };
         match message.kind {
-            b'Q' if wire::sql(&message.body).is_some_and(|text| ends(&sql::scan(text))) => {
-                out.push(Action::Client([wire::texts(b'C', &["ROLLBACK"], &[]), wire::ready(b'I')].concat()));
+            b'Q' if wire::read_query(&message.body).is_some_and(|text| ends(&sql::scan(text))) => {
+                out.push(Action::Client(
+                    [wire::message_of_strings(b'C', &["ROLLBACK"], &[]), wire::ready_for_query(b'I')]
+                        .concat(),
+                ));
                 self.end_aborted();
             }
             b'S' => {
@@ -829,25 +865,30 @@
                 if std::mem::take(&mut self.ending) {
                     self.end_aborted();
                 }
-                out.push(Action::Client(wire::ready(self.status)));
+                out.push(Action::Client(wire::ready_for_query(self.status)));
             }
             _ if self.skipping => {}
-            b'P' if wire::parse(&message.body).is_some_and(|(_, text, _)| ends(&sql::scan(text))) => {
+            b'P' if wire::read_parse(&message.body).is_some_and(|(_, text, _)| ends(&sql::scan(text))) => {
                 self.ending = true;
-                out.push(Action::Client(wire::bare(b'1')));
+                out.push(Action::Client(wire::empty_message(b'1')));
+            }
+            b'B' if self.ending => out.push(Action::Client(wire::empty_message(b'2'))),
+            b'D' if self.ending => out.push(Action::Client(wire::empty_message(b'n'))),
+            b'E' if self.ending => {
+                out.push(Action::Client(wire::message_of_strings(b'C', &["ROLLBACK"], &[])))
             }
-            b'B' if self.ending => out.push(Action::Client(wire::bare(b'2'))),
-            b'D' if self.ending => out.push(Action::Client(wire::bare(b'n'))),
-            b'E' if self.ending => out.push(Action::Client(wire::texts(b'C', &["ROLLBACK"], &[]))),
             // Drivers close statements when it suits them; that is no use of the transaction.
-            b'C' => out.push(Action::Client(wire::bare(b'3'))),
+            b'C' => out.push(Action::Client(wire::empty_message(b'3'))),
             b'H' | b'd' | b'c' | b'f' => {}
             kind => {
-                let aborted = (code::ABORTED, "the transaction was lost with its server: ROLLBACK ends it");
+                let aborted = (
+                    sqlstate::IN_FAILED_TRANSACTION,
+                    "the transaction was lost with its server: ROLLBACK ends it",
+                );
                 let (number, what) = self.cut.take().map_or(aborted, Cut::told);
-                out.push(Action::Client(error("ERROR", number, what, None)));
+                out.push(Action::Client(error_response("ERROR", number, what, None)));
                 if kind == b'Q' || kind == b'F' {
-                    out.push(Action::Client(wire::ready(b'E')));
+                    out.push(Action::Client(wire::ready_for_query(b'E')));
                 } else {
                     self.skipping = true;
                 }
@@ -863,7 +904,7 @@
 const NO_TRANSACTIONS: &str = "transactions of several statements need pool.mode transaction or session";
 
 fn no_transactions() -> Vec<u8> {
-    error("ERROR", code::UNSUPPORTED, NO_TRANSACTIONS, None)
+    error_response("ERROR", sqlstate::FEATURE_NOT_SUPPORTED, NO_TRANSACTIONS, None)
 }
 
 /// Whether a text may go to a server that takes no writes.
--- a/crates/pooling/tests/machine.rs
+++ b/crates/pooling/tests/machine.rs
@@ -119,7 +119,7 @@
         session.attach(remote, &mut out);
         let sent = out.iter().find_map(|action| match action {
             Action::Server(bytes) if bytes[0] == b'P' => {
-                Some(wire::parse(&bytes[5..]).unwrap().0.to_string())
+                Some(wire::read_parse(&bytes[5..]).unwrap().0.to_string())
             }
             _ => None,
         });
--- a/crates/pooling/tests/mixed.rs
+++ b/crates/pooling/tests/mixed.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use pgwire::session::{self as wire, Piece};
-use pgwire::{error, Message};
+use pgwire::{error_response, Message};
 use pooling::{Action, Cut, Ended, Mode, Remote, Session};
 
 /// A server's side of one connection, as far as it is asked here.
@@ -51,7 +51,7 @@
     fn one(&mut self, kind: u8, body: &[u8], out: &mut Vec<Message>) {
         match kind {
             b'Q' => {
-                let sql = wire::sql(body).unwrap().to_string();
+                let sql = wire::read_query(body).unwrap().to_string();
                 for part in sql.split(';') {
                     if !self.run(part.trim(), out) {
                         break;
@@ -65,7 +65,7 @@
             }
             _ if self.skipping => {}
             b'P' => {
-                let (name, sql, _) = wire::parse(body).unwrap();
+                let (name, sql, _) = wire::read_parse(body).unwrap();
                 if !name.is_empty() && self.statements.contains_key(name) {
                     return self.fail("42P05", out);
                 }
@@ -73,7 +73,7 @@
                 out.push(message(b'1', Vec::new()));
             }
             b'B' => {
-                let (portal, name, _) = wire::bind(body).unwrap();
+                let (portal, name, _) = wire::read_bind(body).unwrap();
                 match self.statements.get(name).cloned() {
                     Some(sql) => drop(self.portals.insert(portal.into(), sql)),
                     None => return self.fail("26000", out),
@@ -81,13 +81,13 @@
                 out.push(message(b'2', Vec::new()));
             }
             b'E' => {
-                let sql = self.portals[wire::execute(body).unwrap()].clone();
+                let sql = self.portals[wire::read_execute(body).unwrap()].clone();
                 if !self.run(&sql, out) {
                     self.skipping = true;
                 }
             }
             b'C' => {
-                let (_, name) = wire::target(body).unwrap();
+                let (_, name) = wire::read_target(body).unwrap();
                 self.statements.remove(name);
                 out.push(message(b'3', Vec::new()));
             }
@@ -101,7 +101,7 @@
     }
 
     fn error(&mut self, code: &str, out: &mut Vec<Message>) {
-        let bytes = error("ERROR", code, "no", None);
+        let bytes = error_response("ERROR", code, "no", None);
         out.push(message(b'E', bytes[5..].to_vec()));
         self.failed = true;
         if self.status == b'T' {
@@ -311,7 +311,8 @@
         }
         let told = std::mem::take(&mut self.clients[n].told);
         assert_eq!(told.iter().filter(|message| message.kind == b'Z').count(), 1, "one answer");
-        let rows = told.iter().filter(|m| m.kind == b'N').map(|m| wire::sql(&m.body).unwrap().to_string());
+        let rows =
+            told.iter().filter(|m| m.kind == b'N').map(|m| wire::read_query(&m.body).unwrap().to_string());
         let codes = told.iter().filter(|m| m.kind == b'E').map(|m| pgwire::error_code(&m.body).0);
         self.answered += 1;
         Some((rows.collect(), codes.collect()))
