--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -4,7 +4,9 @@
 use std::io::Write;
 use std::sync::Arc;
 
-use routing::interface::{Action, Arrival, Conclusion, Done, Entry, Event, ListKind, Outcome, Phase, Report};
+use routing::interface::{
+    Action, Arrival, AttemptEnded, Conclusion, Entry, Event, ListKind, Outcome, Phase, Report,
+};
 use routing::Policy;
 use serde_json::{json, Value};
 
@@ -115,7 +117,7 @@
                     other => return Err(format!("unknown list kind '{other}'")),
                 };
                 let bank = fields.whole(3, "bank")? as u64;
-                let entries = match kind.is_news() {
+                let entries = match kind.carries_entries() {
                     false => Vec::new(),
                     true => self.banks.get(&bank).cloned().ok_or_else(|| format!("no inventory {bank}"))?,
                 };
@@ -125,22 +127,22 @@
                 let options = fields.whole(6, "opts")?;
                 Event::Arrival(Arrival {
                     id: fields.text(1, "corr")?.into(),
-                    left: fields.number(2, "expiresIn")?,
-                    token: Some(fields.number_or(3, "tokenAgeMs", 0.0)? / 1000.0)
+                    time_left: fields.number(2, "expiresIn")?,
+                    required_position: Some(fields.number_or(3, "tokenAgeMs", 0.0)? / 1000.0)
                         .filter(|age| *age > 0.0)
                         .map(|age| self.now - age),
                     session: fields.at(4).as_str().map(Arc::from),
                     tenant: fields.whole(5, "realm")? as usize,
-                    predicted: fields.at(7).as_f64().filter(|_| options & 1 != 0),
+                    predicted_work: fields.at(7).as_f64().filter(|_| options & 1 != 0),
                     repeat: options & 2 != 0,
                     class: fields.whole(8, "tierClass")? as usize,
                     group: fields.whole(9, "clusterNo")? as u32,
-                    own: None,
+                    session_position: None,
                 })
             }
             "done" => {
                 let note = fields.whole(2, "posRole")?;
-                Event::Done(Done {
+                Event::AttemptEnded(AttemptEnded {
                     id: fields.text(1, "corr")?.into(),
                     member: fields.text(3, "member")?.into(),
                     finished: fields.flag(4),
@@ -157,13 +159,13 @@
                     report: report(fields.at(8), base),
                 })
             }
-            "echo" => Event::Probed {
+            "echo" => Event::ProbeEnded {
                 member: fields.text(1, "member")?.into(),
                 outcome: outcome(fields.whole(2, "result")?)?,
                 report: report(fields.at(4), base),
             },
-            "accepted" => Event::Started { id: fields.text(1, "corr")?.into() },
-            "cancelledByClient" => Event::Gone { id: fields.text(1, "corr")?.into() },
+            "accepted" => Event::ResponseStarted { id: fields.text(1, "corr")?.into() },
+            "cancelledByClient" => Event::ClientLeft { id: fields.text(1, "corr")?.into() },
             "timeoutFired" => Event::Timer { cookie: fields.whole(1, "cookie")? as u64 },
             other => return Err(format!("unknown message '{other}'")),
         }))
@@ -178,10 +180,10 @@
                 Action::Fail { id } => json!(["fail", number, &*id]),
                 Action::Timer { at, cookie } => json!(["remind", number, at, cookie]),
                 Action::Probe { member } => json!(["touch", number, &*member]),
-                Action::LetGo { member } => json!(["letGo", number, &*member]),
+                Action::CloseIdle { member } => json!(["letGo", number, &*member]),
                 // What is sent there is there: nothing is left unwritten.
-                Action::Withhold { .. } | Action::Explain(_) | Action::Denied { .. } => continue,
-                Action::Listen => json!(["listen", number, true]),
+                Action::CancelUnsent { .. } | Action::Explain(_) | Action::Denied { .. } => continue,
+                Action::Subscribe => json!(["listen", number, true]),
                 Action::Log(text) => json!(["journalLine", number, text]),
             };
             writeln!(output, "{line}")?;
@@ -203,7 +205,7 @@
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::NotSent,
         8 => Outcome::Miss,
         other => return Err(format!("unknown outcome {other}")),
     })
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -132,7 +132,7 @@
             match config.list_source {
                 ListSource::Requested => format!(
                     "one service for all poolers at {}, watched; without a watch it is asked again within {} s",
-                    config.discovery, s.ask_within
+                    config.discovery, s.max_list_age
                 ),
                 ListSource::Pushed => format!(
                     "pushed: the agent at {} is followed, and asked again {} s after it was lost",
@@ -145,7 +145,7 @@
         say("members", known_of_members(s, facts));
         say(
             "second copies",
-            match (s.may_duplicate, s.cancel) {
+            match (s.allow_hedging, s.cancel) {
                 (false, _) => "never: one attempt of a request is out at a time".into(),
                 (true, true) => {
                     "of safe reads whose member says nothing; the one that loses is withdrawn".into()
@@ -175,7 +175,7 @@
             "cold members",
             format!(
                 "from {} of their capacity, warm after {} s; {} poolers together stay under {} times what one can do, over {} s",
-                s.cold_from, s.warm_up, s.fleet_size, s.tip_multiple, s.fall
+                s.cold_start_capacity, s.warm_up, s.fleet_size, s.overload_factor, s.overload_window
             ),
         );
         meaning.warnings = doubts(config);
@@ -242,7 +242,7 @@
 fn sessions(config: &Config) -> String {
     let s = &config.settings;
     let any = s.classes.iter().any(|class| class.consistency == Consistency::Session);
-    match (any, s.tokens_carried) {
+    match (any, s.requests_carry_position) {
         (false, _) => "no class reads by session; an 'after' in a request is honoured".into(),
         (true, true) => "carried: a read says in 'after' what it must see".into(),
         (true, false) => "remembered by the pooler that answered the write; an 'after' counts as well".into(),
@@ -260,7 +260,7 @@
     };
     let told =
         facts.answers_carry_position || facts.reports == LoadReports::WithAnswers && facts.reports_carry.0;
-    if s.when_behind == WhenBehind::Silent && !told && !probes_tell(s, facts) {
+    if s.when_behind == WhenBehind::ServeStale && !told && !probes_tell(s, facts) {
         let names = s.classes.iter().zip(&config.classes).filter(|(class, _)| by_position(class));
         let names: Vec<&str> = names.map(|(_, name)| &**name).collect();
         if !names.is_empty() {
--- a/crates/daemon/src/counters.rs
+++ b/crates/daemon/src/counters.rs
@@ -93,7 +93,7 @@
     (Outcome::ConnectFailed, "connect_failed"),
     (Outcome::Reset, "reset"),
     (Outcome::Cancelled, "cancelled"),
-    (Outcome::Moot, "moot"),
+    (Outcome::NotSent, "moot"),
     (Outcome::Miss, "miss"),
 ];
 
--- a/crates/daemon/src/net/clients.rs
+++ b/crates/daemon/src/net/clients.rs
@@ -290,7 +290,7 @@
         connection.watch(slot, context);
         if let Err(over) = result {
             if over == Over::Here && !free {
-                context.counters.violations.count(Denial::AnswerOwed);
+                context.counters.violations.count(Denial::ReplyPending);
                 logging::error!(event = "rule.violation", denial = "answer_owed", "a connection is closed");
             }
             // What it has asked and nobody has looked at yet is not begun.
--- a/crates/daemon/src/net/discovery.rs
+++ b/crates/daemon/src/net/discovery.rs
@@ -136,7 +136,7 @@
     }
 
     fn tell(&mut self, kind: ListKind, context: &mut Context) {
-        if kind.is_news() {
+        if kind.carries_entries() {
             self.trouble = None;
         }
         context.events.push_back(Event::Members(kind, Vec::new()));
--- a/crates/daemon/src/net/proxy.rs
+++ b/crates/daemon/src/net/proxy.rs
@@ -25,7 +25,7 @@
 use mio::{Interest, Poll, Waker};
 use operator::Effective;
 use routing::interface::{
-    self, Action, Arrival, Conclusion, Consistency, Done, Effect, Evidence, ListKind, Outcome, Phase,
+    self, Action, Arrival, AttemptEnded, Conclusion, Consistency, Effect, Evidence, ListKind, Outcome, Phase,
     RequestId,
 };
 use routing::permission::History;
@@ -356,19 +356,19 @@
                         request.client = None;
                         request.history.close();
                     }
-                    self.tell(interface::Event::Started { id }, context);
+                    self.tell(interface::Event::ResponseStarted { id }, context);
                 }
                 Event::Left(id) => {
                     if let Some(request) = self.requests.get_mut(&id) {
                         context.counters.gone += 1;
                         request.client = None;
                     }
-                    self.tell(interface::Event::Gone { id: id.clone() }, context);
+                    self.tell(interface::Event::ClientLeft { id: id.clone() }, context);
                     self.forget(&id, context.reactor.now());
                 }
                 Event::Role(member, primary) => {
                     let report = interface::Report { position: None, primary: Some(primary) };
-                    self.tell(interface::Event::Probed { member, outcome: Outcome::Ok, report }, context);
+                    self.tell(interface::Event::ProbeEnded { member, outcome: Outcome::Ok, report }, context);
                 }
                 Event::Parted(parted) => self.parted(*parted, context),
                 Event::Called(caller, call) => self.called(caller, *call, context),
@@ -421,7 +421,7 @@
                         continue;
                     }
                     let task = Task::Attempt(id, number, request.statement.clone());
-                    let limits = (timeout, request.history.write_by());
+                    let limits = (timeout, request.history.write_deadline());
                     request.out.push((number, self.servers.send(task, &member, limits, context)));
                 }
                 Action::Cancel { id, attempt } => {
@@ -441,13 +441,14 @@
                     context.counters.probed += 1;
                     self.servers.send(Task::Probe, &member, (self.probe_timeout, f64::INFINITY), context);
                 }
-                Action::LetGo { member } => self.servers.let_go(&member),
-                Action::Withhold { member } => self.servers.withhold(&member, context),
+                Action::CloseIdle { member } => self.servers.let_go(&member),
+                Action::CancelUnsent { member } => self.servers.withhold(&member, context),
                 // With a list of the operator's own there may be no discovery at all.
-                Action::Listen if self.changes.as_ref().is_some_and(|changes| changes.roster.is_fixed()) => {}
+                Action::Subscribe
+                    if self.changes.as_ref().is_some_and(|changes| changes.roster.is_fixed()) => {}
                 // A registry is followed by itself, whether or not it is asked for.
-                Action::Listen if self.registry.is_some() => {}
-                Action::Listen => self.discovery.listen(context),
+                Action::Subscribe if self.registry.is_some() => {}
+                Action::Subscribe => self.discovery.listen(context),
                 Action::Denied { id, denial } => guard::violation(&id, denial, context),
                 Action::Explain(explanation) => trace::given_up(&explanation, &self.numbers),
                 Action::Log(text) => logging::info!(event = "decided", "{text}"),
@@ -482,15 +483,15 @@
             id: id.clone(),
             class,
             group: query.group,
-            left: query.timeout.min(self.kill_at - now),
-            token: query.required_position,
+            time_left: query.timeout.min(self.kill_at - now),
+            required_position: query.required_position,
             session: query.session_key.filter(|_| sessions).map(Into::into),
             tenant,
-            predicted: None,
+            predicted_work: None,
             repeat: query.repeat,
-            own: None,
+            session_position: None,
         };
-        let rules = self.policy.rules(class, now + arrival.left);
+        let rules = self.policy.attempt_rules(class, now + arrival.time_left);
         let request = Request {
             client: Some(Owed::Client(client)),
             statement: Rc::new(query.statement),
@@ -524,7 +525,7 @@
         let Some(mut arrival) = self.in_flight.release(client, id) else { return };
         let Some(request) = self.requests.get(id) else { return };
         let consistency = request.consistency;
-        arrival.left -= context.reactor.now() - request.taken;
+        arrival.time_left -= context.reactor.now() - request.taken;
         self.begin(arrival, consistency, context);
     }
 
@@ -555,18 +556,18 @@
             class: number,
             group,
             // Its class says how long it waits at most.
-            left: f64::MAX,
-            token: None,
+            time_left: f64::MAX,
+            required_position: None,
             session: sessions.then(|| format!("session-{}", slot.number()).into()),
             tenant,
-            predicted: None,
+            predicted_work: None,
             repeat: false,
-            own: None,
+            session_position: None,
         };
         let request = Request {
             client: Some(Owed::Session(slot)),
             statement: Rc::new(Statement::new("".into(), 0..0)),
-            history: History::new(self.policy.rules(number, f64::INFINITY)),
+            history: History::new(self.policy.attempt_rules(number, f64::INFINITY)),
             out: Vec::new(),
             class: counted,
             group,
@@ -599,7 +600,7 @@
             }
         }
         let report = interface::Report::default();
-        let done = Done {
+        let done = AttemptEnded {
             id: id.clone(),
             member,
             attempt,
@@ -611,7 +612,7 @@
             primary,
             report,
         };
-        let actions = self.decide(interface::Event::Done(done), context);
+        let actions = self.decide(interface::Event::AttemptEnded(done), context);
         self.forget(&id, context.reactor.now());
         self.carry_out(actions, context);
     }
@@ -623,7 +624,7 @@
             context.counters.gone += 1;
             request.client = None;
             request.history.close();
-            self.tell(interface::Event::Gone { id: id.clone() }, context);
+            self.tell(interface::Event::ClientLeft { id: id.clone() }, context);
             self.give_up(&id, context);
             self.forget(&id, context.reactor.now());
         }
@@ -681,7 +682,7 @@
         let Ended { task, member, outcome, elapsed, position, primary, report, value } = ended;
         let Task::Attempt(id, attempt, _) = task else {
             count(&mut context.counters.probes, outcome);
-            return self.tell(interface::Event::Probed { member, outcome, report }, context);
+            return self.tell(interface::Event::ProbeEnded { member, outcome, report }, context);
         };
         let told = (position, primary);
         let conclusion = self.conclusion(&id, (attempt, elapsed), outcome, told);
@@ -694,7 +695,7 @@
         request.out.retain(|(number, _)| *number != attempt);
         let served = outcome == Outcome::Ok && conclusion == Conclusion::AsReceived;
         let finished = served || request.client.is_none();
-        let done = Done {
+        let done = AttemptEnded {
             id: id.clone(),
             member,
             attempt,
@@ -707,7 +708,7 @@
             report,
         };
         // What the answer tells of the machine is taken in before the client can act on the answer.
-        let actions = self.decide(interface::Event::Done(done), context);
+        let actions = self.decide(interface::Event::AttemptEnded(done), context);
         if !served {
             self.forget(&id, context.reactor.now());
         } else if let Some(value) = self.served(&id, position, value, context) {
--- a/crates/daemon/src/net/proxy/configuration.rs
+++ b/crates/daemon/src/net/proxy/configuration.rs
@@ -134,7 +134,7 @@
         }
         let mut numbers = self.numbers.clone();
         let Assigned { settings, classes, tenants } =
-            numbers.assign(&effective, |number| self.policy.class_in_hand(number))?;
+            numbers.assign(&effective, |number| self.policy.class_has_requests(number))?;
         let (connect_timeout, retry_after) = (settings.connect_timeout, advice(&settings));
         self.policy.reconfigure(settings).map_err(|fault| fault.to_string())?;
         (self.numbers, self.classes, self.tenants) = (numbers, classes, tenants);
--- a/crates/daemon/src/net/proxy/guard.rs
+++ b/crates/daemon/src/net/proxy/guard.rs
@@ -41,7 +41,7 @@
         request.history.may_begin(now)?;
         match request.client {
             Some(Owed::Client(client)) if self.clients.has_left(client, now - CLIENT_FRESH) => {
-                Err(Denial::ClientGone)
+                Err(Denial::ClientLeft)
             }
             _ => Ok(()),
         }
@@ -59,19 +59,19 @@
         let Some(request) = self.requests.get(&id) else { return };
         // Time passes between a decision and this; whether the client is there is seen here alone.
         match denial {
-            Denial::OutOfTime | Denial::WindowOver | Denial::ClientGone => {
+            Denial::OutOfTime | Denial::DedupWindowOver | Denial::ClientLeft => {
                 context.counters.withheld.count(denial);
                 logging::debug!(event = "attempt.withheld", id = &*id, attempt, denial = denial.name());
             }
             _ => violation(&id, denial, context),
         }
-        if let (Denial::ClientGone, Some(Owed::Client(client))) = (denial, request.client) {
+        if let (Denial::ClientLeft, Some(Owed::Client(client))) = (denial, request.client) {
             context.events.push_back(Event::Gone(client));
         }
         context.events.push_back(Event::Ended(Box::new(Ended {
             task: Task::Attempt(id, attempt, request.statement.clone()),
             member,
-            outcome: Outcome::Moot,
+            outcome: Outcome::NotSent,
             elapsed: 0.0,
             position: None,
             primary: None,
--- a/crates/daemon/src/net/proxy/handover.rs
+++ b/crates/daemon/src/net/proxy/handover.rs
@@ -19,7 +19,7 @@
 use mio::net::UnixStream;
 use mio::Interest;
 use routing::interface::Phase;
-use routing::Learned;
+use routing::ObservedState;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -240,17 +240,17 @@
             }
             None => return,
         };
-        let members = known.members.iter().map(|member| Learned {
+        let members = known.members.iter().map(|member| ObservedState {
             member: member.name.as_str().into(),
             primary: member.primary,
             position: member.position,
             cold_since: member.cold_since,
         });
         let (now, mut actions) = (context.reactor.now(), Vec::new());
-        self.policy.take_over(now, &members.collect::<Vec<_>>(), &mut actions);
+        self.policy.adopt_observed_state(now, &members.collect::<Vec<_>>(), &mut actions);
         let (sessions, members) = (known.sessions.len(), known.members.len());
         let written = known.sessions.into_iter().map(|(name, commit)| (name.into(), commit));
-        self.policy.wrote(written, known.forgotten.unwrap_or(f64::NEG_INFINITY));
+        self.policy.import_session_writes(written, known.forgotten.unwrap_or(f64::NEG_INFINITY));
         logging::info!(event = "handover.known", members, sessions, "goes on with what the old daemon knew");
         self.carry_out(actions, context);
     }
@@ -258,9 +258,9 @@
     /// What this daemon knows.
     fn known(&self) -> Known {
         let finite = |value: f64| value.is_finite().then_some(value);
-        let (sessions, forgotten) = self.policy.written();
+        let (sessions, forgotten) = self.policy.export_session_writes();
         let listed = self.changes.iter().flat_map(|changes| changes.roster.listed());
-        let members = self.policy.learned().into_iter().map(|learned| Member {
+        let members = self.policy.observed_state().into_iter().map(|learned| Member {
             name: learned.member.to_string(),
             primary: learned.primary,
             position: learned.position,
@@ -414,7 +414,7 @@
     /// While the old daemon is there, sessions that it serves still may write through it.
     pub(super) fn beside(&mut self, context: &mut Context) {
         if self.predecessor.is_some() {
-            self.policy.anybody_wrote(context.reactor.now());
+            self.policy.invalidate_session_writes(context.reactor.now());
         }
     }
 
--- a/crates/daemon/src/net/proxy/in_flight.rs
+++ b/crates/daemon/src/net/proxy/in_flight.rs
@@ -82,7 +82,7 @@
             entries.push(Entry { command, id, access, waiting: None });
             return Ok(arrival);
         }
-        let until = now + arrival.left * WAIT_SHARE;
+        let until = now + arrival.time_left * WAIT_SHARE;
         let waiting = Some(Box::new(Waiting { arrival, until }));
         entries.push(Entry { command, id, access, waiting });
         Err(until)
--- a/crates/daemon/src/net/proxy/in_flight/tests.rs
+++ b/crates/daemon/src/net/proxy/in_flight/tests.rs
@@ -12,13 +12,13 @@
         id: id.into(),
         class: 0,
         group: 2,
-        left: 2.0,
-        token: None,
+        time_left: 2.0,
+        required_position: None,
         session: None,
         tenant: 0,
-        predicted: None,
+        predicted_work: None,
         repeat: false,
-        own: None,
+        session_position: None,
     }
 }
 
--- a/crates/daemon/src/net/proxy/life.rs
+++ b/crates/daemon/src/net/proxy/life.rs
@@ -282,7 +282,7 @@
             // One that waits for its repeat may have run: to say that another try is harmless would be wrong.
             let harmless = self.policy.may_refuse(&id);
             self.answer(&id, if harmless { Answer::Refused(backoff) } else { Answer::Failed }, context);
-            self.tell(interface::Event::Gone { id }, context);
+            self.tell(interface::Event::ClientLeft { id }, context);
         }
     }
 
@@ -298,7 +298,7 @@
             let session = self.requests.get(&id).is_some_and(|r| matches!(r.client, Some(Whom::Session(_))));
             // It has reached a server: whether it ran there is not known.
             self.answer(&id, if session { Answer::Refused(0.0) } else { Answer::Failed }, context);
-            self.tell(interface::Event::Gone { id: id.clone() }, context);
+            self.tell(interface::Event::ClientLeft { id: id.clone() }, context);
             self.give_up(&id, context);
         }
         self.sessions.iter_mut().for_each(|sessions| sessions.end(true, context));
--- a/crates/daemon/src/net/proxy/sharing.rs
+++ b/crates/daemon/src/net/proxy/sharing.rs
@@ -47,10 +47,11 @@
         let shared = &mut self.requests.get_mut(&arrival.id)?.shared;
         if consistency == Consistency::Session {
             let floor = coordination.need(now, &session);
-            (arrival.own, shared.floor) = (Some(floor), Some(floor));
+            (arrival.session_position, shared.floor) = (Some(floor), Some(floor));
             return Some(arrival);
         }
-        let Some(ticket) = coordination.write_begins(now, &session, arrival.left.min(LONGEST_WRITE)) else {
+        let Some(ticket) = coordination.write_begins(now, &session, arrival.time_left.min(LONGEST_WRITE))
+        else {
             self.turn_away(&arrival.id, context);
             return None;
         };
@@ -58,7 +59,7 @@
         if coordination.may_send(now, ticket) {
             return Some(arrival);
         }
-        let until = now + coordination.hold().min(arrival.left * HOLD_SHARE);
+        let until = now + coordination.hold().min(arrival.time_left * HOLD_SHARE);
         context.reactor.timer(until, Due::Peers);
         self.sharing.push(arrival.id.clone());
         shared.held = Some(Box::new((arrival, until)));
@@ -72,7 +73,7 @@
             return;
         }
         let Some(shared) = self.requests.get_mut(id).map(|request| &mut request.shared) else { return };
-        if shared.floor.is_some_and(|floor| !self.policy.reaches(member, floor)) {
+        if shared.floor.is_some_and(|floor| !self.policy.has_reached(member, floor)) {
             shared.unsure.push(attempt);
         }
     }
@@ -86,7 +87,7 @@
         outcome: Outcome,
         (position, primary): (Option<f64>, Option<bool>),
     ) -> Conclusion {
-        let own = self.policy.checked(id, (attempt, elapsed), outcome, (position, primary));
+        let own = self.policy.assess_answer(id, (attempt, elapsed), outcome, (position, primary));
         if self.coordination.is_none() || own == Conclusion::TooOld {
             return own;
         }
@@ -95,7 +96,7 @@
         // One that says itself that it is no primary has not seen what only that one has.
         let deposed = floor == f64::INFINITY && primary == Some(false);
         if deposed || shared.unsure.contains(&attempt) {
-            return Policy::looked_at(primary, position, floor, elapsed);
+            return Policy::assess_freshness(primary, position, floor, elapsed);
         }
         own
     }
@@ -163,7 +164,7 @@
             if coordination.may_send(now, ticket) {
                 if let Some(held) = request.shared.held.take() {
                     let (mut arrival, _) = *held;
-                    arrival.left -= now - request.taken;
+                    arrival.time_left -= now - request.taken;
                     return self.tell(interface::Event::Arrival(arrival), context);
                 }
             }
@@ -207,7 +208,7 @@
         }
         let (heard, instances) = (peers.heard(now, &found), peers.node.alive() as u32);
         let mut actions = Vec::new();
-        self.policy.take_peer_reports(now, &heard, instances, &mut actions);
+        self.policy.apply_peer_reports(now, &heard, instances, &mut actions);
         self.carry_out(actions, context);
     }
 
--- a/crates/daemon/src/net/proxy/sources.rs
+++ b/crates/daemon/src/net/proxy/sources.rs
@@ -23,9 +23,9 @@
     }
 
     pub(super) fn members(&mut self, kind: ListKind, listings: Vec<Listing>, context: &mut Context) {
-        context.counters.lists += u64::from(kind.is_news());
-        context.counters.lists_failed += u64::from(!kind.is_news());
-        if kind.is_news() {
+        context.counters.lists += u64::from(kind.carries_entries());
+        context.counters.lists_failed += u64::from(!kind.carries_entries());
+        if kind.carries_entries() {
             self.servers.list(kind, &listings, context.reactor.now());
             let ending = listings.iter().filter(|listing| listing.phase != Phase::Active).count();
             if ending > 0 || kind != ListKind::Incremental {
--- a/crates/daemon/src/net/proxy/trace.rs
+++ b/crates/daemon/src/net/proxy/trace.rs
@@ -26,7 +26,7 @@
         id = &**id,
         attempt,
         member = &**member,
-        received = ?received,
+        received = %received.log_name(),
         concluded = ?concluded,
         elapsed_ms = elapsed * MILLIS,
         position = ?position,
@@ -51,8 +51,8 @@
 fn words(attempt: &AttemptSummary) -> String {
     let ended = match attempt.ended {
         None => "out".into(),
-        Some((outcome, Conclusion::AsReceived)) => format!("{outcome:?}"),
-        Some((outcome, Conclusion::TooOld)) => format!("{outcome:?}, too old"),
+        Some((outcome, Conclusion::AsReceived)) => outcome.log_name().into(),
+        Some((outcome, Conclusion::TooOld)) => format!("{}, too old", outcome.log_name()),
     };
     format!("{} {ended}, sent {:.0} ms ago", attempt.member, attempt.age * MILLIS)
 }
--- a/crates/daemon/src/net/servers.rs
+++ b/crates/daemon/src/net/servers.rs
@@ -221,7 +221,7 @@
             }
             (Stage::Starting, b'Z') => {
                 if !self.ask(now) {
-                    return Step::Broken(Outcome::Moot);
+                    return Step::Broken(Outcome::NotSent);
                 }
             }
             (Stage::Busy | Stage::Idle, b'S') => match pgwire::read_parameter_status(&message.body) {
@@ -364,7 +364,7 @@
         let waiting = self.conns.iter().filter(|(_, conn)| conn.member == *member && unsent(conn));
         let waiting: Vec<Slot> = waiting.map(|(slot, _)| slot).collect();
         for slot in waiting {
-            self.settle(slot, Step::Broken(Outcome::Moot), context);
+            self.settle(slot, Step::Broken(Outcome::NotSent), context);
         }
     }
 
@@ -394,7 +394,7 @@
             let step = if conn.ask(sent) {
                 conn.turn(sent, self.connect_timeout)
             } else {
-                Step::Broken(Outcome::Moot)
+                Step::Broken(Outcome::NotSent)
             };
             context.reactor.timer(conn.until, Due::Server(slot));
             self.settle(slot, step, context);
@@ -439,9 +439,9 @@
     /// Begins a connection; the outcome of what it was for, if there can be none. What the own limits forbid
     /// was never sent, and is not held against the machine.
     fn connect(&mut self, member: &MemberId) -> Result<(SocketAddr, TcpStream), Outcome> {
-        let address = self.machines.get(member).map(|machine| machine.address).ok_or(Outcome::Moot)?;
+        let address = self.machines.get(member).map(|machine| machine.address).ok_or(Outcome::NotSent)?;
         if self.conns.len() >= self.limit && !self.evict() {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         let stream = TcpStream::connect(address).map_err(|error| match error.kind() {
             ErrorKind::ConnectionRefused
@@ -449,7 +449,7 @@
             | ErrorKind::HostUnreachable
             | ErrorKind::NetworkUnreachable
             | ErrorKind::TimedOut => Outcome::ConnectFailed,
-            _ => Outcome::Moot,
+            _ => Outcome::NotSent,
         })?;
         Ok((address, stream))
     }
--- a/crates/daemon/src/net/sessions/assignment.rs
+++ b/crates/daemon/src/net/sessions/assignment.rs
@@ -71,7 +71,8 @@
         let now = context.reactor.now();
         let Some(conn) = self.conns.get_mut(slot) else {
             let (id, member) = (id.clone(), member.clone());
-            let parted = Parted { id, attempt, member, outcome: Outcome::Moot, elapsed: 0.0, primary: None };
+            let parted =
+                Parted { id, attempt, member, outcome: Outcome::NotSent, elapsed: 0.0, primary: None };
             return context.events.push_back(Event::Parted(Box::new(parted)));
         };
         let tenant = conn.wanted.as_ref().map(|wanted| wanted.tenant.clone()).unwrap_or_default();
@@ -95,7 +96,7 @@
             let Some(conn) = self.conns.get_mut(slot) else { return };
             let (Some(job), Some(session)) = (&conn.job, &conn.session) else { return };
             let Some(Member { address, active: true, .. }) = self.members.get(&job.member) else {
-                return self.part(slot, Outcome::Moot, None, context);
+                return self.part(slot, Outcome::NotSent, None, context);
             };
             let (address, member, tenant, state) =
                 (*address, job.member.clone(), job.tenant.clone(), session.state());
--- a/crates/daemon/src/net/sessions/server.rs
+++ b/crates/daemon/src/net/sessions/server.rs
@@ -71,7 +71,7 @@
         let place = self.backends.insert(backend);
         self.pools.opened(now, &key, place.number());
         if !self.register(place, context) {
-            return self.fail(place, Outcome::Moot, context);
+            return self.fail(place, Outcome::NotSent, context);
         }
         if let Some(conn) = slot.and_then(|slot| self.conns.get_mut(slot)) {
             conn.backend = Some(place);
@@ -162,7 +162,7 @@
             };
             backend.state =
                 if self.server_tls.is_some() { ServerState::Asking } else { ServerState::Starting };
-            backend.link.outbox.push(&first).map_err(|_| Outcome::Moot)?;
+            backend.link.outbox.push(&first).map_err(|_| Outcome::NotSent)?;
         }
         let told = |fault: &tls::Fault, backend: &Backend| {
             if !matches!(fault, tls::Fault::Broken(_)) {
@@ -179,14 +179,14 @@
                 // Turned down, or something in the clear behind it, which somebody else may have put there.
                 _ => return Err(told(&tls::Fault::NotTls, backend)),
             }
-            let Some(client) = &self.server_tls else { return Err(Outcome::Moot) };
+            let Some(client) = &self.server_tls else { return Err(Outcome::NotSent) };
             let address = backend.address.ip().to_string();
             let name = self.pool.server_tls_name.as_ref().unwrap_or(&address);
             let session = Session::new(client, name, &self.budget).map_err(|fault| told(&fault, backend))?;
             backend.link.secure(session, &self.budget);
             backend.state = ServerState::Starting;
             let first = hello(backend);
-            backend.link.outbox.push(&first).map_err(|_| Outcome::Moot)?;
+            backend.link.outbox.push(&first).map_err(|_| Outcome::NotSent)?;
             let turned = backend.link.turn(&mut backend.stream);
             fill = turned.map_err(|fault| told(&fault, backend))?;
         }
@@ -251,7 +251,7 @@
             Some(slot) => {
                 // Its server was drained meanwhile.
                 self.close(place);
-                self.part(slot, Outcome::Moot, None, context);
+                self.part(slot, Outcome::NotSent, None, context);
             }
             None => self.rest(place, context),
         }
--- a/crates/operator/src/effective.rs
+++ b/crates/operator/src/effective.rs
@@ -452,7 +452,7 @@
     };
     class.dedup = match edit.scope {
         None => class.dedup,
-        Some(Scope::Group) => Dedup::Cell,
+        Some(Scope::Group) => Dedup::Group,
         Some(Scope::All) => Dedup::All,
     };
     class.dedup_window = edit.repeat_window_s.unwrap_or(class.dedup_window);
--- a/crates/replication/src/reports.rs
+++ b/crates/replication/src/reports.rs
@@ -34,26 +34,26 @@
 pub fn tell_views(node: &mut Node, now: f64, found: &[Observation]) {
     let age = |at: f64| (now - at).clamp(0.0, OLDEST) as f32;
     let views = found.iter().map(|found| View {
-        member: crate::message::name(&found.learned.member),
-        since: found.since,
-        position: found.learned.position.map(|position| (position, age(found.position_at))),
-        primary: found.learned.primary.map(|(primary, at)| (primary, age(at))),
+        member: crate::message::name(&found.observed.member),
+        since: found.started_at,
+        position: found.observed.position.map(|position| (position, age(found.position_at))),
+        primary: found.observed.primary.map(|(primary, at)| (primary, age(at))),
         in_flight: found.in_flight.min(u32::from(u16::MAX)) as u16,
         suspected: found.suspected,
         slowness: found.slowness as f32,
-        cold: found.learned.cold_since.map(age),
+        cold: found.observed.cold_since.map(age),
     });
     node.observe(now, views.collect(), Vec::new());
     for found in found {
-        if let (Some((true, _)), Some(position)) = (found.learned.primary, found.learned.position) {
-            node.claimed(now, found.group, &found.learned.member, position);
+        if let (Some((true, _)), Some(position)) = (found.observed.primary, found.observed.position) {
+            node.claimed(now, found.group, &found.observed.member, position);
         }
     }
 }
 
 /// What the others say of databases, for the decisions.
 pub fn heard(node: &Node, now: f64, found: &[Observation]) -> Vec<PeerReport> {
-    let since: BTreeMap<&str, f64> = found.iter().map(|f| (&*f.learned.member, f.since)).collect();
+    let since: BTreeMap<&str, f64> = found.iter().map(|f| (&*f.observed.member, f.started_at)).collect();
     let mut heard: BTreeMap<Arc<str>, PeerReport> = BTreeMap::new();
     let named = |member: &Arc<str>| PeerReport { member: member.clone(), ..PeerReport::default() };
     for (member, together) in node.together(now) {
--- a/crates/routing/src/check.rs
+++ b/crates/routing/src/check.rs
@@ -6,15 +6,15 @@
 /// A setting out of its range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The field, as named in [`Settings`]; one of a class with its number.
+    /// The field, by its settings key in snake case; one of a class with its number.
     pub field: String,
     /// What it must be.
-    pub must: &'static str,
+    pub requirement: &'static str,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "'{}' must be {}", self.field, self.must)
+        write!(f, "'{}' must be {}", self.field, self.requirement)
     }
 }
 
@@ -29,7 +29,7 @@
     let (a_time, a_part, a_span) = ("a finite time above 0", "from 0 to 1", "finite and not negative");
     let waits = match s.when_behind {
         WhenBehind::Wait(wait) => some(wait),
-        WhenBehind::Refuse | WhenBehind::Silent => true,
+        WhenBehind::Refuse | WhenBehind::ServeStale => true,
     };
     let mut rules = vec![
         (!s.classes.is_empty(), "classes".to_string(), "at least one class"),
@@ -37,12 +37,16 @@
         (s.max_attempts > 0, "max_attempts".into(), "at least 1"),
         (time(s.tick), "tick".into(), a_time),
         (time(s.connect_timeout), "connect_timeout".into(), a_time),
-        (time(s.ask_within), "ask_within".into(), a_time),
-        (time(s.fall), "fall".into(), a_time),
+        (time(s.max_list_age), "ask_within".into(), a_time),
+        (time(s.overload_window), "fall".into(), a_time),
         (some(s.warm_up), "warm_up".into(), a_span),
         (some(s.max_retry_after), "max_retry_after".into(), a_span),
-        (s.cold_from > 0.0 && part(s.cold_from), "cold_from".into(), "above 0 and at most 1"),
-        (s.tip_multiple > 0.0, "tip_multiple".into(), "above 0"),
+        (
+            s.cold_start_capacity > 0.0 && part(s.cold_start_capacity),
+            "cold_from".into(),
+            "above 0 and at most 1",
+        ),
+        (s.overload_factor > 0.0, "tip_multiple".into(), "above 0"),
         (part(s.over_share_worth), "over_share_worth".into(), a_part),
         (waits, "when_behind".into(), a_span),
     ];
@@ -64,7 +68,7 @@
         rule(bound, "consistency", a_span);
     }
     match rules.into_iter().find(|(holds, ..)| !holds) {
-        Some((_, field, must)) => Err(SettingsError { field, must }),
+        Some((_, field, must)) => Err(SettingsError { field, requirement: must }),
         None => Ok(()),
     }
 }
--- a/crates/routing/src/deposed.rs
+++ b/crates/routing/src/deposed.rs
@@ -2,7 +2,7 @@
 //! with whatever it answers; where an answer got lost on the way, that may have been in it, and what its data lacks is
 //! for no read that needs what only a primary has.
 
-use crate::interface::{Action, Conclusion, Consistency, Done, Outcome};
+use crate::interface::{Action, AttemptEnded, Conclusion, Consistency, Outcome};
 use crate::state::{Policy, Request};
 
 /// Pause before a member is asked once more about its role, in multiples of the connect time-out: what it reports is as old.
@@ -17,7 +17,7 @@
     /// Notes that a member which was taken for the primary has turned something away as none. While it hands over it takes no
     /// writes, and says with each read that it is the primary still; whoever was told that it is none may not go by that, since
     /// the moment in which another takes over is not told.
-    pub(crate) fn note_deposed(&mut self, m: usize, done: &Done) {
+    pub(crate) fn note_deposed(&mut self, m: usize, done: &AttemptEnded) {
         let member = &mut self.members[m];
         let turned_away = done.outcome == Outcome::Miss || done.conclusion == Conclusion::TooOld;
         let deposed = turned_away && done.primary == Some(false);
--- a/crates/routing/src/effect.rs
+++ b/crates/routing/src/effect.rs
@@ -17,5 +17,5 @@
     /// Any member.
     All,
     /// Members of the request's group.
-    Cell,
+    Group,
 }
--- a/crates/routing/src/guard.rs
+++ b/crates/routing/src/guard.rs
@@ -2,20 +2,20 @@
 //! come to it.
 
 use crate::interface::{Action, Phase, Reason, RequestId};
-use crate::permission::{Denial, Rules};
+use crate::permission::{AttemptRules, Denial};
 use crate::state::Policy;
 
 impl Policy {
     /// What a request of a class may do whose client waits until then (seconds).
-    pub fn rules(&self, class: usize, deadline: f64) -> Rules {
+    pub fn attempt_rules(&self, class: usize, deadline: f64) -> AttemptRules {
         let class = &self.settings.classes[class];
-        Rules {
+        AttemptRules {
             effect: class.effect,
             dedup: class.dedup,
-            window: class.dedup_window,
-            connect: self.settings.connect_timeout,
-            attempts: self.settings.max_attempts,
-            copies: self.settings.may_duplicate,
+            dedup_window: class.dedup_window,
+            connect_timeout: self.settings.connect_timeout,
+            max_attempts: self.settings.max_attempts,
+            allow_hedging: self.settings.allow_hedging,
             deadline,
         }
     }
@@ -26,7 +26,7 @@
         match member.phase {
             Phase::Active => !member.reported.drained,
             Phase::Leaving => false,
-            Phase::Left => self.settings.gone_is_advice && !member.bound_gone,
+            Phase::Left => self.settings.removal_is_advisory && !member.bound_gone,
         }
     }
 
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -58,7 +58,7 @@
             deadline: 1.0,
             dedup_window: 0.0,
             effect: Effect::Safe,
-            dedup: Dedup::Cell,
+            dedup: Dedup::Group,
             late_worth: 0.0,
             value: 1.0,
             consistency: Consistency::Any,
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WhenBehind {
     /// Answers from what it has.
-    Silent,
+    ServeStale,
     /// Turns it away untouched.
     Refuse,
     /// Waits up to so many seconds, then turns it away untouched.
@@ -97,7 +97,7 @@
     /// Whether attempts may be cancelled.
     pub cancel: bool,
     /// Whether one request may have two attempts out.
-    pub may_duplicate: bool,
+    pub allow_hedging: bool,
     /// Most attempts for a request.
     pub max_attempts: u32,
     /// Whether refusals may carry a back-off.
@@ -109,21 +109,21 @@
     /// Whether the member list must be asked for.
     pub subscribe: bool,
     /// Longest time without a subscription or a call (seconds).
-    pub ask_within: f64,
+    pub max_list_age: f64,
     /// A starting member has at least this fraction of its capacity.
-    pub cold_from: f64,
+    pub cold_start_capacity: f64,
     /// A starting member is warm after this (seconds).
     pub warm_up: f64,
     /// A cold member falls over beyond this multiple of its present capacity ...
-    pub tip_multiple: f64,
+    pub overload_factor: f64,
     /// ... kept up for this long (seconds).
-    pub fall: f64,
+    pub overload_window: f64,
     /// Only an entry listed as leaving binds; a member merely gone may still be used.
-    pub gone_is_advice: bool,
+    pub removal_is_advisory: bool,
     /// What members do with reads they are too far behind for.
     pub when_behind: WhenBehind,
     /// Whether session reads carry the age of their last write; otherwise it is remembered.
-    pub tokens_carried: bool,
+    pub requests_carry_position: bool,
 }
 
 impl Default for Settings {
@@ -137,20 +137,20 @@
             tick: 0.005,
             probes: false,
             cancel: true,
-            may_duplicate: false,
+            allow_hedging: false,
             max_attempts: 6,
             retry_after: true,
             max_retry_after: 1.0,
             connect_timeout: 0.25,
             subscribe: false,
-            ask_within: 10.0,
-            cold_from: 0.2,
+            max_list_age: 10.0,
+            cold_start_capacity: 0.2,
             warm_up: 15.0,
-            tip_multiple: 3.0,
-            fall: 2.0,
-            gone_is_advice: false,
+            overload_factor: 3.0,
+            overload_window: 2.0,
+            removal_is_advisory: false,
             when_behind: WhenBehind::Refuse,
-            tokens_carried: true,
+            requests_carry_position: true,
         }
     }
 }
@@ -202,7 +202,7 @@
 
 impl ListKind {
     /// Whether entries come with it, or word that there are none.
-    pub fn is_news(self) -> bool {
+    pub fn carries_entries(self) -> bool {
         !matches!(self, ListKind::Failed | ListKind::Silent)
     }
 }
@@ -273,25 +273,25 @@
     /// Its group.
     pub group: u32,
     /// Time until the client gives up (seconds).
-    pub left: f64,
+    pub time_left: f64,
     /// The position that its answer must see, where the request says which.
-    pub token: Option<f64>,
+    pub required_position: Option<f64>,
     /// The session.
     pub session: Option<Arc<str>>,
     /// The tenant.
     pub tenant: usize,
     /// Predicted work (seconds), where known.
-    pub predicted: Option<f64>,
+    pub predicted_work: Option<f64>,
     /// Whether the client marked it as a repeat.
     pub repeat: bool,
     /// Where instances talk: the position that the session's own writes need, as all of them know it; infinite where
     /// that is not known, which only the primary can serve.
-    pub own: Option<f64>,
+    pub session_position: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
-pub struct Done {
+pub struct AttemptEnded {
     /// The request.
     pub id: RequestId,
     /// The member.
@@ -314,7 +314,7 @@
     pub report: Report,
 }
 
-impl Done {
+impl AttemptEnded {
     /// Whether it was served with an answer that may be passed on.
     pub fn is_served(&self) -> bool {
         self.outcome == Outcome::Ok && self.conclusion == Conclusion::AsReceived
@@ -339,9 +339,9 @@
     /// A client's request.
     Arrival(Arrival),
     /// An attempt ended.
-    Done(Done),
+    AttemptEnded(AttemptEnded),
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The member.
         member: MemberId,
         /// How it ended.
@@ -350,12 +350,12 @@
         report: Report,
     },
     /// A streamed answer has begun: the request is no longer the policy's.
-    Started {
+    ResponseStarted {
         /// The request.
         id: RequestId,
     },
     /// The client left.
-    Gone {
+    ClientLeft {
         /// The request.
         id: RequestId,
     },
@@ -373,13 +373,13 @@
             id: id.into(),
             class,
             group,
-            left,
-            token: None,
+            time_left: left,
+            required_position: None,
             session: None,
             tenant: 0,
-            predicted: None,
+            predicted_work: None,
             repeat: false,
-            own: None,
+            session_position: None,
         })
     }
 }
@@ -428,17 +428,17 @@
         member: MemberId,
     },
     /// Close idle connections to a member.
-    LetGo {
+    CloseIdle {
         /// The member.
         member: MemberId,
     },
     /// End what was to go to a member and of which nothing has been written: it would be new there.
-    Withhold {
+    CancelUnsent {
         /// The member.
         member: MemberId,
     },
     /// Ask for changes of the member list from now on.
-    Listen,
+    Subscribe,
     /// Something was about to be done that may not be: it is not done. A fault of the decisions, to be counted.
     Denied {
         /// The request.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -24,8 +24,8 @@
 pub mod interface;
 mod knowledge;
 mod latency;
-mod learned;
 mod load;
+mod observed_state;
 mod outcome;
 mod own_writes;
 mod pace;
@@ -39,5 +39,5 @@
 mod thresholds;
 
 pub use check::{check, SettingsError};
-pub use learned::Learned;
+pub use observed_state::ObservedState;
 pub use policy::Policy;
--- a/crates/routing/src/learned.rs
+++ b/crates/routing/src/observed_state.rs
@@ -7,7 +7,7 @@
 
 /// What is known of a member first-hand.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Learned {
+pub struct ObservedState {
     /// The member.
     pub member: MemberId,
     /// Whether it is its group's primary, and when that was so (seconds, as the policy is told the time).
@@ -20,14 +20,14 @@
 
 impl Policy {
     /// What is known of each member that is on the list.
-    pub fn learned(&self) -> Vec<Learned> {
+    pub fn observed_state(&self) -> Vec<ObservedState> {
         let finite = |value: f64| value.is_finite().then_some(value);
         let listed = self.by_id.iter().filter(|(_, m)| self.members[**m].phase != Phase::Left);
-        let mut learned: Vec<Learned> = listed
+        let mut learned: Vec<ObservedState> = listed
             .map(|(id, &m)| {
                 let known = &self.members[m];
                 let (position, cold_since) = (finite(known.position), finite(known.cold_since));
-                Learned { member: id.clone(), primary: known.role, position, cold_since }
+                ObservedState { member: id.clone(), primary: known.role, position, cold_since }
             })
             .collect();
         learned.sort_by(|a, b| a.member.cmp(&b.member));
@@ -36,7 +36,7 @@
 
     /// Takes over what another has learned, of members that are on this one's list. Newer first-hand knowledge of
     /// this one's own stays; that a member is cold is believed at once, since to be wrong there only spares it.
-    pub fn take_over(&mut self, now: f64, learned: &[Learned], actions: &mut Vec<Action>) {
+    pub fn adopt_observed_state(&mut self, now: f64, learned: &[ObservedState], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         for other in learned {
             let Some(&m) = self.by_id.get(&other.member) else { continue };
@@ -53,12 +53,12 @@
             known.cold_since = other.cold_since.map_or(known.cold_since, |at| known.cold_since.max(at));
         }
         let groups: Vec<u32> = self.groups.keys().copied().collect();
-        groups.into_iter().for_each(|group| self.settle(group, actions));
+        groups.into_iter().for_each(|group| self.reconcile_primary(group, actions));
     }
 
     /// Any session may have written until now, through another process that this one does not hear of: what is known
     /// of single sessions says nothing any more.
-    pub fn anybody_wrote(&mut self, now: f64) {
+    pub fn invalidate_session_writes(&mut self, now: f64) {
         self.sessions.clear();
         self.session_order.clear();
         self.forgotten = self.forgotten.max(now);
@@ -66,7 +66,7 @@
 
     /// What each session wrote last, the one that was written longest ago first, and up to which position one that is
     /// not among them may have written.
-    pub fn written(&self) -> (Vec<(Arc<str>, f64)>, f64) {
+    pub fn export_session_writes(&self) -> (Vec<(Arc<str>, f64)>, f64) {
         let last = |(session, commit): &&(Arc<str>, f64)| {
             self.sessions.get(session).is_some_and(|last| *last == *commit)
         };
@@ -74,7 +74,11 @@
     }
 
     /// Takes over what sessions wrote with another.
-    pub fn wrote(&mut self, sessions: impl IntoIterator<Item = (Arc<str>, f64)>, forgotten: f64) {
+    pub fn import_session_writes(
+        &mut self,
+        sessions: impl IntoIterator<Item = (Arc<str>, f64)>,
+        forgotten: f64,
+    ) {
         self.forgotten = self.forgotten.max(forgotten);
         for (session, commit) in sessions {
             self.remember(session, commit);
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -20,11 +20,28 @@
     /// Withdrawn; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// Turned away untouched: not the primary, or too far behind.
     Miss,
 }
 
+impl Outcome {
+    /// Its name in the log.
+    pub fn log_name(self) -> &'static str {
+        match self {
+            Outcome::Ok => "Ok",
+            Outcome::Error => "Error",
+            Outcome::Full => "Full",
+            Outcome::Timeout => "Timeout",
+            Outcome::ConnectFailed => "ConnectFailed",
+            Outcome::Reset => "Reset",
+            Outcome::Cancelled => "Cancelled",
+            Outcome::NotSent => "Moot",
+            Outcome::Miss => "Miss",
+        }
+    }
+}
+
 /// What is concluded from an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Conclusion {
@@ -38,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
     /// It is out.
-    Out,
+    InFlight,
     /// Nothing of it was or will be carried out: its member said so, or its last byte was never written.
     NeverRan,
     /// It may have run, or may yet.
@@ -52,7 +69,9 @@
     pub fn of(outcome: Outcome, conclusion: Conclusion) -> Evidence {
         match (outcome, conclusion) {
             (_, Conclusion::TooOld) | (Outcome::Ok, _) => Evidence::Ran,
-            (Outcome::Full | Outcome::Miss | Outcome::ConnectFailed | Outcome::Moot, _) => Evidence::NeverRan,
+            (Outcome::Full | Outcome::Miss | Outcome::ConnectFailed | Outcome::NotSent, _) => {
+                Evidence::NeverRan
+            }
             (Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::Cancelled, _) => {
                 Evidence::MayHaveRun
             }
@@ -60,7 +79,7 @@
     }
 
     /// Whether nothing can have come of it.
-    pub fn proves_untouched(self) -> bool {
+    pub fn proves_not_run(self) -> bool {
         self == Evidence::NeverRan
     }
 }
--- a/crates/routing/src/own_writes.rs
+++ b/crates/routing/src/own_writes.rs
@@ -17,7 +17,7 @@
     /// The position that a session read must see now. Looked up whenever one is sent: a write of its session may have been
     /// answered, or lost, while it waited.
     pub(crate) fn own_writes(&self, request: &Request) -> f64 {
-        if self.settings.tokens_carried {
+        if self.settings.requests_carry_position {
             return request.token;
         }
         let known = request.session.as_ref().and_then(|session| self.sessions.get(session));
@@ -33,14 +33,14 @@
     pub(crate) fn has_write_in_doubt(&self, request: &Request) -> bool {
         let session = self.settings.classes[request.class].consistency == Consistency::Session;
         session
-            && !self.settings.tokens_carried
+            && !self.settings.requests_carry_position
             && request.session.as_ref().is_some_and(|session| self.is_writing(session))
     }
 
     /// What is concluded from an answer once it is held against what it must have seen: one of a member that says itself that
     /// it is no primary, or where it stands, and has seen less, is too old. It has run all the same. Guards against a primary that was deposed without this
     /// proxy having heard of it, and one that has fallen behind since its role was told.
-    pub fn checked(
+    pub fn assess_answer(
         &self,
         id: &RequestId,
         (attempt, elapsed): (usize, f64),
@@ -52,7 +52,7 @@
         let read = self.settings.classes[request.class].consistency != Consistency::Write;
         let told = position.is_some() || primary.is_some();
         match request.attempts.get(attempt).and_then(|attempt| attempt.needed) {
-            Some(needed) if read && told => Policy::looked_at(primary, position, needed, elapsed),
+            Some(needed) if read && told => Policy::assess_freshness(primary, position, needed, elapsed),
             _ => Conclusion::AsReceived,
         }
     }
@@ -68,8 +68,13 @@
     }
 
     /// An attempt of a session's write has ended: the session's reads must see it from now on if it has run, or may have.
-    pub(crate) fn wrote_once(&mut self, session: Arc<str>, evidence: Evidence, commit: Option<f64>) {
-        if evidence.proves_untouched() {
+    pub(crate) fn record_session_write(
+        &mut self,
+        session: Arc<str>,
+        evidence: Evidence,
+        commit: Option<f64>,
+    ) {
+        if evidence.proves_not_run() {
             return;
         }
         // An answer that does not tell the commit, or none at all, leaves no doubt that it was before now.
@@ -79,7 +84,7 @@
 
     /// Remembers a session's last commit; what is forgotten raises the floor for all unknown sessions.
     pub(crate) fn remember(&mut self, session: Arc<str>, commit: f64) {
-        if self.settings.tokens_carried {
+        if self.settings.requests_carry_position {
             return;
         }
         let known = self.sessions.entry(session.clone()).or_insert(commit);
--- a/crates/routing/src/peer_reports.rs
+++ b/crates/routing/src/peer_reports.rs
@@ -4,7 +4,7 @@
 
 use crate::demand::faded;
 use crate::interface::{Action, Conclusion, MemberId};
-use crate::learned::Learned;
+use crate::observed_state::ObservedState;
 use crate::state::{Policy, ReportedState};
 use crate::thresholds::EJECT_AT;
 
@@ -37,9 +37,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
     /// What is known of it first-hand.
-    pub learned: Learned,
+    pub observed: ObservedState,
     /// Its start (seconds); 0 for long ago.
-    pub since: f64,
+    pub started_at: f64,
     /// Its group.
     pub group: u32,
     /// When its position was heard (seconds).
@@ -54,7 +54,7 @@
 
 impl Policy {
     /// Takes in what others say. A member of which nothing is said keeps nothing of what was.
-    pub fn take_peer_reports(
+    pub fn apply_peer_reports(
         &mut self,
         now: f64,
         heard: &[PeerReport],
@@ -102,29 +102,29 @@
         groups.extend(drained.into_iter().map(|m| self.members[m].group));
         groups.sort_unstable();
         groups.dedup();
-        groups.into_iter().for_each(|group| self.settle(group, out));
+        groups.into_iter().for_each(|group| self.reconcile_primary(group, out));
     }
 
     /// Members as this instance has found them out.
     pub fn observations(&self) -> Vec<Observation> {
-        let learned = self.learned().into_iter();
+        let learned = self.observed_state().into_iter();
         let found = learned.filter_map(|learned| {
             let member = &self.members[*self.by_id.get(&learned.member)?];
             Some(Observation {
-                since: member.started_at,
+                started_at: member.started_at,
                 group: member.group,
                 position_at: member.position_at,
                 in_flight: member.in_flight,
                 suspected: member.ejected && !member.reported.ejected,
                 slowness: member.pace.ratio(self.now, self.half_life()),
-                learned,
+                observed: learned,
             })
         });
         found.collect()
     }
 
     /// Whether a member is known first-hand to have come so far: its answer needs no second look.
-    pub fn reaches(&self, member: &MemberId, position: f64) -> bool {
+    pub fn has_reached(&self, member: &MemberId, position: f64) -> bool {
         self.by_id.get(member).is_some_and(|&m| {
             let primary = self.groups.get(&self.members[m].group).and_then(|group| group.primary);
             primary == Some(m) || self.members[m].position >= position
@@ -133,7 +133,12 @@
 
     /// What is concluded from an answer that may have seen less than `needed`: one of a replica that tells an older position,
     /// or none, is too old. It began `elapsed` seconds ago, when the replica's data may have been as much older.
-    pub fn looked_at(primary: Option<bool>, position: Option<f64>, needed: f64, elapsed: f64) -> Conclusion {
+    pub fn assess_freshness(
+        primary: Option<bool>,
+        position: Option<f64>,
+        needed: f64,
+        elapsed: f64,
+    ) -> Conclusion {
         let reaches = position.is_some_and(|position| position - elapsed >= needed);
         if primary == Some(true) || reaches {
             Conclusion::AsReceived
--- a/crates/routing/src/permission.rs
+++ b/crates/routing/src/permission.rs
@@ -13,33 +13,33 @@
 
 /// What the class of a request and the settings allow; fixed when the request is taken in.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct AttemptRules {
     /// What a repeat can do.
     pub effect: Effect,
     /// Where repeats of a keyed request are dropped.
     pub dedup: Dedup,
     /// For how long they are (seconds).
-    pub window: f64,
+    pub dedup_window: f64,
     /// Time within which a connection is made or fails (seconds): a further attempt may take so long to be written.
-    pub connect: f64,
+    pub connect_timeout: f64,
     /// Most attempts.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether two attempts may be out together.
-    pub copies: bool,
+    pub allow_hedging: bool,
     /// When its client stops waiting (seconds).
     pub deadline: f64,
 }
 
-impl Default for Rules {
+impl Default for AttemptRules {
     /// Rules of a request that may be attempted once, whenever that is.
-    fn default() -> Rules {
-        Rules {
+    fn default() -> AttemptRules {
+        AttemptRules {
             effect: Effect::Unsafe,
-            dedup: Dedup::Cell,
-            window: 0.0,
-            connect: 0.0,
-            attempts: 1,
-            copies: false,
+            dedup: Dedup::Group,
+            dedup_window: 0.0,
+            connect_timeout: 0.0,
+            max_attempts: 1,
+            allow_hedging: false,
             deadline: f64::INFINITY,
         }
     }
@@ -55,19 +55,19 @@
     /// It has had as many attempts as are allowed.
     AttemptsSpent,
     /// Another attempt is out, and copies are not allowed.
-    SecondCopy,
+    AlreadyInFlight,
     /// It may have run, and may not run twice.
-    NeverRepeat,
+    NotRepeatable,
     /// It may have run, and repeats of it are dropped no longer.
-    WindowOver,
+    DedupWindowOver,
     /// The member takes nothing new.
     Drained,
     /// The client has left.
-    ClientGone,
+    ClientLeft,
     /// A refusal would say that it never ran, which is not certain.
     MayHaveRun,
     /// A connection may not be closed by this side while an answer is owed on it.
-    AnswerOwed,
+    ReplyPending,
 }
 
 impl Denial {
@@ -76,13 +76,13 @@
         Denial::Answered,
         Denial::OutOfTime,
         Denial::AttemptsSpent,
-        Denial::SecondCopy,
-        Denial::NeverRepeat,
-        Denial::WindowOver,
+        Denial::AlreadyInFlight,
+        Denial::NotRepeatable,
+        Denial::DedupWindowOver,
         Denial::Drained,
-        Denial::ClientGone,
+        Denial::ClientLeft,
         Denial::MayHaveRun,
-        Denial::AnswerOwed,
+        Denial::ReplyPending,
     ];
 
     /// Its name in counters.
@@ -91,13 +91,13 @@
             Denial::Answered => "answered",
             Denial::OutOfTime => "out_of_time",
             Denial::AttemptsSpent => "attempts_spent",
-            Denial::SecondCopy => "second_copy",
-            Denial::NeverRepeat => "never_repeat",
-            Denial::WindowOver => "window_over",
+            Denial::AlreadyInFlight => "second_copy",
+            Denial::NotRepeatable => "never_repeat",
+            Denial::DedupWindowOver => "window_over",
             Denial::Drained => "drained",
-            Denial::ClientGone => "client_gone",
+            Denial::ClientLeft => "client_gone",
             Denial::MayHaveRun => "may_have_run",
-            Denial::AnswerOwed => "answer_owed",
+            Denial::ReplyPending => "answer_owed",
         }
     }
 }
@@ -105,7 +105,7 @@
 /// What was done about one request, and what is certain of it.
 #[derive(Clone, Debug)]
 pub struct History {
-    rules: Rules,
+    rules: AttemptRules,
     /// When each attempt was begun (seconds), and what is certain of it; at most as many as the rules allow.
     attempts: Vec<(f64, Evidence)>,
     answered: bool,
@@ -113,30 +113,30 @@
 
 impl History {
     /// Of a request for which nothing has been done.
-    pub fn new(rules: Rules) -> History {
+    pub fn new(rules: AttemptRules) -> History {
         History { rules, attempts: Vec::new(), answered: false }
     }
 
     /// Whether a further attempt may be begun now.
     pub fn may_begin(&self, now: f64) -> Result<(), Denial> {
-        let out = self.attempts.iter().filter(|(_, evidence)| *evidence == Evidence::Out).count();
+        let out = self.attempts.iter().filter(|(_, evidence)| *evidence == Evidence::InFlight).count();
         if self.answered {
             return Err(Denial::Answered);
         }
-        if out >= if self.rules.copies { MOST_COPIES } else { 1 } {
-            return Err(Denial::SecondCopy);
+        if out >= if self.rules.allow_hedging { MOST_COPIES } else { 1 } {
+            return Err(Denial::AlreadyInFlight);
         }
         if self.may_have_run() {
             match self.rules.effect {
                 Effect::Safe => {}
-                Effect::Unsafe => return Err(Denial::NeverRepeat),
-                Effect::Keyed if now >= self.window_end() - self.rules.connect => {
-                    return Err(Denial::WindowOver);
+                Effect::Unsafe => return Err(Denial::NotRepeatable),
+                Effect::Keyed if now >= self.window_end() - self.rules.connect_timeout => {
+                    return Err(Denial::DedupWindowOver);
                 }
                 Effect::Keyed => {}
             }
         }
-        if self.attempts.len() as u32 >= self.rules.attempts {
+        if self.attempts.len() as u32 >= self.rules.max_attempts {
             return Err(Denial::AttemptsSpent);
         }
         if now >= self.rules.deadline {
@@ -147,15 +147,15 @@
 
     /// An attempt is begun; its number, from 0.
     pub fn begin(&mut self, now: f64) -> usize {
-        self.attempts.push((now, Evidence::Out));
+        self.attempts.push((now, Evidence::InFlight));
         self.attempts.len() - 1
     }
 
     /// Until when the attempt begun last may be written (seconds). A repeat that waits for its connection may not be written after
     /// its window.
-    pub fn write_by(&self) -> f64 {
+    pub fn write_deadline(&self) -> f64 {
         let earlier = &self.attempts[..self.attempts.len().saturating_sub(1)];
-        let repeats = earlier.iter().any(|(_, evidence)| !evidence.proves_untouched());
+        let repeats = earlier.iter().any(|(_, evidence)| !evidence.proves_not_run());
         if repeats && self.rules.effect == Effect::Keyed {
             return self.rules.deadline.min(self.window_end() - HELD_UP);
         }
@@ -185,13 +185,13 @@
 
     /// Whether anything may have come of it so far.
     pub fn may_have_run(&self) -> bool {
-        self.attempts.iter().any(|(_, evidence)| !evidence.proves_untouched())
+        self.attempts.iter().any(|(_, evidence)| !evidence.proves_not_run())
     }
 
     /// When repeats of it cease to be dropped (seconds); never where nothing can have run.
     pub fn window_end(&self) -> f64 {
-        let first = self.attempts.iter().find(|(_, evidence)| !evidence.proves_untouched());
-        first.map_or(f64::INFINITY, |(begun, _)| begun + self.rules.window)
+        let first = self.attempts.iter().find(|(_, evidence)| !evidence.proves_not_run());
+        first.map_or(f64::INFINITY, |(begun, _)| begun + self.rules.dedup_window)
     }
 }
 
--- a/crates/routing/src/permission/tests.rs
+++ b/crates/routing/src/permission/tests.rs
@@ -2,13 +2,13 @@
 use crate::outcome::{Conclusion, Outcome};
 
 fn history(effect: Effect) -> History {
-    History::new(Rules {
+    History::new(AttemptRules {
         effect,
-        window: 2.0,
-        connect: 0.25,
-        attempts: 3,
+        dedup_window: 2.0,
+        connect_timeout: 0.25,
+        max_attempts: 3,
         deadline: 10.0,
-        ..Rules::default()
+        ..AttemptRules::default()
     })
 }
 
@@ -23,7 +23,7 @@
     (Outcome::Full, Conclusion::AsReceived, Evidence::NeverRan),
     (Outcome::Miss, Conclusion::AsReceived, Evidence::NeverRan),
     (Outcome::ConnectFailed, Conclusion::AsReceived, Evidence::NeverRan),
-    (Outcome::Moot, Conclusion::AsReceived, Evidence::NeverRan),
+    (Outcome::NotSent, Conclusion::AsReceived, Evidence::NeverRan),
 ];
 
 #[test]
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_refusal_of_a_keyed_request_is_true_where_every_member_drops_repeats() {
-    let rules = Rules { effect: Effect::Keyed, dedup: Dedup::All, ..Rules::default() };
+    let rules = AttemptRules { effect: Effect::Keyed, dedup: Dedup::All, ..AttemptRules::default() };
     let mut history = History::new(rules);
     history.begin(0.0);
     assert_eq!(history.may_refuse(), Ok(()));
@@ -63,10 +63,10 @@
     history.begin(0.0);
     history.end(0, Evidence::NeverRan);
     history.begin(1.0);
-    assert_eq!(history.write_by(), 10.0, "the first that may run");
+    assert_eq!(history.write_deadline(), 10.0, "the first that may run");
     history.end(1, Evidence::MayHaveRun);
     history.begin(2.0);
-    assert_eq!(history.write_by(), 3.0 - HELD_UP);
+    assert_eq!(history.write_deadline(), 3.0 - HELD_UP);
 }
 
 #[test]
@@ -76,7 +76,7 @@
     for attempt in 0..3 {
         assert_eq!(history.may_begin(1.0), Ok(()));
         history.begin(1.0);
-        assert_eq!(history.may_begin(1.0), Err(Denial::SecondCopy));
+        assert_eq!(history.may_begin(1.0), Err(Denial::AlreadyInFlight));
         history.end(attempt, Evidence::MayHaveRun);
     }
     assert_eq!(history.may_begin(1.0), Err(Denial::AttemptsSpent));
@@ -86,10 +86,14 @@
 
 #[test]
 fn two_copies_at_most_are_out_where_copies_are_allowed() {
-    let mut history =
-        History::new(Rules { effect: Effect::Safe, copies: true, attempts: 6, ..Rules::default() });
+    let mut history = History::new(AttemptRules {
+        effect: Effect::Safe,
+        allow_hedging: true,
+        max_attempts: 6,
+        ..AttemptRules::default()
+    });
     history.begin(0.0);
     assert_eq!(history.may_begin(0.1), Ok(()));
     history.begin(0.1);
-    assert_eq!(history.may_begin(0.2), Err(Denial::SecondCopy));
+    assert_eq!(history.may_begin(0.2), Err(Denial::AlreadyInFlight));
 }
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -36,7 +36,7 @@
 const RETRY_SHARE: f64 = 0.1;
 /// Saved-up further attempts at most: enough for the work one dead member held.
 const RETRY_MOST: f64 = 20.0;
-/// Lateness assumed of a list's roles, as a share of `ask_within`: first-hand news is dated exactly.
+/// Lateness assumed of a list's roles, as a share of `max_list_age`: first-hand news is dated exactly.
 const LIST_LATE: f64 = 0.5;
 /// A member takes so many connections at least: fleets of fewer proxies cannot fill it with idle ones.
 const TABLE_LEAST: u32 = 200;
@@ -60,7 +60,7 @@
 const OVERFLOW_AIM: f64 = 0.35;
 /// Back-off told with a refusal, as a share of the aim: short, so that the next try still falls within it.
 const BACKOFF_AIM: f64 = 0.12;
-/// A member that left is forgotten after this multiple of `ask_within`, far past every deadline.
+/// A member that left is forgotten after this multiple of `max_list_age`, far past every deadline.
 const FORGET_AFTER: f64 = 3.0;
 /// Cookie of the housekeeping timer; requests use their own number, from 1.
 const HOUSEKEEPING: u64 = 0;
@@ -94,29 +94,29 @@
                 out.push(Action::Refuse { id: arrival.id, backoff: 0.0 });
             }
             Event::Arrival(arrival) => self.arrival(arrival, out),
-            Event::Done(done) => {
+            Event::AttemptEnded(done) => {
                 let Some(&m) = self.by_id.get(&done.member) else { return };
                 // What says that it is the primary may have begun before it was deposed, and is as old.
                 let at = if done.primary == Some(true) { self.now - done.elapsed } else { self.now };
                 self.note_deposed(m, &done);
-                self.learn(m, done.position, done.primary, Some(at));
-                self.learn(m, done.report.position, done.report.primary, None);
+                self.observe(m, done.position, done.primary, Some(at));
+                self.observe(m, done.report.position, done.report.primary, None);
                 self.done(m, &done, out);
-                self.settle(self.members[m].group, out);
+                self.reconcile_primary(self.members[m].group, out);
             }
-            Event::Probed { member, outcome, report } => {
+            Event::ProbeEnded { member, outcome, report } => {
                 let Some(&m) = self.by_id.get(&member) else { return };
                 self.members[m].probing = false;
                 if outcome == Outcome::Ok {
                     // No sign of health: a probe is answered beside the queue, also by a member that hangs.
-                    self.learn(m, report.position, report.primary, None);
-                } else if !matches!(outcome, Outcome::Full | Outcome::Moot) {
+                    self.observe(m, report.position, report.primary, None);
+                } else if !matches!(outcome, Outcome::Full | Outcome::NotSent) {
                     // Members cap the probes they answer: one turned away among many is not ill.
                     self.suspect(m, 1.0, out);
                 }
-                self.settle(self.members[m].group, out);
+                self.reconcile_primary(self.members[m].group, out);
             }
-            Event::Started { id } | Event::Gone { id } => {
+            Event::ResponseStarted { id } | Event::ClientLeft { id } => {
                 if let Some(&n) = self.numbers.get(&id) {
                     self.finish(n, out);
                 }
@@ -141,9 +141,10 @@
     }
 
     fn list(&mut self, kind: ListKind, entries: Vec<Entry>, out: &mut Vec<Action>) {
-        if !kind.is_news() {
+        if !kind.carries_entries() {
             // The old list holds; a failing registry is asked again with a growing, jittered back-off.
-            let (within, fleet, draw) = (self.settings.ask_within, self.settings.fleet_size, self.rng.f64());
+            let (within, fleet, draw) =
+                (self.settings.max_list_age, self.settings.fleet_size, self.rng.f64());
             let lost = match kind {
                 ListKind::Silent => self.calls.silent(self.now, fleet, draw),
                 _ => self.calls.failed(self.now, within, draw),
@@ -211,13 +212,13 @@
         }
         let groups: Vec<u32> = self.groups.keys().copied().collect();
         for group in groups {
-            self.settle(group, out);
+            self.reconcile_primary(group, out);
         }
     }
 
     /// Forgets a member that left and has had nothing for a while. Guards against growth without end.
     fn forget(&mut self, group: u32) {
-        let long = self.now - self.settings.ask_within * FORGET_AFTER;
+        let long = self.now - self.settings.max_list_age * FORGET_AFTER;
         let Some(state) = self.groups.get_mut(&group) else { return };
         let members = &mut self.members;
         state.members.retain(|&m| {
@@ -235,12 +236,12 @@
     /// What was chosen for a member before its drain was told may wait for a connection still.
     pub(crate) fn withhold(&self, out: &mut Vec<Action>) {
         let left = (0..self.members.len()).filter(|&m| self.members[m].in_flight > 0 && !self.usable(m));
-        out.extend(left.map(|m| Action::Withhold { member: self.members[m].id.clone() }));
+        out.extend(left.map(|m| Action::CancelUnsent { member: self.members[m].id.clone() }));
     }
 
     /// Takes a position and a role. Positions never decrease and cannot lie beyond now; a role is dated as
     /// its answer is, or in a report by the position there, since a report is of unknown age.
-    fn learn(&mut self, m: usize, position: Option<f64>, primary: Option<bool>, answer: Option<f64>) {
+    fn observe(&mut self, m: usize, position: Option<f64>, primary: Option<bool>, answer: Option<f64>) {
         let now = self.now;
         let member = &mut self.members[m];
         let position = position.filter(|p| p.is_finite() && *p <= now + 0.001);
@@ -260,8 +261,8 @@
 
     /// Settles who the group's primary is: the best dated claim. What a member said of itself beats the list,
     /// whose roles are late; among claims the newest wins. Then held requests move.
-    pub(crate) fn settle(&mut self, group: u32, out: &mut Vec<Action>) {
-        let late = self.settings.ask_within * LIST_LATE;
+    pub(crate) fn reconcile_primary(&mut self, group: u32, out: &mut Vec<Action>) {
+        let late = self.settings.max_list_age * LIST_LATE;
         let Some(state) = self.groups.get(&group) else { return };
         let claim = |m: usize| {
             let member = &self.members[m];
@@ -334,7 +335,18 @@
     }
 
     fn arrival(&mut self, arrival: Arrival, out: &mut Vec<Action>) {
-        let Arrival { id, class, group, left, token, session, tenant, predicted, repeat, own } = arrival;
+        let Arrival {
+            id,
+            class,
+            group,
+            time_left: left,
+            required_position: token,
+            session,
+            tenant,
+            predicted_work: predicted,
+            repeat,
+            session_position: own,
+        } = arrival;
         let now = self.now;
         let c = &self.settings.classes[class];
         // What the request says it must see holds on every site; what is remembered adds to it.
@@ -352,7 +364,7 @@
         let backoff = if self.settings.retry_after { self.settings.max_retry_after } else { 0.0 };
         // A client's repeat has had its lot: many refusals would add up to all there is. It draws among more.
         let lot = self.rng.f64() * if repeat { REPEAT_LOTS } else { 1.0 };
-        let history = History::new(self.rules(class, now + left));
+        let history = History::new(self.attempt_rules(class, now + left));
         let request = Request { lot, session, backoff, history, ..Request::new(id, (class, group), times) };
         let hold_until = now + (left * HOLD_SHARE - self.settings.tick).max(0.0);
         self.requests.insert(n, Request { token, over_share, hold_until, ..request });
@@ -408,7 +420,7 @@
         let cutoff = if class.late_worth > 0.0 { request.deadline } else { request.aim_at };
         // A request that may have run goes on only as its class allows.
         let reason = match request.history.may_begin(self.now) {
-            Err(Denial::NeverRepeat | Denial::WindowOver) => Some(Reason::MayHaveRun),
+            Err(Denial::NotRepeatable | Denial::DedupWindowOver) => Some(Reason::MayHaveRun),
             Err(Denial::AttemptsSpent) => Some(Reason::AttemptsSpent),
             Err(_) => Some(Reason::OutOfTime),
             Ok(()) if self.now >= cutoff => Some(Reason::OutOfTime),
@@ -578,7 +590,7 @@
             (self.healthy(*m) || self.trial_due(*m)) && self.cold_room(request, *m, self.cold_most())
         };
         let zone = self.settings.zone;
-        let checked = self.settings.when_behind != WhenBehind::Silent && !request.unknown();
+        let checked = self.settings.when_behind != WhenBehind::ServeStale && !request.unknown();
         // Not known fresh, but may be: as little behind as when last heard, or left alone since for as long
         // as it was behind, or never heard.
         let hopeful = |m: usize| {
@@ -714,8 +726,8 @@
         out.push(Action::Send { id: request.id.clone(), member: member.id.clone(), timeout });
     }
 
-    fn done(&mut self, m: usize, done: &Done, out: &mut Vec<Action>) {
-        let Done { ref id, attempt, outcome, conclusion, finished, elapsed, position, .. } = *done;
+    fn done(&mut self, m: usize, done: &AttemptEnded, out: &mut Vec<Action>) {
+        let AttemptEnded { ref id, attempt, outcome, conclusion, finished, elapsed, position, .. } = *done;
         let (evidence, served) = (done.evidence(), done.is_served());
         let Some(&n) = self.numbers.get(id) else { return };
         let Some(request) = self.requests.get_mut(&n) else { return };
@@ -723,7 +735,7 @@
         let Some(a) = request.attempts.get_mut(attempt).filter(|a| a.open) else { return };
         a.open = false;
         a.ended = Some((outcome, conclusion));
-        a.unsent = matches!(outcome, Outcome::ConnectFailed | Outcome::Moot);
+        a.unsent = matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent);
         let (sent, cancelled, overdue) = (a.sent, a.cancelled, a.overdue);
         let write = self.settings.classes[class].consistency == Consistency::Write;
         request.history.end(attempt, evidence);
@@ -734,7 +746,7 @@
         member.ghosts.retain(|until| *until > self.now);
         if matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Miss | Outcome::Error) {
             member.heard = self.now;
-        } else if !evidence.proves_untouched() {
+        } else if !evidence.proves_not_run() {
             member.unanswered_at = member.unanswered_at.max(sent);
         }
         member.trial = false;
@@ -760,7 +772,7 @@
                 member.lost_at = self.now;
                 let quick = elapsed < self.settings.connect_timeout / 2.0;
                 if quick && self.settings.fleet_size > TABLE_LEAST {
-                    self.no_idle_until = self.now + self.settings.ask_within;
+                    self.no_idle_until = self.now + self.settings.max_list_age;
                 }
                 // Of one that has just answered others this may be a single connection; its silence may have
                 // counted already.
@@ -785,15 +797,15 @@
                     }
                 }
             }
-            Outcome::Moot => {}
+            Outcome::NotSent => {}
         }
         // Refused at once: its process is down, or every connection it will take is held, most of them idle,
         // by many other proxies. This one then holds none idle for a while.
         if self.now < self.no_idle_until && self.members[m].in_flight == 0 {
-            out.push(Action::LetGo { member: self.members[m].id.clone() });
+            out.push(Action::CloseIdle { member: self.members[m].id.clone() });
         }
         if let Some(session) = session {
-            self.wrote_once(session, evidence, position);
+            self.record_session_write(session, evidence, position);
         }
         if finished || self.requests.get(&n).is_none_or(|r| r.done) {
             return self.finish(n, out);
@@ -808,7 +820,7 @@
             outcome == Outcome::Full && Some(m) == self.groups.get(&group).and_then(|g| g.primary);
         // It is one of work: what failed after a tenth of the usual time has cost a tenth of an attempt.
         // What was answered too old costs the budget as little as what was turned away.
-        let free = evidence.proves_untouched() || conclusion == Conclusion::TooOld;
+        let free = evidence.proves_not_run() || conclusion == Conclusion::TooOld;
         let cost = if free { 0.0 } else { (elapsed / mean).min(1.0) };
         if primary_full {
             return self.conclude(n, Reason::PrimaryFull, out);
@@ -819,7 +831,7 @@
         self.retries -= cost;
         if outcome == Outcome::Miss || conclusion == Conclusion::TooOld {
             let group = self.members[m].group;
-            self.settle(group, out);
+            self.reconcile_primary(group, out);
         }
         self.advance(n, out);
     }
@@ -853,7 +865,7 @@
         self.ticking = false;
         let settings = &self.settings;
         if settings.subscribe && self.calls.due(self.now) {
-            out.push(Action::Listen);
+            out.push(Action::Subscribe);
         }
         let unanswered = self.unanswered();
         let mut overdue = Vec::new();
@@ -891,12 +903,12 @@
             let class = &self.settings.classes[request.class];
             let time = request.aim_at - self.now > self.latency[request.class].mean;
             let safe = class.effect == Effect::Safe && request.attempts.len() == index + 1;
-            let permitted = !self.settings.may_duplicate || request.history.may_begin(self.now).is_ok();
+            let permitted = !self.settings.allow_hedging || request.history.may_begin(self.now).is_ok();
             if !safe || !time || !permitted || self.retries < 1.0 || index > 2 {
                 continue;
             }
             let unheard = self.members[m].heard < request.attempts[index].sent;
-            if self.settings.may_duplicate && unheard && class.consistency != Consistency::Fresh {
+            if self.settings.allow_hedging && unheard && class.consistency != Consistency::Fresh {
                 if let Choice::To(other) = self.pick_read(n) {
                     self.retries -= 1.0;
                     self.send(n, other, out);
@@ -914,7 +926,7 @@
         for group in groups {
             self.forget(group);
             self.seek(group, out);
-            self.settle(group, out);
+            self.reconcile_primary(group, out);
         }
     }
 
--- a/crates/routing/src/ramp.rs
+++ b/crates/routing/src/ramp.rs
@@ -15,7 +15,7 @@
 impl Policy {
     /// Work open to a cold member, in multiples of what it can do now, were it all that there is for its zone.
     pub(crate) fn cold_most(&self) -> f64 {
-        self.settings.tip_multiple * OF_TIPPING
+        self.settings.overload_factor * OF_TIPPING
     }
 
     /// Share of its capacity that a member has at the least by now; 1 once it is warm.
@@ -25,7 +25,7 @@
         if age >= s.warm_up {
             return 1.0;
         }
-        s.cold_from + (1.0 - s.cold_from) * (age / s.warm_up).max(0.0)
+        s.cold_start_capacity + (1.0 - s.cold_start_capacity) * (age / s.warm_up).max(0.0)
     }
 
     /// Where a cold member's lots begin and end, as a part of this proxy's reads of its group, in multiples of what it can
--- a/crates/routing/src/reconfigure.rs
+++ b/crates/routing/src/reconfigure.rs
@@ -8,8 +8,8 @@
     /// Goes on under other settings: requests that arrive from now on are taken in under them, and those in
     /// hand end under the limits and the class that they came with. Therefore a class with requests in hand
     /// keeps its number and all of its fields; a class that is gone keeps its number until
-    /// [`class_in_hand`](Policy::class_in_hand) is false, and a new one takes a number of its own. Tenants
-    /// keep what they have saved up by number. What is known of members stays.
+    /// [`class_has_requests`](Policy::class_has_requests) is false, and a new one takes a number of its own.
+    /// Tenants keep what they have saved up by number. What is known of members stays.
     ///
     /// Refuses settings out of range, and those that would change a class under its requests; then nothing
     /// has changed.
@@ -19,7 +19,10 @@
         for request in self.requests.values() {
             if settings.classes.get(request.class) != old.get(request.class) {
                 let field = format!("classes[{}]", request.class);
-                return Err(SettingsError { field, must: "as it was while requests of it are in hand" });
+                return Err(SettingsError {
+                    field,
+                    requirement: "as it was while requests of it are in hand",
+                });
             }
         }
         // A number that another class has taken over knows nothing of that one's latency yet: it, and what
@@ -36,7 +39,7 @@
     }
 
     /// Whether any request of a class is not done with.
-    pub fn class_in_hand(&self, class: usize) -> bool {
+    pub fn class_has_requests(&self, class: usize) -> bool {
         self.requests.values().any(|request| request.class == class)
     }
 
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -7,7 +7,7 @@
 };
 use crate::latency::Latency;
 use crate::pace::Pace;
-use crate::permission::{History, Rules};
+use crate::permission::{AttemptRules, History};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
@@ -187,7 +187,7 @@
             session: None,
             lot: 0.0,
             attempts: Vec::new(),
-            history: History::new(Rules::default()),
+            history: History::new(AttemptRules::default()),
             held: false,
             done: false,
             backoff: 0.0,
@@ -294,17 +294,17 @@
     }
 
     /// How many members are kept in mind, those that left lately included.
-    pub fn members_known(&self) -> usize {
+    pub fn tracked_members(&self) -> usize {
         self.members.len()
     }
 
     /// How many requests are kept in mind, those answered whose attempts have not all ended included.
-    pub fn requests_known(&self) -> usize {
+    pub fn tracked_requests(&self) -> usize {
         self.requests.len()
     }
 
     /// How many groups are kept in mind.
-    pub fn groups_known(&self) -> usize {
+    pub fn tracked_groups(&self) -> usize {
         self.groups.len()
     }
 }
--- a/crates/routing/tests/copies.rs
+++ b/crates/routing/tests/copies.rs
@@ -6,7 +6,7 @@
 use routing::interface::*;
 
 fn copies() -> Settings {
-    Settings { may_duplicate: true, ..settings() }
+    Settings { allow_hedging: true, ..settings() }
 }
 
 /// A read of which a second copy is out at "far" since its first, at "r", was late.
@@ -47,7 +47,7 @@
             let to = if other == 1 { "far" } else { "r" };
             assert_eq!(finals(&d.answer("x", to, other, Outcome::Ok)), 0);
             // Both ends are in: nothing of it is counted as load any more, and the next goes home.
-            assert_eq!(d.policy.requests_known(), 0);
+            assert_eq!(d.policy.tracked_requests(), 0);
         }
     }
 }
@@ -55,10 +55,10 @@
 #[test]
 fn a_client_that_leaves_takes_all_copies_with_it() {
     let mut d = twice();
-    assert_eq!(cancelled(&d.feed(Event::Gone { id: "x".into() })), [0, 1]);
+    assert_eq!(cancelled(&d.feed(Event::ClientLeft { id: "x".into() })), [0, 1]);
     d.answer("x", "r", 0, Outcome::Cancelled);
     d.answer("x", "far", 1, Outcome::Cancelled);
-    assert_eq!(d.policy.requests_known(), 0);
+    assert_eq!(d.policy.tracked_requests(), 0);
 }
 
 #[test]
--- a/crates/routing/tests/deposed.rs
+++ b/crates/routing/tests/deposed.rs
@@ -7,7 +7,7 @@
 
 /// A site whose members answer from what they have and may be asked; the primary has just served a write.
 fn served() -> Drive {
-    let mut d = Drive::new(Settings { when_behind: WhenBehind::Silent, probes: true, ..settings() });
+    let mut d = Drive::new(Settings { when_behind: WhenBehind::ServeStale, probes: true, ..settings() });
     d.ask("first", 0);
     d.now += 0.05;
     d.told("first", "p", 0, Outcome::Ok, Some(true), Some(d.now));
@@ -23,7 +23,7 @@
 
 fn reports(d: &mut Drive, member: &str, primary: bool) -> Vec<Action> {
     let report = Report { position: Some(d.now), primary: Some(primary) };
-    d.feed(Event::Probed { member: member.into(), outcome: Outcome::Ok, report })
+    d.feed(Event::ProbeEnded { member: member.into(), outcome: Outcome::Ok, report })
 }
 
 /// Its answer may have said that it is no primary any more, and got lost.
@@ -76,7 +76,7 @@
 /// Where members may not be asked there is nothing to wait for.
 #[test]
 fn where_nobody_may_be_asked_a_fresh_read_goes_on_what_is_known() {
-    let mut d = Drive::new(Settings { when_behind: WhenBehind::Silent, ..settings() });
+    let mut d = Drive::new(Settings { when_behind: WhenBehind::ServeStale, ..settings() });
     d.ask("first", 0);
     d.told("first", "p", 0, Outcome::Ok, Some(true), Some(d.now));
     d.ask("lost", 5);
@@ -93,7 +93,7 @@
     d.ask("quick", 0);
     d.told("quick", "p", 0, Outcome::Miss, Some(false), Some(d.now));
     d.now += 0.05;
-    d.feed(Event::Done(Done {
+    d.feed(Event::AttemptEnded(AttemptEnded {
         id: "long".into(),
         member: "p".into(),
         attempt: 0,
@@ -135,9 +135,9 @@
 fn a_claim_without_a_time_is_taken_until_the_member_has_said_that_it_is_none() {
     let says = |d: &mut Drive| {
         let report = Report { position: None, primary: Some(true) };
-        d.feed(Event::Probed { member: "p".into(), outcome: Outcome::Ok, report });
+        d.feed(Event::ProbeEnded { member: "p".into(), outcome: Outcome::Ok, report });
     };
-    let mut d = Drive::new(Settings { when_behind: WhenBehind::Silent, probes: true, ..settings() });
+    let mut d = Drive::new(Settings { when_behind: WhenBehind::ServeStale, probes: true, ..settings() });
     says(&mut d);
     assert_eq!(sent(&d.ask("write", 0)), ["p"]);
     d.told("write", "p", 0, Outcome::Miss, Some(false), Some(d.now));
@@ -169,7 +169,7 @@
     d.ask("fresh", 4);
     let at = |position, primary| (Some(position), Some(primary));
     let now = d.now;
-    let checked = |d: &Drive, told| d.policy.checked(&"fresh".into(), (0, 0.05), Outcome::Ok, told);
+    let checked = |d: &Drive, told| d.policy.assess_answer(&"fresh".into(), (0, 0.05), Outcome::Ok, told);
     assert_eq!(checked(&d, at(now, true)), Conclusion::AsReceived);
     assert_eq!(checked(&d, at(now, false)), Conclusion::TooOld);
     assert_eq!(
@@ -184,5 +184,8 @@
     d.freshen("r");
     assert_eq!(sent(&d.ask("bounded", 1)), ["r"]);
     let told = at(d.now - 0.4, false);
-    assert_eq!(d.policy.checked(&"bounded".into(), (0, 0.3), Outcome::Ok, told), Conclusion::AsReceived);
+    assert_eq!(
+        d.policy.assess_answer(&"bounded".into(), (0, 0.3), Outcome::Ok, told),
+        Conclusion::AsReceived
+    );
 }
--- a/crates/routing/tests/drains.rs
+++ b/crates/routing/tests/drains.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_request_that_is_tried_again_does_not_go_to_one_that_drains() {
-    for outcome in [Outcome::Error, Outcome::ConnectFailed, Outcome::Reset, Outcome::Moot, Outcome::Full] {
+    for outcome in [Outcome::Error, Outcome::ConnectFailed, Outcome::Reset, Outcome::NotSent, Outcome::Full] {
         let mut d = Drive::new(settings());
         d.freshen("r");
         d.freshen("far");
@@ -42,13 +42,13 @@
     let mut d = Drive::new(settings());
     d.freshen("r");
     assert_eq!(sent(&d.ask("a", 3)), ["r"]);
-    let withheld = Action::Withhold { member: "r".into() };
+    let withheld = Action::CancelUnsent { member: "r".into() };
     assert!(drains(&mut d, "r", 0).contains(&withheld));
     // It was not: another serves it, at no cost to what may be tried again.
-    assert_eq!(sent(&d.answer("a", "r", 0, Outcome::Moot)).len(), 1);
+    assert_eq!(sent(&d.answer("a", "r", 0, Outcome::NotSent)).len(), 1);
     assert!(!drains(&mut d, "r", 0).contains(&withheld), "nothing is out there any more");
     // One that is gone where that is only advice may still be used.
-    let mut d = Drive::new(Settings { gone_is_advice: true, ..settings() });
+    let mut d = Drive::new(Settings { removal_is_advisory: true, ..settings() });
     d.freshen("r");
     d.ask("a", 3);
     let gone = Entry { phase: Phase::Left, ..entry("r", 0, false) };
--- a/crates/routing/tests/drive/mod.rs
+++ b/crates/routing/tests/drive/mod.rs
@@ -104,7 +104,7 @@
         primary: Option<bool>,
         position: Option<f64>,
     ) -> Vec<Action> {
-        self.feed(Event::Done(Done {
+        self.feed(Event::AttemptEnded(AttemptEnded {
             id: id.into(),
             member: member.into(),
             attempt,
@@ -128,7 +128,7 @@
         elapsed: f64,
     ) -> Vec<Action> {
         let answered = outcome == Outcome::Ok;
-        self.feed(Event::Done(Done {
+        self.feed(Event::AttemptEnded(AttemptEnded {
             id: id.into(),
             member: member.into(),
             attempt,
@@ -150,7 +150,7 @@
     /// Makes a replica known to be fresh as of now.
     pub fn freshen(&mut self, member: &str) {
         let report = Report { position: Some(self.now), primary: Some(false) };
-        self.feed(Event::Probed { member: member.into(), outcome: Outcome::Ok, report });
+        self.feed(Event::ProbeEnded { member: member.into(), outcome: Outcome::Ok, report });
     }
 }
 
--- a/crates/routing/tests/knowledge.rs
+++ b/crates/routing/tests/knowledge.rs
@@ -7,7 +7,7 @@
 
 /// Members answer reads from what they have, and may be probed.
 fn unchecked() -> Settings {
-    Settings { when_behind: WhenBehind::Silent, probes: true, ..settings() }
+    Settings { when_behind: WhenBehind::ServeStale, probes: true, ..settings() }
 }
 
 fn probed(actions: &[Action]) -> Vec<&str> {
@@ -23,7 +23,7 @@
     d.list(ListKind::Full, vec![entry("p", 1, true), entry("far", 1, false)]);
     d.freshen("far");
     let primary = Report { position: Some(d.now), primary: Some(true) };
-    d.feed(Event::Probed { member: "p".into(), outcome: Outcome::Ok, report: primary });
+    d.feed(Event::ProbeEnded { member: "p".into(), outcome: Outcome::Ok, report: primary });
     d.now += 1.0;
     d
 }
@@ -49,7 +49,7 @@
     let next = d.ask("a", 1);
     assert_eq!((probed(&next), finals(&next)), (vec!["far"], 0), "{next:?}");
     let report = Report { position: Some(d.now), primary: Some(false) };
-    let told = d.feed(Event::Probed { member: "far".into(), outcome: Outcome::Ok, report });
+    let told = d.feed(Event::ProbeEnded { member: "far".into(), outcome: Outcome::Ok, report });
     assert_eq!(sent(&told), ["far"]);
 }
 
@@ -60,7 +60,7 @@
     d.list(ListKind::Incremental, vec![Entry { phase: Phase::Leaving, ..entry("p", 1, true) }]);
     d.ask("a", 1);
     let report = Report { position: Some(d.now - 0.6), primary: Some(false) };
-    let told = d.feed(Event::Probed { member: "far".into(), outcome: Outcome::Ok, report });
+    let told = d.feed(Event::ProbeEnded { member: "far".into(), outcome: Outcome::Ok, report });
     assert_eq!(sent(&told), [] as [&str; 0]);
     // It may catch up: the read waits for that, and ends in time.
     d.pass(1.8);
@@ -112,7 +112,7 @@
     d.list(ListKind::Incremental, vec![entry("late", 1, false)]);
     d.ask("a", 1);
     let report = Report { position: Some(d.now), primary: Some(false) };
-    d.feed(Event::Probed { member: "late".into(), outcome: Outcome::Ok, report });
+    d.feed(Event::ProbeEnded { member: "late".into(), outcome: Outcome::Ok, report });
     let to_a: Vec<_> =
         d.acts.iter().filter(|a| matches!(a, Action::Send { id, .. } if &**id == "a")).collect();
     assert_eq!(to_a.len(), 1, "{to_a:?}");
@@ -128,7 +128,7 @@
     }
     assert!(d.acts.iter().any(|a| matches!(a, Action::Log(line) if line.contains("member p suspected"))));
     let report = Report { position: Some(d.now), primary: Some(true) };
-    d.feed(Event::Probed { member: "far".into(), outcome: Outcome::Ok, report });
+    d.feed(Event::ProbeEnded { member: "far".into(), outcome: Outcome::Ok, report });
     let mut asked = Vec::new();
     for i in 0..12 {
         d.pass(1.0);
--- a/crates/routing/tests/many.rs
+++ b/crates/routing/tests/many.rs
@@ -20,7 +20,7 @@
 
 /// One proxy of a hundred, which may probe.
 fn one_of_many() -> Settings {
-    Settings { fleet_size: 100, probes: true, when_behind: WhenBehind::Silent, ..settings() }
+    Settings { fleet_size: 100, probes: true, when_behind: WhenBehind::ServeStale, ..settings() }
 }
 
 /// A write with nobody known as primary cost every proxy a probe of every member before it could go out.
@@ -44,7 +44,7 @@
 /// At a hundred proxies one request in flight was taken for twice the usual crowd, and reads were refused.
 #[test]
 fn one_request_of_its_own_is_no_crowd() {
-    let mut d = Drive::new(Settings { may_duplicate: false, ..one_of_many() });
+    let mut d = Drive::new(Settings { allow_hedging: false, ..one_of_many() });
     d.list(ListKind::Full, vec![entry("p", 0, true)]);
     for i in 0..20 {
         d.pass(1.5);
@@ -135,13 +135,13 @@
 /// answers, and those that clients did not wait for taught nothing.
 #[test]
 fn answers_that_nobody_waited_for_tell_of_a_crowded_home_replica() {
-    let mut d = Drive::new(Settings { may_duplicate: false, ..one_of_many() });
+    let mut d = Drive::new(Settings { allow_hedging: false, ..one_of_many() });
     d.list(ListKind::Full, vec![entry("p", 1, true), entry("r", 0, false), entry("far", 1, false)]);
     d.freshen("r");
     d.freshen("far");
     assert_eq!(sent(&d.ask("first", 1)), ["r"]);
     d.pass(0.6);
-    d.feed(Event::Gone { id: "first".into() });
+    d.feed(Event::ClientLeft { id: "first".into() });
     d.ended_after("first", "r", 0, Outcome::Cancelled, 0.6);
     d.freshen("r");
     d.freshen("far");
--- a/crates/routing/tests/own_writes.rs
+++ b/crates/routing/tests/own_writes.rs
@@ -7,7 +7,11 @@
 
 /// A site whose replicas answer from what they have, and whose sessions are remembered here; the replica at home is fresh.
 fn remembered() -> Drive {
-    let mut d = Drive::new(Settings { when_behind: WhenBehind::Silent, tokens_carried: false, ..settings() });
+    let mut d = Drive::new(Settings {
+        when_behind: WhenBehind::ServeStale,
+        requests_carry_position: false,
+        ..settings()
+    });
     d.freshen("r");
     d
 }
@@ -48,10 +52,10 @@
 
 #[test]
 fn a_write_that_cannot_have_run_binds_nobody() {
-    for outcome in [Outcome::Full, Outcome::Miss, Outcome::ConnectFailed, Outcome::Moot] {
+    for outcome in [Outcome::Full, Outcome::Miss, Outcome::ConnectFailed, Outcome::NotSent] {
         let mut d = remembered();
         d.feed(of_session("w", 5));
-        d.feed(Event::Gone { id: "w".into() });
+        d.feed(Event::ClientLeft { id: "w".into() });
         d.answer("w", "p", 0, outcome);
         assert_eq!(sent(&d.feed(of_session("read", 2))), ["r"], "{outcome:?}");
     }
@@ -74,7 +78,7 @@
 /// Where sessions carry what they must see, they know of nothing that was not answered.
 #[test]
 fn nothing_is_remembered_where_positions_are_carried() {
-    let mut d = Drive::new(Settings { when_behind: WhenBehind::Silent, ..settings() });
+    let mut d = Drive::new(Settings { when_behind: WhenBehind::ServeStale, ..settings() });
     d.freshen("r");
     d.feed(of_session("w", 0));
     assert_eq!(sent(&d.feed(of_session("read", 2))), ["r"]);
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_stale_home_replica_is_passed_over() {
-    let mut d = Drive::new(Settings { when_behind: WhenBehind::Silent, ..settings() });
+    let mut d = Drive::new(Settings { when_behind: WhenBehind::ServeStale, ..settings() });
     d.freshen("r");
     d.now += 0.6;
     d.freshen("far");
@@ -41,9 +41,9 @@
 
 #[test]
 fn an_impossible_position_is_ignored() {
-    let mut d = Drive::new(Settings { when_behind: WhenBehind::Silent, ..settings() });
+    let mut d = Drive::new(Settings { when_behind: WhenBehind::ServeStale, ..settings() });
     let report = Report { position: Some(d.now + 50.0), primary: Some(false) };
-    d.feed(Event::Probed { member: "r".into(), outcome: Outcome::Ok, report });
+    d.feed(Event::ProbeEnded { member: "r".into(), outcome: Outcome::Ok, report });
     assert_eq!(sent(&d.ask("b", 1)), ["p"]);
 }
 
@@ -74,13 +74,13 @@
 
 #[test]
 fn a_session_read_waits_for_its_token() {
-    let mut d = Drive::new(Settings { when_behind: WhenBehind::Silent, ..settings() });
+    let mut d = Drive::new(Settings { when_behind: WhenBehind::ServeStale, ..settings() });
     d.freshen("r");
     d.now += 0.2;
     let now = d.now;
     let read = |id: &str, age: f64| {
         let Event::Arrival(mut a) = Event::arrival(id, 2, 0, 1.0) else { unreachable!() };
-        a.token = Some(now - age);
+        a.required_position = Some(now - age);
         Event::Arrival(a)
     };
     assert_eq!(sent(&d.feed(read("old", 0.3))), ["r"]);
@@ -89,7 +89,11 @@
 
 #[test]
 fn a_remembered_write_binds_the_sessions_reads() {
-    let mut d = Drive::new(Settings { when_behind: WhenBehind::Silent, tokens_carried: false, ..settings() });
+    let mut d = Drive::new(Settings {
+        when_behind: WhenBehind::ServeStale,
+        requests_carry_position: false,
+        ..settings()
+    });
     d.freshen("r");
     assert_eq!(sent(&d.feed(of_session("before", 2))), ["r"]);
     d.feed(of_session("w", 0));
@@ -100,7 +104,11 @@
 
 #[test]
 fn a_write_that_hides_its_commit_binds_its_session_all_the_same() {
-    let mut d = Drive::new(Settings { when_behind: WhenBehind::Silent, tokens_carried: false, ..settings() });
+    let mut d = Drive::new(Settings {
+        when_behind: WhenBehind::ServeStale,
+        requests_carry_position: false,
+        ..settings()
+    });
     d.freshen("r");
     // Without a commit, and with one that nobody can have reached yet.
     for (id, commit) in [("1", None), ("2", Some(d.now + 1e6)), ("3", Some(f64::NAN))] {
@@ -163,7 +171,7 @@
 fn nothing_is_sent_after_the_final_answer() {
     let mut d = Drive::new(settings());
     d.ask("b", 1);
-    d.feed(Event::Gone { id: "b".into() });
+    d.feed(Event::ClientLeft { id: "b".into() });
     assert_eq!(sent(&d.answer("b", "r", 0, Outcome::Miss)).len(), 0);
 }
 
@@ -217,7 +225,7 @@
 
 #[test]
 fn where_gone_is_advice_only_leaving_binds() {
-    let advice = Settings { gone_is_advice: true, ..settings() };
+    let advice = Settings { removal_is_advisory: true, ..settings() };
     let mut d = Drive::new(advice.clone());
     d.list(ListKind::Full, vec![entry("p", 0, true)]);
     assert_eq!(sent(&d.ask("a", 3)), ["r"]);
@@ -243,7 +251,7 @@
         }
     }
     // It has grown to 0.307 of its capacity by the end, and gets half of what would tip it at the most.
-    let most = 0.5 * settings().tip_multiple * 0.307 * f64::from(all);
+    let most = 0.5 * settings().overload_factor * 0.307 * f64::from(all);
     assert!(all > 150 && cold > 0 && f64::from(cold) < most, "{cold} of {all}");
 }
 
@@ -275,7 +283,7 @@
     let mut d = Drive::new(Settings { probes: true, ..settings() });
     d.pass(0.3);
     for m in ["p", "r", "far"] {
-        d.feed(Event::Probed { member: m.into(), outcome: Outcome::Ok, report: Report::default() });
+        d.feed(Event::ProbeEnded { member: m.into(), outcome: Outcome::Ok, report: Report::default() });
     }
     d.ask("f", 4);
     let mut acts = d.told("f", "p", 0, Outcome::ConnectFailed, None, None);
@@ -346,10 +354,10 @@
 #[test]
 fn a_lost_list_is_asked_for_again_and_the_old_one_holds() {
     let mut d = Drive::new(Settings { subscribe: true, ..settings() });
-    assert!(d.pass(0.2).contains(&Action::Listen));
+    assert!(d.pass(0.2).contains(&Action::Subscribe));
     d.list(ListKind::Failed, vec![]);
     assert_eq!(sent(&d.ask("w", 0)), ["p"]);
-    assert!(d.pass(5.0).contains(&Action::Listen));
+    assert!(d.pass(5.0).contains(&Action::Subscribe));
 }
 
 #[test]
@@ -437,7 +445,7 @@
         d.freshen("r");
         d.ask(&format!("a{i}"), 3);
         let goal = sent(&d.acts).last().map(|m| m.to_string()).unwrap();
-        d.feed(Event::Done(Done {
+        d.feed(Event::AttemptEnded(AttemptEnded {
             id: format!("a{i}").as_str().into(),
             member: goal.as_str().into(),
             attempt: 0,
@@ -517,7 +525,7 @@
     d.ask("1", 0);
     for (attempt, goals) in [(0, vec!["p"]), (1, vec![])] {
         d.now += 0.25;
-        let done = Done {
+        let done = AttemptEnded {
             id: "1".into(),
             member: "p".into(),
             attempt,
@@ -529,7 +537,7 @@
             primary: None,
             report: Report::default(),
         };
-        assert_eq!(sent(&d.feed(Event::Done(done))), goals, "{attempt}");
+        assert_eq!(sent(&d.feed(Event::AttemptEnded(done))), goals, "{attempt}");
     }
 }
 
@@ -543,7 +551,7 @@
         for i in 0..=tolerated {
             let id = format!("{i}");
             assert_eq!(sent(&d.ask(&id, 0)), ["p"], "{broken:?} {id}");
-            d.feed(Event::Gone { id: id.as_str().into() });
+            d.feed(Event::ClientLeft { id: id.as_str().into() });
             d.told(&id, "p", 0, broken, None, None);
         }
         assert_eq!(sent(&d.ask("held", 0)), [""; 0], "{broken:?}");
@@ -599,7 +607,7 @@
     for _ in 0..40 {
         for action in d.pass(0.2) {
             if let Action::Probe { member } = action {
-                d.feed(Event::Probed { member, outcome: Outcome::Full, report: Report::default() });
+                d.feed(Event::ProbeEnded { member, outcome: Outcome::Full, report: Report::default() });
             }
         }
         d.ask("more", 4);
@@ -670,8 +678,8 @@
         (|s| s.max_attempts = 0, "max_attempts"),
         (|s| s.connect_timeout = f64::NAN, "connect_timeout"),
         (|s| s.warm_up = f64::INFINITY, "warm_up"),
-        (|s| s.cold_from = 0.0, "cold_from"),
-        (|s| s.tip_multiple = -1.0, "tip_multiple"),
+        (|s| s.cold_start_capacity = 0.0, "cold_from"),
+        (|s| s.overload_factor = -1.0, "tip_multiple"),
         (|s| s.tenant_quota = vec![-1.0], "tenant_quota[0]"),
         (|s| s.classes[2].late_worth = 1.5, "classes[2].late_worth"),
     ];
@@ -691,11 +699,11 @@
         d.freshen(&new);
         d.pass(0.5);
     }
-    assert!(d.policy.members_known() <= 80, "{}", d.policy.members_known());
+    assert!(d.policy.tracked_members() <= 80, "{}", d.policy.tracked_members());
     d.freshen("n1999");
     assert_ne!(sent(&d.ask("a", 3)).len(), 0);
     d.list(ListKind::Incremental, vec![Entry { phase: Phase::Left, ..entry("n3", 0, false) }]);
-    assert!(d.policy.members_known() <= 80);
+    assert!(d.policy.tracked_members() <= 80);
 }
 
 /// Groups that come and go with their members are forgotten with them.
@@ -707,15 +715,19 @@
         d.list(ListKind::Incremental, vec![member(group, Phase::Active), member(group - 1, Phase::Left)]);
         d.pass(0.5);
     }
-    assert!(d.policy.groups_known() <= 80, "{}", d.policy.groups_known());
+    assert!(d.policy.tracked_groups() <= 80, "{}", d.policy.tracked_groups());
 }
 
 /// Where writes are remembered, a proxy that has just started knows of none: its sessions may have written.
 #[test]
 fn after_a_restart_an_unknown_session_reads_what_is_as_new_as_the_start() {
-    let mut d = Drive::new(Settings { when_behind: WhenBehind::Silent, tokens_carried: false, ..settings() });
+    let mut d = Drive::new(Settings {
+        when_behind: WhenBehind::ServeStale,
+        requests_carry_position: false,
+        ..settings()
+    });
     let report = Report { position: Some(d.now - 0.3), primary: Some(false) };
-    d.feed(Event::Probed { member: "r".into(), outcome: Outcome::Ok, report });
+    d.feed(Event::ProbeEnded { member: "r".into(), outcome: Outcome::Ok, report });
     assert_eq!(sent(&d.feed(of_session("early", 2))), ["p"]);
     d.freshen("r");
     assert_eq!(sent(&d.feed(of_session("later", 2))), ["r"]);
@@ -748,7 +760,7 @@
         d.ask("a", 3);
         let next = d.answer("a", "r", 0, Outcome::ConnectFailed);
         assert_eq!(sent(&next), ["far"]);
-        d.answer("a", "far", 1, Outcome::Ok).contains(&Action::LetGo { member: "far".into() })
+        d.answer("a", "far", 1, Outcome::Ok).contains(&Action::CloseIdle { member: "far".into() })
     };
     assert!(let_go(1000));
     assert!(!let_go(20), "a small fleet keeps what is open: a new connection can be slow");
@@ -800,7 +812,7 @@
     assert_eq!(fault.field, "classes[1]");
     assert!(policy.reconfigure(settings(1, 4, 0.5)).is_err());
     assert!(policy.reconfigure(Settings { tick: 0.0, ..settings(3, 4, 0.5) }).is_err());
-    assert!(policy.class_in_hand(1) && !policy.class_in_hand(0));
+    assert!(policy.class_has_requests(1) && !policy.class_has_requests(0));
     assert!(policy.reconfigure(settings(3, 4, 0.5)).is_ok());
     let mut later = Vec::new();
     policy.handle(0.1, Event::arrival("new", 2, 0, 1.0), &mut later);
@@ -822,7 +834,7 @@
         let (outcome, report) = (Outcome::Full, Report::default());
         let (finished, elapsed, position, primary) = (false, 0.001, None, None);
         let id = id.into();
-        let done = Done {
+        let done = AttemptEnded {
             id,
             member,
             attempt,
@@ -834,7 +846,7 @@
             primary,
             report,
         };
-        policy.handle(0.11, Event::Done(done), &mut actions);
+        policy.handle(0.11, Event::AttemptEnded(done), &mut actions);
         attempt += 1;
     }
     attempt
--- a/crates/scale/src/hollow/pooler.rs
+++ b/crates/scale/src/hollow/pooler.rs
@@ -134,7 +134,7 @@
         for action in actions {
             match action {
                 Action::Timer { at, cookie } => world.timers.set(at, self.owner, Due::Policy(cookie)),
-                Action::Listen => {
+                Action::Subscribe => {
                     self.follow(world, |follower, now, out| follower.send_list_request(now, out))
                 }
                 // Without requests the decisions neither send nor probe; a hollow pooler has no connections to close.
@@ -229,7 +229,7 @@
     }
 
     fn members(&mut self, kind: ListKind, listings: Vec<Listing>, world: &mut World) {
-        if let Some(peers) = self.peers.as_mut().filter(|_| kind.is_news()) {
+        if let Some(peers) = self.peers.as_mut().filter(|_| kind.carries_entries()) {
             let databases =
                 listings.iter().map(|listing| (&*listing.name, listing.started_at, listing.phase));
             reports::tell_list(&mut peers.node, world.clock.now(), (LIST, self.version), databases);
@@ -241,7 +241,7 @@
     /// An answer of a database tells that it is primary now.
     pub fn finds_primary(&mut self, database: &str, world: &mut World) {
         let report = Report { position: Some(world.clock.now()), primary: Some(true) };
-        let probed = Event::Probed { member: database.into(), outcome: Outcome::Ok, report };
+        let probed = Event::ProbeEnded { member: database.into(), outcome: Outcome::Ok, report };
         self.tell(probed, world);
     }
 
@@ -303,7 +303,7 @@
         let heard = reports::heard(&peers.node, now, &found);
         let others = peers.node.alive() as u32;
         let mut actions = Vec::new();
-        self.policy.take_peer_reports(now, &heard, others, &mut actions);
+        self.policy.apply_peer_reports(now, &heard, others, &mut actions);
         self.carry_out(actions, world);
     }
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -429,7 +429,7 @@
                     self.ended(request, attempt, Some(Outcome::Cancelled));
                 }
             }
-            Action::Listen => self.follow(n, |follower, now, out| follower.send_list_request(now, out)),
+            Action::Subscribe => self.follow(n, |follower, now, out| follower.send_list_request(now, out)),
             _ => {}
         }
     }
@@ -531,7 +531,7 @@
         asked.done |= good;
         self.seen.served += usize::from(finished);
         let heard = matches!(outcome, Outcome::Ok | Outcome::Miss).then(|| machine.report(self.now));
-        let event = Event::Done(Done {
+        let event = Event::AttemptEnded(AttemptEnded {
             id,
             member: machine.name.clone(),
             attempt,
@@ -569,7 +569,7 @@
         };
         let good = outcome == Outcome::Ok;
         let report = if good { self.machines[m].report(self.now) } else { Report::default() };
-        self.at(self.now + after, Step::Told(n, life, Event::Probed { member, outcome, report }));
+        self.at(self.now + after, Step::Told(n, life, Event::ProbeEnded { member, outcome, report }));
     }
 
     /// Tells a pooler's follower of something and carries out what follows from it.
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -69,7 +69,7 @@
     /// Share of its capacity that it has by now.
     pub fn warmth(&self, now: f64, settings: &Settings) -> f64 {
         let part = if self.started == 0.0 { 1.0 } else { (now - self.started) / settings.warm_up };
-        settings.cold_from + (1.0 - settings.cold_from) * part.clamp(0.0, 1.0)
+        settings.cold_start_capacity + (1.0 - settings.cold_start_capacity) * part.clamp(0.0, 1.0)
     }
 
     /// Work has reached it: whether a cold one got more within a second than the rules allow, `capacity` being what it
@@ -80,7 +80,7 @@
             self.recent.pop_front();
         }
         let warmth = self.warmth(now, settings);
-        let most = settings.tip_multiple * capacity * warmth * WINDOW + CHANCE;
+        let most = settings.overload_factor * capacity * warmth * WINDOW + CHANCE;
         warmth < 1.0 && self.recent.len() as f64 > most
     }
 }
--- a/crates/simulation/tests/fleet/mod.rs
+++ b/crates/simulation/tests/fleet/mod.rs
@@ -22,9 +22,9 @@
         fleet_size,
         probes: true,
         subscribe: true,
-        when_behind: WhenBehind::Silent,
-        tokens_carried: false,
-        tip_multiple: 2.5,
+        when_behind: WhenBehind::ServeStale,
+        requests_carry_position: false,
+        overload_factor: 2.5,
         ..Settings::default()
     }
 }
--- a/crates/simulation/tests/mass.rs
+++ b/crates/simulation/tests/mass.rs
@@ -172,7 +172,7 @@
                         timers.insert(((at * 1e6) as u64, order), cookie);
                     }
                     Action::Send { id, member, .. } => {
-                        let done = Done {
+                        let done = AttemptEnded {
                             id,
                             member,
                             attempt: 0,
@@ -184,16 +184,16 @@
                             primary: Some(true),
                             report: Report::default(),
                         };
-                        policy.handle(now, Event::Done(done), &mut out);
+                        policy.handle(now, Event::AttemptEnded(done), &mut out);
                     }
                     _ => {}
                 }
             }
         }
         most = (
-            most.0.max(policy.members_known()),
-            most.1.max(policy.groups_known()),
-            most.2.max(policy.requests_known()),
+            most.0.max(policy.tracked_members()),
+            most.1.max(policy.tracked_groups()),
+            most.2.max(policy.tracked_requests()),
         );
     }
     // A list lasts 30 s here, and what has left is forgotten after as long: two lists, and one that has just come.
--- a/crates/transaction/src/check.rs
+++ b/crates/transaction/src/check.rs
@@ -245,7 +245,7 @@
         let (before, after) = (group.warmth(&group.before), group.warmth(&group.after));
         let cold =
             group.after.iter().filter(|name| group.serving.get(*name).is_some_and(|w| *w < 1.0)).count();
-        let most = new.settings.tip_multiple;
+        let most = new.settings.overload_factor;
         if cold == group.after.len() && after > 0.0 && before / after > most {
             let what = format!(
                 "group {number} would be left to {cold} cold member(s) with {after:.2} of a member's capacity, {:.1} times as much work for each part of it as now; {most:.1} is the most",
--- a/crates/transaction/src/roster.rs
+++ b/crates/transaction/src/roster.rs
@@ -23,7 +23,7 @@
     /// Takes in what discovery tells; what the decisions are to be told of it. With a static list in force
     /// that is nothing, but it is remembered.
     pub fn fact(&mut self, kind: ListKind, listings: Vec<Listing>) -> Option<(ListKind, Vec<Listing>)> {
-        if !kind.is_news() {
+        if !kind.carries_entries() {
             return self.fixed.is_none().then_some((kind, Vec::new()));
         }
         if kind != ListKind::Incremental {
