--- a/crates/daemon/src/cli/route.rs
+++ b/crates/daemon/src/cli/route.rs
@@ -5,7 +5,7 @@
 
 use argh::FromArgs;
 use operator::EffectiveConfig;
-use route::Ask;
+use route::RouteRequest;
 use serde_json::json;
 use sql::{Kind, Scan};
 
@@ -74,25 +74,25 @@
         .map_err(|conflicts| crate::net::describe_conflicts(&conflicts))?;
     let scan = sql::scan(&args.sql);
     let reads = pooling::can_run_on_replica(&scan);
-    let route = effective.route_table().route(&Ask {
+    let route = effective.route_table().route(&RouteRequest {
         user: &args.user,
         database: &args.database,
         application: &args.application,
         comment: scan.comment.as_deref(),
         class: args.class.as_deref(),
-        reads,
+        read_only: reads,
     });
     let statements = kinds(&scan);
     if args.json {
         let object = json!({"statements": statements, "reads": reads, "class": route.class, "tenant": route.tenant,
-            "group": route.group, "primary": route.primary, "because": route.because});
+            "group": route.group, "primary": route.primary_only, "because": route.reasons});
         println!("{object}");
         return Ok(());
     }
     statements.iter().for_each(|words| println!("statement: {words}"));
-    route.because.iter().for_each(|words| println!("because:   {words}"));
+    route.reasons.iter().for_each(|words| println!("because:   {words}"));
     let tenant = if route.tenant.is_empty() { "no tenant" } else { &route.tenant };
-    let where_to = if route.primary { "the primary" } else { "a replica, or the primary" };
+    let where_to = if route.primary_only { "the primary" } else { "a replica, or the primary" };
     println!("class {}, {tenant}, group {}: {where_to}", route.class, route.group);
     Ok(())
 }
--- a/crates/daemon/src/net/change.rs
+++ b/crates/daemon/src/net/change.rs
@@ -310,7 +310,7 @@
             confirmed: self.transaction.base().number,
             stage: stage.into(),
             until,
-            life: life.words().into(),
+            life: life.name().into(),
             pid: std::process::id(),
             served: counters.served,
             refused: counters.refused,
--- a/crates/daemon/src/net/clients.rs
+++ b/crates/daemon/src/net/clients.rs
@@ -298,7 +298,7 @@
         connection.update_timeout(slot, context);
         if let Err(over) = result {
             if over == CloseReason::Local && !free {
-                context.counters.violations.count(Denial::AnswerOwed);
+                context.counters.violations.count(Denial::ReplyPending);
                 logging::error!(event = "rule.violation", denial = "answer_owed", "a connection is closed");
             }
             // What it has asked and nobody has looked at yet is not begun.
--- a/crates/daemon/src/net/pooler.rs
+++ b/crates/daemon/src/net/pooler.rs
@@ -25,7 +25,7 @@
 use mio::{Interest, Poll, Waker};
 use operator::EffectiveConfig;
 use routing::interface::{
-    self, Action, Arrival, Conclusion, Consistency, Done, Effect, Evidence, ListKind, Outcome, Phase,
+    self, Action, Arrival, AttemptEnded, Conclusion, Consistency, Effect, Evidence, ListKind, Outcome, Phase,
     RequestId,
 };
 use routing::permission::History;
@@ -168,7 +168,7 @@
     Ok(match pooler.lifecycle.stage() {
         _ if pooler.handed_back => EXIT_HANDED_BACK,
         lifecycle::Stage::Ended(code) => code,
-        _ => lifecycle::OWED,
+        _ => lifecycle::EXIT_PENDING,
     })
 }
 
@@ -277,13 +277,13 @@
         let (fresh, begun) = ProcessLifecycle::new(terms, pid, config.seed, context);
         let list = inherited.as_ref().and_then(InheritedState::list);
         let (index, saved) = list
-            .filter(|(index, _)| *index >= config.known.index)
-            .unwrap_or_else(|| (config.known.index, config.known.listings.clone()));
+            .filter(|(index, _)| *index >= config.saved_list.version)
+            .unwrap_or_else(|| (config.saved_list.version, config.saved_list.listings.clone()));
         let trial_s = effective.document.daemon.trial_s;
         let predecessor = inherited.map(|inherited| PredecessorHandover::new(inherited, trial_s, context));
         let (predecessor, comes) =
             predecessor.transpose()?.map_or((None, Vec::new()), |(from, does)| (Some(from), does));
-        let pushed = config.source == ListSource::Pushed;
+        let pushed = config.list_source == ListSource::Pushed;
         let mut pooler = Pooler {
             policy,
             sessions,
@@ -323,7 +323,7 @@
         if pooler.predecessor.is_some() {
             pooler.set_paused(true, context);
         }
-        pooler.advance_lifecycle(LifecycleInput::Bound, context);
+        pooler.advance_lifecycle(LifecycleInput::ListenerBound, context);
         context.events.push_back(Event::ListReceived(ListKind::Saved, saved));
         pooler.handle_events(context);
         pooler.adopt_predecessor_state(context);
@@ -361,20 +361,20 @@
                         request.reply_target = None;
                         request.history.close();
                     }
-                    self.notify_policy(interface::Event::Started { id }, context);
+                    self.notify_policy(interface::Event::ResponseStarted { id }, context);
                 }
                 Event::ServerRequestAbandoned(id) => {
                     if let Some(request) = self.requests.get_mut(&id) {
                         context.counters.requests_abandoned += 1;
                         request.reply_target = None;
                     }
-                    self.notify_policy(interface::Event::Gone { id: id.clone() }, context);
+                    self.notify_policy(interface::Event::ClientLeft { id: id.clone() }, context);
                     self.remove_if_finished(&id, context.reactor.now());
                 }
                 Event::RoleReported(member, primary) => {
                     let report = interface::Report { position: None, primary: Some(primary) };
                     self.notify_policy(
-                        interface::Event::Probed { member, outcome: Outcome::Ok, report },
+                        interface::Event::ProbeEnded { member, outcome: Outcome::Ok, report },
                         context,
                     );
                 }
@@ -430,7 +430,7 @@
                         continue;
                     }
                     let task = ServerTask::Attempt(id, number, request.statement.clone());
-                    let limits = (timeout, request.history.write_by());
+                    let limits = (timeout, request.history.write_deadline());
                     request
                         .attempts_in_flight
                         .push((number, self.servers.send(task, &member, limits, context)));
@@ -457,13 +457,14 @@
                         context,
                     );
                 }
-                Action::LetGo { member } => self.servers.close_idle(&member),
-                Action::Withhold { member } => self.servers.cancel_unsent(&member, context),
+                Action::CloseIdle { member } => self.servers.close_idle(&member),
+                Action::CancelUnsent { member } => self.servers.cancel_unsent(&member, context),
                 // With a list of the operator's own there may be no discovery at all.
-                Action::Listen if self.changes.as_ref().is_some_and(|changes| changes.roster.is_fixed()) => {}
+                Action::Subscribe
+                    if self.changes.as_ref().is_some_and(|changes| changes.roster.is_fixed()) => {}
                 // A registry is followed by itself, whether or not it is asked for.
-                Action::Listen if self.registry.is_some() => {}
-                Action::Listen => self.discovery.subscribe(context),
+                Action::Subscribe if self.registry.is_some() => {}
+                Action::Subscribe => self.discovery.subscribe(context),
                 Action::Denied { id, denial } => guard::report_violation(&id, denial, context),
                 Action::Explain(explanation) => trace::given_up(&explanation, &self.numbers),
                 Action::Log(text) => logging::info!(event = "decided", "{text}"),
@@ -481,7 +482,9 @@
         let named = self.classes.iter().find(|class| class.name == query.class);
         let invalid = match named {
             None => Some("unknown class"),
-            Some(class) if class.effect == Effect::Keyed && !query.keyed => Some("this class needs a key"),
+            Some(class) if class.effect == Effect::Keyed && !query.has_idempotency_key => {
+                Some("this class needs a key")
+            }
             // Two requests of one id could not be told apart, and the db machine would see a second copy.
             Some(_) if self.requests.contains_key(&id) => Some("this id is in use"),
             Some(_) => None,
@@ -498,20 +501,20 @@
         let tenant = self.tenants.iter().find(|(name, _)| *name == query.tenant).map(|(_, number)| *number);
         // One that is not known has no number that the policy knows.
         let tenant = tenant.unwrap_or(usize::MAX);
-        let access = Access { group: query.group, key: query.key.clone(), consistency };
+        let access = Access { group: query.group, key: query.session_key.clone(), consistency };
         let arrival = Arrival {
             id: id.clone(),
             class,
             group: query.group,
-            left: query.patience.min(self.kill_at - now),
-            token: query.after,
-            session: query.key.filter(|_| sessions).map(Into::into),
+            time_left: query.timeout.min(self.kill_at - now),
+            required_position: query.required_position,
+            session: query.session_key.filter(|_| sessions).map(Into::into),
             tenant,
-            predicted: None,
+            predicted_work: None,
             repeat: query.repeat,
-            own: None,
+            session_position: None,
         };
-        let rules = self.policy.rules(class, now + arrival.left);
+        let rules = self.policy.attempt_rules(class, now + arrival.time_left);
         let request = Request {
             reply_target: Some(ReplyTarget::Client(client)),
             statement: Rc::new(query.statement),
@@ -545,7 +548,7 @@
         let Some(mut arrival) = self.in_flight.release(client, id) else { return };
         let Some(request) = self.requests.get(id) else { return };
         let consistency = request.consistency;
-        arrival.left -= context.reactor.now() - request.arrived_at;
+        arrival.time_left -= context.reactor.now() - request.arrived_at;
         self.begin_request(arrival, consistency, context);
     }
 
@@ -576,18 +579,18 @@
             class: number,
             group,
             // Its class says how long it waits at most.
-            left: f64::MAX,
-            token: None,
+            time_left: f64::MAX,
+            required_position: None,
             session: sessions.then(|| format!("session-{}", slot.number()).into()),
             tenant,
-            predicted: None,
+            predicted_work: None,
             repeat: false,
-            own: None,
+            session_position: None,
         };
         let request = Request {
             reply_target: Some(ReplyTarget::Session(slot)),
             statement: Rc::new(Statement::new("".into(), 0..0)),
-            history: History::new(self.policy.rules(number, f64::INFINITY)),
+            history: History::new(self.policy.attempt_rules(number, f64::INFINITY)),
             attempts_in_flight: Vec::new(),
             class: counted,
             group,
@@ -620,7 +623,7 @@
             }
         }
         let report = interface::Report::default();
-        let done = Done {
+        let done = AttemptEnded {
             id: id.clone(),
             member,
             attempt,
@@ -632,7 +635,7 @@
             primary,
             report,
         };
-        let actions = self.decide(interface::Event::Done(done), context);
+        let actions = self.decide(interface::Event::AttemptEnded(done), context);
         self.remove_if_finished(&id, context.reactor.now());
         self.carry_out(actions, context);
     }
@@ -644,7 +647,7 @@
             context.counters.requests_abandoned += 1;
             request.reply_target = None;
             request.history.close();
-            self.notify_policy(interface::Event::Gone { id: id.clone() }, context);
+            self.notify_policy(interface::Event::ClientLeft { id: id.clone() }, context);
             self.cancel_attempts(&id, context);
             self.remove_if_finished(&id, context.reactor.now());
         }
@@ -712,7 +715,7 @@
         let TaskResult { task, member, outcome, elapsed, position, primary, report, value } = ended;
         let ServerTask::Attempt(id, attempt, _) = task else {
             count_outcome(&mut context.counters.probe_outcomes, outcome);
-            return self.notify_policy(interface::Event::Probed { member, outcome, report }, context);
+            return self.notify_policy(interface::Event::ProbeEnded { member, outcome, report }, context);
         };
         let told = (position, primary);
         let conclusion = self.assess_outcome(&id, (attempt, elapsed), outcome, told);
@@ -725,7 +728,7 @@
         request.attempts_in_flight.retain(|(number, _)| *number != attempt);
         let served = outcome == Outcome::Ok && conclusion == Conclusion::AsReceived;
         let finished = served || request.reply_target.is_none();
-        let done = Done {
+        let done = AttemptEnded {
             id: id.clone(),
             member,
             attempt,
@@ -738,7 +741,7 @@
             report,
         };
         // What the answer tells of the machine is taken in before the client can act on the answer.
-        let actions = self.decide(interface::Event::Done(done), context);
+        let actions = self.decide(interface::Event::AttemptEnded(done), context);
         if !served {
             self.remove_if_finished(&id, context.reactor.now());
         } else if let Some(value) = self.coordinate_answer(&id, position, value, context) {
@@ -783,11 +786,19 @@
         let pending: Vec<i32> = self.signals.pending().collect();
         for signal in pending {
             if signal == SIGUSR1 {
-                logging::info!(event = "counters", left_out = self.log.left_out(), "{}", context.counters);
+                logging::info!(
+                    event = "counters",
+                    left_out = self.log.suppressed_lines(),
+                    "{}",
+                    context.counters
+                );
             } else if signal == SIGHUP {
-                self.advance_lifecycle(LifecycleInput::Reload(process_lifecycle::monotonic_us()), context);
+                self.advance_lifecycle(
+                    LifecycleInput::ReloadRequested(process_lifecycle::monotonic_us()),
+                    context,
+                );
             } else {
-                if !self.lifecycle.stage().ends() {
+                if !self.lifecycle.stage().is_shutting_down() {
                     logging::info!(event = "ending", "asked to end");
                     if self.changes.is_none() {
                         self.kill_at = context.reactor.now() + self.kill_after;
@@ -797,7 +808,7 @@
                 }
                 // What is owed is counted now: a third one ends it at once.
                 self.on_lifecycle_timer(context);
-                self.advance_lifecycle(LifecycleInput::Stop, context);
+                self.advance_lifecycle(LifecycleInput::StopRequested, context);
             }
         }
     }
--- a/crates/daemon/src/net/pooler/configuration.rs
+++ b/crates/daemon/src/net/pooler/configuration.rs
@@ -134,7 +134,7 @@
         }
         let mut numbers = self.numbers.clone();
         let NumberedSettings { settings, classes, tenants } =
-            numbers.assign(&effective, |number| self.policy.class_in_hand(number))?;
+            numbers.assign(&effective, |number| self.policy.class_has_requests(number))?;
         let (connect_timeout, retry_after) = (settings.connect_timeout, max_retry_after(&settings));
         self.policy.reconfigure(settings).map_err(|fault| fault.to_string())?;
         (self.numbers, self.classes, self.tenants) = (numbers, classes, tenants);
@@ -154,7 +154,7 @@
         self.budget.resize(effective.memory / 2);
         (self.probe_timeout, self.retry_after) = (connect_timeout, retry_after);
         self.lifecycle.set_limits(process_lifecycle::lifecycle_limits(Some(&effective.document.daemon)));
-        self.log.set(effective.document.log.level);
+        self.log.set_level(effective.document.log.level);
         if let Some(control) = &mut self.control {
             control.set_idle_timeout(effective.document.control.idle_s);
         }
--- a/crates/daemon/src/net/pooler/guard.rs
+++ b/crates/daemon/src/net/pooler/guard.rs
@@ -41,7 +41,7 @@
         request.history.may_begin(now)?;
         match request.reply_target {
             Some(ReplyTarget::Client(client)) if self.clients.has_left(client, now - CLIENT_FRESH) => {
-                Err(Denial::ClientGone)
+                Err(Denial::ClientLeft)
             }
             _ => Ok(()),
         }
@@ -59,19 +59,19 @@
         let Some(request) = self.requests.get(&id) else { return };
         // Time passes between a decision and this; whether the client is there is seen here alone.
         match denial {
-            Denial::OutOfTime | Denial::WindowOver | Denial::ClientGone => {
+            Denial::OutOfTime | Denial::DedupWindowOver | Denial::ClientLeft => {
                 context.counters.withheld.count(denial);
                 logging::debug!(event = "attempt.withheld", id = &*id, attempt, denial = denial.name());
             }
             _ => report_violation(&id, denial, context),
         }
-        if let (Denial::ClientGone, Some(ReplyTarget::Client(client))) = (denial, request.reply_target) {
+        if let (Denial::ClientLeft, Some(ReplyTarget::Client(client))) = (denial, request.reply_target) {
             context.events.push_back(Event::ClientLeft(client));
         }
         context.events.push_back(Event::TaskEnded(Box::new(TaskResult {
             task: ServerTask::Attempt(id, attempt, request.statement.clone()),
             member,
-            outcome: Outcome::Moot,
+            outcome: Outcome::NotSent,
             elapsed: 0.0,
             position: None,
             primary: None,
--- a/crates/daemon/src/net/pooler/handover.rs
+++ b/crates/daemon/src/net/pooler/handover.rs
@@ -19,7 +19,7 @@
 use mio::net::UnixStream;
 use mio::Interest;
 use routing::interface::Phase;
-use routing::Learned;
+use routing::ObservedState;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -167,7 +167,7 @@
         zone: listing.zone.clone(),
         group: listing.group,
         phase: if listing.phase == Phase::Active { "serving" } else { "draining" }.into(),
-        since: listing.since,
+        since: listing.started_at,
     }
 }
 
@@ -178,7 +178,7 @@
         zone: place.zone.clone(),
         group: place.group,
         phase: if place.phase == "serving" { Phase::Active } else { Phase::Leaving },
-        since: place.since,
+        started_at: place.since,
     })
 }
 
@@ -244,17 +244,17 @@
             }
             None => return,
         };
-        let members = known.members.iter().map(|member| Learned {
+        let members = known.members.iter().map(|member| ObservedState {
             member: member.name.as_str().into(),
             primary: member.primary,
             position: member.position,
             cold_since: member.cold_since,
         });
         let (now, mut actions) = (context.reactor.now(), Vec::new());
-        self.policy.take_over(now, &members.collect::<Vec<_>>(), &mut actions);
+        self.policy.adopt_observed_state(now, &members.collect::<Vec<_>>(), &mut actions);
         let (sessions, members) = (known.sessions.len(), known.members.len());
         let written = known.sessions.into_iter().map(|(name, commit)| (name.into(), commit));
-        self.policy.wrote(written, known.forgotten.unwrap_or(f64::NEG_INFINITY));
+        self.policy.import_session_writes(written, known.forgotten.unwrap_or(f64::NEG_INFINITY));
         logging::info!(event = "handover.known", members, sessions, "goes on with what the old daemon knew");
         self.carry_out(actions, context);
     }
@@ -262,9 +262,9 @@
     /// What this daemon knows.
     fn known(&self) -> Known {
         let finite = |value: f64| value.is_finite().then_some(value);
-        let (sessions, forgotten) = self.policy.written();
+        let (sessions, forgotten) = self.policy.export_session_writes();
         let listed = self.changes.iter().flat_map(|changes| changes.roster.listed());
-        let members = self.policy.learned().into_iter().map(|learned| Member {
+        let members = self.policy.observed_state().into_iter().map(|learned| Member {
             name: learned.member.to_string(),
             primary: learned.primary,
             position: learned.position,
@@ -324,7 +324,7 @@
                 Some("a change of configuration is under way")
             }
             (Stage::Ready, _) => None,
-            (stage, _) => Some(stage.words()),
+            (stage, _) => Some(stage.name()),
         };
         let Some(successor) = &mut self.successor else { return };
         let mut acts = Vec::new();
@@ -347,7 +347,7 @@
                 Act::Succeeded => {
                     logging::info!(event = "handover.over", "the successor stands");
                     self.registry.iter_mut().for_each(|registry| registry.deregister(context));
-                    self.advance_lifecycle(LifecycleInput::Succeeded, context);
+                    self.advance_lifecycle(LifecycleInput::ListenerHandedOver, context);
                 }
                 Act::Hang => self.successor.iter_mut().for_each(|successor| successor.conn = None),
                 Act::Timer(at) => context.reactor.set_timer(at, TimerKind::Handover),
@@ -418,7 +418,7 @@
     /// While the old daemon is there, sessions that it serves still may write through it.
     pub(super) fn invalidate_writes_beside_predecessor(&mut self, context: &mut Context) {
         if self.predecessor.is_some() {
-            self.policy.anybody_wrote(context.reactor.now());
+            self.policy.invalidate_session_writes(context.reactor.now());
         }
     }
 
@@ -454,7 +454,7 @@
                     logging::error!(event = "handover.yielded", "hands back to the old daemon: {why}");
                     self.handed_back = true;
                     self.set_paused(true, context);
-                    self.advance_lifecycle(LifecycleInput::Succeeded, context);
+                    self.advance_lifecycle(LifecycleInput::ListenerHandedOver, context);
                 }
                 Do::Stand => self.complete_takeover(context),
                 Do::Timer(at) => context.reactor.set_timer(at, TimerKind::Handover),
--- a/crates/daemon/src/net/pooler/process_lifecycle.rs
+++ b/crates/daemon/src/net/pooler/process_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The daemon's life on its sockets: carries out what [`lifecycle::Machine`] says, tells a service manager, holds the
+//! The daemon's life on its sockets: carries out what [`lifecycle::StateMachine`] says, tells a service manager, holds the
 //! pid file.
 
 use std::fs::{File, OpenOptions, TryLockError};
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 
 use exchange::Answer;
-use lifecycle::{notify, Action, Input, Machine, Owed, Stage, Terms};
+use lifecycle::{notify, Action, Input, Limits, Pending, Stage, StateMachine};
 use routing::interface::{self, RequestId};
 
 use super::{Pooler, ReplyTarget};
@@ -95,22 +95,25 @@
 
 /// The machine, and whom it speaks to.
 pub(super) struct ProcessLifecycle {
-    machine: Machine,
+    machine: StateMachine,
     manager: Option<Manager>,
     pid: Option<PidFile>,
     rng: fastrand::Rng,
 }
 
 /// The time limits that an operator's file sets; the platform's where there is none.
-pub(super) fn lifecycle_limits(daemon: Option<&operator::Daemon>) -> Terms {
+pub(super) fn lifecycle_limits(daemon: Option<&operator::Daemon>) -> Limits {
     let env = |name: &str| std::env::var(name).ok();
-    let watchdog =
-        notify::watchdog(env("WATCHDOG_USEC").as_deref(), env("WATCHDOG_PID").as_deref(), std::process::id());
-    let terms = Terms { watchdog, ..Terms::default() };
-    daemon.map_or(terms, |daemon| Terms {
-        last_call: daemon.last_call_s,
-        drain_for: daemon.drain_for_s,
-        send_away: true,
+    let watchdog = notify::watchdog_interval(
+        env("WATCHDOG_USEC").as_deref(),
+        env("WATCHDOG_PID").as_deref(),
+        std::process::id(),
+    );
+    let terms = Limits { watchdog_interval: watchdog, ..Limits::default() };
+    daemon.map_or(terms, |daemon| Limits {
+        accept_grace: daemon.last_call_s,
+        drain_timeout: daemon.drain_for_s,
+        refuse_waiting: true,
         ..terms
     })
 }
@@ -118,13 +121,13 @@
 impl ProcessLifecycle {
     /// A life that begins.
     pub fn new(
-        terms: Terms,
+        terms: Limits,
         pid: Option<PidFile>,
         seed: u64,
         context: &mut Context,
     ) -> (ProcessLifecycle, Vec<Action>) {
         let mut actions = Vec::new();
-        let machine = Machine::new(terms, context.reactor.now(), &mut actions);
+        let machine = StateMachine::new(terms, context.reactor.now(), &mut actions);
         let manager = std::env::var("NOTIFY_SOCKET").ok().filter(|name| !name.is_empty()).and_then(|name| {
             let manager = Manager::of(&name);
             manager
@@ -145,8 +148,8 @@
         most * (0.5 + 0.5 * self.rng.f64())
     }
 
-    pub fn set_limits(&mut self, terms: Terms) {
-        self.machine.set_terms(terms);
+    pub fn set_limits(&mut self, terms: Limits) {
+        self.machine.set_limits(terms);
     }
 
     /// The pid file's descriptor, for a successor.
@@ -180,10 +183,11 @@
 
 impl Pooler {
     /// What is owed now.
-    pub(super) fn pending_replies(&self) -> Owed {
-        let mut owed = Owed::default();
+    pub(super) fn pending_replies(&self) -> Pending {
+        let mut owed = Pending::default();
         for request in self.requests.values().filter(|request| request.reply_target.is_some()) {
-            *if !request.attempts_in_flight.is_empty() { &mut owed.out } else { &mut owed.waiting } += 1;
+            *if !request.attempts_in_flight.is_empty() { &mut owed.in_flight } else { &mut owed.waiting } +=
+                1;
         }
         owed.clients = self.clients.len() + self.sessions.as_ref().map_or(0, Sessions::len);
         owed
@@ -201,26 +205,26 @@
             match action {
                 Action::Notify(text) => self.lifecycle.tell(&text),
                 Action::Timer(at) => context.reactor.set_timer(at, TimerKind::Lifecycle),
-                Action::SendAway => self.send_away(context),
-                Action::Close => {
+                Action::RefuseWaiting => self.send_away(context),
+                Action::StopAccepting => {
                     self.sessions.iter_mut().for_each(|sessions| sessions.end_sessions(false, context));
                     self.clients.close(context);
                 }
-                Action::Cut => self.cut(context),
-                Action::Read => self.reload(context),
-                Action::NotRead(why) => {
+                Action::AnswerPending => self.cut(context),
+                Action::ReadConfig => self.reload(context),
+                Action::ReloadRejected(why) => {
                     context.counters.reloads_failed += 1;
                     logging::warn!(event = "config.kept", "not read again: {why}");
                 }
                 Action::Exit(code) => {
                     let left = self.requests.iter().filter(|(_, request)| request.reply_target.is_some());
                     let left: Vec<String> = left.map(|(id, _)| id.to_string()).take(MOST_NAMED).collect();
-                    if code != lifecycle::CLEAN {
+                    if code != lifecycle::EXIT_CLEAN {
                         let (owed, first) = (self.pending_replies(), left.join(" "));
                         logging::error!(
                             event = "ending.owed",
                             waiting = owed.waiting,
-                            out = owed.out,
+                            out = owed.in_flight,
                             clients = owed.clients,
                             first,
                             "ends with answers owed"
@@ -243,13 +247,13 @@
                     matches!(changes.transaction.stage(), At::Idle | At::Probation(_))
                 });
                 if settled {
-                    self.advance_lifecycle(Input::Reloaded, context);
+                    self.advance_lifecycle(Input::ReloadFinished, context);
                 }
             }
             Stage::Closing | Stage::Cutting => {
                 let owed = self.pending_replies();
-                if owed.none() {
-                    self.advance_lifecycle(Input::Time(owed), context);
+                if owed.is_empty() {
+                    self.advance_lifecycle(Input::Tick(owed), context);
                 }
             }
             _ => {}
@@ -263,7 +267,7 @@
             self.sessions.iter_mut().for_each(|sessions| sessions.end_sessions(false, context));
         }
         let owed = self.pending_replies();
-        self.advance_lifecycle(Input::Time(owed), context);
+        self.advance_lifecycle(Input::Tick(owed), context);
     }
 
     /// Those that wait for a server are told when to come back: not all at once.
@@ -286,7 +290,7 @@
             // One that waits for its repeat may have run: to say that another try is harmless would be wrong.
             let harmless = self.policy.may_refuse(&id);
             self.answer(&id, if harmless { Answer::Refused(backoff) } else { Answer::Failed }, context);
-            self.notify_policy(interface::Event::Gone { id }, context);
+            self.notify_policy(interface::Event::ClientLeft { id }, context);
         }
     }
 
@@ -305,7 +309,7 @@
                 .is_some_and(|r| matches!(r.reply_target, Some(ReplyTarget::Session(_))));
             // It has reached a server: whether it ran there is not known.
             self.answer(&id, if session { Answer::Refused(0.0) } else { Answer::Failed }, context);
-            self.notify_policy(interface::Event::Gone { id: id.clone() }, context);
+            self.notify_policy(interface::Event::ClientLeft { id: id.clone() }, context);
             self.cancel_attempts(&id, context);
         }
         self.sessions.iter_mut().for_each(|sessions| sessions.end_sessions(true, context));
--- a/crates/daemon/src/net/pooler/sharing.rs
+++ b/crates/daemon/src/net/pooler/sharing.rs
@@ -47,10 +47,11 @@
         let shared = &mut self.requests.get_mut(&arrival.id)?.sharing;
         if consistency == Consistency::Session {
             let floor = coordination.required_position(now, &session);
-            (arrival.own, shared.floor) = (Some(floor), Some(floor));
+            (arrival.session_position, shared.floor) = (Some(floor), Some(floor));
             return Some(arrival);
         }
-        let Some(ticket) = coordination.begin_write(now, &session, arrival.left.min(LONGEST_WRITE)) else {
+        let Some(ticket) = coordination.begin_write(now, &session, arrival.time_left.min(LONGEST_WRITE))
+        else {
             self.turn_away(&arrival.id, context);
             return None;
         };
@@ -58,7 +59,7 @@
         if coordination.may_send(now, ticket) {
             return Some(arrival);
         }
-        let until = now + coordination.max_write_hold().min(arrival.left * HOLD_SHARE);
+        let until = now + coordination.max_write_hold().min(arrival.time_left * HOLD_SHARE);
         context.reactor.set_timer(until, TimerKind::Peers);
         self.awaiting_peers.push(arrival.id.clone());
         shared.held = Some(Box::new((arrival, until)));
@@ -72,7 +73,7 @@
             return;
         }
         let Some(shared) = self.requests.get_mut(id).map(|request| &mut request.sharing) else { return };
-        if shared.floor.is_some_and(|floor| !self.policy.reaches(member, floor)) {
+        if shared.floor.is_some_and(|floor| !self.policy.has_reached(member, floor)) {
             shared.unsure.push(attempt);
         }
     }
@@ -86,7 +87,7 @@
         outcome: Outcome,
         (position, primary): (Option<f64>, Option<bool>),
     ) -> Conclusion {
-        let own = self.policy.checked(id, (attempt, elapsed), outcome, (position, primary));
+        let own = self.policy.assess_answer(id, (attempt, elapsed), outcome, (position, primary));
         if self.coordination.is_none() || own == Conclusion::TooOld {
             return own;
         }
@@ -95,7 +96,7 @@
         // One that says itself that it is no primary has not seen what only that one has.
         let deposed = floor == f64::INFINITY && primary == Some(false);
         if deposed || shared.unsure.contains(&attempt) {
-            return Policy::looked_at(primary, position, floor, elapsed);
+            return Policy::assess_freshness(primary, position, floor, elapsed);
         }
         own
     }
@@ -163,7 +164,7 @@
             if coordination.may_send(now, ticket) {
                 if let Some(held) = request.sharing.held.take() {
                     let (mut arrival, _) = *held;
-                    arrival.left -= now - request.arrived_at;
+                    arrival.time_left -= now - request.arrived_at;
                     return self.notify_policy(interface::Event::Arrival(arrival), context);
                 }
             }
@@ -207,7 +208,7 @@
         }
         let (heard, instances) = (peers.peer_reports(now, &found), peers.node.alive() as u32);
         let mut actions = Vec::new();
-        self.policy.take_peer_reports(now, &heard, instances, &mut actions);
+        self.policy.apply_peer_reports(now, &heard, instances, &mut actions);
         self.carry_out(actions, context);
     }
 
@@ -217,7 +218,7 @@
         let version = self.discovery.list_version();
         let source = source_of(self.registry.is_some(), self.discovery.address());
         if let Some(peers) = self.coordination.as_mut().and_then(Coordination::peers) {
-            let members = listings.iter().map(|listing| (&*listing.name, listing.since, listing.phase));
+            let members = listings.iter().map(|listing| (&*listing.name, listing.started_at, listing.phase));
             peers.report_list(now, (source, version), members);
         }
     }
--- a/crates/daemon/src/net/pooler/sources.rs
+++ b/crates/daemon/src/net/pooler/sources.rs
@@ -23,9 +23,9 @@
     }
 
     pub(super) fn apply_members(&mut self, kind: ListKind, listings: Vec<Listing>, context: &mut Context) {
-        context.counters.lists += u64::from(kind.is_news());
-        context.counters.lists_failed += u64::from(!kind.is_news());
-        if kind.is_news() {
+        context.counters.lists += u64::from(kind.carries_entries());
+        context.counters.lists_failed += u64::from(!kind.carries_entries());
+        if kind.carries_entries() {
             self.servers.apply_list(kind, &listings, context.reactor.now());
             let ending = listings.iter().filter(|listing| listing.phase != Phase::Active).count();
             if ending > 0 || kind != ListKind::Incremental {
@@ -40,12 +40,12 @@
         self.notify_policy(interface::Event::Members { kind, entries }, context);
         if any {
             self.clients.start_serving(context);
-            self.advance_lifecycle(LifecycleInput::Listed, context);
+            self.advance_lifecycle(LifecycleInput::ListReceived, context);
         }
     }
 
     fn entry(&self, listing: Listing) -> Entry {
-        let Listing { name, zone, group, phase, since, .. } = listing;
+        let Listing { name, zone, group, phase, started_at: since, .. } = listing;
         let known = self.zones.iter().position(|known| *known == zone);
         // A zone that the settings do not name is at least not the own one.
         let zone = known.unwrap_or(self.zones.len());
--- a/crates/daemon/src/net/servers.rs
+++ b/crates/daemon/src/net/servers.rs
@@ -8,7 +8,7 @@
 use listing::Listing;
 use mio::net::TcpStream;
 use mio::Interest;
-use pgwire::{code, Message};
+use pgwire::{sqlstate, Message};
 use routing::interface::{ListKind, MemberId, Outcome, Phase, Report, RequestId};
 
 use super::event_loop::{Slot, Slots, Source, TimerKind};
@@ -80,8 +80,8 @@
     fn outcome(&self) -> Option<Outcome> {
         Some(match self.code.as_deref() {
             Some(_) if self.described => Outcome::Error,
-            Some(code::TURNED_AWAY) => Outcome::Full,
-            Some(code::READ_ONLY | code::BEHIND) => Outcome::Miss,
+            Some(sqlstate::TOO_MANY_CONNECTIONS) => Outcome::Full,
+            Some(sqlstate::READ_ONLY_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD) => Outcome::Miss,
             Some(_) => Outcome::Error,
             None if self.complete && self.row => Outcome::Ok,
             None => return None,
@@ -169,7 +169,7 @@
         }
         let _ = self.stream.set_nodelay(true);
         self.stage = Stage::Starting;
-        self.outbox.push(&pgwire::hello(USER, DATABASE)).map_err(drop)?;
+        self.outbox.push(&pgwire::startup_message(USER, DATABASE)).map_err(drop)?;
         Ok(true)
     }
 
@@ -197,7 +197,7 @@
     /// Takes message by message.
     fn understand(&mut self, now: f64) -> Step {
         loop {
-            match pgwire::reply(&mut self.inbox) {
+            match pgwire::read_server_message(&mut self.inbox) {
                 Ok(None) => return Step::Waiting,
                 Ok(Some(message)) => match self.message(message, now) {
                     Step::Waiting => {}
@@ -216,15 +216,15 @@
             (Stage::Starting, b'R') if message.body == [0; 4] => {}
             (Stage::Starting, b'E') => {
                 let (code, _) = pgwire::error_code(&message.body);
-                let full = code == code::TURNED_AWAY;
+                let full = code == sqlstate::TOO_MANY_CONNECTIONS;
                 return Step::Broken(if full { Outcome::Full } else { Outcome::ConnectFailed });
             }
             (Stage::Starting, b'Z') => {
                 if !self.ask(now) {
-                    return Step::Broken(Outcome::Moot);
+                    return Step::Broken(Outcome::NotSent);
                 }
             }
-            (Stage::Busy | Stage::Idle, b'S') => match pgwire::parameter(&message.body) {
+            (Stage::Busy | Stage::Idle, b'S') => match pgwire::read_parameter_status(&message.body) {
                 Some((POSITION, value)) => {
                     self.reply.position = value.parse::<f64>().ok().map(|millis| millis / 1000.0);
                 }
@@ -249,14 +249,14 @@
                 }
                 match self.job.as_ref().map(|job| &job.task) {
                     Some(ServerTask::Probe) if kind == b'D' => {
-                        self.reply.report = pgwire::column(&message.body).and_then(report);
+                        self.reply.report = pgwire::read_single_column(&message.body).and_then(report);
                     }
                     Some(ServerTask::Probe) => {}
                     // Guards against many answers that are each within their bound and together are not.
                     _ if self.held.set(self.reply.value.len() + message.body.len()).is_err() => {
                         return Step::Broken(Outcome::Error);
                     }
-                    _ => pgwire::forward(&mut self.reply.value, &message),
+                    _ => pgwire::append_message(&mut self.reply.value, &message),
                 }
             }
             // A second error contradicts the first, or belongs to another request.
@@ -280,7 +280,7 @@
     fn ask(&mut self, now: f64) -> bool {
         let Some(job) = self.job.as_ref().filter(|job| now < job.write_by) else { return false };
         let sql = match &job.task {
-            ServerTask::Attempt(_, _, statement) => statement.with_patience(job.give_up - now),
+            ServerTask::Attempt(_, _, statement) => statement.with_timeout(job.give_up - now),
             ServerTask::Probe => ASK_LOAD.to_vec(),
         };
         (self.stage, self.until) = (Stage::Busy, job.give_up);
@@ -340,7 +340,7 @@
         if kind != ListKind::Incremental {
             self.machines.values_mut().for_each(|machine| machine.gone = true);
         }
-        for Listing { name, address, phase, since, .. } in listings {
+        for Listing { name, address, phase, started_at: since, .. } in listings {
             let (address, since, listed) = (*address, *since, now);
             let fresh = || Machine { address, since, listed, gone: false, idle: Vec::new() };
             let machine = self.machines.entry(name.clone()).or_insert_with(fresh);
@@ -364,7 +364,7 @@
         let waiting = self.conns.iter().filter(|(_, conn)| conn.member == *member && unsent(conn));
         let waiting: Vec<Slot> = waiting.map(|(slot, _)| slot).collect();
         for slot in waiting {
-            self.settle(slot, Step::Broken(Outcome::Moot), context);
+            self.settle(slot, Step::Broken(Outcome::NotSent), context);
         }
     }
 
@@ -394,7 +394,7 @@
             let step = if conn.ask(sent) {
                 conn.turn(sent, self.connect_timeout)
             } else {
-                Step::Broken(Outcome::Moot)
+                Step::Broken(Outcome::NotSent)
             };
             context.reactor.set_timer(conn.until, TimerKind::Server(slot));
             self.settle(slot, step, context);
@@ -439,9 +439,9 @@
     /// Begins a connection; the outcome of what it was for, if there can be none. What the own limits forbid
     /// was never sent, and is not held against the machine.
     fn connect(&mut self, member: &MemberId) -> Result<(SocketAddr, TcpStream), Outcome> {
-        let address = self.machines.get(member).map(|machine| machine.address).ok_or(Outcome::Moot)?;
+        let address = self.machines.get(member).map(|machine| machine.address).ok_or(Outcome::NotSent)?;
         if self.conns.len() >= self.limit && !self.evict() {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         let stream = TcpStream::connect(address).map_err(|error| match error.kind() {
             ErrorKind::ConnectionRefused
@@ -449,7 +449,7 @@
             | ErrorKind::HostUnreachable
             | ErrorKind::NetworkUnreachable
             | ErrorKind::TimedOut => Outcome::ConnectFailed,
-            _ => Outcome::Moot,
+            _ => Outcome::NotSent,
         })?;
         Ok((address, stream))
     }
--- a/crates/daemon/src/net/sessions/assignment.rs
+++ b/crates/daemon/src/net/sessions/assignment.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use exchange::Answer;
-use pgwire::code;
+use pgwire::sqlstate;
 use pooling::{Acquisition, DetachReason, Disposition, Key, ServerRequest, ServerSessionState};
-use route::Ask;
+use route::RouteRequest;
 use routing::interface::{MemberId, Outcome, RequestId};
 
 use super::client::Step;
@@ -41,17 +41,17 @@
 impl Sessions {
     pub(super) fn request_server(&mut self, slot: Slot, want: &ServerRequest, context: &mut Context) {
         let Some(conn) = self.conns.get_mut(slot) else { return };
-        let route = self.table.route(&Ask {
+        let route = self.table.route(&RouteRequest {
             user: &conn.user,
             database: &conn.database,
             application: &want.application,
             comment: want.comment.as_deref(),
             class: want.class.as_deref(),
-            reads: want.read_only,
+            read_only: want.read_only,
         });
         self.requests += 1;
         let id: RequestId = format!("session-{}-{}", slot.number(), self.requests).into();
-        let (tenant, group, primary) = (route.tenant.clone(), route.group, route.primary);
+        let (tenant, group, primary) = (route.tenant.clone(), route.group, route.primary_only);
         conn.pending_request = Some(PendingRequest { id: id.clone(), tenant, group, primary });
         let wanted = RoutedServerRequest { id, class: route.class, tenant: route.tenant, group };
         context.events.push_back(Event::ServerRequested(slot, Box::new(wanted)));
@@ -72,7 +72,7 @@
         let Some(conn) = self.conns.get_mut(slot) else {
             let (id, member) = (id.clone(), member.clone());
             let parted =
-                Detachment { id, attempt, member, outcome: Outcome::Moot, elapsed: 0.0, primary: None };
+                Detachment { id, attempt, member, outcome: Outcome::NotSent, elapsed: 0.0, primary: None };
             return context.events.push_back(Event::SessionDetached(Box::new(parted)));
         };
         let tenant = conn.pending_request.as_ref().map(|wanted| wanted.tenant.clone()).unwrap_or_default();
@@ -96,7 +96,7 @@
             let Some(conn) = self.conns.get_mut(slot) else { return };
             let (Some(job), Some(session)) = (&conn.assignment, &conn.session) else { return };
             let Some(Member { address, active: true, .. }) = self.members.get(&job.member) else {
-                return self.detach(slot, Outcome::Moot, None, context);
+                return self.detach(slot, Outcome::NotSent, None, context);
             };
             let (address, member, tenant, state) =
                 (*address, job.member.clone(), job.tenant.clone(), session.settings_hash());
@@ -265,10 +265,10 @@
             Answer::Refused(backoff) => {
                 let millis = Some((backoff * 1000.0).ceil()).filter(|millis| *millis > 0.0);
                 detail = millis.map(|millis| (millis as u64).to_string());
-                (code::TURNED_AWAY, "refused: try again later")
+                (sqlstate::TOO_MANY_CONNECTIONS, "refused: try again later")
             }
-            Answer::Invalid(what) => (code::BAD_VALUE, *what),
-            Answer::Failed | Answer::Served(_) => (code::FAILED, "no server was reached"),
+            Answer::Invalid(what) => (sqlstate::INVALID_PARAMETER_VALUE, *what),
+            Answer::Failed | Answer::Served(_) => (sqlstate::SYSTEM_ERROR, "no server was reached"),
         };
         let mut actions = Vec::new();
         if let Some(session) = &mut conn.session {
--- a/crates/daemon/src/net/sessions/client.rs
+++ b/crates/daemon/src/net/sessions/client.rs
@@ -6,7 +6,7 @@
 use buffer::Fill;
 use mio::net::TcpStream;
 use pgwire::session::{self as wire, Piece};
-use pgwire::{code, error};
+use pgwire::{error_response, sqlstate};
 use pooling::{Action, DetachReason, Session as Pooled};
 use routing::interface::Outcome;
 use tls::Transport;
@@ -115,14 +115,14 @@
             return if fill == Fill::Ended { Step::Closed } else { Step::Waiting };
         }
         if conn.stage == Stage::Login {
-            return match pgwire::message(&mut conn.link.inbox) {
+            return match pgwire::read_message(&mut conn.link.inbox) {
                 Ok(None) if fill == Fill::Drained => Step::Waiting,
                 Ok(Some(message)) if message.kind == b'p' => self.handle_login(slot, &message.body, context),
                 _ => Step::Closed,
             };
         }
         if conn.stage == Stage::Startup {
-            match wire::first(&mut conn.link.inbox) {
+            match wire::read_startup(&mut conn.link.inbox) {
                 Ok(None) => {}
                 Ok(Some(first)) => return self.handle_startup(slot, first, context),
                 Err(_) => return Step::Closed,
@@ -132,7 +132,7 @@
         {
             let mut bytes = 0;
             while bytes < PENDING_LIMIT && session.accepts_message() && !must_be_carried_out_first(&actions) {
-                match pgwire::message(&mut conn.link.inbox) {
+                match pgwire::read_message(&mut conn.link.inbox) {
                     Ok(None) => break,
                     Ok(Some(message)) => {
                         bytes += message.body.len() + 5;
@@ -141,7 +141,12 @@
                     }
                     Err(_) => {
                         let what = "malformed message, or one that is too long";
-                        actions.push(Action::SendToClient(error("FATAL", code::TOO_LARGE, what, None)));
+                        actions.push(Action::SendToClient(error_response(
+                            "FATAL",
+                            sqlstate::PROGRAM_LIMIT_EXCEEDED,
+                            what,
+                            None,
+                        )));
                         actions.push(Action::CloseClient);
                         moved = true;
                     }
--- a/crates/daemon/src/net/sessions/server.rs
+++ b/crates/daemon/src/net/sessions/server.rs
@@ -6,8 +6,8 @@
 use mio::net::TcpStream;
 use mio::Interest;
 use operator::Pool;
-use pgwire::code;
-use pgwire::session::{self as wire, Flow, Login, Piece};
+use pgwire::session::{self as wire, Authentication, Piece, ServerMessageReader};
+use pgwire::sqlstate;
 use pooling::{Key, ServerSessionState};
 use routing::interface::{MemberId, Outcome};
 use scram::{ChannelBinding, MECHANISM, MECHANISM_PLUS};
@@ -34,7 +34,7 @@
 pub(super) struct ServerConnection {
     pub(super) stream: TcpStream,
     pub(super) link: Transport,
-    pub(super) flow: Flow,
+    pub(super) flow: ServerMessageReader,
     pub(super) state: ServerState,
     pub(super) key: Key,
     pub(super) member: MemberId,
@@ -73,7 +73,7 @@
         let place = self.servers.insert(backend);
         self.pools.opened(now, &key, place.number());
         if !self.register_connection(place, context) {
-            return self.fail_connection(place, Outcome::Moot, context);
+            return self.fail_connection(place, Outcome::NotSent, context);
         }
         if let Some(conn) = slot.and_then(|slot| self.conns.get_mut(slot)) {
             conn.server = Some(place);
@@ -91,7 +91,7 @@
         let _ = stream.set_nodelay(true);
         let link = Transport::new(None, &self.budget);
         let remote = Some(ServerSessionState::new(self.pool.statements as usize));
-        let (state, flow, cancel) = (ServerState::Connecting, Flow::default(), (0, 0));
+        let (state, flow, cancel) = (ServerState::Connecting, ServerMessageReader::default(), (0, 0));
         let (client, tainted, drain) = (None, false, None);
         let login = None;
         ServerConnection {
@@ -159,12 +159,12 @@
                 };
             }
             let first = match &self.server_tls {
-                Some(_) => wire::ask_tls(),
+                Some(_) => wire::ssl_request(),
                 None => startup_message(backend),
             };
             backend.state =
                 if self.server_tls.is_some() { ServerState::NegotiatingTls } else { ServerState::Starting };
-            backend.link.outbox.push(&first).map_err(|_| Outcome::Moot)?;
+            backend.link.outbox.push(&first).map_err(|_| Outcome::NotSent)?;
         }
         let told = |fault: &tls::TlsError, backend: &ServerConnection| {
             if !matches!(fault, tls::TlsError::Io(_)) {
@@ -181,14 +181,14 @@
                 // Turned down, or something in the clear behind it, which somebody else may have put there.
                 _ => return Err(told(&tls::TlsError::NotTls, backend)),
             }
-            let Some(client) = &self.server_tls else { return Err(Outcome::Moot) };
+            let Some(client) = &self.server_tls else { return Err(Outcome::NotSent) };
             let address = backend.address.ip().to_string();
             let name = self.pool.server_tls_name.as_ref().unwrap_or(&address);
             let session = Session::new(client, name, &self.budget).map_err(|fault| told(&fault, backend))?;
             backend.link.start_tls(session, &self.budget);
             backend.state = ServerState::Starting;
             let first = startup_message(backend);
-            backend.link.outbox.push(&first).map_err(|_| Outcome::Moot)?;
+            backend.link.outbox.push(&first).map_err(|_| Outcome::NotSent)?;
             let turned = backend.link.process_io(&mut backend.stream);
             fill = turned.map_err(|fault| told(&fault, backend))?;
         }
@@ -208,12 +208,12 @@
                 }
                 b'S' => {
                     if let (Some((name, value)), Some(remote)) =
-                        (pgwire::parameter(&message.body), &mut backend.remote)
+                        (pgwire::read_parameter_status(&message.body), &mut backend.remote)
                     {
                         remote.parameters.insert(name.into(), value.into());
                     }
                 }
-                b'K' => backend.cancel_key = wire::read_key(&message.body).unwrap_or_default(),
+                b'K' => backend.cancel_key = wire::read_backend_key(&message.body).unwrap_or_default(),
                 b'N' => {}
                 b'Z' => {
                     let told = backend.remote.as_ref().map(|remote| remote.parameters.clone());
@@ -223,13 +223,13 @@
                 }
                 b'E' => {
                     let (number, _) = pgwire::error_code(&message.body);
-                    let (member, words) = (&*backend.member, wire::words(&message.body));
+                    let (member, words) = (&*backend.member, wire::read_error_text(&message.body));
                     logging::warn!(
                         event = "pool.refused",
                         member,
                         "the server turns a connection away: {words}"
                     );
-                    let full = number == code::TURNED_AWAY;
+                    let full = number == sqlstate::TOO_MANY_CONNECTIONS;
                     return Err(if full { Outcome::Full } else { Outcome::ConnectFailed });
                 }
                 _ => return Err(Outcome::ConnectFailed),
@@ -253,7 +253,7 @@
             Some(slot) => {
                 // Its server was drained meanwhile.
                 self.close_connection(place);
-                self.detach(slot, Outcome::Moot, None, context);
+                self.detach(slot, Outcome::NotSent, None, context);
             }
             None => self.return_connection(place, context),
         }
@@ -295,32 +295,32 @@
     rng: &mut fastrand::Rng,
 ) -> Result<(), String> {
     let words = |fault: scram::ScramError| fault.to_string();
-    let answer = match wire::login(body) {
+    let answer = match wire::read_authentication(body) {
         // A server that skips the proof that it knows the password is not the one that was meant.
-        Login::Done if backend.login.is_none() => return Ok(()),
-        asked @ Login::Mechanisms(_) if asked.has(MECHANISM) || asked.has(MECHANISM_PLUS) => {
+        Authentication::Complete if backend.login.is_none() => return Ok(()),
+        asked @ Authentication::Mechanisms(_) if asked.offers(MECHANISM) || asked.offers(MECHANISM_PLUS) => {
             let endpoint = backend.link.channel_binding();
             let (mechanism, channel) = match &endpoint {
-                Some(bytes) if asked.has(MECHANISM_PLUS) => (MECHANISM_PLUS, ChannelBinding::Bound(bytes)),
+                Some(bytes) if asked.offers(MECHANISM_PLUS) => (MECHANISM_PLUS, ChannelBinding::Bound(bytes)),
                 // The server finds out whether its offer was struck out on the way.
                 Some(_) => (MECHANISM, ChannelBinding::NotUsed),
                 None => (MECHANISM, ChannelBinding::Unsupported),
             };
             let (login, first) = scram::Client::begin(&nonce(rng), channel);
             backend.login = Some(login);
-            wire::login_first(mechanism, &first)
+            wire::sasl_initial_response(mechanism, &first)
         }
-        Login::Step(step) => {
+        Authentication::SaslContinue(step) => {
             let file =
                 pool.server_password_file.as_ref().ok_or("it asks for a password, and none is kept here")?;
             let login = backend.login.as_mut().ok_or("a step before the first")?;
-            wire::texts(
+            wire::message_of_strings(
                 b'p',
                 &[],
                 login.answer(step, &files::read_password(file)?).map_err(words)?.as_bytes(),
             )
         }
-        Login::Last(last) => {
+        Authentication::SaslFinal(last) => {
             let login = backend.login.take().ok_or("a step before the first")?;
             return login.finish(last).map_err(words);
         }
@@ -331,7 +331,7 @@
 
 /// The first message of a session at a server.
 pub(super) fn startup_message(backend: &ServerConnection) -> Vec<u8> {
-    wire::hello(&[("user", &backend.key.user), ("database", &backend.key.database)])
+    wire::startup_message(&[("user", &backend.key.user), ("database", &backend.key.database)])
 }
 
 /// Whether a server is the primary, as far as it has told; it does so from PostgreSQL 14 on.
--- a/crates/operator/src/effective.rs
+++ b/crates/operator/src/effective.rs
@@ -73,14 +73,15 @@
         let mut conflicts = Vec::new();
         let mut conflict = |key: String, what: String| conflicts.push(Conflict { key, message: what });
         let limits = &document.limits;
-        let sockets = limits.sockets.map_or(platform.sockets, |sockets| sockets as usize);
-        if sockets > platform.sockets {
-            let what = format!("{sockets} descriptors, of which the process may hold {}", platform.sockets);
+        let sockets = limits.sockets.map_or(platform.max_descriptors, |sockets| sockets as usize);
+        if sockets > platform.max_descriptors {
+            let what =
+                format!("{sockets} descriptors, of which the process may hold {}", platform.max_descriptors);
             conflict("limits.sockets".into(), what);
         }
-        let memory = limits.memory_mb.map_or(platform.memory, |mb| (mb * 1e6) as usize);
-        if memory > platform.memory {
-            let (asked, given) = (memory as f64 / 1e6, platform.memory as f64 / 1e6);
+        let memory = limits.memory_mb.map_or(platform.max_memory, |mb| (mb * 1e6) as usize);
+        if memory > platform.max_memory {
+            let (asked, given) = (memory as f64 / 1e6, platform.max_memory as f64 / 1e6);
             conflict("limits.memory_mb".into(), format!("{asked} MB, of which the process may take {given}"));
         }
         let mut settings = platform.settings.clone();
@@ -194,7 +195,7 @@
             zone: member.zone.clone(),
             group: member.group,
             phase: if member.status == Access::Draining { Phase::Leaving } else { Phase::Active },
-            since: 0.0,
+            started_at: 0.0,
         });
         if !conflicts.is_empty() {
             return Err(conflicts);
@@ -225,12 +226,12 @@
         let pool = &self.document.pool;
         let rules = self.document.route.iter().map(|(name, entry)| route::Rule {
             name: name.clone(),
-            rank: entry.rank,
+            priority: entry.rank,
             user: entry.user.clone(),
             database: entry.database.clone(),
             application: entry.application.clone(),
             comment: entry.comment.clone(),
-            reads: entry.reads,
+            read_only: entry.reads,
             class: entry.class.clone(),
             tenant: entry.tenant.clone(),
             group: entry.group,
@@ -451,7 +452,7 @@
     };
     class.dedup = match edit.scope {
         None => class.dedup,
-        Some(Scope::Group) => Dedup::Cell,
+        Some(Scope::Group) => Dedup::Group,
         Some(Scope::All) => Dedup::All,
     };
     class.dedup_window = edit.repeat_window_s.unwrap_or(class.dedup_window);
