--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -16,9 +16,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Most instances of one installation. Guards the tables and the datagrams; further ones are turned away.
-pub const MOST: usize = 2_048;
+pub const MAX_INSTANCES: usize = 2_048;
 /// Longest datagram of this package (bytes), below what its caller may send with its own head and signature.
-pub const LONGEST: usize = 1_000;
+pub const MAX_DATAGRAM_BYTES: usize = 1_000;
 /// Time between two probes, and how long an answer may take (seconds).
 const PERIOD: f64 = 0.5;
 const ANSWER: f64 = 0.2;
@@ -138,7 +138,7 @@
 }
 
 fn config(slow: u32) -> Config {
-    let size = NonZeroU32::new(MOST as u32).unwrap_or(NonZeroU32::MIN);
+    let size = NonZeroU32::new(MAX_INSTANCES as u32).unwrap_or(NonZeroU32::MIN);
     let few = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     let seconds = Duration::from_secs_f64;
     let each = f64::from(1 + slow);
@@ -149,7 +149,7 @@
         num_indirect_probes: few(3),
         suspect_to_down_after: seconds(SUSPECT * each),
         remove_down_after: Some(seconds(REMEMBERED)),
-        max_packet_size: few(LONGEST),
+        max_packet_size: few(MAX_DATAGRAM_BYTES),
         notify_down_members: true,
         periodic_announce: Some(PeriodicParams { frequency: seconds(10.0), num_members: few(1) }),
         // Those called dead are tried again, so that a cut heals by itself.
@@ -180,12 +180,12 @@
     }
 
     /// This instance, as it is renewed at present.
-    pub fn own(&self) -> &Identity {
+    pub fn identity(&self) -> &Identity {
         self.foca.identity()
     }
 
     /// Whether another process has won this one's name.
-    pub fn stood_down(&self) -> bool {
+    pub fn has_stepped_down(&self) -> bool {
         self.stood_down
     }
 
@@ -196,19 +196,23 @@
 
     /// Word of an instance that the caller has heard from itself; to be said again now and then, since the greeting that
     /// follows may get lost. Nothing is sent to who is known already.
-    pub fn met(&mut self, now: f64, who: &Identity) {
+    pub fn announce_to(&mut self, now: f64, who: &Identity) {
         let known = self.foca.iter_membership_state().any(|member| member.id() == who);
-        if !known && who.name != self.own().name && self.foca.num_members() < MOST && !self.stood_down {
+        if !known
+            && who.name != self.identity().name
+            && self.foca.num_members() < MAX_INSTANCES
+            && !self.stood_down
+        {
             let _ = self.foca.announce(who.clone(), &mut self.runtime);
             self.settle(now);
         }
     }
 
     /// Others that are there; those that membership has lost sight of are met anew.
-    pub fn met_all(&mut self, now: f64, all: &[Identity]) {
+    pub fn announce_to_unknown(&mut self, now: f64, all: &[Identity]) {
         let key = |who: &Identity| (who.name.clone(), who.start);
         let known: HashSet<_> = self.foca.iter_membership_state().map(|member| key(member.id())).collect();
-        all.iter().filter(|who| !known.contains(&key(who))).for_each(|who| self.met(now, who));
+        all.iter().filter(|who| !known.contains(&key(who))).for_each(|who| self.announce_to(now, who));
     }
 
     /// A datagram of another's.
@@ -287,8 +291,8 @@
 
     /// Another process under this name is heard of. A later start wins; that one goes on, this one stands down, unless it
     /// is the same start whose numbers were copied: then it may renew itself, a few times a minute.
-    pub fn contested(&mut self, now: f64, other: &Identity) {
-        let own = self.own().clone();
+    pub fn resolve_name_conflict(&mut self, now: f64, other: &Identity) {
+        let own = self.identity().clone();
         if other.name != own.name || (other.start, other.address) == (own.start, own.address) {
             return;
         }
@@ -319,7 +323,7 @@
     }
 
     /// What is to be sent, and what has changed, since the last call.
-    pub fn take(&mut self) -> (Vec<Datagram>, Vec<Notice>) {
+    pub fn take_output(&mut self) -> (Vec<Datagram>, Vec<Notice>) {
         (std::mem::take(&mut self.out), std::mem::take(&mut self.notices))
     }
 }
--- a/crates/membership/tests/cluster.rs
+++ b/crates/membership/tests/cluster.rs
@@ -28,7 +28,7 @@
     fn new(count: usize, loss: f64) -> Cluster {
         let mut all: Vec<Option<Swim>> = (0..count).map(|n| Some(Swim::new(who(n, 1), n as u64))).collect();
         for swim in all.iter_mut().flatten().skip(1) {
-            swim.met(0.0, &who(0, 1));
+            swim.announce_to(0.0, &who(0, 1));
         }
         let (cut, stopped) = (vec![false; count], vec![false; count]);
         Cluster { now: 0.0, all, cut, stopped, on_the_way: Vec::new(), loss, rng: 1, downs: Vec::new() }
@@ -45,7 +45,7 @@
             self.now += 0.01;
             if ((self.now * 100.0).round() as u64).is_multiple_of(100) {
                 let now = self.now;
-                self.all.iter_mut().flatten().skip(1).for_each(|swim| swim.met(now, &who(0, 1)));
+                self.all.iter_mut().flatten().skip(1).for_each(|swim| swim.announce_to(now, &who(0, 1)));
             }
             for n in 0..self.all.len() {
                 if self.stopped[n] {
@@ -62,7 +62,7 @@
                 let Some(swim) = &mut self.all[n] else { continue };
                 arrived.iter().for_each(|bytes| swim.receive(now, bytes));
                 swim.tick(now);
-                let (out, notices) = swim.take();
+                let (out, notices) = swim.take_output();
                 for notice in notices {
                     if let Notice::Down(who) = notice {
                         self.downs.push((now, n, who.name));
@@ -131,7 +131,7 @@
     let mut cluster = Cluster::new(4, 0.0);
     cluster.run(5.0);
     let mut again = Swim::new(who(3, 2), 77);
-    again.met(cluster.now, &who(0, 1));
+    again.announce_to(cluster.now, &who(0, 1));
     cluster.all[3] = Some(again);
     cluster.run(10.0);
     for n in 0..3 {
@@ -143,10 +143,10 @@
 #[test]
 fn of_two_under_one_name_the_earlier_start_stands_down() {
     let mut earlier = Swim::new(who(1, 5), 1);
-    earlier.contested(1.0, &Identity { address: ([127, 0, 0, 1], 9).into(), ..who(1, 6) });
-    assert!(earlier.stood_down());
-    assert_eq!(earlier.take().1, [Notice::Conflict]);
+    earlier.resolve_name_conflict(1.0, &Identity { address: ([127, 0, 0, 1], 9).into(), ..who(1, 6) });
+    assert!(earlier.has_stepped_down());
+    assert_eq!(earlier.take_output().1, [Notice::Conflict]);
     let mut later = Swim::new(who(1, 6), 1);
-    later.contested(1.0, &who(1, 5));
-    assert!(!later.stood_down());
+    later.resolve_name_conflict(1.0, &who(1, 5));
+    assert!(!later.has_stepped_down());
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -19,5 +19,5 @@
 
 pub use auth::Keys;
 pub use fact::Fact;
-pub use membership::{Identity, State, MOST};
+pub use membership::{Identity, State, MAX_INSTANCES};
 pub use node::{Need, Node, Notice, Terms, Ticket};
--- a/crates/replication/src/node.rs
+++ b/crates/replication/src/node.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use membership::{Identity, Swim, MOST};
+use membership::{Identity, Swim, MAX_INSTANCES};
 
 use crate::auth::{Keys, SEAL};
 use crate::fact::{session, Fact, Key, Stand};
@@ -806,7 +806,7 @@
 
     fn head(&mut self, to: u64) -> Head {
         self.number += 1;
-        Head { version: VERSION, from: self.swim.own().clone(), number: self.number, to }
+        Head { version: VERSION, from: self.swim.identity().clone(), number: self.number, to }
     }
 
     fn post(&mut self, to: SocketAddr, sealed: Vec<u8>, far: bool) {
--- a/crates/replication/src/node/logs.rs
+++ b/crates/replication/src/node/logs.rs
@@ -309,11 +309,11 @@
     pub(super) fn sweep(&mut self, now: f64) {
         self.views.age(now);
         let known: Vec<Identity> = self.here().map(|peer| peer.who.clone()).collect();
-        self.swim.met_all(now, &known);
+        self.swim.announce_to_unknown(now, &known);
         let mut position = f64::NEG_INFINITY;
         let mut below = 0;
         while let Some((number, at)) = self.stated.front().copied() {
-            let crowded = self.log.len() > SESSIONS + MOST;
+            let crowded = self.log.len() > SESSIONS + MAX_INSTANCES;
             if now - at < LIFE && !crowded {
                 break;
             }
--- a/crates/replication/src/node/roster.rs
+++ b/crates/replication/src/node/roster.rs
@@ -21,7 +21,7 @@
             }
             let start = peer.who.start;
             self.end(now, &who.name, start, Over::Ended);
-        } else if self.peers.len() >= MOST {
+        } else if self.peers.len() >= MAX_INSTANCES {
             return;
         }
         let counted = self.peers.get(&who.name).is_some_and(|old| old.counted) || self.fresh;
@@ -46,7 +46,7 @@
         if self.keeps {
             self.records.push(crate::disk::Record::Seen(who.clone()));
         }
-        self.swim.met(now, who);
+        self.swim.announce_to(now, who);
     }
 
     /// Gives one that has become known the next place among those that this one knows.
@@ -132,7 +132,7 @@
             return;
         }
         if who.start > self.me.start && !self.stood_down {
-            self.swim.contested(now, who);
+            self.swim.resolve_name_conflict(now, who);
             self.stood_down = true;
             self.notices.push(Notice::Conflict(who.address));
         }
@@ -351,7 +351,7 @@
             }
         }
         let known: Vec<Identity> = self.here().map(|peer| peer.who.clone()).collect();
-        self.swim.met_all(now, &known);
+        self.swim.announce_to_unknown(now, &known);
         self.notices.push(Notice::Renewed(self.me.start));
         if self.keeps {
             self.records.push(crate::disk::Record::Start(self.me.start));
@@ -360,7 +360,7 @@
 
     /// Carries out what membership wants.
     pub(super) fn settle(&mut self, now: f64) {
-        let (out, notices) = self.swim.take();
+        let (out, notices) = self.swim.take_output();
         for (to, bytes) in out {
             let name = to.name.clone();
             if self.peers.contains_key(&name) {
