--- a/crates/daemon/src/net/coordination.rs
+++ b/crates/daemon/src/net/coordination.rs
@@ -89,7 +89,7 @@
     /// A write of a session has come, with so much time left (seconds). None at a bound: it must not be sent.
     pub fn write_begins(&mut self, now: f64, session: &str, left: f64) -> Option<WriteTicket> {
         match self {
-            Coordination::Peers(peers) => Some(WriteTicket::Peers(peers.node.write_begins(now, session))),
+            Coordination::Peers(peers) => Some(WriteTicket::Peers(peers.node.begin_write(now, session))),
             Coordination::Directory(directory) => {
                 directory.write_begins(now, session, left).map(WriteTicket::Directory)
             }
@@ -118,7 +118,7 @@
     /// Whether to wait for leave to be sent is in vain.
     pub fn is_hopeless(&mut self, now: f64, ticket: WriteTicket) -> bool {
         match (self, ticket) {
-            (Coordination::Peers(peers), _) => peers.node.hopeless(now),
+            (Coordination::Peers(peers), _) => peers.node.cannot_send_writes(now),
             (Coordination::Directory(directory), WriteTicket::Directory(ticket)) => {
                 directory.is_hopeless(now, ticket)
             }
@@ -130,7 +130,7 @@
     pub fn write_committed(&mut self, now: f64, ticket: WriteTicket, position: f64) {
         match (self, ticket) {
             (Coordination::Peers(peers), WriteTicket::Peers(ticket)) => {
-                peers.node.write_ends(now, ticket, Some(position));
+                peers.node.end_write(now, ticket, Some(position));
             }
             (Coordination::Directory(directory), WriteTicket::Directory(ticket)) => {
                 directory.write_committed(now, ticket, position);
--- a/crates/daemon/src/net/peers.rs
+++ b/crates/daemon/src/net/peers.rs
@@ -13,7 +13,7 @@
 use mio::net::{TcpListener, UdpSocket};
 use mio::Interest;
 use operator::Effective;
-use replication::{reports, Identity, Need, Node, Notice, Terms, Ticket};
+use replication::{reports, Identity, Node, NodeConfig, Notice, ReadRequirement, Ticket};
 use routing::interface::Phase;
 use routing::peer_reports::{Observation, PeerReport};
 
@@ -73,17 +73,17 @@
         }
         let zone = config.zones.get(config.settings.zone as usize).map_or("", String::as_str);
         let me = Identity {
-            name: replication::message::name(&config.name),
-            zone: replication::message::name(zone),
+            name: replication::message::truncated_name(&config.name),
+            zone: replication::message::truncated_name(zone),
             address: listen,
             start,
             renewal: 0,
         };
         let aim = effective.shortest_aim_of_writes();
         let lease = (aim * LEASE_OF_AIM).clamp(0.01, LEASE);
-        let terms = Terms {
+        let terms = NodeConfig {
             lease,
-            patience: settings.patience_s,
+            majority_timeout: settings.patience_s,
             clock_error: settings.clock_error_s,
             seeds: settings.seeds.clone(),
             routes: settings.route.iter().map(|r| (r.name.as_str().into(), r.address)).collect(),
@@ -146,11 +146,11 @@
 
     /// Sends what there is to send, writes what there is to write, and sets the timer.
     pub fn carry_out(&mut self, context: &mut Context) {
-        for (name, to) in self.node.to_stream(context.reactor.now()) {
+        for (name, to) in self.node.streams_to_open(context.reactor.now()) {
             self.streams.open(name, to, &mut self.node, context);
         }
         self.node.flush_due(context.reactor.now());
-        for (to, bytes) in self.node.take_out() {
+        for (to, bytes) in self.node.take_datagrams() {
             // What does not go out is as lost as what does not arrive.
             let _ = self.socket.send_to(&bytes, to);
         }
@@ -181,24 +181,24 @@
         (source, version): (u64, u64),
         members: impl Iterator<Item = (&'a str, f64, Phase)>,
     ) {
-        reports::tell_list(&mut self.node, now, (source, version), members);
+        reports::report_list(&mut self.node, now, (source, version), members);
     }
 
     /// Tells how members look to this instance.
     pub fn tell(&mut self, now: f64, found: &[Observation]) {
-        reports::tell_views(&mut self.node, now, found);
+        reports::report_views(&mut self.node, now, found);
     }
 
     /// What the others say of members, for the decisions.
     pub fn heard(&self, now: f64, found: &[Observation]) -> Vec<PeerReport> {
-        reports::heard(&self.node, now, found)
+        reports::peer_reports(&self.node, now, found)
     }
 
     /// What a session's read needs, as a position; infinite where only the primary will do.
     pub fn need(&mut self, now: f64, session: &str) -> f64 {
-        match self.node.need(now, session) {
-            Need::From(position) => position,
-            Need::Primary(_) => f64::INFINITY,
+        match self.node.read_requirement(now, session) {
+            ReadRequirement::AtLeast(position) => position,
+            ReadRequirement::Primary(_) => f64::INFINITY,
         }
     }
 
@@ -227,7 +227,7 @@
             Ask::Members => {
                 let members: Vec<serde_json::Value> = self
                     .node
-                    .together(now)
+                    .aggregated_views(now)
                     .into_iter()
                     .map(|(member, all)| {
                         serde_json::json!({
@@ -246,22 +246,22 @@
                     .into_iter()
                     .map(|(by, age, view)| serde_json::json!({ "by": &*by, "age_s": age, "view": view }))
                     .collect();
-                let stand = format!("{:?}", self.node.told(name, 0.0)).to_lowercase();
+                let stand = format!("{:?}", self.node.member_status(name, 0.0)).to_lowercase();
                 told(
                     serde_json::json!({ "name": name, "told": stand, "views": views }),
                     "who says what of it",
                 )
             }
             Ask::Session(name) => {
-                let need = match self.node.need(now, name) {
-                    Need::From(position) => format!("a replica that has come to {position:.3}"),
-                    Need::Primary(why) => format!("the primary: {}", why.words()),
+                let need = match self.node.read_requirement(now, name) {
+                    ReadRequirement::AtLeast(position) => format!("a replica that has come to {position:.3}"),
+                    ReadRequirement::Primary(why) => format!("the primary: {}", why.description()),
                 };
                 let lines = self.node.explain(now, name);
                 told(serde_json::json!({ "session": name, "reads_need": need, "because": lines }), "why")
             }
             Ask::Forget(name) => {
-                if self.node.write_off(now, name) {
+                if self.node.forget_instance(now, name) {
                     logging::warn!(event = "peers.written_off", name, "written off by an operator");
                     Response::new(Code::Ok, format!("{name} is over; should it live, it comes back anew"))
                 } else {
@@ -277,7 +277,7 @@
         let mut bytes = [0; datagrams::LONGEST];
         loop {
             let done = self.node.leave(now());
-            for (to, bytes) in self.node.take_out() {
+            for (to, bytes) in self.node.take_datagrams() {
                 let _ = self.socket.send_to(&bytes, to);
             }
             if done || begun.elapsed() > FAREWELL {
@@ -303,16 +303,24 @@
             let (name, start) = (&*who.name, who.start);
             logging::info!(event = "peers.ended", name, start, known, "{name} is over at that start");
         }
-        Notice::Missing(name) => {
+        Notice::Unreachable(name) => {
             logging::warn!(event = "peers.missing", name = &**name, "{name} does not answer")
         }
-        Notice::Back(name) => logging::info!(event = "peers.back", name = &**name, "{name} answers again"),
-        Notice::Whole(true) => logging::debug!(event = "peers.whole", "sessions' reads go by what is known"),
-        Notice::Whole(false) => logging::debug!(event = "peers.strict", "sessions' reads go to the primary"),
-        Notice::Alone(true) => {
+        Notice::Reachable(name) => {
+            logging::info!(event = "peers.back", name = &**name, "{name} answers again")
+        }
+        Notice::Complete(true) => {
+            logging::debug!(event = "peers.whole", "sessions' reads go by what is known")
+        }
+        Notice::Complete(false) => {
+            logging::debug!(event = "peers.strict", "sessions' reads go to the primary")
+        }
+        Notice::WithoutMajority(true) => {
             logging::warn!(event = "peers.alone", "no majority: writes are answered without it")
         }
-        Notice::Alone(false) => logging::info!(event = "peers.together", "a majority is there again"),
+        Notice::WithoutMajority(false) => {
+            logging::info!(event = "peers.together", "a majority is there again")
+        }
         Notice::Suspected(name) => {
             logging::info!(event = "peers.suspected", name = &**name, "{name} is called dead")
         }
--- a/crates/daemon/src/net/peers/disk.rs
+++ b/crates/daemon/src/net/peers/disk.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-use replication::disk::{read, rewritten, Kept, Record, LONGEST};
+use replication::disk::{compacted, parse, Record, StoredState, MAX_FILE_BYTES};
 
 /// The file.
 pub(super) struct Disk {
@@ -19,7 +19,7 @@
 
 impl Disk {
     /// Opens the folder, which is made where it is not there, and reads what is kept.
-    pub fn open(dir: &Path) -> Result<(Disk, Kept), String> {
+    pub fn open(dir: &Path) -> Result<(Disk, StoredState), String> {
         let named = |path: &Path, error: std::io::Error| format!("{}: {error}", path.display());
         std::fs::create_dir_all(dir).map_err(|error| named(dir, error))?;
         let lock_path = dir.join("lock");
@@ -37,17 +37,17 @@
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => Vec::new(),
             Err(error) => return Err(named(&path, error)),
         };
-        let kept = read(&bytes);
-        if kept.torn > 0 {
+        let kept = parse(&bytes);
+        if kept.torn_bytes > 0 {
             logging::warn!(
                 event = "peers.torn",
-                bytes = kept.torn,
+                bytes = kept.torn_bytes,
                 "the end of {} is cut off",
                 path.display()
             );
         }
         // Written anew under another name and then put in place: what is torn does not stay in the middle.
-        let (whole, new) = (rewritten(&kept), dir.join("instances.new"));
+        let (whole, new) = (compacted(&kept), dir.join("instances.new"));
         let written = std::fs::write(&new, &whole).and_then(|()| std::fs::rename(&new, &path));
         written.map_err(|error| named(&path, error))?;
         let file = OpenOptions::new().append(true).open(&path).map_err(|error| named(&path, error))?;
@@ -56,13 +56,13 @@
 
     /// Appends records.
     pub fn write(&mut self, records: &[Record]) {
-        let bytes: Vec<u8> = records.iter().flat_map(Record::bytes).collect();
+        let bytes: Vec<u8> = records.iter().flat_map(Record::encode).collect();
         let written = self.file.write_all(&bytes).and_then(|()| self.file.sync_data());
         match written {
             Ok(()) => {
                 self.size += bytes.len();
                 self.failed = false;
-                if self.size > LONGEST {
+                if self.size > MAX_FILE_BYTES {
                     self.rewrite();
                 }
             }
@@ -75,7 +75,7 @@
 
     fn rewrite(&mut self) {
         let Ok(bytes) = std::fs::read(&self.path) else { return };
-        let whole = rewritten(&read(&bytes));
+        let whole = compacted(&parse(&bytes));
         let new = self.path.with_extension("new");
         let written = std::fs::write(&new, &whole)
             .and_then(|()| std::fs::rename(&new, &self.path))
--- a/crates/daemon/src/net/peers/streams.rs
+++ b/crates/daemon/src/net/peers/streams.rs
@@ -8,7 +8,7 @@
 
 use mio::net::{TcpListener, TcpStream};
 use mio::Interest;
-use replication::message::LONGEST_PIECE;
+use replication::message::MAX_STREAM_MESSAGE_BYTES;
 use replication::Node;
 
 use crate::net::event_loop::{Slot, Slots, Source};
@@ -63,7 +63,7 @@
     pub fn open(&mut self, name: Arc<str>, to: SocketAddr, node: &mut Node, context: &mut Context) {
         let reading = self.all.iter().filter(|(_, stream)| matches!(stream.role, Role::Reads(_))).count();
         let socket = TcpStream::connect(to).ok().filter(|_| reading < MOST);
-        match (socket, node.fetch(&name)) {
+        match (socket, node.stream_request(&name)) {
             (Some(socket), Some(first)) => {
                 logging::debug!(event = "peers.stream", name = &*name, "reads its log from a stream");
                 self.add(socket, Role::Reads(name), framed(&first), context);
@@ -155,7 +155,7 @@
         while let Some((length, rest)) = self.inbox.split_first_chunk::<4>() {
             let length = u32::from_be_bytes(*length) as usize;
             // Guards the memory against whoever is no instance.
-            if length > LONGEST_PIECE {
+            if length > MAX_STREAM_MESSAGE_BYTES {
                 return Err(ErrorKind::InvalidData.into());
             }
             if rest.len() < length {
@@ -165,7 +165,7 @@
             self.inbox.drain(..4 + length);
             match &mut self.role {
                 Role::Reads(_) => node.receive(now, &message),
-                Role::Writes(asked @ None) => match node.fetched(now, &message) {
+                Role::Writes(asked @ None) => match node.parse_stream_request(now, &message) {
                     Some(from) => *asked = Some(from),
                     None => return Err(ErrorKind::InvalidData.into()),
                 },
--- a/crates/daemon/src/net/proxy/sharing.rs
+++ b/crates/daemon/src/net/proxy/sharing.rs
@@ -140,7 +140,7 @@
         let Some(coordination) = &mut self.coordination else { return };
         if let Some(peers) = coordination.peers() {
             let beats = peers.beats(now);
-            if beats || peers.node.news() {
+            if beats || peers.node.take_changed() {
                 self.exchange(beats, context);
             }
         }
@@ -203,9 +203,9 @@
         if tells {
             peers.tell(now, &found);
             let generation = self.changes.as_ref().map_or(0, |c| c.machine.current().number);
-            peers.node.works_by(now, self.discovery.index(), generation, env!("CARGO_PKG_VERSION"));
+            peers.node.report_versions(now, self.discovery.index(), generation, env!("CARGO_PKG_VERSION"));
         }
-        let (heard, instances) = (peers.heard(now, &found), peers.node.alive() as u32);
+        let (heard, instances) = (peers.heard(now, &found), peers.node.reachable_instances() as u32);
         let mut actions = Vec::new();
         self.policy.take_peer_reports(now, &heard, instances, &mut actions);
         self.carry_out(actions, context);
--- a/crates/replication/src/auth.rs
+++ b/crates/replication/src/auth.rs
@@ -7,11 +7,11 @@
 use sha2::{Digest, Sha256};
 
 /// Bytes of a key: what a file holds as 64 hexadecimal digits.
-pub const KEY: usize = 32;
+pub const KEY_BYTES: usize = 32;
 /// Most keys that hold at a time: the old and the new one in a rotation.
-pub const MOST_KEYS: usize = 2;
+pub const MAX_KEYS: usize = 2;
 /// Bytes that a seal adds: what names the key, and the code.
-pub const SEAL: usize = 4 + 32;
+pub const SEAL_BYTES: usize = 4 + 32;
 
 struct Key {
     mac: Hmac<Sha256>,
@@ -34,15 +34,16 @@
     pub fn parse<'a>(texts: impl IntoIterator<Item = &'a str>) -> Result<Keys, usize> {
         let mut keys = Vec::new();
         for (number, text) in texts.into_iter().enumerate() {
-            let secret = hex::decode(text.trim()).ok().filter(|secret| secret.len() == KEY).ok_or(number)?;
+            let secret =
+                hex::decode(text.trim()).ok().filter(|secret| secret.len() == KEY_BYTES).ok_or(number)?;
             let mac = Hmac::<Sha256>::new_from_slice(&secret).map_err(|_| number)?;
             let mut id = [0; 4];
             id.copy_from_slice(&Sha256::digest(&secret)[..4]);
             keys.push(Key { mac, id });
         }
         match keys.len() {
-            1..=MOST_KEYS => Ok(Keys(keys)),
-            count => Err(count.min(MOST_KEYS)),
+            1..=MAX_KEYS => Ok(Keys(keys)),
+            count => Err(count.min(MAX_KEYS)),
         }
     }
 
@@ -58,7 +59,7 @@
 
     /// The message in a sealed one; none where no key that holds has sealed it.
     pub fn open<'a>(&self, sealed: &'a [u8]) -> Option<&'a [u8]> {
-        let (signed, code) = sealed.split_at_checked(sealed.len().checked_sub(SEAL - 4)?)?;
+        let (signed, code) = sealed.split_at_checked(sealed.len().checked_sub(SEAL_BYTES - 4)?)?;
         let (message, id) = signed.split_at_checked(signed.len().checked_sub(4)?)?;
         let key = self.0.iter().find(|key| key.id == id)?;
         let mut mac = key.mac.clone();
--- a/crates/replication/src/disk.rs
+++ b/crates/replication/src/disk.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest file (bytes) before it is written anew without what is no longer needed.
-pub const LONGEST: usize = 1024 * 1024;
+pub const MAX_FILE_BYTES: usize = 1024 * 1024;
 /// Longest record (bytes).
 const LONGEST_RECORD: usize = 1024;
 
@@ -24,23 +24,23 @@
     /// Another has been seen.
     Seen(Identity),
     /// Another is over.
-    Over(Identity),
+    Ended(Identity),
 }
 
 /// What is known from before.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Kept {
+pub struct StoredState {
     /// The highest start of this instance.
     pub start: u64,
     /// Others that were there.
     pub seen: Vec<Identity>,
     /// Bytes at the end that were not whole.
-    pub torn: usize,
+    pub torn_bytes: usize,
 }
 
 impl Record {
     /// Its bytes as they stand in the file.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let body = postcard::to_stdvec(self).unwrap_or_default();
         let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
         bytes.extend(crc32fast::hash(&body).to_be_bytes());
@@ -50,9 +50,9 @@
 }
 
 /// Reads a file, as far as it is whole.
-pub fn read(bytes: &[u8]) -> Kept {
+pub fn parse(bytes: &[u8]) -> StoredState {
     let mut seen: BTreeMap<Arc<str>, Identity> = BTreeMap::new();
-    let mut kept = Kept::default();
+    let mut kept = StoredState::default();
     let mut rest = bytes;
     while let Some((record, left)) = first(rest) {
         match record {
@@ -60,7 +60,7 @@
             Record::Seen(who) => {
                 seen.insert(who.name.clone(), who);
             }
-            Record::Over(who) => {
+            Record::Ended(who) => {
                 if seen.get(&who.name).is_some_and(|known| known.start <= who.start) {
                     seen.remove(&who.name);
                 }
@@ -68,7 +68,7 @@
         }
         rest = left;
     }
-    kept.torn = rest.len();
+    kept.torn_bytes = rest.len();
     kept.seen = seen.into_values().collect();
     kept
 }
@@ -84,13 +84,13 @@
 }
 
 /// A file that says the same in as few bytes.
-pub fn rewritten(kept: &Kept) -> Vec<u8> {
+pub fn compacted(kept: &StoredState) -> Vec<u8> {
     let seen = kept.seen.iter().cloned().map(Record::Seen);
-    [Record::Start(kept.start)].into_iter().chain(seen).flat_map(|record| record.bytes()).collect()
+    [Record::Start(kept.start)].into_iter().chain(seen).flat_map(|record| record.encode()).collect()
 }
 
 /// The number of a start at the time `now` (Unix seconds): above all that were used before, though the clock went back.
-pub fn next_start(kept: Option<&Kept>, now: f64) -> u64 {
+pub fn next_start(kept: Option<&StoredState>, now: f64) -> u64 {
     let clock = (now.max(0.0) * 1e6) as u64;
     clock.max(kept.map_or(0, |kept| kept.start + 1)).max(1)
 }
--- a/crates/replication/src/fact.rs
+++ b/crates/replication/src/fact.rs
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest name of a session that is stated as it is (bytes); a longer one is stated by its hash.
-pub const LONGEST_SESSION: usize = 64;
+pub const MAX_SESSION_BYTES: usize = 64;
 
 /// Where a member is told to stand; the later in this order is the stricter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Stand {
+pub enum MemberStatus {
     /// It takes work.
     Serving,
     /// It finishes what it has.
@@ -40,13 +40,13 @@
         position: f64,
     },
     /// This start of another instance is over: left, followed by a later start, or forgotten by an operator. Who is there
-    /// is no fact but told by sums, [`crate::message::Whom`].
-    Over {
+    /// is no fact but told by sums, [`crate::message::RosterDigest`].
+    Ended {
         /// Who.
         who: Identity,
     },
     /// What the list says of a member that does not simply serve.
-    Told {
+    MemberStatus {
         /// The member.
         member: Arc<str>,
         /// Its start that this is said of (Unix seconds; 0 for long ago).
@@ -56,7 +56,7 @@
         /// Its version of the list.
         version: u64,
         /// Where it stands.
-        stand: Stand,
+        stand: MemberStatus,
     },
     /// A member has said itself that it is the primary of its group.
     Role {
@@ -84,8 +84,8 @@
 pub enum Key {
     Written(Arc<str>),
     Floor,
-    Over(Arc<str>),
-    Told(Arc<str>),
+    Ended(Arc<str>),
+    MemberStatus(Arc<str>),
     Role(u32),
     Versions,
 }
@@ -96,8 +96,8 @@
         match self {
             Fact::Written { session, .. } => Key::Written(session.clone()),
             Fact::Floor { .. } => Key::Floor,
-            Fact::Over { who } => Key::Over(who.name.clone()),
-            Fact::Told { member, .. } => Key::Told(member.clone()),
+            Fact::Ended { who } => Key::Ended(who.name.clone()),
+            Fact::MemberStatus { member, .. } => Key::MemberStatus(member.clone()),
             Fact::Role { group, .. } => Key::Role(*group),
             Fact::Versions { .. } => Key::Versions,
         }
@@ -113,12 +113,12 @@
         let (fact, _) = postcard::take_from_bytes::<Fact>(bytes).ok()?;
         let sound = match &fact {
             Fact::Written { session, position, .. } => {
-                session.len() <= LONGEST_SESSION && position.is_none_or(f64::is_finite)
+                session.len() <= MAX_SESSION_BYTES && position.is_none_or(f64::is_finite)
             }
             Fact::Floor { position, .. } => !position.is_nan(),
-            Fact::Told { since, .. } => since.is_finite(),
+            Fact::MemberStatus { since, .. } => since.is_finite(),
             Fact::Role { position, .. } => position.is_finite(),
-            Fact::Over { .. } | Fact::Versions { .. } => true,
+            Fact::Ended { .. } | Fact::Versions { .. } => true,
         };
         sound.then_some(fact)
     }
@@ -127,7 +127,7 @@
 /// A session's name as it is stated.
 pub fn session(name: &str) -> Arc<str> {
     use sha2::Digest;
-    if name.len() <= LONGEST_SESSION {
+    if name.len() <= MAX_SESSION_BYTES {
         return name.into();
     }
     // A name as long as any is cut to what tells it apart from others.
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -20,4 +20,4 @@
 pub use auth::Keys;
 pub use fact::Fact;
 pub use membership::{Identity, State, MAX_INSTANCES};
-pub use node::{Need, Node, Notice, Terms, Ticket};
+pub use node::{Node, NodeConfig, Notice, ReadRequirement, Ticket};
--- a/crates/replication/src/merge.rs
+++ b/crates/replication/src/merge.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::fact::Stand;
+use crate::fact::MemberStatus;
 
 /// Something that two words of can be joined.
 pub trait Join: Clone + PartialEq {
@@ -15,15 +15,15 @@
 
 /// A session's last write, over all instances: the later position; open while any has a write of it under way.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Mark {
+pub struct WriteMark {
     /// Whether a write may be answered at any moment.
     pub open: bool,
     /// The latest commit that was answered.
     pub position: Option<f64>,
 }
 
-impl Join for Mark {
-    fn join(&mut self, other: &Mark) {
+impl Join for WriteMark {
+    fn join(&mut self, other: &WriteMark) {
         self.open |= other.open;
         self.position = later(self.position, other.position);
     }
@@ -32,23 +32,23 @@
 /// What the lists say of a member: of one list the later version, of one version the strictest word; of several lists,
 /// whose versions say nothing of each other, the strictest.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Standing(BTreeMap<u64, (f64, u64, Stand)>);
+pub struct MergedStatus(BTreeMap<u64, (f64, u64, MemberStatus)>);
 
-impl Standing {
+impl MergedStatus {
     /// The word of one list.
-    pub fn of(source: u64, since: f64, version: u64, stand: Stand) -> Standing {
-        Standing([(source, (since, version, stand))].into())
+    pub fn of(source: u64, since: f64, version: u64, stand: MemberStatus) -> MergedStatus {
+        MergedStatus([(source, (since, version, stand))].into())
     }
 
     /// Where it stands by all of them, for the member's start that a caller knows: words about an earlier one are void.
-    pub fn strictest(&self, since: f64) -> Stand {
+    pub fn strictest(&self, since: f64) -> MemberStatus {
         let of_it = self.0.values().filter(|(of, _, _)| *of >= since);
-        of_it.map(|(_, _, stand)| *stand).max().unwrap_or(Stand::Serving)
+        of_it.map(|(_, _, stand)| *stand).max().unwrap_or(MemberStatus::Serving)
     }
 }
 
-impl Join for Standing {
-    fn join(&mut self, other: &Standing) {
+impl Join for MergedStatus {
+    fn join(&mut self, other: &MergedStatus) {
         for (source, word) in &other.0 {
             let known = self.0.entry(*source).or_insert(*word);
             let later = word.0.total_cmp(&known.0).then(word.1.cmp(&known.1)).then(word.2.cmp(&known.2));
@@ -62,12 +62,12 @@
 /// Who says of himself to be a group's primary, as several instances have heard it. The newest claim, by the log, counts; two
 /// members at once are a conflict, on which nobody acts before he has asked.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Claim(BTreeMap<Arc<str>, f64>);
+pub struct PrimaryClaim(BTreeMap<Arc<str>, f64>);
 
-impl Claim {
+impl PrimaryClaim {
     /// One instance's word.
-    pub fn of(member: Arc<str>, position: f64) -> Claim {
-        Claim([(member, position)].into())
+    pub fn of(member: Arc<str>, position: f64) -> PrimaryClaim {
+        PrimaryClaim([(member, position)].into())
     }
 
     /// The only member that claims it; none where nobody does, or several.
@@ -83,8 +83,8 @@
     }
 }
 
-impl Join for Claim {
-    fn join(&mut self, other: &Claim) {
+impl Join for PrimaryClaim {
+    fn join(&mut self, other: &PrimaryClaim) {
         for (member, position) in &other.0 {
             let known = self.0.entry(member.clone()).or_insert(*position);
             *known = known.max(*position);
@@ -100,7 +100,7 @@
     /// The number of his word.
     pub round: u64,
     /// The word.
-    pub word: T,
+    pub value: T,
 }
 
 impl<T: Clone + PartialEq> Join for Observed<T> {
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -7,25 +7,25 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use crate::auth::SEAL;
+use crate::auth::SEAL_BYTES;
 use crate::fact::Fact;
-use crate::view::{Use, View};
+use crate::view::{TenantUsage, View};
 
 /// The version of the head. Bodies change by new kinds and by fields at their ends. Of version 1, which stated who is
 /// there as facts, nothing was released.
 pub const VERSION: u8 = 2;
 /// Longest datagram (bytes), its seal included.
-pub const LONGEST: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// Longest message on a stream (bytes), its seal included.
-pub const LONGEST_PIECE: usize = 32 * 1024;
+pub const MAX_STREAM_MESSAGE_BYTES: usize = 32 * 1024;
 /// Bytes that a head takes at the most: names of 64 bytes, an address, numbers.
-pub const HEAD: usize = 200;
+pub const MAX_HEADER_BYTES: usize = 200;
 /// Room for a body in a datagram.
-pub const BODY: usize = LONGEST - SEAL - HEAD;
+pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - SEAL_BYTES - MAX_HEADER_BYTES;
 
 /// Who speaks, and to which start of whom.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct Header {
     /// [`VERSION`].
     pub version: u8,
     /// Who speaks.
@@ -39,33 +39,33 @@
 /// What is said.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// May I go by what I have of your log? Answered by [`Body::Grant`].
-    Ask {
+    /// May I go by what I have of your log? Answered by [`Body::LeaseGrant`].
+    LeaseRequest {
         /// The asker's number of this question.
         question: u64,
         /// How far he has read the log of whom he asks; 0 for another start of it.
-        read: Reading,
+        read: ReadProgress,
         /// Whom he knows: what he says to have read counts once they are known.
-        own: Whom,
+        own: RosterDigest,
         /// Whether he wants a lease: without one it is only to hear of each other.
         lease: bool,
         /// Instances that do not answer him, their starts, and how far he has read their logs.
         missing: Vec<(Arc<str>, u64, u64)>,
     },
     /// What you have of my log may be gone by for so long from the moment you asked, once it reaches this far.
-    Grant {
+    LeaseGrant {
         /// The question.
         question: u64,
         /// The highest number of the log.
         upto: u64,
         /// Whom the speaker knows: the lease counts once they are known.
-        own: Whom,
+        own: RosterDigest,
         /// How long (milliseconds); 0 for not at all.
         lease_ms: u32,
         /// For so long (milliseconds) after that moment the speaker answers no write without a majority.
         long_ms: u32,
         /// Of those missing, the ones that do not answer the speaker either.
-        covers: Vec<Cover>,
+        covers: Vec<Coverage>,
     },
     /// Facts of the speaker's log, of the numbers from `from`, not included, to `upto`.
     Push {
@@ -79,11 +79,11 @@
         facts: Vec<(u64, Vec<u8>)>,
     },
     /// The log of whom it is to has been read so far.
-    Read {
+    ReadAck {
         /// How far.
-        read: Reading,
-        /// As in [`Body::Ask`].
-        own: Whom,
+        read: ReadProgress,
+        /// As in [`Body::LeaseRequest`].
+        own: RosterDigest,
     },
     /// How members look to the speaker.
     Views {
@@ -92,7 +92,7 @@
         /// The members.
         views: Vec<View>,
         /// What tenants use of him.
-        uses: Vec<Use>,
+        uses: Vec<TenantUsage>,
     },
     /// Membership's own.
     Swim(Vec<u8>),
@@ -107,12 +107,12 @@
         from: u64,
     },
     /// This start of whom it is to has been called over.
-    Over {
+    Ended {
         /// The start.
         start: u64,
     },
     /// Facts of another's log, who does not answer the speaker either.
-    Passed {
+    Relayed {
         /// Whose log.
         author: Identity,
         /// As in [`Body::Push`].
@@ -138,7 +138,7 @@
 /// Whom the speaker knows, himself included, as far as they are there. Where the sums of two are equal they know the same,
 /// and nobody has to be named.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Whom {
+pub struct RosterDigest {
     /// How many he has come to know so far; rises by one with each.
     pub upto: u64,
     /// A sum over their names and starts.
@@ -146,7 +146,7 @@
 }
 
 /// What one instance adds to a sum.
-pub fn weight(who: &Identity) -> u64 {
+pub fn identity_hash(who: &Identity) -> u64 {
     let mut hash = Sha256::new();
     hash.update(who.name.as_bytes());
     hash.update([0]);
@@ -158,7 +158,7 @@
 
 /// How far a log has been read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reading {
+pub struct ReadProgress {
     /// All up to this number is known.
     pub sound: u64,
     /// The next piece begins here.
@@ -172,7 +172,7 @@
 /// What the speaker knows of one who answers neither him nor the asker. While it lasts, the speaker acknowledges nothing
 /// further of that one's log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Cover {
+pub struct Coverage {
     /// Who.
     pub name: Arc<str>,
     /// His start.
@@ -186,23 +186,23 @@
 impl Body {
     fn kind(&self) -> u8 {
         match self {
-            Body::Ask { .. } => 1,
-            Body::Grant { .. } => 2,
+            Body::LeaseRequest { .. } => 1,
+            Body::LeaseGrant { .. } => 2,
             Body::Push { .. } => 3,
-            Body::Read { .. } => 4,
+            Body::ReadAck { .. } => 4,
             Body::Views { .. } => 5,
             Body::Swim(_) => 6,
             Body::Leave { .. } => 7,
             Body::Fetch { .. } => 8,
-            Body::Passed { .. } => 9,
-            Body::Over { .. } => 10,
+            Body::Relayed { .. } => 9,
+            Body::Ended { .. } => 10,
             Body::Roster { .. } => 11,
         }
     }
 }
 
 /// A message's bytes, not sealed yet.
-pub fn encode(head: &Head, body: &Body) -> Vec<u8> {
+pub fn encode(head: &Header, body: &Body) -> Vec<u8> {
     let mut bytes = postcard::to_stdvec(head).unwrap_or_default();
     bytes.push(body.kind());
     bytes.extend(postcard::to_stdvec(body).unwrap_or_default());
@@ -210,8 +210,8 @@
 }
 
 /// Reads a message: its head, and its body where the kind is known here. None where it is not of this form.
-pub fn decode(bytes: &[u8]) -> Option<(Head, Option<Body>)> {
-    let (head, rest) = postcard::take_from_bytes::<Head>(bytes).ok()?;
+pub fn decode(bytes: &[u8]) -> Option<(Header, Option<Body>)> {
+    let (head, rest) = postcard::take_from_bytes::<Header>(bytes).ok()?;
     if head.version != VERSION || head.from.name.is_empty() || head.from.name.len() > 64 {
         return None;
     }
@@ -258,7 +258,7 @@
 }
 
 /// A name within what a head has room for.
-pub fn name(name: &str) -> Arc<str> {
+pub fn truncated_name(name: &str) -> Arc<str> {
     let end = name.char_indices().map(|(at, c)| at + c.len_utf8()).take_while(|end| *end <= 64).last();
     name[..end.unwrap_or(0)].into()
 }
--- a/crates/replication/src/node.rs
+++ b/crates/replication/src/node.rs
@@ -13,12 +13,15 @@
 
 use membership::{Identity, Swim, MAX_INSTANCES};
 
-use crate::auth::{Keys, SEAL};
-use crate::fact::{session, Fact, Key, Stand};
+use crate::auth::{Keys, SEAL_BYTES};
+use crate::fact::{session, Fact, Key, MemberStatus};
 use crate::log::Log;
-use crate::merge::{Claim, Join, Mark, Standing};
-use crate::message::{self, Body, Cover, Head, Reading, Whom, BODY, LONGEST_PIECE, VERSION};
-use crate::view::{Together, Use, View, Views};
+use crate::merge::{Join, MergedStatus, PrimaryClaim, WriteMark};
+use crate::message::{
+    self, Body, Coverage, Header, ReadProgress, RosterDigest, MAX_BODY_BYTES, MAX_STREAM_MESSAGE_BYTES,
+    VERSION,
+};
+use crate::view::{AggregatedView, TenantUsage, View, Views};
 use peer::{Claimed, Covering};
 pub(crate) use peer::{Over, Peer};
 
@@ -47,7 +50,7 @@
 /// A lessee further behind than so many facts gets no lease until it has caught up: writes would wait for it.
 const LEASE_BEHIND: u64 = 512;
 /// An instance further behind than so many facts reads the log from a stream.
-pub const STREAM_BEHIND: u64 = 1_000;
+pub const MIN_FACTS_TO_STREAM: u64 = 1_000;
 /// Pause before what was pushed is pushed again (seconds), doubling to the most; to one that does not answer, that far apart.
 const AGAIN: f64 = 0.03;
 const AGAIN_MOST: f64 = 0.12;
@@ -59,7 +62,7 @@
 /// How long a session's write is stated (seconds): far past what a replica lags by, as in the decisions.
 const LIFE: f64 = 60.0;
 /// Sessions that an instance states at the most.
-pub const SESSIONS: usize = 20_000;
+pub const MAX_SESSIONS: usize = 20_000;
 /// Marks kept of instances that are over; beyond it the floor rises.
 const PAST: usize = 100_000;
 /// How long one that is over is still shown (seconds).
@@ -84,13 +87,13 @@
 
 /// What a node goes by.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct NodeConfig {
     /// How long others go by what they have read of this one's log (seconds). At most half of the shortest aim of a
     /// write, so that a write's answer never waits beyond its aim.
     pub lease: f64,
     /// How long one that has no majority turns writes of sessions away; afterwards it answers them, and all others
     /// send the reads of all sessions to the primary (seconds).
-    pub patience: f64,
+    pub majority_timeout: f64,
     /// Error of this machine's clock against the positions that db machines tell (seconds).
     pub clock_error: f64,
     /// Where others may be found.
@@ -99,9 +102,15 @@
     pub routes: BTreeMap<Arc<str>, SocketAddr>,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms { lease: 0.5, patience: 2.5, clock_error: 0.1, seeds: Vec::new(), routes: BTreeMap::new() }
+impl Default for NodeConfig {
+    fn default() -> NodeConfig {
+        NodeConfig {
+            lease: 0.5,
+            majority_timeout: 2.5,
+            clock_error: 0.1,
+            seeds: Vec::new(),
+            routes: BTreeMap::new(),
+        }
     }
 }
 
@@ -111,37 +120,39 @@
 
 /// What a session's read needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Need {
+pub enum ReadRequirement {
     /// Data up to this position (seconds, as positions are told).
-    From(f64),
+    AtLeast(f64),
     /// The primary: what the session wrote may not be known here.
-    Primary(Why),
+    Primary(PrimaryReason),
 }
 
 /// Why a session's read needs the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Why {
+pub enum PrimaryReason {
     /// A write of the session is under way through another instance.
-    UnderWay,
+    WriteInFlight,
     /// An instance does not answer, and may be answering writes.
-    Missing,
+    Unreachable,
     /// What others have stated has not been read yet.
     CatchingUp,
     /// A seed has never answered.
-    Unmet,
+    SeedUnanswered,
     /// Another process runs under this one's name.
-    StoodDown,
+    SteppedDown,
 }
 
-impl Why {
+impl PrimaryReason {
     /// In words.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            Why::UnderWay => "a write of the session is under way elsewhere",
-            Why::Missing => "an instance does not answer and may be answering writes",
-            Why::CatchingUp => "what others have stated has not been read yet, or no session reads here",
-            Why::Unmet => "a seed has never answered",
-            Why::StoodDown => "another process runs under this one's name",
+            PrimaryReason::WriteInFlight => "a write of the session is under way elsewhere",
+            PrimaryReason::Unreachable => "an instance does not answer and may be answering writes",
+            PrimaryReason::CatchingUp => {
+                "what others have stated has not been read yet, or no session reads here"
+            }
+            PrimaryReason::SeedUnanswered => "a seed has never answered",
+            PrimaryReason::SteppedDown => "another process runs under this one's name",
         }
     }
 }
@@ -154,12 +165,12 @@
     Left(Identity),
     /// A later start, or an operator, has ended an earlier one; whether all that it stated was known here.
     Ended(Identity, bool),
-    Missing(Arc<str>),
-    Back(Arc<str>),
+    Unreachable(Arc<str>),
+    Reachable(Arc<str>),
     /// Reads of sessions may go by what is known again, or may not.
-    Whole(bool),
+    Complete(bool),
     /// No majority for so long that writes are answered without one, or it is there again.
-    Alone(bool),
+    WithoutMajority(bool),
     Suspected(Arc<str>),
     /// Two instances under one name.
     Conflict(SocketAddr),
@@ -219,13 +230,13 @@
 pub struct Node {
     pub(crate) me: Identity,
     keys: Keys,
-    pub(crate) terms: Terms,
+    pub(crate) terms: NodeConfig,
     pub(crate) log: Log,
     pub(crate) peers: BTreeMap<Arc<str>, Peer>,
     pub(crate) swim: Swim,
     views: Views,
     own_views: Vec<View>,
-    own_uses: Vec<Use>,
+    own_uses: Vec<TenantUsage>,
     round: u64,
     /// Seeds that nobody has answered at, and the questions put there.
     pub(crate) unmet: BTreeSet<SocketAddr>,
@@ -243,10 +254,10 @@
     /// When facts were stated, the oldest first: what has aged is swept from here.
     stated: VecDeque<(u64, f64)>,
     /// What the copies say of sessions, by author.
-    sessions: HashMap<Arc<str>, Vec<(Arc<str>, Mark)>>,
+    sessions: HashMap<Arc<str>, Vec<(Arc<str>, WriteMark)>>,
     /// What others say of members' standing and of primaries, by author.
-    standings: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Standing>>,
-    roles: BTreeMap<u32, BTreeMap<Arc<str>, Claim>>,
+    standings: BTreeMap<Arc<str>, BTreeMap<Arc<str>, MergedStatus>>,
+    roles: BTreeMap<u32, BTreeMap<Arc<str>, PrimaryClaim>>,
     /// Marks of instances that are over, and until when they matter.
     past: HashMap<Arc<str>, (f64, f64)>,
     past_order: VecDeque<(f64, Arc<str>)>,
@@ -290,10 +301,10 @@
     pub fn new(
         me: Identity,
         keys: Keys,
-        terms: Terms,
+        terms: NodeConfig,
         seed: u64,
         now: f64,
-        kept: Option<crate::disk::Kept>,
+        kept: Option<crate::disk::StoredState>,
     ) -> Node {
         let unmet: BTreeSet<SocketAddr> =
             terms.seeds.iter().copied().filter(|seed| *seed != me.address).collect();
@@ -325,7 +336,7 @@
             floor: now + terms.clock_error,
             roster: 0,
             places: BTreeMap::new(),
-            sum: message::weight(&me),
+            sum: message::identity_hash(&me),
             question: 0,
             number: 0,
             admitted: unmet.is_empty(),
@@ -361,14 +372,14 @@
     }
 
     /// Who this is.
-    pub fn me(&self) -> &Identity {
+    pub fn identity(&self) -> &Identity {
         &self.me
     }
 
     // --- what this instance does -----------------------------------------------------------------------------------
 
     /// A write of a session has come.
-    pub fn write_begins(&mut self, now: f64, name: &str) -> Ticket {
+    pub fn begin_write(&mut self, now: f64, name: &str) -> Ticket {
         self.turn(now);
         let session = session(name);
         let open = self.open.entry(session.clone()).or_insert(0);
@@ -386,7 +397,7 @@
     }
 
     /// That write has ended: with a commit at this position, or without one that its client will hear of.
-    pub fn write_ends(&mut self, now: f64, ticket: Ticket, position: Option<f64>) {
+    pub fn end_write(&mut self, now: f64, ticket: Ticket, position: Option<f64>) {
         self.turn(now);
         let Some(session) = self.waiting.get_mut(&ticket).and_then(|waiting| waiting.session.take()) else {
             return;
@@ -404,14 +415,14 @@
 
     /// Nobody waits for that write any more, or its answer is given.
     pub fn forget(&mut self, now: f64, ticket: Ticket) {
-        self.write_ends(now, ticket, None);
+        self.end_write(now, ticket, None);
         self.waiting.remove(&ticket);
     }
 
-    fn own_mark(&self, key: &Key) -> Mark {
+    fn own_mark(&self, key: &Key) -> WriteMark {
         match self.log.get(key) {
-            Some(Fact::Written { open, position, .. }) => Mark { open: *open, position: *position },
-            _ => Mark::default(),
+            Some(Fact::Written { open, position, .. }) => WriteMark { open: *open, position: *position },
+            _ => WriteMark::default(),
         }
     }
 
@@ -428,7 +439,7 @@
     }
 
     /// Whether there is no hope that a write may soon be sent: too few others are heard.
-    pub fn hopeless(&mut self, now: f64) -> bool {
+    pub fn cannot_send_writes(&mut self, now: f64) -> bool {
         self.turn(now);
         let begins = now - self.started < self.terms.lease;
         self.stood_down || (!begins && !self.has_majority(now) && !self.free(now))
@@ -444,47 +455,55 @@
     }
 
     /// What a read of a session needs.
-    pub fn need(&mut self, now: f64, name: &str) -> Need {
+    pub fn read_requirement(&mut self, now: f64, name: &str) -> ReadRequirement {
         self.turn(now);
         self.wanted = now;
         if self.stood_down {
-            return Need::Primary(Why::StoodDown);
+            return ReadRequirement::Primary(PrimaryReason::SteppedDown);
         }
         if let Some(why) = self.not_whole(now) {
-            return Need::Primary(why);
+            return ReadRequirement::Primary(why);
         }
         let session = session(name);
-        let mut mark = Mark::default();
+        let mut mark = WriteMark::default();
         for (_, other) in self.sessions.get(&session).into_iter().flatten() {
             mark.join(other);
         }
         if mark.open {
-            return Need::Primary(Why::UnderWay);
+            return ReadRequirement::Primary(PrimaryReason::WriteInFlight);
         }
         let past = self.past.get(&session).map(|(position, _)| *position);
         let own = self.own_mark(&Key::Written(session)).position;
         let position = crate::merge::later(crate::merge::later(mark.position, past), own);
-        Need::From(position.map_or(self.floor, |position| position.max(self.floor)))
+        ReadRequirement::AtLeast(position.map_or(self.floor, |position| position.max(self.floor)))
     }
 
     /// What the list says of a member.
-    pub fn tell(&mut self, now: f64, member: &str, since: f64, source: u64, version: u64, stand: Stand) {
-        let member: Arc<str> = message::name(member);
-        let key = Key::Told(member.clone());
+    pub fn report_member_status(
+        &mut self,
+        now: f64,
+        member: &str,
+        since: f64,
+        source: u64,
+        version: u64,
+        stand: MemberStatus,
+    ) {
+        let member: Arc<str> = message::truncated_name(member);
+        let key = Key::MemberStatus(member.clone());
         let known = match self.log.get(&key) {
-            Some(Fact::Told { since, stand, source, .. }) => Some((*since, *stand, *source)),
+            Some(Fact::MemberStatus { since, stand, source, .. }) => Some((*since, *stand, *source)),
             _ => None,
         };
         // Of those that simply serve nothing is said, unless something else was.
-        if known == Some((since, stand, source)) || (known.is_none() && stand == Stand::Serving) {
+        if known == Some((since, stand, source)) || (known.is_none() && stand == MemberStatus::Serving) {
             return;
         }
-        self.state(now, Fact::Told { member, since, source, version, stand });
+        self.state(now, Fact::MemberStatus { member, since, source, version, stand });
     }
 
     /// A member has said that it is the primary of its group, at this position of the log.
-    pub fn claimed(&mut self, now: f64, group: u32, member: &str, position: f64) {
-        let member: Arc<str> = message::name(member);
+    pub fn record_primary_claim(&mut self, now: f64, group: u32, member: &str, position: f64) {
+        let member: Arc<str> = message::truncated_name(member);
         if let Some(Fact::Role { member: known, .. }) = self.log.get(&Key::Role(group)) {
             if *known == member {
                 return;
@@ -494,8 +513,8 @@
     }
 
     /// What this instance works by.
-    pub fn works_by(&mut self, now: f64, list: u64, generation: u64, program: &str) {
-        let program: Arc<str> = message::name(program);
+    pub fn report_versions(&mut self, now: f64, list: u64, generation: u64, program: &str) {
+        let program: Arc<str> = message::truncated_name(program);
         let fact = Fact::Versions { list, generation, program };
         if self.log.get(&Key::Versions) != Some(&fact) {
             self.state(now, fact);
@@ -504,7 +523,7 @@
 
     /// How members look to this instance, and what tenants use here: told to the others at once, those of the own zone
     /// first.
-    pub fn observe(&mut self, now: f64, views: Vec<View>, uses: Vec<Use>) {
+    pub fn publish_views(&mut self, now: f64, views: Vec<View>, uses: Vec<TenantUsage>) {
         self.turn(now);
         (self.own_views, self.own_uses) = (views, uses);
         self.round += 1;
@@ -523,7 +542,7 @@
                 while taken.len() < self.own_views.len() {
                     let view = &self.own_views[at % self.own_views.len()];
                     used += view.member.len() + 40;
-                    if used > BODY {
+                    if used > MAX_BODY_BYTES {
                         break;
                     }
                     taken.push(view.clone());
@@ -548,29 +567,29 @@
 
     /// What the lists say of members, as other instances have stated it: the strictest word about the start that is
     /// given.
-    pub fn told(&self, member: &str, since: f64) -> Stand {
-        let mut all = Standing::default();
+    pub fn member_status(&self, member: &str, since: f64) -> MemberStatus {
+        let mut all = MergedStatus::default();
         for word in self.standings.get(member).into_iter().flat_map(|words| words.values()) {
             all.join(word);
         }
         // This one's own word is as good: a later version of its list lifts what an earlier one said.
-        if let Some(Fact::Told { since, source, version, stand, .. }) =
-            self.log.get(&Key::Told(member.into()))
+        if let Some(Fact::MemberStatus { since, source, version, stand, .. }) =
+            self.log.get(&Key::MemberStatus(member.into()))
         {
-            all.join(&Standing::of(*source, *since, *version, *stand));
+            all.join(&MergedStatus::of(*source, *since, *version, *stand));
         }
         all.strictest(since)
     }
 
     /// All members that any other instance has said something of.
-    pub fn told_of(&self) -> impl Iterator<Item = &Arc<str>> {
+    pub fn members_with_status(&self) -> impl Iterator<Item = &Arc<str>> {
         self.standings.keys()
     }
 
     /// Who claims to be the primary of which group, as other instances have heard it.
-    pub fn claims(&self) -> BTreeMap<u32, Claim> {
-        let all = |words: &BTreeMap<Arc<str>, Claim>| {
-            let mut all = Claim::default();
+    pub fn primary_claims(&self) -> BTreeMap<u32, PrimaryClaim> {
+        let all = |words: &BTreeMap<Arc<str>, PrimaryClaim>| {
+            let mut all = PrimaryClaim::default();
             words.values().for_each(|word| all.join(word));
             all
         };
@@ -578,13 +597,13 @@
     }
 
     /// What all others together say of members.
-    pub fn together(&self, now: f64) -> BTreeMap<Arc<str>, Together> {
-        self.views.together(now)
+    pub fn aggregated_views(&self, now: f64) -> BTreeMap<Arc<str>, AggregatedView> {
+        self.views.aggregated_views(now)
     }
 
     /// What tenants use of all others together (requests a second).
-    pub fn uses(&self, now: f64) -> BTreeMap<Arc<str>, f64> {
-        self.views.uses(now)
+    pub fn tenant_usage(&self, now: f64) -> BTreeMap<Arc<str>, f64> {
+        self.views.tenant_usage(now)
     }
 
     /// What each other says of a member, with its age (seconds).
@@ -593,12 +612,12 @@
     }
 
     /// Instances that are there, this one included.
-    pub fn alive(&self) -> usize {
+    pub fn reachable_instances(&self) -> usize {
         1 + self.here().filter(|peer| !peer.missing).count()
     }
 
     /// Whether others have stated something new since the last call.
-    pub fn news(&mut self) -> bool {
+    pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.news)
     }
 
@@ -607,14 +626,14 @@
     }
 
     /// What a session wrote, by author.
-    pub fn marks(&self, name: &str) -> Vec<(Arc<str>, Mark)> {
+    pub fn session_marks(&self, name: &str) -> Vec<(Arc<str>, WriteMark)> {
         let session = session(name);
-        let mut all: Vec<(Arc<str>, Mark)> = self.sessions.get(&session).cloned().unwrap_or_default();
+        let mut all: Vec<(Arc<str>, WriteMark)> = self.sessions.get(&session).cloned().unwrap_or_default();
         if let Some((position, _)) = self.past.get(&session) {
-            all.push(("(over)".into(), Mark { open: false, position: Some(*position) }));
+            all.push(("(over)".into(), WriteMark { open: false, position: Some(*position) }));
         }
         let own = self.own_mark(&Key::Written(session));
-        if own != Mark::default() {
+        if own != WriteMark::default() {
             all.push((self.me.name.clone(), own));
         }
         all
@@ -626,7 +645,7 @@
     }
 
     /// Whether this one answers writes without a majority.
-    pub fn is_alone(&self) -> bool {
+    pub fn is_without_majority(&self) -> bool {
         self.alone
     }
 
@@ -666,9 +685,9 @@
                 let question = self.question;
                 self.seed_asked.push_back((question, seed));
                 self.seed_asked.truncate(4 * self.terms.seeds.len().max(1));
-                let body = Body::Ask {
+                let body = Body::LeaseRequest {
                     question,
-                    read: Reading::default(),
+                    read: ReadProgress::default(),
                     own: self.whom(),
                     lease: false,
                     missing: Vec::new(),
@@ -713,7 +732,7 @@
     }
 
     /// What is to be sent, where to, since the last call.
-    pub fn take_out(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.out)
     }
 
@@ -783,7 +802,7 @@
         if all <= 2 {
             self.terms.lease
         } else {
-            self.terms.patience.max(self.terms.lease)
+            self.terms.majority_timeout.max(self.terms.lease)
         }
     }
 
@@ -804,9 +823,9 @@
         ticket
     }
 
-    fn head(&mut self, to: u64) -> Head {
+    fn head(&mut self, to: u64) -> Header {
         self.number += 1;
-        Head { version: VERSION, from: self.swim.identity().clone(), number: self.number, to }
+        Header { version: VERSION, from: self.swim.identity().clone(), number: self.number, to }
     }
 
     fn post(&mut self, to: SocketAddr, sealed: Vec<u8>, far: bool) {
@@ -833,16 +852,16 @@
 
     /// Why reads of sessions go to the primary now; none where they go by what is known. Unlike a read's question it does
     /// not ask for leases.
-    pub fn why(&mut self, now: f64) -> Option<Why> {
+    pub fn primary_reason(&mut self, now: f64) -> Option<PrimaryReason> {
         if self.stood_down {
-            Some(Why::StoodDown)
+            Some(PrimaryReason::SteppedDown)
         } else {
             self.not_whole(now)
         }
     }
 
     /// Sessions of which others have stated a write.
-    pub fn sessions_known(&self) -> usize {
+    pub fn tracked_sessions(&self) -> usize {
         self.sessions.len() + self.past.len()
     }
 
--- a/crates/replication/src/node/leases.rs
+++ b/crates/replication/src/node/leases.rs
@@ -6,7 +6,7 @@
 
 impl Node {
     /// Why reads of sessions may not go by what is known here; none where they may.
-    pub(super) fn not_whole(&mut self, now: f64) -> Option<Why> {
+    pub(super) fn not_whole(&mut self, now: f64) -> Option<PrimaryReason> {
         if now < self.whole_until {
             return None;
         }
@@ -14,14 +14,14 @@
         let whole = why.is_none();
         if whole != self.was_whole {
             self.was_whole = whole;
-            self.notices.push(Notice::Whole(whole));
+            self.notices.push(Notice::Complete(whole));
         }
         why
     }
 
-    pub(super) fn look_whole(&mut self, now: f64) -> Option<Why> {
+    pub(super) fn look_whole(&mut self, now: f64) -> Option<PrimaryReason> {
         if !self.unmet.is_empty() {
-            return Some(Why::Unmet);
+            return Some(PrimaryReason::SeedUnanswered);
         }
         let mut until = f64::INFINITY;
         for peer in self.here() {
@@ -30,7 +30,11 @@
                 continue;
             }
             if !self.covered(now, peer) {
-                return Some(if peer.missing { Why::Missing } else { Why::CatchingUp });
+                return Some(if peer.missing {
+                    PrimaryReason::Unreachable
+                } else {
+                    PrimaryReason::CatchingUp
+                });
             }
             let ends = peer.covers.values().flat_map(|cover| [cover.until, cover.long]).chain([peer.long]);
             until = ends.filter(|end| *end > now).fold(until, f64::min);
@@ -112,11 +116,11 @@
         }
         if !peer.missing && silent && peer.asked.len() > UNANSWERED {
             peer.missing = true;
-            self.notices.push(Notice::Missing(name.clone()));
+            self.notices.push(Notice::Unreachable(name.clone()));
         }
         let Some(peer) = self.peers.get(name) else { return };
         let read = peer.reading(now);
-        self.send(now, name, &Body::Ask { question, read, own, lease: wanted, missing }, false);
+        self.send(now, name, &Body::LeaseRequest { question, read, own, lease: wanted, missing }, false);
     }
 
     pub(super) fn grant(
@@ -150,13 +154,13 @@
         }
         let milliseconds = |s: f64| (s * 1_000.0).clamp(0.0, f64::from(u32::MAX)) as u32;
         let lease_ms = if lends { milliseconds(term) } else { 0 };
-        let body = Body::Grant { question, upto, own, lease_ms, long_ms: milliseconds(long), covers };
+        let body = Body::LeaseGrant { question, upto, own, lease_ms, long_ms: milliseconds(long), covers };
         self.send(now, name, &body, false);
     }
 
     /// Says of one that does not answer here either how far its log has been read, and holds to it: for as long as the asker
     /// goes by that, nothing further of it is acknowledged. [R3]
-    pub(super) fn cover(&mut self, now: f64, name: &Arc<str>, start: u64, until: f64) -> Option<Cover> {
+    pub(super) fn cover(&mut self, now: f64, name: &Arc<str>, start: u64, until: f64) -> Option<Coverage> {
         let peer = self.peers.get_mut(name).filter(|peer| peer.here() && peer.who.start == start)?;
         // One that was never met here may have stated anything.
         if !peer.met {
@@ -175,7 +179,7 @@
         let long_ms = ((peer.long - now).max(0.0) * 1_000.0) as u32;
         // One that has a part only does not know how far it knows.
         let sound = peer.copy.sound() == peer.copy.upto();
-        sound.then(|| Cover { name: name.clone(), start, upto: peer.copy.upto(), long_ms })
+        sound.then(|| Coverage { name: name.clone(), start, upto: peer.copy.upto(), long_ms })
     }
 
     /// Passes on what the asker lacks of one that answers neither.
@@ -183,12 +187,13 @@
         let missing = |peer: &&Peer| peer.here() && peer.who.start == start && now - peer.heard > MISSING;
         let Some(peer) = self.peers.get(of).filter(missing) else { return };
         let author = peer.who.clone();
-        let Some((upto, facts)) = message::piece(read, peer.copy.upto(), peer.copy.after(read), BODY - 64)
+        let Some((upto, facts)) =
+            message::piece(read, peer.copy.upto(), peer.copy.after(read), MAX_BODY_BYTES - 64)
         else {
             return;
         };
         let end = peer.copy.end();
-        self.send(now, to, &Body::Passed { author, from: read, upto, end, facts }, true);
+        self.send(now, to, &Body::Relayed { author, from: read, upto, end, facts }, true);
     }
 
     /// Whether all who go by an older copy know of a fact, or go by it no more.
@@ -212,7 +217,7 @@
         name: &Arc<str>,
         question: u64,
         (upto, whom, lease_ms, long_ms): (u64, u64, u32, u32),
-        covers: Vec<Cover>,
+        covers: Vec<Coverage>,
     ) {
         if let Some(at) = self.seed_asked.iter().position(|(asked, _)| *asked == question) {
             // Who answers at a seed takes its place among those that count.
@@ -244,7 +249,7 @@
         if peer.promised.len() > 8 {
             peer.promised.remove(0);
         }
-        for Cover { name: other, start, upto, long_ms } in covers {
+        for Coverage { name: other, start, upto, long_ms } in covers {
             let fits = |p: &&mut Peer| p.who.start == start && p.here();
             if let Some(missing) = self.peers.get_mut(&other).filter(fits) {
                 let long = asked + seconds(long_ms);
@@ -287,7 +292,7 @@
         let alone = self.free(now) && !self.has_majority(now);
         if alone != self.alone {
             self.alone = alone;
-            self.notices.push(Notice::Alone(alone));
+            self.notices.push(Notice::WithoutMajority(alone));
         }
     }
 }
--- a/crates/replication/src/node/logs.rs
+++ b/crates/replication/src/node/logs.rs
@@ -6,14 +6,14 @@
 
 impl Node {
     /// Instances whose logs are better read from a stream than by datagrams, and where they are.
-    pub fn to_stream(&mut self, now: f64) -> Vec<(Arc<str>, SocketAddr)> {
+    pub fn streams_to_open(&mut self, now: f64) -> Vec<(Arc<str>, SocketAddr)> {
         let terms = &self.terms;
         let far = |p: &&mut Peer| {
             p.here()
                 && !p.streams
                 && !p.missing
                 && now - p.heard < MISSING
-                && p.told > p.copy.upto() + STREAM_BEHIND
+                && p.told > p.copy.upto() + MIN_FACTS_TO_STREAM
         };
         let mut all = Vec::new();
         for peer in self.peers.values_mut().filter(far) {
@@ -25,7 +25,7 @@
     }
 
     /// The first message on a stream to an instance: it goes on from what has been read.
-    pub fn fetch(&mut self, name: &str) -> Option<Vec<u8>> {
+    pub fn stream_request(&mut self, name: &str) -> Option<Vec<u8>> {
         let (start, from) = self.peers.get(name).map(|peer| (peer.who.start, peer.copy.upto()))?;
         let head = self.head(start);
         Some(self.keys.seal(message::encode(&head, &Body::Fetch { from })))
@@ -40,7 +40,7 @@
 
     /// A message on a stream that another has opened: from which number on it wants the log. None where it is not
     /// authentic, or asks for something else.
-    pub fn fetched(&mut self, now: f64, bytes: &[u8]) -> Option<(Arc<str>, u64)> {
+    pub fn parse_stream_request(&mut self, now: f64, bytes: &[u8]) -> Option<(Arc<str>, u64)> {
         let Some(opened) = self.keys.open(bytes) else {
             self.counts.forged += 1;
             return None;
@@ -58,10 +58,10 @@
     /// bound of bytes has no room for now.
     pub fn stream_piece(&mut self, now: f64, name: &str, from: u64) -> Option<(Vec<u8>, u64)> {
         let start = self.peers.get(name).filter(|peer| peer.here())?.who.start;
-        if !self.room(now, LONGEST_PIECE) {
+        if !self.room(now, MAX_STREAM_MESSAGE_BYTES) {
             return None;
         }
-        let room = LONGEST_PIECE - SEAL - message::HEAD;
+        let room = MAX_STREAM_MESSAGE_BYTES - SEAL_BYTES - message::MAX_HEADER_BYTES;
         let (upto, facts) = message::piece(from, self.log.upto(), self.log.after(from), room)?;
         let head = self.head(start);
         let sealed =
@@ -95,7 +95,7 @@
             }
             if std::mem::take(&mut peer.owed) {
                 let read = peer.reading(now);
-                self.send(now, &name, &Body::Read { read, own }, false);
+                self.send(now, &name, &Body::ReadAck { read, own }, false);
             }
         }
     }
@@ -140,12 +140,14 @@
             return;
         }
         // Far behind: it reads from a stream, and is asked of nothing here but what keeps a lease.
-        let far = end - peer.got > STREAM_BEHIND;
+        let far = end - peer.got > MIN_FACTS_TO_STREAM;
         let window = if lost || far { 1 } else { WINDOW };
         let mut from = peer.pushed.max(peer.got);
         let mut sent = false;
         for _ in 0..window {
-            let Some((upto, facts)) = message::piece(from, end, self.log.after(from), BODY) else { break };
+            let Some((upto, facts)) = message::piece(from, end, self.log.after(from), MAX_BODY_BYTES) else {
+                break;
+            };
             // What is strict and new goes at once; what is caught up with keeps to the bound.
             let old = end - from > LEASE_BEHIND;
             if !self.send(now, name, &Body::Push { from, upto, end, facts }, old) {
@@ -162,7 +164,7 @@
     }
 
     /// Another has read this one's log so far.
-    pub(super) fn has_read(&mut self, now: f64, name: &Arc<str>, read: Reading, knew: u64) {
+    pub(super) fn has_read(&mut self, now: f64, name: &Arc<str>, read: ReadProgress, knew: u64) {
         let (end, last) = (self.log.upto(), self.roster);
         let Some(peer) = self.peers.get_mut(name) else { return };
         peer.met_got = peer.met_got.max(read.met.min(last));
@@ -241,16 +243,16 @@
         for key in &changed {
             match (key, copy.get(key)) {
                 (Key::Written(session), Some(Fact::Written { open, position, .. })) => {
-                    let mark = Mark { open: *open, position: *position };
+                    let mark = WriteMark { open: *open, position: *position };
                     self.unlist(session, name);
                     self.sessions.entry(session.clone()).or_default().push((name.clone(), mark));
                 }
                 (Key::Written(session), _) => self.unlist(session, name),
-                (Key::Over(_), Some(Fact::Over { who })) => over.push(who.clone()),
-                (Key::Told(member), fact) => {
+                (Key::Ended(_), Some(Fact::Ended { who })) => over.push(who.clone()),
+                (Key::MemberStatus(member), fact) => {
                     let word = match fact {
-                        Some(Fact::Told { since, source, version, stand, .. }) => {
-                            Some(Standing::of(*source, *since, *version, *stand))
+                        Some(Fact::MemberStatus { since, source, version, stand, .. }) => {
+                            Some(MergedStatus::of(*source, *since, *version, *stand))
                         }
                         _ => None,
                     };
@@ -260,7 +262,7 @@
                 (Key::Role(group), fact) => {
                     let word = match fact {
                         Some(Fact::Role { member, position, .. }) => {
-                            Some(Claim::of(member.clone(), *position))
+                            Some(PrimaryClaim::of(member.clone(), *position))
                         }
                         _ => None,
                     };
@@ -295,7 +297,7 @@
 
     /// Two members that claim to be one group's primary are told of.
     pub(super) fn conflicts(&mut self) {
-        for (group, claim) in self.claims() {
+        for (group, claim) in self.primary_claims() {
             if let [(first, _), (second, _), ..] = claim.all()[..] {
                 let notice = Notice::TwoPrimaries(group, first.clone(), second.clone());
                 if !self.notices.contains(&notice) {
@@ -307,13 +309,13 @@
 
     /// Facts that have aged: sessions are no longer stated, what still holds is stated anew.
     pub(super) fn sweep(&mut self, now: f64) {
-        self.views.age(now);
+        self.views.expire(now);
         let known: Vec<Identity> = self.here().map(|peer| peer.who.clone()).collect();
         self.swim.announce_to_unknown(now, &known);
         let mut position = f64::NEG_INFINITY;
         let mut below = 0;
         while let Some((number, at)) = self.stated.front().copied() {
-            let crowded = self.log.len() > SESSIONS + MAX_INSTANCES;
+            let crowded = self.log.len() > MAX_SESSIONS + MAX_INSTANCES;
             if now - at < LIFE && !crowded {
                 break;
             }
@@ -325,8 +327,10 @@
                 Some(Fact::Written { open: false, position: written, .. }) => {
                     position = written.map_or(position, |written| position.max(written));
                 }
-                Some(Fact::Told { stand: Stand::Serving, .. }) | Some(Fact::Floor { .. }) | None => {}
-                Some(Fact::Over { who }) if !self.shown(now, &who.name) => {}
+                Some(Fact::MemberStatus { stand: MemberStatus::Serving, .. })
+                | Some(Fact::Floor { .. })
+                | None => {}
+                Some(Fact::Ended { who }) if !self.shown(now, &who.name) => {}
                 Some(fact) => {
                     self.state(now, fact);
                 }
--- a/crates/replication/src/node/peer.rs
+++ b/crates/replication/src/node/peer.rs
@@ -145,9 +145,9 @@
         }
     }
 
-    pub(super) fn reading(&self, now: f64) -> Reading {
+    pub(super) fn reading(&self, now: f64) -> ReadProgress {
         let (sound, whom) = self.read_so_far(now);
-        Reading { sound, got: self.copy.upto(), whom, met: self.whom }
+        ReadProgress { sound, got: self.copy.upto(), whom, met: self.whom }
     }
 
     /// Whether a message of this number has not come before.
--- a/crates/replication/src/node/roster.rs
+++ b/crates/replication/src/node/roster.rs
@@ -53,7 +53,7 @@
     fn place(&mut self, now: f64, who: &Identity) -> u64 {
         let (before, wait) = (self.roster, self.wait_to_tell());
         self.roster += 1;
-        self.sum = self.sum.wrapping_add(message::weight(who));
+        self.sum = self.sum.wrapping_add(message::identity_hash(who));
         self.places.insert(self.roster, who.name.clone());
         for peer in self.peers.values_mut().filter(|peer| peer.met_got >= before) {
             peer.tell_whom = now + wait;
@@ -71,12 +71,12 @@
     }
 
     /// Whom this one knows.
-    pub(super) fn whom(&self) -> Whom {
-        Whom { upto: self.roster, sum: self.sum }
+    pub(super) fn whom(&self) -> RosterDigest {
+        RosterDigest { upto: self.roster, sum: self.sum }
     }
 
     /// Another has said whom it knows: with an equal sum they are the same.
-    pub(super) fn knows(&mut self, now: f64, name: &Arc<str>, theirs: Whom) {
+    pub(super) fn knows(&mut self, now: f64, name: &Arc<str>, theirs: RosterDigest) {
         let same = theirs.sum == self.sum;
         if let Some(peer) = self.peers.get_mut(name).filter(|peer| same && peer.whom < theirs.upto) {
             peer.whom = theirs.upto;
@@ -101,7 +101,7 @@
         for (place, known) in self.places.range(from + 1..) {
             let Some(peer) = self.peers.get(known).filter(|peer| peer.here()) else { continue };
             used += peer.who.name.len() + peer.who.zone.len() + 40;
-            if used > BODY {
+            if used > MAX_BODY_BYTES {
                 upto = before;
                 break;
             }
@@ -177,12 +177,12 @@
             self.floor = self.floor.max(until_now);
         }
         self.whole_until = f64::NEG_INFINITY;
-        self.views.gone(name);
+        self.views.remove_observer(name);
         self.news = true;
-        self.sum = self.sum.wrapping_sub(message::weight(&who));
-        self.state(now, Fact::Over { who: who.clone() });
+        self.sum = self.sum.wrapping_sub(message::identity_hash(&who));
+        self.state(now, Fact::Ended { who: who.clone() });
         if self.keeps {
-            self.records.push(crate::disk::Record::Over(who.clone()));
+            self.records.push(crate::disk::Record::Ended(who.clone()));
         }
         self.notices.push(if how == Over::Left { Notice::Left(who) } else { Notice::Ended(who, !unread) });
     }
@@ -214,7 +214,7 @@
     }
 
     /// Whether a message's number is new; takes in who speaks.
-    pub(super) fn numbered(&mut self, now: f64, head: &Head) -> bool {
+    pub(super) fn numbered(&mut self, now: f64, head: &Header) -> bool {
         if head.from.name == self.me.name {
             self.namesake(now, &head.from);
             return false;
@@ -229,7 +229,7 @@
             };
             if self.peers.get(&head.from.name).filter(ended).is_some() && head.number.is_multiple_of(4) {
                 let name = head.from.name.clone();
-                self.send(now, &name, &Body::Over { start: head.from.start }, true);
+                self.send(now, &name, &Body::Ended { start: head.from.start }, true);
             }
             return false;
         }
@@ -240,7 +240,7 @@
         }
         peer.heard = now;
         if std::mem::take(&mut peer.missing) {
-            self.notices.push(Notice::Back(head.from.name.clone()));
+            self.notices.push(Notice::Reachable(head.from.name.clone()));
             if let Some(peer) = self.peers.get_mut(&head.from.name) {
                 (peer.again, peer.next_ask) = (AGAIN, peer.next_ask.min(now));
             }
@@ -248,10 +248,10 @@
         true
     }
 
-    pub(super) fn hear(&mut self, now: f64, head: Head, body: Body) {
+    pub(super) fn hear(&mut self, now: f64, head: Header, body: Body) {
         // A seed that is this one itself answers to no question.
         if head.from.name == self.me.name && head.from.start == self.me.start {
-            if let Body::Ask { question, .. } = body {
+            if let Body::LeaseRequest { question, .. } = body {
                 if let Some((_, seed)) = self.seed_asked.iter().find(|(asked, _)| *asked == question).copied()
                 {
                     self.unmet.remove(&seed);
@@ -266,14 +266,14 @@
         }
         let name = head.from.name.clone();
         match body {
-            Body::Ask { question, read, own, lease, missing } => {
+            Body::LeaseRequest { question, read, own, lease, missing } => {
                 self.knows(now, &name, own);
                 if head.to == self.me.start {
                     self.has_read(now, &name, read, own.upto);
                 }
                 self.grant(now, &name, question, lease, &missing);
             }
-            Body::Grant { question, upto, own, lease_ms, long_ms, covers } => {
+            Body::LeaseGrant { question, upto, own, lease_ms, long_ms, covers } => {
                 self.knows(now, &name, own);
                 self.granted(now, &name, question, (upto, own.upto, lease_ms, long_ms), covers);
             }
@@ -285,21 +285,21 @@
                 }
                 self.flush_soon(now);
             }
-            Body::Passed { author, from, upto, end, facts } => {
+            Body::Relayed { author, from, upto, end, facts } => {
                 // Only of the start that is known, and never what this one could read itself.
                 let fits = |p: &Peer| p.who.start == author.start && p.here() && now >= p.lease;
                 if self.peers.get(&author.name).is_some_and(fits) {
                     self.read(now, &author.name, (from, upto, end), facts);
                 }
             }
-            Body::Read { read, own } => {
+            Body::ReadAck { read, own } => {
                 self.knows(now, &name, own);
                 self.has_read(now, &name, read, own.upto);
             }
             Body::Views { round, views, uses } => {
                 let start = head.from.start;
-                self.views.take(now, &name, start, round, views);
-                self.views.take_uses(now, &name, start, round, uses);
+                self.views.record(now, &name, start, round, views);
+                self.views.record_usage(now, &name, start, round, uses);
             }
             Body::Swim(bytes) => self.swim.receive(now, &bytes),
             Body::Leave { upto } => {
@@ -311,21 +311,21 @@
                         peer.lease = f64::INFINITY;
                     }
                     let own = self.whom();
-                    let read = Reading { sound: upto, got: upto, ..Reading::default() };
-                    self.send(now, &name, &Body::Read { read, own }, false);
+                    let read = ReadProgress { sound: upto, got: upto, ..ReadProgress::default() };
+                    self.send(now, &name, &Body::ReadAck { read, own }, false);
                     self.end(now, &name, start, Over::Left);
                 }
             }
-            Body::Over { start } if start == self.me.start => self.renew(now),
-            Body::Over { .. } | Body::Fetch { .. } => {}
+            Body::Ended { start } if start == self.me.start => self.renew(now),
+            Body::Ended { .. } | Body::Fetch { .. } => {}
         }
     }
 
     /// Others have called this start over: it goes on as a new one, whose writes wait until they know of it.
     pub(super) fn renew(&mut self, now: f64) {
-        self.sum = self.sum.wrapping_sub(message::weight(&self.me));
+        self.sum = self.sum.wrapping_sub(message::identity_hash(&self.me));
         self.me.start += 1;
-        self.sum = self.sum.wrapping_add(message::weight(&self.me));
+        self.sum = self.sum.wrapping_add(message::identity_hash(&self.me));
         let own = Identity { renewal: 0, ..self.me.clone() };
         self.swim = Swim::new(own, self.rng);
         (self.admitted, self.admit_by) = (false, now + self.terms.lease);
@@ -379,7 +379,7 @@
 
     /// An operator says that an instance is over and does not come back: by its name, or the address of a seed that never
     /// answered. Whether there is one.
-    pub fn write_off(&mut self, now: f64, name: &str) -> bool {
+    pub fn forget_instance(&mut self, now: f64, name: &str) -> bool {
         if let Some(seed) = name.parse().ok().filter(|seed| self.unmet.contains(seed)) {
             self.unmet.remove(&seed);
             return true;
--- a/crates/replication/src/reports.rs
+++ b/crates/replication/src/reports.rs
@@ -6,7 +6,7 @@
 use routing::interface::Phase;
 use routing::peer_reports::{Observation, PeerReport};
 
-use crate::fact::Stand;
+use crate::fact::MemberStatus;
 use crate::view::View;
 use crate::Node;
 
@@ -14,7 +14,7 @@
 const OLDEST: f64 = 1e6;
 
 /// States what a version of the list of that source says of databases: the name, the time of its start and the phase of each.
-pub fn tell_list<'a>(
+pub fn report_list<'a>(
     node: &mut Node,
     now: f64,
     (source, version): (u64, u64),
@@ -22,19 +22,19 @@
 ) {
     for (database, since, phase) in databases {
         let stand = match phase {
-            Phase::Active => Stand::Serving,
-            Phase::Leaving => Stand::Draining,
-            Phase::Left => Stand::Gone,
+            Phase::Active => MemberStatus::Serving,
+            Phase::Leaving => MemberStatus::Draining,
+            Phase::Left => MemberStatus::Gone,
         };
-        node.tell(now, database, since, source, version, stand);
+        node.report_member_status(now, database, since, source, version, stand);
     }
 }
 
 /// Tells how databases look to this instance.
-pub fn tell_views(node: &mut Node, now: f64, found: &[Observation]) {
+pub fn report_views(node: &mut Node, now: f64, found: &[Observation]) {
     let age = |at: f64| (now - at).clamp(0.0, OLDEST) as f32;
     let views = found.iter().map(|found| View {
-        member: crate::message::name(&found.learned.member),
+        member: crate::message::truncated_name(&found.learned.member),
         since: found.since,
         position: found.learned.position.map(|position| (position, age(found.position_at))),
         primary: found.learned.primary.map(|(primary, at)| (primary, age(at))),
@@ -43,20 +43,20 @@
         slowness: found.slowness as f32,
         cold: found.learned.cold_since.map(age),
     });
-    node.observe(now, views.collect(), Vec::new());
+    node.publish_views(now, views.collect(), Vec::new());
     for found in found {
         if let (Some((true, _)), Some(position)) = (found.learned.primary, found.learned.position) {
-            node.claimed(now, found.group, &found.learned.member, position);
+            node.record_primary_claim(now, found.group, &found.learned.member, position);
         }
     }
 }
 
 /// What the others say of databases, for the decisions.
-pub fn heard(node: &Node, now: f64, found: &[Observation]) -> Vec<PeerReport> {
+pub fn peer_reports(node: &Node, now: f64, found: &[Observation]) -> Vec<PeerReport> {
     let since: BTreeMap<&str, f64> = found.iter().map(|f| (&*f.learned.member, f.since)).collect();
     let mut heard: BTreeMap<Arc<str>, PeerReport> = BTreeMap::new();
     let named = |member: &Arc<str>| PeerReport { member: member.clone(), ..PeerReport::default() };
-    for (member, together) in node.together(now) {
+    for (member, together) in node.aggregated_views(now) {
         // Of an earlier start than the list's it says nothing.
         if since.get(&*member).is_none_or(|since| together.since < *since) {
             continue;
@@ -65,13 +65,13 @@
         (word.in_flight, word.suspected_by) = (together.in_flight, together.suspected_by);
         word.cold_since = together.cold_since;
     }
-    for member in node.told_of() {
+    for member in node.members_with_status() {
         let Some(since) = since.get(&**member) else { continue };
-        if node.told(member, *since) != Stand::Serving {
+        if node.member_status(member, *since) != MemberStatus::Serving {
             heard.entry(member.clone()).or_insert_with(|| named(member)).drained = true;
         }
     }
-    for claim in node.claims().values() {
+    for claim in node.primary_claims().values() {
         if let Some(member) = claim.only() {
             heard.entry(member.clone()).or_insert_with(|| named(member)).primary = true;
         }
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/status.rs
@@ -70,7 +70,7 @@
 impl Node {
     /// Where it stands.
     pub fn status(&mut self, now: f64) -> Status {
-        let why = self.why(now);
+        let why = self.primary_reason(now);
         let swim = self.swim.instances();
         let end = self.upto();
         let mut instances = vec![Instance {
@@ -117,11 +117,11 @@
             instances,
             digest: self.digest(),
             whole: why.is_none(),
-            why: why.map(|why| why.words().into()),
+            why: why.map(|why| why.description().into()),
             unmet: self.unmet.iter().map(ToString::to_string).collect(),
-            alone: self.is_alone(),
+            alone: self.is_without_majority(),
             facts: self.log.len() + self.peers.values().map(|peer| peer.copy.len()).sum::<usize>(),
-            sessions: self.sessions_known(),
+            sessions: self.tracked_sessions(),
             sent_bytes: counts.sent_bytes,
             far_bytes: counts.far_bytes,
             received_bytes: counts.received_bytes,
@@ -134,7 +134,7 @@
     /// Why a session's read goes where it goes, a line for each that has a say.
     pub fn explain(&self, now: f64, session: &str) -> Vec<String> {
         let mut lines = vec![format!("any session may have written up to {:.3}", self.floor())];
-        for (author, mark) in self.marks(session) {
+        for (author, mark) in self.session_marks(session) {
             let position = mark.position.map_or("nothing".into(), |position| format!("{position:.3}"));
             let open = if mark.open { ", and a write is under way" } else { "" };
             lines.push(format!("{author}: has written at {position}{open}"));
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -9,13 +9,13 @@
 use crate::merge::{Join, Observed};
 
 /// How long a word of an observer is taken into account (seconds).
-pub const LIFE: f64 = 3.0;
+pub const VIEW_TTL: f64 = 3.0;
 /// Half-life of what he says is in flight (seconds).
 const HALF_LIFE: f64 = 0.5;
 /// Most members of which an observer's words are kept.
-pub const MOST_MEMBERS: usize = 10_000;
+pub const MAX_MEMBERS: usize = 10_000;
 /// Most tenants of which an observer's words are kept.
-pub const MOST_TENANTS: usize = 256;
+pub const MAX_TENANTS: usize = 256;
 
 /// A member, as one observer sees it. Ages are told, not times, since clocks differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -39,18 +39,18 @@
 }
 
 /// A tenant's use, as one observer sees it: requests a second.
-pub type Use = (Arc<str>, f32);
+pub type TenantUsage = (Arc<str>, f32);
 
 /// What all observers together say of a member.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Together {
+pub struct AggregatedView {
     /// The member's start that this is of.
     pub since: f64,
     /// Requests of others there, faded by age.
     pub in_flight: f64,
     /// How many others have found out by themselves that it does not answer.
     pub suspected_by: u32,
-    /// How many others have said anything of it within [`LIFE`].
+    /// How many others have said anything of it within [`VIEW_TTL`].
     pub seen_by: u32,
     /// The best position that anybody has heard, and how long ago at most (seconds).
     pub position: Option<(f64, f64)>,
@@ -71,12 +71,12 @@
 
 impl Views {
     /// Takes in an observer's words of a round.
-    pub fn take(&mut self, now: f64, observer: &Arc<str>, start: u64, round: u64, views: Vec<View>) {
+    pub fn record(&mut self, now: f64, observer: &Arc<str>, start: u64, round: u64, views: Vec<View>) {
         let kept = self.by.entry(observer.clone()).or_default();
         for view in views {
-            let word = Observed { start, round, word: view };
-            let member = word.word.member.clone();
-            if kept.len() >= MOST_MEMBERS && !kept.contains_key(&member) {
+            let word = Observed { start, round, value: view };
+            let member = word.value.member.clone();
+            if kept.len() >= MAX_MEMBERS && !kept.contains_key(&member) {
                 continue;
             }
             let known = kept.entry(member).or_insert_with(|| (now, word.clone()));
@@ -89,13 +89,20 @@
     }
 
     /// Takes in an observer's words of what tenants use of him.
-    pub fn take_uses(&mut self, now: f64, observer: &Arc<str>, start: u64, round: u64, uses: Vec<Use>) {
+    pub fn record_usage(
+        &mut self,
+        now: f64,
+        observer: &Arc<str>,
+        start: u64,
+        round: u64,
+        uses: Vec<TenantUsage>,
+    ) {
         let kept = self.uses.entry(observer.clone()).or_default();
         for (tenant, rate) in uses {
-            if kept.len() >= MOST_TENANTS && !kept.contains_key(&tenant) {
+            if kept.len() >= MAX_TENANTS && !kept.contains_key(&tenant) {
                 continue;
             }
-            let word = Observed { start, round, word: rate };
+            let word = Observed { start, round, value: rate };
             let known = kept.entry(tenant).or_insert_with(|| (now, word.clone()));
             if (word.start, word.round) > (known.1.start, known.1.round) {
                 *known = (now, word);
@@ -104,36 +111,36 @@
     }
 
     /// An observer is gone, and his words with him.
-    pub fn gone(&mut self, observer: &str) {
+    pub fn remove_observer(&mut self, observer: &str) {
         self.by.remove(observer);
         self.uses.remove(observer);
     }
 
     /// Forgets what is too old to be taken into account.
-    pub fn age(&mut self, now: f64) {
+    pub fn expire(&mut self, now: f64) {
         for words in self.by.values_mut() {
-            words.retain(|_, (came, _)| now - *came < LIFE);
+            words.retain(|_, (came, _)| now - *came < VIEW_TTL);
         }
         for words in self.uses.values_mut() {
-            words.retain(|_, (came, _)| now - *came < LIFE);
+            words.retain(|_, (came, _)| now - *came < VIEW_TTL);
         }
         self.by.retain(|_, words| !words.is_empty());
         self.uses.retain(|_, words| !words.is_empty());
     }
 
     /// What all observers together say of each member.
-    pub fn together(&self, now: f64) -> BTreeMap<Arc<str>, Together> {
-        let mut all: BTreeMap<Arc<str>, Together> = BTreeMap::new();
+    pub fn aggregated_views(&self, now: f64) -> BTreeMap<Arc<str>, AggregatedView> {
+        let mut all: BTreeMap<Arc<str>, AggregatedView> = BTreeMap::new();
         for words in self.by.values() {
-            for (member, (came, Observed { word, .. })) in words {
+            for (member, (came, Observed { value: word, .. })) in words {
                 let age = now - came;
-                if age >= LIFE {
+                if age >= VIEW_TTL {
                     continue;
                 }
                 let known = all.entry(member.clone()).or_default();
                 if word.since > known.since {
                     // A later start: what was said of the one before is void.
-                    *known = Together { since: word.since, ..Together::default() };
+                    *known = AggregatedView { since: word.since, ..AggregatedView::default() };
                 } else if word.since < known.since {
                     continue;
                 }
@@ -156,12 +163,12 @@
     }
 
     /// What each tenant uses of all others together (requests a second).
-    pub fn uses(&self, now: f64) -> BTreeMap<Arc<str>, f64> {
+    pub fn tenant_usage(&self, now: f64) -> BTreeMap<Arc<str>, f64> {
         let mut all = BTreeMap::new();
         for words in self.uses.values() {
             for (tenant, (came, word)) in words {
-                if now - came < LIFE {
-                    *all.entry(tenant.clone()).or_insert(0.0) += f64::from(word.word);
+                if now - came < VIEW_TTL {
+                    *all.entry(tenant.clone()).or_insert(0.0) += f64::from(word.value);
                 }
             }
         }
@@ -171,7 +178,7 @@
     /// Each observer's word of a member, with its age (seconds).
     pub fn of(&self, now: f64, member: &str) -> Vec<(Arc<str>, f64, View)> {
         let word = |(observer, words): (&Arc<str>, &Words<View>)| {
-            words.get(member).map(|(came, word)| (observer.clone(), now - came, word.word.clone()))
+            words.get(member).map(|(came, word)| (observer.clone(), now - came, word.value.clone()))
         };
         self.by.iter().filter_map(word).collect()
     }
--- a/crates/replication/tests/laws.rs
+++ b/crates/replication/tests/laws.rs
@@ -4,31 +4,32 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use replication::fact::{Fact, Key, Stand};
+use replication::fact::{Fact, Key, MemberStatus};
 use replication::log::Log;
-use replication::merge::{Claim, Join, Mark, Observed, Standing};
+use replication::merge::{Join, MergedStatus, Observed, PrimaryClaim, WriteMark};
 
 fn position() -> impl Strategy<Value = f64> {
     (0..6u8).prop_map(f64::from)
 }
 
-fn mark() -> impl Strategy<Value = Mark> {
-    (any::<bool>(), prop::option::of(position())).prop_map(|(open, position)| Mark { open, position })
+fn mark() -> impl Strategy<Value = WriteMark> {
+    (any::<bool>(), prop::option::of(position())).prop_map(|(open, position)| WriteMark { open, position })
 }
 
-fn standing() -> impl Strategy<Value = Standing> {
-    let stand = prop_oneof![Just(Stand::Serving), Just(Stand::Draining), Just(Stand::Gone)];
+fn standing() -> impl Strategy<Value = MergedStatus> {
+    let stand =
+        prop_oneof![Just(MemberStatus::Serving), Just(MemberStatus::Draining), Just(MemberStatus::Gone)];
     (0..3u64, position(), 0..4u64, stand)
-        .prop_map(|(source, since, version, stand)| Standing::of(source, since, version, stand))
+        .prop_map(|(source, since, version, stand)| MergedStatus::of(source, since, version, stand))
 }
 
-fn claim() -> impl Strategy<Value = Claim> {
-    (0..3u8, position()).prop_map(|(member, at)| Claim::of(format!("m{member}").into(), at))
+fn claim() -> impl Strategy<Value = PrimaryClaim> {
+    (0..3u8, position()).prop_map(|(member, at)| PrimaryClaim::of(format!("m{member}").into(), at))
 }
 
 fn observed() -> impl Strategy<Value = Observed<u64>> {
     // An author's words of one number are one word.
-    (0..3u64, 0..4u64).prop_map(|(start, round)| Observed { start, round, word: start * 10 + round })
+    (0..3u64, 0..4u64).prop_map(|(start, round)| Observed { start, round, value: start * 10 + round })
 }
 
 fn joined<T: Join>(first: &T, second: &T) -> T {
@@ -134,22 +135,22 @@
             prop_assert!(position.is_finite());
         }
         let _ = replication::message::decode(&bytes);
-        let _ = replication::disk::read(&bytes);
+        let _ = replication::disk::parse(&bytes);
     }
 }
 
 #[test]
 fn a_word_about_an_earlier_start_is_void() {
-    let word = Standing::of(1, 5.0, 7, Stand::Draining);
-    assert_eq!(word.strictest(5.0), Stand::Draining);
-    assert_eq!(word.strictest(6.0), Stand::Serving);
+    let word = MergedStatus::of(1, 5.0, 7, MemberStatus::Draining);
+    assert_eq!(word.strictest(5.0), MemberStatus::Draining);
+    assert_eq!(word.strictest(6.0), MemberStatus::Serving);
 }
 
 #[test]
 fn a_later_version_of_the_same_list_lifts_a_drain_and_that_of_another_does_not() {
-    let drained = Standing::of(1, 0.0, 7, Stand::Draining);
-    let lifted = joined(&drained, &Standing::of(1, 0.0, 8, Stand::Serving));
-    assert_eq!(lifted.strictest(0.0), Stand::Serving);
-    let other = joined(&drained, &Standing::of(2, 0.0, 9, Stand::Serving));
-    assert_eq!(other.strictest(0.0), Stand::Draining);
+    let drained = MergedStatus::of(1, 0.0, 7, MemberStatus::Draining);
+    let lifted = joined(&drained, &MergedStatus::of(1, 0.0, 8, MemberStatus::Serving));
+    assert_eq!(lifted.strictest(0.0), MemberStatus::Serving);
+    let other = joined(&drained, &MergedStatus::of(2, 0.0, 9, MemberStatus::Serving));
+    assert_eq!(other.strictest(0.0), MemberStatus::Draining);
 }
--- a/crates/replication/tests/machine.rs
+++ b/crates/replication/tests/machine.rs
@@ -3,11 +3,11 @@
 
 use std::net::SocketAddr;
 
-use replication::disk::{next_start, read, rewritten, Record};
-use replication::fact::{Fact, Stand};
-use replication::message::{decode, encode, Body, Head, VERSION};
-use replication::node::{Why, STREAM_BEHIND};
-use replication::{Identity, Keys, Need, Node, Notice, Terms};
+use replication::disk::{compacted, next_start, parse, Record};
+use replication::fact::{Fact, MemberStatus};
+use replication::message::{decode, encode, Body, Header, VERSION};
+use replication::node::{PrimaryReason, MIN_FACTS_TO_STREAM};
+use replication::{Identity, Keys, Node, NodeConfig, Notice, ReadRequirement};
 
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
@@ -20,7 +20,7 @@
 }
 
 fn node(name: &str, n: u8, start: u64, now: f64) -> Node {
-    let terms = Terms { seeds: vec![address(1), address(2)], ..Terms::default() };
+    let terms = NodeConfig { seeds: vec![address(1), address(2)], ..NodeConfig::default() };
     Node::new(who(name, n, start), Keys::parse([KEY]).unwrap(), terms, u64::from(n), now, None)
 }
 
@@ -32,10 +32,10 @@
         *now += 0.001;
         a.tick(*now);
         b.tick(*now);
-        for (to, bytes) in a.take_out().into_iter().chain(b.take_out()) {
+        for (to, bytes) in a.take_datagrams().into_iter().chain(b.take_datagrams()) {
             sent.push(bytes.clone());
             match to {
-                to if to == a.me().address => a.receive(*now, &bytes),
+                to if to == a.identity().address => a.receive(*now, &bytes),
                 _ => b.receive(*now, &bytes),
             }
         }
@@ -48,8 +48,8 @@
     talk(&mut a, &mut b, &mut now, 0.5);
     // Asked for, leases are there; before, nobody asks.
     for _ in 0..20 {
-        a.need(now, "s");
-        b.need(now, "s");
+        a.read_requirement(now, "s");
+        b.read_requirement(now, "s");
         talk(&mut a, &mut b, &mut now, 0.1);
     }
     (a, b, now)
@@ -57,11 +57,11 @@
 
 /// A write through one, from its beginning to its answer.
 fn write(a: &mut Node, b: &mut Node, now: &mut f64, session: &str, position: f64) {
-    let ticket = a.write_begins(*now, session);
+    let ticket = a.begin_write(*now, session);
     while !a.may_send(*now, ticket) {
         talk(a, b, now, 0.002);
     }
-    a.write_ends(*now, ticket, Some(position));
+    a.end_write(*now, ticket, Some(position));
     while !a.may_answer(*now, ticket) {
         talk(a, b, now, 0.002);
     }
@@ -75,13 +75,15 @@
         let position = now;
         write(&mut a, &mut b, &mut now, "s", position);
         // Whatever is still on its way: less than the write is never enough.
-        match b.need(now, "s") {
-            Need::From(known) => assert!(known >= position, "{n}"),
-            Need::Primary(_) => {}
+        match b.read_requirement(now, "s") {
+            ReadRequirement::AtLeast(known) => assert!(known >= position, "{n}"),
+            ReadRequirement::Primary(_) => {}
         }
         talk(&mut a, &mut b, &mut now, 0.02);
-        assert_eq!(b.need(now, "s"), Need::From(position), "{n}");
-        assert!(matches!(b.need(now, "other"), Need::From(floor) if floor < position));
+        assert_eq!(b.read_requirement(now, "s"), ReadRequirement::AtLeast(position), "{n}");
+        assert!(
+            matches!(b.read_requirement(now, "other"), ReadRequirement::AtLeast(floor) if floor < position)
+        );
     }
 }
 
@@ -89,16 +91,16 @@
 fn one_that_is_silent_makes_reads_strict_before_writes_are_answered_without_it() {
     let (mut a, mut b, mut now) = pair();
     // b is stopped: nothing reaches it, nothing comes of it.
-    let ticket = a.write_begins(now, "s");
+    let ticket = a.begin_write(now, "s");
     let begun = now;
     while !(a.may_send(now, ticket) && a.may_answer(now, ticket)) {
         now += 0.001;
         a.tick(now);
-        a.take_out();
+        a.take_datagrams();
         assert!(now - begun < 5.0, "never answered");
     }
     assert!(now - begun < 0.6, "waited {:.3} s", now - begun);
-    assert_eq!(b.need(now, "s"), Need::Primary(Why::CatchingUp));
+    assert_eq!(b.read_requirement(now, "s"), ReadRequirement::Primary(PrimaryReason::CatchingUp));
 }
 
 #[test]
@@ -122,7 +124,7 @@
     assert_eq!(a.digest(), digest);
     // A newer version has kinds, and fields behind the known ones, that this one does not know.
     let keys = Keys::parse([KEY]).unwrap();
-    let head = Head { version: VERSION, from: who("b", 2, 2), number: 1 << 40, to: 1 };
+    let head = Header { version: VERSION, from: who("b", 2, 2), number: 1 << 40, to: 1 };
     let mut newer = encode(&head, &Body::Swim(Vec::new()));
     let kind = newer.len() - encode(&head, &Body::Swim(Vec::new())).len();
     let place = newer.iter().rposition(|byte| *byte == 6).unwrap() + kind;
@@ -144,7 +146,7 @@
     for _ in 0..400 {
         now += 0.005;
         twin.tick(now);
-        for (to, bytes) in twin.take_out() {
+        for (to, bytes) in twin.take_datagrams() {
             if to == address(2) {
                 b.receive(now, &bytes);
             } else if to == address(1) {
@@ -152,65 +154,73 @@
             }
         }
         b.tick(now);
-        for (_, bytes) in b.take_out() {
+        for (_, bytes) in b.take_datagrams() {
             twin.receive(now, &bytes);
         }
         a.tick(now);
-        a.take_out();
+        a.take_datagrams();
     }
     assert!(a.take_notices().iter().any(|notice| matches!(notice, Notice::Conflict(_))));
-    let ticket = a.write_begins(now, "s");
-    assert!(!a.may_send(now + 60.0, ticket) && a.hopeless(now + 60.0));
-    assert_eq!(a.need(now, "s"), Need::Primary(Why::StoodDown));
+    let ticket = a.begin_write(now, "s");
+    assert!(!a.may_send(now + 60.0, ticket) && a.cannot_send_writes(now + 60.0));
+    assert_eq!(a.read_requirement(now, "s"), ReadRequirement::Primary(PrimaryReason::SteppedDown));
 }
 
 #[test]
 fn one_that_was_written_off_and_lives_goes_on_under_a_new_start() {
     let (mut a, mut b, mut now) = pair();
     write(&mut b, &mut a, &mut now, "s", 77.0);
-    assert!(a.write_off(now, "b") && !a.write_off(now, "nobody"));
+    assert!(a.forget_instance(now, "b") && !a.forget_instance(now, "nobody"));
     talk(&mut a, &mut b, &mut now, 3.0);
     assert!(b.take_notices().iter().any(|notice| matches!(notice, Notice::Renewed(3))));
     assert_eq!(a.digest(), b.digest());
     // What it wrote before is known, or the floor is above it.
     for _ in 0..20 {
-        a.need(now, "s");
+        a.read_requirement(now, "s");
         talk(&mut a, &mut b, &mut now, 0.1);
     }
-    assert!(matches!(a.need(now, "s"), Need::From(position) if position >= 77.0), "{:?}", a.need(now, "s"));
+    assert!(
+        matches!(a.read_requirement(now, "s"), ReadRequirement::AtLeast(position) if position >= 77.0),
+        "{:?}",
+        a.read_requirement(now, "s")
+    );
 }
 
 #[test]
 fn a_drain_told_to_one_holds_at_the_other_until_the_list_lifts_it() {
     let (mut a, mut b, mut now) = pair();
-    a.tell(now, "s-1", 0.0, 1, 5, Stand::Draining);
+    a.report_member_status(now, "s-1", 0.0, 1, 5, MemberStatus::Draining);
     talk(&mut a, &mut b, &mut now, 0.02);
-    assert!(b.news());
-    assert_eq!((b.told("s-1", 0.0), b.told("s-2", 0.0)), (Stand::Draining, Stand::Serving));
+    assert!(b.take_changed());
+    assert_eq!(
+        (b.member_status("s-1", 0.0), b.member_status("s-2", 0.0)),
+        (MemberStatus::Draining, MemberStatus::Serving)
+    );
     // Started anew since: it is another machine.
-    assert_eq!(b.told("s-1", 9.0), Stand::Serving);
-    a.tell(now, "s-1", 0.0, 1, 6, Stand::Serving);
+    assert_eq!(b.member_status("s-1", 9.0), MemberStatus::Serving);
+    a.report_member_status(now, "s-1", 0.0, 1, 6, MemberStatus::Serving);
     talk(&mut a, &mut b, &mut now, 0.02);
-    assert_eq!(b.told("s-1", 0.0), Stand::Serving);
+    assert_eq!(b.member_status("s-1", 0.0), MemberStatus::Serving);
 }
 
 #[test]
 fn a_log_that_is_far_behind_is_read_from_a_stream_that_may_break_at_each_piece() {
     let (mut a, mut b, mut now) = pair();
-    for n in 0..3 * STREAM_BEHIND {
-        a.tell(now, &format!("m-{n}"), 0.0, 1, n, Stand::Draining);
+    for n in 0..3 * MIN_FACTS_TO_STREAM {
+        a.report_member_status(now, &format!("m-{n}"), 0.0, 1, n, MemberStatus::Draining);
     }
     // One datagram is enough for it to see how far behind it is.
     a.flush(now + 0.01);
-    let first = a.take_out();
+    let first = a.take_datagrams();
     first.iter().for_each(|(_, bytes)| b.receive(now + 0.01, bytes));
     now += 0.02;
-    let streams = b.to_stream(now);
+    let streams = b.streams_to_open(now);
     assert_eq!(streams.len(), 1, "{streams:?}");
     let (mut pieces, mut breaks) = (0, 0);
     while b.status(now).instances.iter().any(|other| other.to_read > 0) {
         // Each connection lasts for one piece: the next goes on behind it.
-        let (who, from) = a.fetched(now, &b.fetch("a").unwrap()).expect("its question is taken");
+        let (who, from) =
+            a.parse_stream_request(now, &b.stream_request("a").unwrap()).expect("its question is taken");
         let Some((piece, upto)) = a.stream_piece(now, &who, from) else {
             now += 0.01;
             continue;
@@ -232,18 +242,18 @@
         Record::Start(5),
         Record::Seen(who("b", 2, 9)),
         Record::Seen(who("c", 3, 4)),
-        Record::Over(who("c", 3, 4)),
+        Record::Ended(who("c", 3, 4)),
     ];
-    let bytes: Vec<u8> = records.iter().flat_map(Record::bytes).collect();
-    let whole = read(&bytes);
-    assert_eq!((whole.start, whole.seen.clone(), whole.torn), (5, vec![who("b", 2, 9)], 0));
-    assert_eq!(read(&rewritten(&whole)), whole);
+    let bytes: Vec<u8> = records.iter().flat_map(Record::encode).collect();
+    let whole = parse(&bytes);
+    assert_eq!((whole.start, whole.seen.clone(), whole.torn_bytes), (5, vec![who("b", 2, 9)], 0));
+    assert_eq!(parse(&compacted(&whole)), whole);
     for cut in 0..bytes.len() {
-        let part = read(&bytes[..cut]);
+        let part = parse(&bytes[..cut]);
         assert!(part.start <= 5 && part.seen.len() <= 2, "{cut}");
         let mut spoilt = bytes.clone();
         spoilt[cut] ^= 0x10;
-        assert!(read(&spoilt).start <= 5, "{cut}");
+        assert!(parse(&spoilt).start <= 5, "{cut}");
     }
     // A clock that went back by an hour, and an old copy of the folder: a start is above all that is known.
     assert_eq!(next_start(Some(&whole), 0.0), 6);
--- a/crates/scale/src/hollow/peers.rs
+++ b/crates/scale/src/hollow/peers.rs
@@ -3,7 +3,7 @@
 use std::io::{self, ErrorKind};
 
 use mio::net::UdpSocket;
-use replication::{Identity, Keys, Node, Terms};
+use replication::{Identity, Keys, Node, NodeConfig};
 
 use super::load::Load;
 use super::timers::{Due, Owner};
@@ -38,14 +38,14 @@
         let address = network.pooler(number);
         let socket = UdpSocket::bind(address)?;
         let me = Identity {
-            name: replication::message::name(&pooler_name(number)),
-            zone: replication::message::name(&zone_name(zone_of(number))),
+            name: replication::message::truncated_name(&pooler_name(number)),
+            zone: replication::message::truncated_name(&zone_name(zone_of(number))),
             address,
             start: replication::disk::next_start(None, now),
             renewal: 0,
         };
         let seeds = (0..world.fleet.seeds).map(|seed| network.pooler(seed)).collect();
-        let terms = Terms { lease: LEASE, seeds, ..Terms::default() };
+        let terms = NodeConfig { lease: LEASE, seeds, ..NodeConfig::default() };
         let keys = Keys::parse([KEY]).map_err(|_| io::Error::other("the key of the run is none"))?;
         let node = Node::new(me, keys, terms, seed, now, None);
         let load = Load::new(number, seed);
@@ -101,11 +101,11 @@
     pub fn carry_out(&mut self, owner: Owner, world: &mut World) {
         let load_due = self.load.go_on(&mut self.node, world);
         let now = world.clock.now();
-        let wanted = self.node.to_stream(now);
+        let wanted = self.node.streams_to_open(now);
         world.streams_wanted += wanted.len() as u64;
         wanted.iter().for_each(|(name, _)| self.node.stream_ended(name));
         self.node.flush_due(now);
-        for (to, bytes) in self.node.take_out() {
+        for (to, bytes) in self.node.take_datagrams() {
             self.send(to, &bytes, world);
         }
         self.node.take_records();
--- a/crates/scale/src/hollow/pooler.rs
+++ b/crates/scale/src/hollow/pooler.rs
@@ -220,7 +220,7 @@
     fn members(&mut self, kind: ListKind, listings: Vec<Listing>, world: &mut World) {
         if let Some(peers) = self.peers.as_mut().filter(|_| kind.is_news()) {
             let databases = listings.iter().map(|listing| (&*listing.name, listing.since, listing.phase));
-            reports::tell_list(&mut peers.node, world.clock.now(), (LIST, self.version), databases);
+            reports::report_list(&mut peers.node, world.clock.now(), (LIST, self.version), databases);
         }
         let entries = listings.into_iter().map(entry).collect();
         self.tell(Event::Members { kind, entries }, world);
@@ -239,7 +239,7 @@
         if world.heard_primary.contains_key(&self.owner.place) {
             return;
         }
-        let claims = peers.node.claims();
+        let claims = peers.node.primary_claims();
         if claims.get(group).and_then(|claim| claim.only()).is_some_and(|known| **known == **name) {
             world.heard_primary.insert(self.owner.place, world.clock.now());
         }
@@ -260,7 +260,7 @@
         }
         let now = world.clock.now();
         let beats = peers.beats(now);
-        if beats || peers.node.news() {
+        if beats || peers.node.take_changed() {
             self.exchange(beats, world);
         }
         if let Some(peers) = &mut self.peers {
@@ -285,11 +285,11 @@
         let found = self.policy.observations();
         let Some(peers) = &mut self.peers else { return };
         if tells {
-            reports::tell_views(&mut peers.node, now, &found);
-            peers.node.works_by(now, self.follower.index(), 0, env!("CARGO_PKG_VERSION"));
+            reports::report_views(&mut peers.node, now, &found);
+            peers.node.report_versions(now, self.follower.index(), 0, env!("CARGO_PKG_VERSION"));
         }
-        let heard = reports::heard(&peers.node, now, &found);
-        let others = peers.node.alive() as u32;
+        let heard = reports::peer_reports(&peers.node, now, &found);
+        let others = peers.node.reachable_instances() as u32;
         let mut actions = Vec::new();
         self.policy.take_peer_reports(now, &heard, others, &mut actions);
         self.carry_out(actions, world);
--- a/crates/scale/src/hollow/sessions.rs
+++ b/crates/scale/src/hollow/sessions.rs
@@ -31,14 +31,14 @@
 
 impl Sessions for replication::Node {
     fn need(&mut self, now: f64, session: &str) -> Option<f64> {
-        match replication::Node::need(self, now, session) {
-            replication::Need::From(position) => Some(position),
-            replication::Need::Primary(_) => None,
+        match replication::Node::read_requirement(self, now, session) {
+            replication::ReadRequirement::AtLeast(position) => Some(position),
+            replication::ReadRequirement::Primary(_) => None,
         }
     }
 
     fn write_begins(&mut self, now: f64, session: &str) -> Option<Ticket> {
-        Some(Ticket(replication::Node::write_begins(self, now, session).0))
+        Some(Ticket(replication::Node::begin_write(self, now, session).0))
     }
 
     fn may_send(&mut self, now: f64, write: Ticket) -> bool {
@@ -46,11 +46,11 @@
     }
 
     fn is_hopeless(&mut self, now: f64) -> bool {
-        self.hopeless(now)
+        self.cannot_send_writes(now)
     }
 
     fn write_committed(&mut self, now: f64, write: Ticket, position: f64) {
-        self.write_ends(now, replication::Ticket(write.0), Some(position));
+        self.end_write(now, replication::Ticket(write.0), Some(position));
     }
 
     fn may_answer(&mut self, now: f64, write: Ticket) -> bool {
--- a/crates/scale/src/hollow/worker.rs
+++ b/crates/scale/src/hollow/worker.rs
@@ -196,8 +196,8 @@
             state.running += 1;
             state.lists.push((pooler.version, pooler.list_sum()));
             if let Some(peers) = &mut pooler.peers {
-                state.alive.push(peers.node.alive());
-                state.whole.push(peers.node.why(now).is_none());
+                state.alive.push(peers.node.reachable_instances());
+                state.whole.push(peers.node.primary_reason(now).is_none());
             }
             if let Some(directory) = &pooler.directory {
                 state.quorate.push(directory.is_quorate(now));
--- a/crates/scale/src/traffic.rs
+++ b/crates/scale/src/traffic.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use directory::message::Purpose;
-use replication::auth::SEAL;
-use replication::message::Head;
+use replication::auth::SEAL_BYTES;
+use replication::message::Header;
 use serde::{Deserialize, Serialize};
 
 use crate::layout::Distance;
@@ -50,9 +50,9 @@
 impl Kind {
     /// The kind of a datagram between poolers, by the number that stands behind its head.
     pub fn of_datagram(sealed: &[u8]) -> Kind {
-        let message = &sealed[..sealed.len().saturating_sub(SEAL)];
+        let message = &sealed[..sealed.len().saturating_sub(SEAL_BYTES)];
         let number =
-            postcard::take_from_bytes::<Head>(message).ok().and_then(|(_, rest)| rest.first().copied());
+            postcard::take_from_bytes::<Header>(message).ok().and_then(|(_, rest)| rest.first().copied());
         match number {
             Some(1) => Kind::Ask,
             Some(2) => Kind::Grant,
--- a/crates/scale/src/traffic/tests.rs
+++ b/crates/scale/src/traffic/tests.rs
@@ -12,7 +12,7 @@
         start: 3,
         renewal: 0,
     };
-    let head = Head { version: VERSION, from, number: 70_000, to: 9 };
+    let head = Header { version: VERSION, from, number: 70_000, to: 9 };
     let keys = Keys::parse([crate::settings::KEY]).expect("a key");
     let kind = |body: Body| Kind::of_datagram(&keys.seal(encode(&head, &body)));
     assert_eq!(kind(Body::Swim(vec![1, 2])), Kind::Swim);
--- a/crates/simulation/examples/instances.rs
+++ b/crates/simulation/examples/instances.rs
@@ -1,7 +1,7 @@
 //! What instances that talk cost and how soon they meet: `instances storm SEEDS`, `heal COUNT LOSS SEEDS`,
 //! `drain COUNT LOSS SEEDS`, `cost COUNT`, `alarms COUNT SECONDS`, `catch SESSIONS`. Prints a line for each figure.
 
-use replication::fact::Stand;
+use replication::fact::MemberStatus;
 use simulation::instances::{Instances, Net};
 use simulation::storm::{storm, Storm};
 
@@ -64,9 +64,11 @@
     for seed in 0..seeds {
         let (member, teller) = (format!("s-{seed}"), seed as usize % count);
         let begun = all.now;
-        all.with(teller, |node, now| node.tell(now, &member, 0.0, 1, seed + 1, Stand::Draining));
+        all.with(teller, |node, now| {
+            node.report_member_status(now, &member, 0.0, 1, seed + 1, MemberStatus::Draining)
+        });
         let knows = |all: &mut Instances, n: usize| {
-            all.node(n).is_some_and(|node| node.told(&member, 0.0) == Stand::Draining)
+            all.node(n).is_some_and(|node| node.member_status(&member, 0.0) == MemberStatus::Draining)
         };
         let mut left: Vec<usize> = (0..count).collect();
         while !left.is_empty() && all.now - begun < 10.0 {
@@ -122,7 +124,7 @@
     }
     let kind = |notice: &replication::Notice| match notice {
         replication::Notice::Suspected(_) => Some("called dead"),
-        replication::Notice::Missing(_) => Some("missing"),
+        replication::Notice::Unreachable(_) => Some("missing"),
         _ => None,
     };
     println!(
@@ -140,7 +142,7 @@
                 .notices
                 .iter()
                 .filter(
-                    |(_, _, notice)| matches!(notice, replication::Notice::Missing(who) if **who == *name),
+                    |(_, _, notice)| matches!(notice, replication::Notice::Unreachable(who) if **who == *name),
                 )
                 .map(|(_, by, _)| *by)
                 .collect();
--- a/crates/simulation/src/instances.rs
+++ b/crates/simulation/src/instances.rs
@@ -8,7 +8,7 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-use replication::{Identity, Keys, Need, Node, Notice, Terms, Ticket};
+use replication::{Identity, Keys, Node, NodeConfig, Notice, ReadRequirement, Ticket};
 
 /// The key of all instances.
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
@@ -98,7 +98,7 @@
     pub net: Net,
     /// Directions that are cut: from, to.
     pub cut: HashSet<(usize, usize)>,
-    terms: Terms,
+    terms: NodeConfig,
     writes: HashMap<u64, Write>,
     wishes: u64,
     /// The latest position that each session was answered.
@@ -153,7 +153,7 @@
 impl Instances {
     /// So many instances in so many zones; the first `seeds` are known to all.
     pub fn new(seed: u64, count: usize, zones: usize, seeds: usize, net: Net) -> Instances {
-        let terms = Terms { seeds: (0..seeds).map(address).collect(), ..Terms::default() };
+        let terms = NodeConfig { seeds: (0..seeds).map(address).collect(), ..NodeConfig::default() };
         let mut all = Instances {
             now: BEGIN,
             seats: Vec::new(),
@@ -204,7 +204,7 @@
     }
 
     /// What instances go by; takes effect at their next start.
-    pub fn set_terms(&mut self, change: impl Fn(&mut Terms)) {
+    pub fn set_terms(&mut self, change: impl Fn(&mut NodeConfig)) {
         change(&mut self.terms);
     }
 
@@ -217,7 +217,7 @@
     /// Starts an instance, anew if it was there before.
     pub fn start(&mut self, n: usize) {
         let seat = &mut self.seats[n];
-        let kept = seat.disk.as_deref().map(replication::disk::read);
+        let kept = seat.disk.as_deref().map(replication::disk::parse);
         seat.life += 1;
         seat.identity.start = replication::disk::next_start(kept.as_ref(), self.now).max(seat.life);
         seat.stopped = false;
@@ -324,10 +324,10 @@
         let now = self.now;
         let life = self.seats[n].life;
         let Some(node) = self.seats[n].node.as_mut() else { return };
-        let (out, notices, due) = (node.take_out(), node.take_notices(), node.next_due());
+        let (out, notices, due) = (node.take_datagrams(), node.take_notices(), node.next_due());
         let records = node.take_records();
         if let Some(disk) = &mut self.seats[n].disk {
-            disk.extend(records.iter().flat_map(replication::disk::Record::bytes));
+            disk.extend(records.iter().flat_map(replication::disk::Record::encode));
         }
         if self.keep_notices {
             self.notices.extend(notices.into_iter().map(|notice| (now, n, notice)));
@@ -433,7 +433,7 @@
             return;
         }
         let Some(position) = committed else { return };
-        self.with(n, |node, now| node.write_ends(now, ticket, Some(position)));
+        self.with(n, |node, now| node.end_write(now, ticket, Some(position)));
         let may = self.with(n, |node, now| node.may_answer(now, ticket)).unwrap_or(false);
         if !may {
             self.schedule(now + 0.001, Event::Poll(id));
@@ -458,7 +458,7 @@
         self.wishes += 1;
         let (id, now) = (self.wishes, self.now);
         let name = format!("s{session}");
-        let Some(ticket) = self.with(n, |node, now| node.write_begins(now, &name)) else { return };
+        let Some(ticket) = self.with(n, |node, now| node.begin_write(now, &name)) else { return };
         let work = self.rng.f64() * self.work;
         let life = self.seats[n].life;
         let write = Write { at: n, life, ticket, session, begun: now, sent: false, work, committed: None };
@@ -473,9 +473,9 @@
         }
         let name = format!("s{session}");
         let own = self.answered.get(&session).copied().unwrap_or(f64::NEG_INFINITY);
-        let Some(need) = self.with(n, |node, now| node.need(now, &name)) else { return };
+        let Some(need) = self.with(n, |node, now| node.read_requirement(now, &name)) else { return };
         self.tally.reads += 1;
-        if let Need::From(position) = need {
+        if let ReadRequirement::AtLeast(position) = need {
             if position < own {
                 self.tally.stale += 1;
                 let by = self.answerer.get(&session).copied();
--- a/crates/simulation/tests/instances.rs
+++ b/crates/simulation/tests/instances.rs
@@ -1,6 +1,6 @@
 //! Instances that talk, through crashes, stops and cuts: no session reads what is older than its own write.
 
-use replication::Need;
+use replication::ReadRequirement;
 use rstest::rstest;
 use simulation::instances::{Instances, Net};
 use simulation::storm::Storm;
@@ -55,7 +55,9 @@
     assert!(all.equal(), "they know the same");
     let each = all.bytes().0 as f64 / (count * count) as f64;
     // And that is enough for leases: a read of a session goes by what is known.
-    let knows = |all: &mut Instances| all.with(7, |node, now| matches!(node.need(now, "s"), Need::From(_)));
+    let knows = |all: &mut Instances| {
+        all.with(7, |node, now| matches!(node.read_requirement(now, "s"), ReadRequirement::AtLeast(_)))
+    };
     while knows(&mut all) != Some(true) && all.now - begun < 10.0 {
         all.run(0.05);
     }
