--- a/crates/daemon/src/net/control_instance.rs
+++ b/crates/daemon/src/net/control_instance.rs
@@ -106,7 +106,7 @@
     }
 
     fn send(&mut self) {
-        for (to, bytes) in self.replica.take_out() {
+        for (to, bytes) in self.replica.take_datagrams() {
             // What does not go out is as lost as what does not arrive.
             let _ = self.socket.send_to(&bytes, self.routes.way_to(to));
         }
--- a/crates/daemon/src/net/directory.rs
+++ b/crates/daemon/src/net/directory.rs
@@ -7,7 +7,9 @@
 
 use ::control::{Code, Peers as Question, Response};
 use config::Config;
-use directory::{Client, Need, ProcessId, SessionKey, Status, Terms, Ticket, Why, WriteEnd};
+use directory::{
+    Client, PrimaryReason, ProcessId, ReadRequirement, SessionKey, Status, Ticket, Timing, WriteOutcome,
+};
 use mio::net::UdpSocket;
 use mio::Interest;
 use operator::Effective;
@@ -26,7 +28,7 @@
     hold: f64,
     begun: f64,
     drops: Drops,
-    terms: Terms,
+    terms: Timing,
     /// Groups of control instances, and how many of them had a quorum when that was last looked at.
     groups: usize,
     with_quorum: usize,
@@ -113,7 +115,7 @@
     }
 
     fn send(&mut self) {
-        for (to, bytes) in self.client.take_out() {
+        for (to, bytes) in self.client.take_datagrams() {
             // What does not go out is as lost as what does not arrive.
             let _ = self.socket.send_to(&bytes, self.routes.way_to(to));
         }
@@ -121,15 +123,15 @@
 
     /// What a session's read needs, as a position (Unix seconds); infinite where only the primary will do.
     pub fn need(&mut self, now: f64, session: &str) -> f64 {
-        match self.client.need(millis(now), SessionKey::new(session)) {
-            Need::From(position) => position as f64 / settings::MILLISECONDS,
-            Need::Primary(_) => f64::INFINITY,
+        match self.client.read_requirement(millis(now), SessionKey::new(session)) {
+            ReadRequirement::AtLeast(position) => position as f64 / settings::MILLISECONDS,
+            ReadRequirement::Primary(_) => f64::INFINITY,
         }
     }
 
     /// A write of a session has come, with so much time left (seconds). None at a bound: it must not be sent.
     pub fn write_begins(&mut self, now: f64, session: &str, left: f64) -> Option<Ticket> {
-        self.client.write_begins(millis(now), SessionKey::new(session), millis(left))
+        self.client.begin_write(millis(now), SessionKey::new(session), millis(left))
     }
 
     /// Whether a write may be sent.
@@ -141,14 +143,14 @@
     /// start takes.
     pub fn is_hopeless(&mut self, now: f64, ticket: Ticket) -> bool {
         let starts = now < self.begun + self.terms.lease as f64 / settings::MILLISECONDS;
-        !starts && self.client.waits_for(millis(now), ticket) == Some(Why::NoQuorum)
+        !starts && self.client.write_blocked_by(millis(now), ticket) == Some(PrimaryReason::NoQuorum)
     }
 
     /// A write was committed at that position (Unix seconds).
     pub fn write_committed(&mut self, now: f64, ticket: Ticket, position: f64) {
         // A position that is cut off to milliseconds would let a read see less than the write.
         let position = (position * settings::MILLISECONDS).ceil() as u64;
-        self.client.write_ends(millis(now), ticket, WriteEnd::Committed(position));
+        self.client.end_write(millis(now), ticket, WriteOutcome::Committed(position));
     }
 
     /// Whether a write that was committed may be answered.
@@ -175,11 +177,11 @@
         match question {
             Question::Status => told(self.status(now), "the session directory"),
             Question::Session(name) => {
-                let need = match self.client.need(millis(now), SessionKey::new(name)) {
-                    Need::From(position) => {
+                let need = match self.client.read_requirement(millis(now), SessionKey::new(name)) {
+                    ReadRequirement::AtLeast(position) => {
                         format!("a replica that has come to {:.3}", position as f64 / settings::MILLISECONDS)
                     }
-                    Need::Primary(why) => format!("the primary: {}", words(why)),
+                    ReadRequirement::Primary(why) => format!("the primary: {}", words(why)),
                 };
                 let owner = self.client.is_owner(millis(now), SessionKey::new(name));
                 let value = serde_json::json!({ "session": name, "reads_need": need, "owned_here": owner });
@@ -193,7 +195,8 @@
     }
 
     fn status(&self, now: f64) -> serde_json::Value {
-        let Status { sessions, claiming, writes, groups, machines } = self.client.status(millis(now));
+        let Status { sessions, claiming, writes, groups, instances: machines } =
+            self.client.status(millis(now));
         let counts = self.client.counts();
         let dropped: std::collections::BTreeMap<String, u64> =
             self.client.faults().iter().map(|(fault, count)| (fault.to_string(), *count)).collect();
@@ -201,7 +204,7 @@
             "sessions": sessions, "claiming": claiming, "writes": writes,
             "groups_with_quorum": groups, "groups": self.groups, "control_instances": machines,
             "claims": counts.claims, "claims_completed": counts.completed, "claims_given_up": counts.failed,
-            "handovers": counts.handovers, "outwaited": counts.outwaited, "given": counts.given,
+            "handovers": counts.handovers, "outwaited": counts.expired_owners, "given": counts.handed_off,
             "revoked": counts.revoked, "dropped": dropped,
         })
     }
@@ -232,13 +235,13 @@
 }
 
 /// Why a read goes to the primary, in words.
-fn words(why: Why) -> &'static str {
+fn words(why: PrimaryReason) -> &'static str {
     match why {
-        Why::Claiming => "the session's group has not answered yet",
-        Why::FormerOwner => "a former owner has not answered yet, and its lease is not over",
-        Why::OpenWrite => "a write that was sent may commit still",
-        Why::NoQuorum => "there is no quorum of the session's group",
-        Why::Busy => "a bound is reached",
-        Why::Left => "this pooler ends",
+        PrimaryReason::Claiming => "the session's group has not answered yet",
+        PrimaryReason::FormerOwner => "a former owner has not answered yet, and its lease is not over",
+        PrimaryReason::OpenWrite => "a write that was sent may commit still",
+        PrimaryReason::NoQuorum => "there is no quorum of the session's group",
+        PrimaryReason::LimitReached => "a bound is reached",
+        PrimaryReason::Left => "this pooler ends",
     }
 }
--- a/crates/daemon/src/net/directory/settings.rs
+++ b/crates/daemon/src/net/directory/settings.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use directory::{Fault, Machine, Millis, Placement, Terms};
+use directory::{ControlInstance, Fault, Millis, Placement, Timing};
 use operator::Peers;
 
 /// Milliseconds of a second.
@@ -18,7 +18,7 @@
 
 /// The control instances and their groups.
 pub(crate) fn placement(settings: &Peers) -> Result<Placement, String> {
-    let machines = settings.control.iter().map(|instance| Machine {
+    let machines = settings.control.iter().map(|instance| ControlInstance {
         name: instance.name.clone(),
         region: instance.region.clone(),
         address: instance.address,
@@ -28,11 +28,11 @@
 }
 
 /// What all processes of the directory go by.
-pub(crate) fn terms(settings: &Peers) -> Terms {
-    Terms {
+pub(crate) fn terms(settings: &Peers) -> Timing {
+    Timing {
         write_bound: millis(settings.write_bound_s),
         clock_error: millis(settings.clock_error_s),
-        ..Terms::default()
+        ..Timing::default()
     }
 }
 
--- a/crates/directory/examples/cost.rs
+++ b/crates/directory/examples/cost.rs
@@ -5,8 +5,8 @@
 mod network;
 
 use argh::FromArgs;
-use directory::terms::bounds;
-use directory::{Client, Need, Placement, ProcessId, Replica, Terms, Why};
+use directory::timing::bounds;
+use directory::{Client, Placement, PrimaryReason, ProcessId, ReadRequirement, Replica, Timing};
 use hdrhistogram::Histogram;
 use network::{keys, machines, session_key, Cost, Net, Shape, World};
 
@@ -203,8 +203,13 @@
     /// Asks what a read of the session needs; whether it has to wait.
     fn need(&mut self, world: &mut World, session: usize, pooler: usize) -> bool {
         let seat = world.pooler(pooler);
-        let need = world.with(seat, |client, now| client.need(now, session_key(session)));
-        matches!(need, Some(Need::Primary(Why::Claiming | Why::FormerOwner | Why::NoQuorum)))
+        let need = world.with(seat, |client, now| client.read_requirement(now, session_key(session)));
+        matches!(
+            need,
+            Some(ReadRequirement::Primary(
+                PrimaryReason::Claiming | PrimaryReason::FormerOwner | PrimaryReason::NoQuorum
+            ))
+        )
     }
 }
 
@@ -259,7 +264,7 @@
 /// Sessions of many poolers and records of one control instance, by resident memory.
 fn memory() {
     const POOLERS: usize = 100;
-    let terms = Terms::default();
+    let terms = Timing::default();
     let placement = Placement::new(machines(13), 3, &terms).expect("a placement");
     // Both are kept to the end: what one lets go would be used again, and hide what the other takes.
     let control_id = ProcessId::new("c0", 1);
@@ -267,7 +272,7 @@
     let me = ProcessId::new("p", 1);
     let mut channel = directory::channel::Channel::new(me, placement.digest(), keys());
     let from = ([127, 0, 0, 1], 7_000).into();
-    let now = terms.silence();
+    let now = terms.startup_silence();
     let heartbeat =
         directory::message::Body::Heartbeat { address: from, term: 0, revoked_up_to: 0, notices: vec![] };
     let (_, bytes) = channel.seal(0, &heartbeat);
@@ -278,13 +283,13 @@
             break;
         }
         let session = session_key(session);
-        let own = placement.machine(control_id).expect("a machine");
+        let own = placement.instance_index(control_id).expect("a machine");
         if !placement.members(placement.group(session)).contains(&own) {
             continue;
         }
         let claim = directory::message::Body::Claim { session, counter: 1 };
         control.receive(now, from, &channel.seal(0, &claim).1).expect("a claim");
-        control.take_out();
+        control.take_datagrams();
     }
     let all = resident() - before;
     println!(
@@ -304,7 +309,7 @@
         .collect();
     for (n, pooler) in poolers.iter_mut().enumerate() {
         for session in 0..POOLER_SESSIONS {
-            pooler.need(1_000_000, session_key(n * POOLER_SESSIONS + session));
+            pooler.read_requirement(1_000_000, session_key(n * POOLER_SESSIONS + session));
         }
     }
     let each = (resident() - before) / POOLERS as f64;
--- a/crates/directory/src/channel.rs
+++ b/crates/directory/src/channel.rs
@@ -7,8 +7,8 @@
 use replication::Keys;
 
 use crate::identity::ProcessId;
-use crate::message::{self, Body, FormError, Header};
-use crate::terms::{bounds, Millis};
+use crate::message::{self, Body, DecodeError, Header};
+use crate::timing::{bounds, Millis};
 
 /// Words of a window: numbers so many times 64 below the highest are told apart.
 const WINDOW_WORDS: usize = 4;
@@ -18,12 +18,12 @@
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Fault {
-    /// Longer than [`bounds::DATAGRAM`].
+    /// Longer than [`bounds::MAX_DATAGRAM_BYTES`].
     TooLong,
     /// Sealed by no key that is held here.
     Key,
     /// Of no known form, though the seal is right.
-    Garbled,
+    Malformed,
     /// Of another version.
     Version,
     /// Its sender has another list of control instances, or other terms.
@@ -41,7 +41,7 @@
         f.write_str(match self {
             Fault::TooLong => "longer than a datagram of the directory",
             Fault::Key => "sealed by no key that is held here",
-            Fault::Garbled => "of no known form",
+            Fault::Malformed => "of no known form",
             Fault::Version => "of another version of the directory",
             Fault::Directory => "its sender has another list of control instances, or other terms",
             Fault::Incarnation => "of, or to, an earlier start",
@@ -109,7 +109,7 @@
     }
 
     /// Whose it is.
-    pub fn me(&self) -> ProcessId {
+    pub fn process_id(&self) -> ProcessId {
         self.me
     }
 
@@ -146,13 +146,13 @@
     }
 
     fn opened(&mut self, now: Millis, bytes: &[u8]) -> Result<(Header, Body), Fault> {
-        if bytes.len() > bounds::DATAGRAM {
+        if bytes.len() > bounds::MAX_DATAGRAM_BYTES {
             return Err(Fault::TooLong);
         }
         let message = self.keys.open(bytes).ok_or(Fault::Key)?;
         let (header, body) = message::decode(message).map_err(|error| match error {
-            FormError::Garbled => Fault::Garbled,
-            FormError::Version(_) => Fault::Version,
+            DecodeError::Malformed => Fault::Malformed,
+            DecodeError::Version(_) => Fault::Version,
         })?;
         if header.directory != self.directory {
             return Err(Fault::Directory);
@@ -167,7 +167,7 @@
     /// Guards against what is sent again by the network, or by somebody who has recorded it.
     fn note(&mut self, now: Millis, header: &Header) -> Result<(), Fault> {
         let incarnation = header.from.incarnation;
-        if !self.windows.contains_key(&header.from.name) && self.windows.len() >= bounds::CORRESPONDENTS {
+        if !self.windows.contains_key(&header.from.name) && self.windows.len() >= bounds::SENDERS {
             let oldest = self.windows.iter().min_by_key(|(_, window)| window.heard).map(|(name, _)| *name);
             oldest.and_then(|name| self.windows.remove(&name));
         }
--- a/crates/directory/src/client.rs
+++ b/crates/directory/src/client.rs
@@ -15,7 +15,7 @@
 use crate::message::{Body, Notice};
 use crate::placement::Placement;
 use crate::session::Session;
-use crate::terms::{bounds, Millis, Terms};
+use crate::timing::{bounds, Millis, Timing};
 use crate::Datagram;
 
 /// A write that has begun.
@@ -24,16 +24,16 @@
 
 /// What a session's read needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum ReadRequirement {
     /// Data up to this position (Unix ms).
-    From(Millis),
+    AtLeast(Millis),
     /// The primary.
-    Primary(Why),
+    Primary(PrimaryReason),
 }
 
 /// Why only the primary will do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum PrimaryReason {
     /// The session's group has not answered yet.
     Claiming,
     /// A former owner has not answered yet, and its lease is not over.
@@ -43,20 +43,20 @@
     /// There is no quorum of the session's group.
     NoQuorum,
     /// A bound is reached.
-    Busy,
+    LimitReached,
     /// This pooler has given its leases back.
     Left,
 }
 
 /// How a write has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteEnd {
+pub enum WriteOutcome {
     /// It was committed at this position (Unix ms).
     Committed(Millis),
     /// It may be committed still, until its deadline.
     InDoubt,
     /// It has not run and will not.
-    Untouched,
+    NotRun,
 }
 
 /// How the directory looks to a pooler.
@@ -71,7 +71,7 @@
     /// Groups with a quorum.
     pub groups: usize,
     /// Control instances with a lease.
-    pub machines: usize,
+    pub instances: usize,
 }
 
 /// What is counted.
@@ -86,9 +86,9 @@
     /// Former owners that handed over, and that were outwaited.
     pub handovers: u64,
     /// See above.
-    pub outwaited: u64,
+    pub expired_owners: u64,
     /// Sessions that were handed over to others.
-    pub given: u64,
+    pub handed_off: u64,
     /// Sessions that were revoked before anybody had asked for them.
     pub revoked: u64,
 }
@@ -106,7 +106,7 @@
 /// A pooler's view of the directory.
 #[derive(Debug)]
 pub struct Client {
-    terms: Terms,
+    terms: Timing,
     placement: Placement,
     channel: Channel,
     /// Where other poolers reach this one.
@@ -135,11 +135,11 @@
         me: ProcessId,
         address: SocketAddr,
         keys: Keys,
-        terms: Terms,
+        terms: Timing,
         placement: Placement,
         now: Millis,
     ) -> Client {
-        let leases = placement.machines().iter().map(|machine| HeldLease::new(machine.address)).collect();
+        let leases = placement.instances().iter().map(|machine| HeldLease::new(machine.address)).collect();
         Client {
             terms,
             channel: Channel::new(me, placement.digest(), keys),
@@ -161,21 +161,23 @@
     }
 
     /// What a read of a session needs that comes now.
-    pub fn need(&mut self, now: Millis, session: SessionKey) -> Need {
+    pub fn read_requirement(&mut self, now: Millis, session: SessionKey) -> ReadRequirement {
         if let Err(why) = self.own(now, session) {
-            return Need::Primary(why);
+            return ReadRequirement::Primary(why);
         }
-        let Some(session) = self.sessions.get_mut(&session) else { return Need::Primary(Why::Busy) };
+        let Some(session) = self.sessions.get_mut(&session) else {
+            return ReadRequirement::Primary(PrimaryReason::LimitReached);
+        };
         let floor = session.claim.as_ref().map_or(Millis::MAX, |claim| claim.floor);
         match session.marks.needed(now, &self.terms) {
-            Some(position) => Need::From(position.max(floor)),
-            None => Need::Primary(Why::OpenWrite),
+            Some(position) => ReadRequirement::AtLeast(position.max(floor)),
+            None => ReadRequirement::Primary(PrimaryReason::OpenWrite),
         }
     }
 
     /// A write of a session has come, with so much time (ms) to its answer. It is never answered after that, nor after
-    /// [`Terms::write_bound`]. None at a bound.
-    pub fn write_begins(&mut self, now: Millis, session: SessionKey, time: Millis) -> Option<Ticket> {
+    /// [`Timing::write_bound`]. None at a bound.
+    pub fn begin_write(&mut self, now: Millis, session: SessionKey, time: Millis) -> Option<Ticket> {
         if self.writes.len() >= bounds::WRITES {
             return None;
         }
@@ -202,16 +204,16 @@
     }
 
     /// A write has ended at its database.
-    pub fn write_ends(&mut self, _now: Millis, ticket: Ticket, end: WriteEnd) {
+    pub fn end_write(&mut self, _now: Millis, ticket: Ticket, end: WriteOutcome) {
         let Some(write) = self.writes.get_mut(&ticket.0) else { return };
         if std::mem::replace(&mut write.ended, true) {
             return;
         }
         let Some(session) = self.sessions.get_mut(&write.session) else { return };
         match end {
-            WriteEnd::Committed(position) => session.marks.raise(position),
-            WriteEnd::InDoubt => session.marks.open(write.deadline),
-            WriteEnd::Untouched => {}
+            WriteOutcome::Committed(position) => session.marks.raise(position),
+            WriteOutcome::InDoubt => session.marks.open(write.deadline),
+            WriteOutcome::NotRun => {}
         }
     }
 
@@ -222,7 +224,7 @@
     }
 
     /// Why a write may not be sent yet; none where its session is owned, or where the write is not known.
-    pub fn waits_for(&mut self, now: Millis, ticket: Ticket) -> Option<Why> {
+    pub fn write_blocked_by(&mut self, now: Millis, ticket: Ticket) -> Option<PrimaryReason> {
         let session = self.writes.get(&ticket.0)?.session;
         self.own(now, session).err()
     }
@@ -235,7 +237,7 @@
     /// A write is done with. One that was sent and whose end was not told is in doubt.
     pub fn forget(&mut self, now: Millis, ticket: Ticket) {
         let sent = self.writes.get(&ticket.0).is_some_and(|write| write.sent);
-        self.write_ends(now, ticket, if sent { WriteEnd::InDoubt } else { WriteEnd::Untouched });
+        self.end_write(now, ticket, if sent { WriteOutcome::InDoubt } else { WriteOutcome::NotRun });
         let Some(write) = self.writes.remove(&ticket.0) else { return };
         if let Some(session) = self.sessions.get_mut(&write.session) {
             session.writes.retain(|number| *number != ticket.0);
@@ -286,7 +288,7 @@
     }
 
     /// Datagrams to be sent.
-    pub fn take_out(&mut self) -> Vec<Datagram> {
+    pub fn take_datagrams(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.out)
     }
 
@@ -317,7 +319,7 @@
             claiming: self.repeats.len(),
             writes: self.writes.len(),
             groups: groups.count(),
-            machines: self.leases.iter().filter(live).count(),
+            instances: self.leases.iter().filter(live).count(),
         }
     }
 
@@ -356,7 +358,7 @@
         while let Some((_, key)) = self.resting.front().copied().filter(|(at, _)| *at <= now) {
             self.resting.pop_front();
             let Some(session) = self.sessions.get(&key) else { continue };
-            let rested = session.used + bounds::REST;
+            let rested = session.used + bounds::IDLE_RETENTION;
             if rested > now || !session.writes.is_empty() {
                 self.resting.push_back((rested.max(now + self.terms.heartbeat), key));
             } else {
@@ -367,7 +369,7 @@
 
     /// Makes room for one more session; whether there is.
     fn make_room(&mut self, now: Millis) -> bool {
-        for _ in 0..bounds::ENTRIES {
+        for _ in 0..bounds::ENTRIES_PER_DATAGRAM {
             if self.sessions.len() < bounds::SESSIONS {
                 return true;
             }
--- a/crates/directory/src/client/claims.rs
+++ b/crates/directory/src/client/claims.rs
@@ -1,44 +1,44 @@
 //! Claims of sessions: begun where one arrives, repeated, complete or given up.
 
-use super::{Client, Why};
+use super::{Client, PrimaryReason};
 use crate::channel::Fault;
 use crate::identity::{Ballot, SessionKey};
 use crate::lease::Term;
 use crate::message::{Body, ClaimVerdict, FormerOwner, Header, Notice};
-use crate::placement::MOST_MEMBERS;
+use crate::placement::MAX_GROUP_MEMBERS;
 use crate::session::{Claim, Session};
-use crate::terms::{bounds, Millis};
+use crate::timing::{bounds, Millis};
 
 /// A claim that was given up is begun anew after a random part of this (ms), doubled with each failure.
 const FIRST_BACKOFF: Millis = 50;
 
 impl Client {
     /// Whether a session is owned; claims it where it is not.
-    pub(super) fn own(&mut self, now: Millis, key: SessionKey) -> Result<(), Why> {
+    pub(super) fn own(&mut self, now: Millis, key: SessionKey) -> Result<(), PrimaryReason> {
         if self.left {
-            return Err(Why::Left);
+            return Err(PrimaryReason::Left);
         }
         if !self.sessions.contains_key(&key) && !self.open_session(now, key) {
-            return Err(Why::Busy);
+            return Err(PrimaryReason::LimitReached);
         }
         self.advance(now, key);
-        let Some(session) = self.sessions.get_mut(&key) else { return Err(Why::Busy) };
+        let Some(session) = self.sessions.get_mut(&key) else { return Err(PrimaryReason::LimitReached) };
         session.used = now;
         let group = session.group;
         let lapsed = session.claim.as_ref().is_some_and(|claim| claim.completed);
-        let Some(session) = self.sessions.get(&key) else { return Err(Why::Busy) };
+        let Some(session) = self.sessions.get(&key) else { return Err(PrimaryReason::LimitReached) };
         if self.owns(now, session) {
             self.complete_members(now, key);
             return Ok(());
         }
         if !self.has_quorum(now, group) {
-            return Err(Why::NoQuorum);
+            return Err(PrimaryReason::NoQuorum);
         }
         match &session.claim {
             // A late answer has named one more former owner.
-            Some(claim) if !claim.is_settled() => Err(Why::FormerOwner),
-            Some(_) if !lapsed => Err(Why::Claiming),
-            None if now < session.retry_at => Err(Why::Claiming),
+            Some(claim) if !claim.is_settled() => Err(PrimaryReason::FormerOwner),
+            Some(_) if !lapsed => Err(PrimaryReason::Claiming),
+            None if now < session.retry_at => Err(PrimaryReason::Claiming),
             _ => Err(self.begin_claim(now, key)),
         }
     }
@@ -77,7 +77,7 @@
 
     /// Until when a quorum of the members holds a claim.
     fn valid_until(&self, group: usize, claim: &Claim) -> Millis {
-        let mut until = [0; MOST_MEMBERS];
+        let mut until = [0; MAX_GROUP_MEMBERS];
         self.holders(group, claim).zip(&mut until).for_each(|((holds, _), until)| *until = holds);
         until.sort_unstable_by(|a, b| b.cmp(a));
         until[self.placement.quorum() - 1]
@@ -85,7 +85,7 @@
 
     /// Owners that are not named wrote before this time: each had a quorum, and any quorum has a member that knew of it.
     fn floor(&self, now: Millis, group: usize, claim: &Claim) -> Millis {
-        let mut floors = [Millis::MAX; MOST_MEMBERS];
+        let mut floors = [Millis::MAX; MAX_GROUP_MEMBERS];
         let holders = self.holders(group, claim).filter(|(until, _)| *until > now);
         holders.zip(&mut floors).for_each(|((_, told), floor)| *floor = told);
         floors.sort_unstable();
@@ -100,25 +100,25 @@
         // It may be one that was forgotten here.
         session.marks.raise(self.forgotten);
         self.sessions.insert(key, session);
-        self.resting.push_back((now + bounds::REST, key));
+        self.resting.push_back((now + bounds::IDLE_RETENTION, key));
         true
     }
 
-    fn begin_claim(&mut self, now: Millis, key: SessionKey) -> Why {
+    fn begin_claim(&mut self, now: Millis, key: SessionKey) -> PrimaryReason {
         if self.repeats.len() >= bounds::CLAIMS {
-            return Why::Busy;
+            return PrimaryReason::LimitReached;
         }
-        let Some(session) = self.sessions.get_mut(&key) else { return Why::Busy };
+        let Some(session) = self.sessions.get_mut(&key) else { return PrimaryReason::LimitReached };
         session.drop_claim();
         // Guards against a claim that is turned down because a session has had owners before: whoever claimed it then did
         // so at an earlier time, whatever this pooler knows of that.
         session.highest = now.max(session.highest + 1);
-        let claim = Claim::new(now, session.highest, bounds::FIRST_REPEAT);
+        let claim = Claim::new(now, session.highest, bounds::FIRST_RETRY_DELAY);
         self.repeats.insert((claim.repeat_at, key));
         session.claim = Some(claim);
         self.counts.claims += 1;
         self.send_claim(now, key);
-        Why::Claiming
+        PrimaryReason::Claiming
     }
 
     /// Sends a claim to the members that have not recorded it under their present lease.
@@ -185,7 +185,7 @@
         if claim.completed && claim.is_settled() && !missing {
             return;
         }
-        claim.repeat_after = (2 * claim.repeat_after).min(bounds::LONGEST_REPEAT);
+        claim.repeat_after = (2 * claim.repeat_after).min(bounds::MAX_RETRY_DELAY);
         claim.repeat_at = now + claim.repeat_after;
         let next = claim.formers.iter().filter(|former| !former.settled).map(|former| former.over_at).min();
         claim.repeat_at = next.map_or(claim.repeat_at, |over| claim.repeat_at.min(over.max(now + 1)));
@@ -215,8 +215,8 @@
         let terms = self.terms;
         let Some(session) = self.sessions.get_mut(&key) else { return };
         let Some(claim) = session.claim.as_mut() else { return };
-        if claim.outwait(now, &terms, &mut session.marks) {
-            self.counts.outwaited += 1;
+        if claim.settle_expired(now, &terms, &mut session.marks) {
+            self.counts.expired_owners += 1;
         }
         let Some(session) = self.sessions.get(&key) else { return };
         let Some(claim) = &session.claim else { return };
@@ -270,7 +270,7 @@
         counter: u64,
         verdict: &ClaimVerdict,
     ) -> Result<(), Fault> {
-        let machine = self.placement.machine(header.from).ok_or(Fault::Sender)?;
+        let machine = self.placement.instance_index(header.from).ok_or(Fault::Sender)?;
         let Some(session) = self.sessions.get_mut(&key) else { return Ok(()) };
         let members = self.placement.members(session.group);
         let slot = members.iter().position(|member| *member == machine).ok_or(Fault::Sender)?;
@@ -305,13 +305,14 @@
 
     /// A member has named former owners: those that are new are asked.
     fn named(&mut self, now: Millis, key: SessionKey, formers: &[FormerOwner]) {
-        let me = self.channel.me();
+        let me = self.channel.process_id();
         let Some(claim) = self.sessions.get_mut(&key).and_then(|session| session.claim.as_mut()) else {
             return;
         };
         let counter = claim.counter;
         let others = formers.iter().take(bounds::FORMERS).filter(|former| former.ballot.owner != me);
-        let fresh: Vec<FormerOwner> = others.filter(|former| claim.name(now, former)).copied().collect();
+        let fresh: Vec<FormerOwner> =
+            others.filter(|former| claim.add_former(now, former)).copied().collect();
         for former in fresh {
             let body = Body::Handover { session: key, counter, former: former.ballot };
             self.send(former.address, former.ballot.owner.incarnation, &body);
--- a/crates/directory/src/client/peers.rs
+++ b/crates/directory/src/client/peers.rs
@@ -7,7 +7,7 @@
 use crate::identity::{Ballot, SessionKey};
 use crate::lease::Term;
 use crate::message::{Body, HandoverVerdict, Header, Revocation};
-use crate::terms::{stretched, Millis};
+use crate::timing::{stretched, Millis};
 
 impl Client {
     /// A control instance has answered a heartbeat.
@@ -19,7 +19,7 @@
         term: u32,
         (revocations, complete): (&[Revocation], bool),
     ) -> Result<(), Fault> {
-        let machine = self.placement.machine(header.from).ok_or(Fault::Sender)?;
+        let machine = self.placement.instance_index(header.from).ok_or(Fault::Sender)?;
         // Before the lease counts as renewed: sessions that are revoked are not renewed with it.
         revocations.iter().for_each(|revocation| self.revoke(revocation));
         let term = Term { incarnation: header.from.incarnation, number: term };
@@ -31,7 +31,7 @@
     }
 
     fn revoke(&mut self, revocation: &Revocation) {
-        let me = self.channel.me();
+        let me = self.channel.process_id();
         let Some(session) = self.sessions.get_mut(&revocation.session) else { return };
         session.highest = session.highest.max(revocation.below.counter);
         let ballot = session.claim.as_ref().map(|claim| Ballot { counter: claim.counter, owner: me });
@@ -51,7 +51,7 @@
         asked: &Body,
     ) -> Result<(), Fault> {
         let Body::Handover { counter, former, .. } = *asked else { return Err(Fault::Sender) };
-        if former.owner != self.channel.me() {
+        if former.owner != self.channel.process_id() {
             return Err(Fault::Sender);
         }
         let verdict = self.relinquish(now, key, ballot);
@@ -64,13 +64,13 @@
         let Some(session) = self.sessions.get(&key) else {
             return HandoverVerdict::Marks { position: self.forgotten, open: 0 };
         };
-        let me = self.channel.me();
+        let me = self.channel.process_id();
         let own = session.claim.as_ref().map(|claim| Ballot { counter: claim.counter, owner: me });
         if let Some(own) = own.filter(|own| *own > by) {
             return HandoverVerdict::Superseded { by: own };
         }
         let owned = self.owns(now, session);
-        self.counts.given += u64::from(own.is_some());
+        self.counts.handed_off += u64::from(own.is_some());
         let Some(session) = self.sessions.get_mut(&key) else {
             return HandoverVerdict::Marks { position: self.forgotten, open: 0 };
         };
--- a/crates/directory/src/lease.rs
+++ b/crates/directory/src/lease.rs
@@ -7,7 +7,7 @@
 
 use crate::identity::{Ballot, ProcessId, SessionKey};
 use crate::message::{Notice, Revocation};
-use crate::terms::{bounds, Millis, Terms};
+use crate::timing::{bounds, Millis, Timing};
 
 /// One lease: the start of the control instance that granted it, and its number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -52,7 +52,7 @@
     }
 
     /// Until when it lasts.
-    pub fn until(&self, terms: &Terms) -> Millis {
+    pub fn until(&self, terms: &Timing) -> Millis {
         match self.term {
             Some(_) if self.confirmed > 0 => self.confirmed + terms.lease,
             _ => 0,
@@ -73,7 +73,7 @@
 
     /// The notices for a heartbeat.
     pub fn notices(&self) -> Vec<Notice> {
-        self.notices.iter().take(bounds::ENTRIES).map(|(notice, _)| *notice).collect()
+        self.notices.iter().take(bounds::ENTRIES_PER_DATAGRAM).map(|(notice, _)| *notice).collect()
     }
 
     /// A heartbeat goes out.
@@ -82,7 +82,7 @@
             self.awaited.pop_front();
         }
         self.awaited.push_back((number, now));
-        for (_, first) in self.notices.iter_mut().take(bounds::ENTRIES) {
+        for (_, first) in self.notices.iter_mut().take(bounds::ENTRIES_PER_DATAGRAM) {
             first.get_or_insert(number);
         }
     }
@@ -157,8 +157,8 @@
 
     /// The first revocations, and whether these are all.
     pub fn revocations(&self) -> (Vec<Revocation>, bool) {
-        let first = self.revocations.iter().take(bounds::ENTRIES).copied().collect();
-        (first, self.revocations.len() <= bounds::ENTRIES && !self.overflowed)
+        let first = self.revocations.iter().take(bounds::ENTRIES_PER_DATAGRAM).copied().collect();
+        (first, self.revocations.len() <= bounds::ENTRIES_PER_DATAGRAM && !self.overflowed)
     }
 }
 
@@ -196,7 +196,7 @@
     /// Forgets one that ended long ago, or the oldest where there are too many; its floor.
     pub fn forget(&mut self, now: Millis) -> Option<Millis> {
         let (noted, key) = *self.by_time.front()?;
-        if noted + bounds::REST > now && self.by_time.len() <= bounds::ENDED {
+        if noted + bounds::IDLE_RETENTION > now && self.by_time.len() <= bounds::ENDED_LEASES {
             return None;
         }
         self.by_time.pop_front();
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -17,14 +17,14 @@
 pub mod placement;
 pub mod replica;
 pub mod session;
-pub mod terms;
+pub mod timing;
 
 pub use channel::Fault;
-pub use client::{Client, Need, Status, Ticket, Why, WriteEnd};
+pub use client::{Client, PrimaryReason, ReadRequirement, Status, Ticket, WriteOutcome};
 pub use identity::{Ballot, ProcessId, SessionKey};
-pub use placement::{Machine, Placement};
+pub use placement::{ControlInstance, Placement};
 pub use replica::Replica;
-pub use terms::{Millis, Terms};
+pub use timing::{Millis, Timing};
 
 /// A datagram to be sent: where to, and its bytes.
 pub type Datagram = (std::net::SocketAddr, Vec<u8>);
--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -212,9 +212,9 @@
 
 /// What is wrong with the bytes of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FormError {
+pub enum DecodeError {
     /// The checksum is another one, or the bytes are of no message.
-    Garbled,
+    Malformed,
     /// The version is not [`VERSION`].
     Version(u8),
 }
@@ -230,20 +230,20 @@
 }
 
 /// Reads a message.
-pub fn decode(bytes: &[u8]) -> Result<(Header, Body), FormError> {
-    let (message, sum) = bytes.split_last_chunk::<CHECKSUM>().ok_or(FormError::Garbled)?;
+pub fn decode(bytes: &[u8]) -> Result<(Header, Body), DecodeError> {
+    let (message, sum) = bytes.split_last_chunk::<CHECKSUM>().ok_or(DecodeError::Malformed)?;
     if crc32fast::hash(message).to_be_bytes() != *sum {
-        return Err(FormError::Garbled);
+        return Err(DecodeError::Malformed);
     }
     match message.first() {
         Some(&VERSION) => {}
-        Some(&version) => return Err(FormError::Version(version)),
-        None => return Err(FormError::Garbled),
+        Some(&version) => return Err(DecodeError::Version(version)),
+        None => return Err(DecodeError::Malformed),
     }
-    let (decoded, rest) = postcard::take_from_bytes(message).map_err(|_| FormError::Garbled)?;
+    let (decoded, rest) = postcard::take_from_bytes(message).map_err(|_| DecodeError::Malformed)?;
     if rest.is_empty() {
         Ok(decoded)
     } else {
-        Err(FormError::Garbled)
+        Err(DecodeError::Malformed)
     }
 }
--- a/crates/directory/src/placement.rs
+++ b/crates/directory/src/placement.rs
@@ -4,16 +4,16 @@
 use std::net::SocketAddr;
 
 use crate::identity::{hash_of, ProcessId, SessionKey};
-use crate::terms::Terms;
+use crate::timing::Timing;
 
 /// Members of the largest group.
-pub const MOST_MEMBERS: usize = 5;
+pub const MAX_GROUP_MEMBERS: usize = 5;
 /// Control instances of one directory.
-pub const MOST_MACHINES: usize = 64;
+pub const MAX_CONTROL_INSTANCES: usize = 64;
 
 /// A control instance, as all poolers and all control instances are told of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Machine {
+pub struct ControlInstance {
     /// Its name.
     pub name: String,
     /// Its region: members of a group are taken from different ones as far as there are.
@@ -27,20 +27,20 @@
 pub enum PlacementError {
     /// Groups have 1, 3 or 5 members.
     GroupSize(usize),
-    /// There are fewer machines than a group has members, or more than [`MOST_MACHINES`].
-    Machines(usize),
+    /// There are fewer machines than a group has members, or more than [`MAX_CONTROL_INSTANCES`].
+    InstanceCount(usize),
     /// Two machines of one name or address; the number of the second.
-    Twice(usize),
+    Duplicate(usize),
 }
 
 impl std::fmt::Display for PlacementError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             PlacementError::GroupSize(size) => write!(f, "groups of {size}; accepted: 1, 3 or 5"),
-            PlacementError::Machines(count) => {
-                write!(f, "{count} control instances; accepted: a group's size to {MOST_MACHINES}")
+            PlacementError::InstanceCount(count) => {
+                write!(f, "{count} control instances; accepted: a group's size to {MAX_CONTROL_INSTANCES}")
             }
-            PlacementError::Twice(number) => {
+            PlacementError::Duplicate(number) => {
                 write!(f, "control instance {number} has the name or address of another")
             }
         }
@@ -52,7 +52,7 @@
 /// The control instances and their groups.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    machines: Vec<Machine>,
+    machines: Vec<ControlInstance>,
     /// Machines by group, as indices.
     groups: Vec<Vec<usize>>,
     seeds: Vec<u64>,
@@ -61,19 +61,23 @@
 
 impl Placement {
     /// As many groups of `size` members as there are machines; each machine is in `size` groups.
-    pub fn new(mut machines: Vec<Machine>, size: usize, terms: &Terms) -> Result<Placement, PlacementError> {
-        if ![1, 3, MOST_MEMBERS].contains(&size) {
+    pub fn new(
+        mut machines: Vec<ControlInstance>,
+        size: usize,
+        terms: &Timing,
+    ) -> Result<Placement, PlacementError> {
+        if ![1, 3, MAX_GROUP_MEMBERS].contains(&size) {
             return Err(PlacementError::GroupSize(size));
         }
-        if machines.len() < size || machines.len() > MOST_MACHINES {
-            return Err(PlacementError::Machines(machines.len()));
+        if machines.len() < size || machines.len() > MAX_CONTROL_INSTANCES {
+            return Err(PlacementError::InstanceCount(machines.len()));
         }
-        let taken = |n: usize, m: &Machine, other: &Machine| {
+        let taken = |n: usize, m: &ControlInstance, other: &ControlInstance| {
             n > 0 && (m.name == other.name || m.address == other.address)
         };
         for n in 1..machines.len() {
             if machines[..n].iter().any(|other| taken(n, &machines[n], other)) {
-                return Err(PlacementError::Twice(n));
+                return Err(PlacementError::Duplicate(n));
             }
         }
         // The order of the list must not matter: two processes may be told it in different orders.
@@ -87,7 +91,7 @@
     }
 
     /// The control instances, by name.
-    pub fn machines(&self) -> &[Machine] {
+    pub fn instances(&self) -> &[ControlInstance] {
         &self.machines
     }
 
@@ -96,7 +100,7 @@
         self.groups.len()
     }
 
-    /// The members of a group, as indices of [`Placement::machines`].
+    /// The members of a group, as indices of [`Placement::instances`].
     pub fn members(&self, group: usize) -> &[usize] {
         &self.groups[group]
     }
@@ -113,7 +117,7 @@
     }
 
     /// The index of the machine whose name has this hash.
-    pub fn machine(&self, process: ProcessId) -> Option<usize> {
+    pub fn instance_index(&self, process: ProcessId) -> Option<usize> {
         self.machines.iter().position(|machine| hash_of(machine.name.as_bytes()) == process.name)
     }
 
@@ -124,7 +128,7 @@
 }
 
 /// The machines in an order in which neighbours are of different regions, as far as there are.
-fn interleaved(machines: &[Machine]) -> Vec<usize> {
+fn interleaved(machines: &[ControlInstance]) -> Vec<usize> {
     let mut left: Vec<usize> = (0..machines.len()).collect();
     let mut ring: Vec<usize> = Vec::new();
     while !left.is_empty() {
@@ -137,7 +141,7 @@
     ring
 }
 
-fn digest(machines: &[Machine], size: usize, terms: &Terms) -> u32 {
+fn digest(machines: &[ControlInstance], size: usize, terms: &Timing) -> u32 {
     let mut hash = crc32fast::Hasher::new();
     for machine in machines {
         let address = machine.address.to_string();
--- a/crates/directory/src/replica.rs
+++ b/crates/directory/src/replica.rs
@@ -14,13 +14,13 @@
 use crate::lease::{EndedLeases, LeaseTable};
 use crate::message::{Body, ClaimVerdict, FormerOwner, Header, Notice};
 use crate::placement::Placement;
-use crate::terms::{bounds, stretched, Millis, Terms};
+use crate::timing::{bounds, stretched, Millis, Timing};
 use crate::Datagram;
 
 /// Time between two looks at a part of the records for claims whose lease has ended (ms), and the time in which all
 /// are looked at: what such claims leave behind is told apart for as long as that.
 const SWEEP_INTERVAL: Millis = 10;
-const SWEEP_ROUND: Millis = bounds::REST;
+const SWEEP_ROUND: Millis = bounds::IDLE_RETENTION;
 /// Records looked at in one look at the least.
 const SWEEP_LEAST: usize = 16;
 
@@ -68,7 +68,7 @@
 /// A control instance.
 #[derive(Debug)]
 pub struct Replica {
-    terms: Terms,
+    terms: Timing,
     placement: Placement,
     me: usize,
     channel: Channel,
@@ -91,12 +91,12 @@
     pub fn new(
         me: ProcessId,
         keys: Keys,
-        terms: Terms,
+        terms: Timing,
         placement: Placement,
         now: Millis,
     ) -> Option<Replica> {
-        let index = placement.machine(me)?;
-        let silent_until = now + terms.silence();
+        let index = placement.instance_index(me)?;
+        let silent_until = now + terms.startup_silence();
         Some(Replica {
             terms,
             me: index,
@@ -163,7 +163,7 @@
     }
 
     /// Datagrams to be sent.
-    pub fn take_out(&mut self) -> Vec<Datagram> {
+    pub fn take_datagrams(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.out)
     }
 
@@ -212,7 +212,7 @@
         let (revocations, complete) = lease.revocations();
         let term = lease.term;
         if complete {
-            self.leases.renew(pooler, now + self.terms.lease_granted());
+            self.leases.renew(pooler, now + self.terms.granted_lease());
         }
         notices.iter().for_each(|notice| self.notice(now, pooler, notice));
         let ack = Body::HeartbeatAck { heartbeat: header.number, term, revocations, complete };
--- a/crates/directory/src/session.rs
+++ b/crates/directory/src/session.rs
@@ -5,8 +5,8 @@
 use crate::identity::Ballot;
 use crate::lease::Term;
 use crate::message::FormerOwner;
-use crate::placement::MOST_MEMBERS;
-use crate::terms::{stretched, Millis, Terms};
+use crate::placement::MAX_GROUP_MEMBERS;
+use crate::timing::{stretched, Millis, Timing};
 
 /// What a session has written, as its owner knows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -19,7 +19,7 @@
 
 impl Marks {
     /// What reads need at a time; none where only the primary will do.
-    pub fn needed(&mut self, now: Millis, terms: &Terms) -> Option<Millis> {
+    pub fn needed(&mut self, now: Millis, terms: &Timing) -> Option<Millis> {
         if now < self.open_until {
             return None;
         }
@@ -41,7 +41,7 @@
     }
 
     /// The position by which all of it is covered.
-    pub fn bound(&self, terms: &Terms) -> Millis {
+    pub fn bound(&self, terms: &Timing) -> Millis {
         let open = if self.open_until > 0 { self.open_until + terms.clock_error } else { 0 };
         self.position.max(open)
     }
@@ -49,7 +49,7 @@
 
 /// A former owner that has to have stopped before the new one serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Former {
+pub struct FormerOwnerState {
     /// Its claim.
     pub ballot: Ballot,
     /// Where it is reached.
@@ -68,15 +68,15 @@
     /// When it was begun.
     pub begun: Millis,
     /// By member of the group: the lease under which it is recorded there.
-    pub recorded: [Option<Term>; MOST_MEMBERS],
+    pub recorded: [Option<Term>; MAX_GROUP_MEMBERS],
     /// By member that has recorded it: sessions of which it knew no claimant wrote before this time.
-    pub floors: [Millis; MOST_MEMBERS],
+    pub floors: [Millis; MAX_GROUP_MEMBERS],
     /// The least of the floors that a quorum came to, all members of which held the claim at a time.
     pub floor: Millis,
     /// By member: whether it turned the claim down.
-    pub refused: [bool; MOST_MEMBERS],
+    pub refused: [bool; MAX_GROUP_MEMBERS],
     /// Former owners that members named.
-    pub formers: Vec<Former>,
+    pub formers: Vec<FormerOwnerState>,
     /// When what is open is asked again, and after how long the time after that.
     pub repeat_at: Millis,
     /// See above.
@@ -93,10 +93,10 @@
         Claim {
             counter,
             begun: now,
-            recorded: [None; MOST_MEMBERS],
-            floors: [0; MOST_MEMBERS],
+            recorded: [None; MAX_GROUP_MEMBERS],
+            floors: [0; MAX_GROUP_MEMBERS],
             floor: Millis::MAX,
-            refused: [false; MOST_MEMBERS],
+            refused: [false; MAX_GROUP_MEMBERS],
             formers: Vec::new(),
             repeat_at: now + repeat_after,
             repeat_after,
@@ -106,13 +106,18 @@
     }
 
     /// Takes in a former owner that a member named; whether it has to be asked.
-    pub fn name(&mut self, now: Millis, former: &FormerOwner) -> bool {
+    pub fn add_former(&mut self, now: Millis, former: &FormerOwner) -> bool {
         let over_at = now + stretched(Millis::from(former.lease));
         if let Some(known) = self.formers.iter_mut().find(|known| known.ballot == former.ballot) {
             known.over_at = known.over_at.max(over_at);
             return false;
         }
-        self.formers.push(Former { ballot: former.ballot, address: former.address, over_at, settled: false });
+        self.formers.push(FormerOwnerState {
+            ballot: former.ballot,
+            address: former.address,
+            over_at,
+            settled: false,
+        });
         true
     }
 
@@ -129,7 +134,7 @@
 
     /// Settles the former owners whose leases are over; whether there were any. What they have sent may commit for a
     /// while still.
-    pub fn outwait(&mut self, now: Millis, terms: &Terms, marks: &mut Marks) -> bool {
+    pub fn settle_expired(&mut self, now: Millis, terms: &Timing, marks: &mut Marks) -> bool {
         let mut any = false;
         for former in self.formers.iter_mut().filter(|former| !former.settled && former.over_at <= now) {
             former.settled = true;
--- a/crates/directory/src/terms.rs
+++ b/crates/directory/src/timing.rs
@@ -10,7 +10,7 @@
 
 /// Times that the processes of a directory must agree on; they are part of what their messages are checked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct Timing {
     /// How long a pooler's lease lasts from the sending of a heartbeat (ms).
     pub lease: Millis,
     /// Time between two heartbeats (ms).
@@ -21,22 +21,22 @@
     pub clock_error: Millis,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms { lease: 2_000, heartbeat: 500, write_bound: 3_000, clock_error: 100 }
+impl Default for Timing {
+    fn default() -> Timing {
+        Timing { lease: 2_000, heartbeat: 500, write_bound: 3_000, clock_error: 100 }
     }
 }
 
-impl Terms {
+impl Timing {
     /// How long a control instance counts a lease from the receipt of a heartbeat (ms).
-    pub fn lease_granted(&self) -> Millis {
+    pub fn granted_lease(&self) -> Millis {
         stretched(self.lease)
     }
 
     /// How long a control instance answers nothing after its start (ms): no lease that its former start has granted, and
     /// no claim that rests on one, outlasts this.
-    pub fn silence(&self) -> Millis {
-        stretched(self.lease_granted())
+    pub fn startup_silence(&self) -> Millis {
+        stretched(self.granted_lease())
     }
 }
 
@@ -50,13 +50,13 @@
     use super::Millis;
 
     /// Longest datagram (bytes), its seal included.
-    pub const DATAGRAM: usize = 1_200;
+    pub const MAX_DATAGRAM_BYTES: usize = 1_200;
     /// Processes whose message numbers are remembered; the one not heard for longest goes.
-    pub const CORRESPONDENTS: usize = 2_048;
+    pub const SENDERS: usize = 2_048;
     /// Poolers with a lease at one control instance; a further one gets none.
     pub const POOLERS: usize = 2_048;
     /// Leases at one control instance that have ended and whose sessions are still told apart; the oldest goes.
-    pub const ENDED: usize = 8_192;
+    pub const ENDED_LEASES: usize = 8_192;
     /// Records of sessions at one control instance; a further claim is refused.
     pub const RECORDS: usize = 2_500_000;
     /// Former owners of one record that are not settled; a further claim is refused.
@@ -64,7 +64,7 @@
     /// Revocations that wait for one pooler at one control instance; beyond, its lease is not renewed and ends.
     pub const REVOCATIONS: usize = 4_096;
     /// Revocations, or notices, in one datagram.
-    pub const ENTRIES: usize = 16;
+    pub const ENTRIES_PER_DATAGRAM: usize = 16;
     /// Sessions that a pooler knows; the one that has rested for longest is released.
     pub const SESSIONS: usize = 20_000;
     /// Claims of a pooler that are not complete; further sessions read at the primary.
@@ -76,11 +76,11 @@
     /// Heartbeats to one control instance whose answers are awaited; the oldest goes.
     pub const HEARTBEATS: usize = 16;
     /// A session that has rested for so long is released, and a lease that ended so long ago is forgotten (ms).
-    pub const REST: Millis = 60_000;
+    pub const IDLE_RETENTION: Millis = 60_000;
     /// A claim that no quorum has accepted after this is given up (ms).
     pub const CLAIM_TIMEOUT: Millis = 1_000;
     /// Time to the first repeat of a question (ms), longer than the way to another region and back; doubles up to the longest.
-    pub const FIRST_REPEAT: Millis = 200;
+    pub const FIRST_RETRY_DELAY: Millis = 200;
     /// See above.
-    pub const LONGEST_REPEAT: Millis = 800;
+    pub const MAX_RETRY_DELAY: Millis = 800;
 }
--- a/crates/directory/tests/network/mod.rs
+++ b/crates/directory/tests/network/mod.rs
@@ -8,7 +8,8 @@
 use std::time::{Duration, Instant};
 
 use directory::{
-    Client, Machine, Millis, Need, Placement, ProcessId, Replica, SessionKey, Terms, Ticket, Why, WriteEnd,
+    Client, ControlInstance, Millis, Placement, PrimaryReason, ProcessId, ReadRequirement, Replica,
+    SessionKey, Ticket, Timing, WriteOutcome,
 };
 use replication::Keys;
 
@@ -26,8 +27,8 @@
     pub machines: usize,
     pub group_size: usize,
     /// What poolers go by, and what control instances do: the same but where a fault is planted.
-    pub terms: Terms,
-    pub machine_terms: Terms,
+    pub terms: Timing,
+    pub machine_terms: Timing,
     /// The part by which a clock is faster, then slower, and the offset (ms) at which it turns.
     pub clock_rate: f64,
     pub clock_offset: Millis,
@@ -39,8 +40,8 @@
             poolers: 4,
             machines: 5,
             group_size: 3,
-            terms: Terms::default(),
-            machine_terms: Terms::default(),
+            terms: Timing::default(),
+            machine_terms: Timing::default(),
             clock_rate: 0.0,
             clock_offset: 0,
         }
@@ -179,8 +180,9 @@
     SessionKey::new(&format!("session-{session}"))
 }
 
-pub fn machines(count: usize) -> Vec<Machine> {
-    let machine = |n| Machine { name: format!("c{n}"), region: format!("r{}", n % 3), address: address(n) };
+pub fn machines(count: usize) -> Vec<ControlInstance> {
+    let machine =
+        |n| ControlInstance { name: format!("c{n}"), region: format!("r{}", n % 3), address: address(n) };
     (0..count).map(machine).collect()
 }
 
@@ -290,7 +292,7 @@
     /// Starts all, and lets them meet.
     pub fn start_all(&mut self) {
         (0..self.seats.len()).for_each(|seat| self.start(seat));
-        let silence = self.shape.machine_terms.silence();
+        let silence = self.shape.machine_terms.startup_silence();
         self.run(1_000 * (silence + 2 * self.shape.terms.heartbeat + 500));
     }
 
@@ -389,9 +391,13 @@
     pub fn read_patiently(&mut self, pooler: usize, session: usize, patience: u64) -> Option<bool> {
         let until = self.now + patience;
         let seat = self.pooler(pooler);
-        let waits = |need: Need| matches!(need, Need::Primary(Why::Claiming | Why::FormerOwner));
+        let waits = |need: ReadRequirement| {
+            matches!(need, ReadRequirement::Primary(PrimaryReason::Claiming | PrimaryReason::FormerOwner))
+        };
         while self.now < until
-            && self.with(seat, |client, now| client.need(now, session_key(session))).is_some_and(waits)
+            && self
+                .with(seat, |client, now| client.read_requirement(now, session_key(session)))
+                .is_some_and(waits)
         {
             self.run(500);
         }
@@ -401,9 +407,9 @@
     /// A session reads through a pooler. Whether the replica served it; none where the pooler does not run.
     pub fn read(&mut self, pooler: usize, session: usize) -> Option<bool> {
         let seat = self.pooler(pooler);
-        let need = self.with(seat, |client, now| client.need(now, session_key(session)))?;
+        let need = self.with(seat, |client, now| client.read_requirement(now, session_key(session)))?;
         let replica_at = self.now - self.lag;
-        let near = matches!(need, Need::From(position) if 1_000 * position <= replica_at);
+        let near = matches!(need, ReadRequirement::AtLeast(position) if 1_000 * position <= replica_at);
         let answered = self.answered.get(&session).copied();
         let moved = answered.is_some_and(|(_, by)| by != seat);
         self.tally.reads += 1;
@@ -420,7 +426,7 @@
     pub fn write(&mut self, pooler: usize, session: usize) {
         let seat = self.pooler(pooler);
         let begins =
-            |client: &mut Client, now| client.write_begins(now, session_key(session), PATIENCE / 1_000);
+            |client: &mut Client, now| client.begin_write(now, session_key(session), PATIENCE / 1_000);
         let Some(Some(ticket)) = self.with(seat, begins) else { return };
         self.last_write += 1;
         let (id, life) = (self.last_write, self.seats[seat].life);
@@ -479,11 +485,11 @@
         let told = position.div_ceil(1_000);
         if self.rng.u8(..50) == 0 {
             // The answer is lost on its way.
-            self.with(at, |client, now| client.write_ends(now, ticket, WriteEnd::InDoubt));
+            self.with(at, |client, now| client.end_write(now, ticket, WriteOutcome::InDoubt));
             self.tally.unanswered += 1;
             return self.finish(id);
         }
-        self.with(at, |client, now| client.write_ends(now, ticket, WriteEnd::Committed(told)));
+        self.with(at, |client, now| client.end_write(now, ticket, WriteOutcome::Committed(told)));
         if let Some(write) = self.writes.get_mut(&id) {
             write.committed = Some(position);
         }
@@ -551,11 +557,11 @@
         let (out, due) = match &mut place.process {
             Some(Process::Pooler(client)) => {
                 client.tick(now);
-                (client.take_out(), client.next_due())
+                (client.take_datagrams(), client.next_due())
             }
             Some(Process::Control(replica)) => {
                 replica.tick(now);
-                (replica.take_out(), replica.next_due())
+                (replica.take_datagrams(), replica.next_due())
             }
             None => return,
         };
@@ -575,7 +581,11 @@
         let cost = &mut self.seats[from].cost;
         cost.sent += 1;
         cost.sent_bytes += bytes.len() as u64 + UDP_OVERHEAD;
-        assert!(bytes.len() <= directory::terms::bounds::DATAGRAM, "a datagram of {} bytes", bytes.len());
+        assert!(
+            bytes.len() <= directory::timing::bounds::MAX_DATAGRAM_BYTES,
+            "a datagram of {} bytes",
+            bytes.len()
+        );
         let to = seat_of(to);
         if to >= self.seats.len() || self.cut.contains(&(from, to)) || self.rng.f64() < self.net.loss {
             return;
--- a/crates/directory/tests/placement.rs
+++ b/crates/directory/tests/placement.rs
@@ -3,11 +3,11 @@
 mod network;
 
 use directory::placement::PlacementError;
-use directory::{Placement, SessionKey, Terms};
+use directory::{Placement, SessionKey, Timing};
 use network::machines;
 
 fn placement(count: usize, size: usize) -> Placement {
-    Placement::new(machines(count), size, &Terms::default()).unwrap()
+    Placement::new(machines(count), size, &Timing::default()).unwrap()
 }
 
 #[test]
@@ -27,7 +27,7 @@
     let placement = placement(12, 3);
     for group in 0..placement.groups() {
         let mut regions: Vec<&str> =
-            placement.members(group).iter().map(|machine| &*placement.machines()[*machine].region).collect();
+            placement.members(group).iter().map(|machine| &*placement.instances()[*machine].region).collect();
         regions.sort_unstable();
         regions.dedup();
         assert_eq!(regions.len(), 3, "group {group}");
@@ -39,7 +39,7 @@
     let all = placement(13, 3);
     let mut reversed = machines(13);
     reversed.reverse();
-    let reversed = Placement::new(reversed, 3, &Terms::default()).unwrap();
+    let reversed = Placement::new(reversed, 3, &Timing::default()).unwrap();
     assert_eq!(all.digest(), reversed.digest());
     let mut counts = [0; 13];
     for n in 0..13_000 {
@@ -52,18 +52,18 @@
 
 #[test]
 fn other_terms_make_another_directory() {
-    let other = Terms { lease: 3_000, ..Terms::default() };
+    let other = Timing { lease: 3_000, ..Timing::default() };
     let other = Placement::new(machines(13), 3, &other).unwrap();
     assert_ne!(placement(13, 3).digest(), other.digest());
 }
 
 #[test]
 fn a_list_that_is_none_is_turned_down() {
-    let wrong = |machines, size| Placement::new(machines, size, &Terms::default()).unwrap_err();
+    let wrong = |machines, size| Placement::new(machines, size, &Timing::default()).unwrap_err();
     assert_eq!(wrong(machines(13), 2), PlacementError::GroupSize(2));
-    assert_eq!(wrong(machines(2), 3), PlacementError::Machines(2));
-    assert_eq!(wrong(machines(65), 3), PlacementError::Machines(65));
+    assert_eq!(wrong(machines(2), 3), PlacementError::InstanceCount(2));
+    assert_eq!(wrong(machines(65), 3), PlacementError::InstanceCount(65));
     let mut twice = machines(3);
     twice[2].name = twice[0].name.clone();
-    assert_eq!(wrong(twice, 3), PlacementError::Twice(2));
+    assert_eq!(wrong(twice, 3), PlacementError::Duplicate(2));
 }
--- a/crates/directory/tests/replica.rs
+++ b/crates/directory/tests/replica.rs
@@ -4,8 +4,8 @@
 
 use directory::channel::Channel;
 use directory::message::{Body, ClaimVerdict, Notice};
-use directory::terms::bounds;
-use directory::{Fault, Machine, Millis, Placement, ProcessId, Replica, SessionKey, Terms};
+use directory::timing::bounds;
+use directory::{ControlInstance, Fault, Millis, Placement, ProcessId, Replica, SessionKey, Timing};
 use replication::Keys;
 
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
@@ -20,8 +20,8 @@
     ([127, 0, 0, 1], 7_000 + n).into()
 }
 
-fn placement(terms: &Terms) -> Placement {
-    let machine = |n: u16| Machine { name: format!("c{n}"), region: "r".into(), address: address(n) };
+fn placement(terms: &Timing) -> Placement {
+    let machine = |n: u16| ControlInstance { name: format!("c{n}"), region: "r".into(), address: address(n) };
     Placement::new((0..3).map(machine).collect(), 3, terms).unwrap()
 }
 
@@ -38,16 +38,16 @@
 impl Bench {
     /// A control instance that answers.
     fn new() -> Bench {
-        let terms = Terms::default();
+        let terms = Timing::default();
         let me = ProcessId::new("c0", 1);
         let replica = Replica::new(me, keys(), terms, placement(&terms), START).unwrap();
-        Bench { replica, now: START + terms.silence() }
+        Bench { replica, now: START + terms.startup_silence() }
     }
 
     fn say(&mut self, from: &mut Channel, body: &Body) -> Option<Body> {
         let (_, bytes) = from.seal(0, body);
         self.replica.receive(self.now, address(100), &bytes).unwrap();
-        let (_, reply) = self.replica.take_out().pop()?;
+        let (_, reply) = self.replica.take_datagrams().pop()?;
         Some(from.open(self.now, &reply).unwrap().1)
     }
 
@@ -65,7 +65,7 @@
 }
 
 fn pooler(name: &str) -> Channel {
-    Channel::new(ProcessId::new(name, 1), placement(&Terms::default()).digest(), keys())
+    Channel::new(ProcessId::new(name, 1), placement(&Timing::default()).digest(), keys())
 }
 
 fn formers(verdict: &ClaimVerdict) -> Vec<ProcessId> {
@@ -84,14 +84,14 @@
 
 #[test]
 fn nothing_is_answered_before_what_a_former_start_granted_is_over() {
-    let terms = Terms::default();
+    let terms = Timing::default();
     let mut bench = Bench::new();
-    bench.now = START + terms.silence() - 1;
+    bench.now = START + terms.startup_silence() - 1;
     let heartbeat = Body::Heartbeat { address: address(1), term: 0, revoked_up_to: 0, notices: vec![] };
     assert_eq!(bench.say(&mut pooler("a"), &heartbeat), None);
     bench.now += 1;
     assert!(bench.say(&mut pooler("a"), &heartbeat).is_some());
-    assert!(terms.silence() > terms.lease_granted() && terms.lease_granted() > terms.lease);
+    assert!(terms.startup_silence() > terms.granted_lease() && terms.granted_lease() > terms.lease);
 }
 
 #[test]
@@ -103,7 +103,7 @@
     assert_eq!(formers(&bench.claim(&mut a, 1)), []);
     // Repeated, it is the same claim.
     assert_eq!(formers(&bench.claim(&mut a, 1)), []);
-    assert_eq!(formers(&bench.claim(&mut b, 2)), [a.me()]);
+    assert_eq!(formers(&bench.claim(&mut b, 2)), [a.process_id()]);
     assert!(matches!(bench.claim(&mut a, 1), ClaimVerdict::Rejected { by } if by.counter == 2));
 }
 
@@ -136,17 +136,17 @@
     bench.claim(&mut b, 2);
     bench.claim(&mut c, 3);
     bench.heartbeat(&mut b, 2, 0, vec![Notice::Settled { session: session(), counter: 2 }]);
-    assert_eq!(formers(&bench.claim(&mut c, 3)), [b.me()]);
+    assert_eq!(formers(&bench.claim(&mut c, 3)), [b.process_id()]);
 }
 
 #[test]
 fn a_lease_that_ends_leaves_a_floor_for_its_sessions_alone() {
     let (mut bench, mut a, mut b) = (Bench::new(), pooler("a"), pooler("b"));
-    let terms = Terms::default();
+    let terms = Timing::default();
     bench.now += 1_000_000;
     bench.heartbeat(&mut a, 0, 0, vec![]);
     bench.claim(&mut a, 1);
-    let ended = bench.now + terms.lease_granted();
+    let ended = bench.now + terms.granted_lease();
     bench.now = ended + 100;
     bench.heartbeat(&mut b, 0, 0, vec![]);
     let verdict = bench.claim(&mut b, 2);
@@ -163,7 +163,7 @@
 fn after_a_start_all_sessions_have_a_floor() {
     let (mut bench, mut a) = (Bench::new(), pooler("a"));
     bench.heartbeat(&mut a, 0, 0, vec![]);
-    assert!(floor_age(&bench.claim(&mut a, 1)) <= -(Terms::default().write_bound as i64));
+    assert!(floor_age(&bench.claim(&mut a, 1)) <= -(Timing::default().write_bound as i64));
 }
 
 #[test]
@@ -196,7 +196,7 @@
     let (mut bench, mut a, mut b) = (Bench::new(), pooler("a"), pooler("b"));
     bench.heartbeat(&mut a, 0, 0, vec![]);
     bench.heartbeat(&mut b, 0, 0, vec![]);
-    for n in 0..bounds::ENTRIES + 1 {
+    for n in 0..bounds::ENTRIES_PER_DATAGRAM + 1 {
         let session = SessionKey::new(&n.to_string());
         bench.say(&mut a, &Body::Claim { session, counter: 1 });
         bench.say(&mut b, &Body::Claim { session, counter: 2 });
@@ -204,7 +204,7 @@
     let Body::HeartbeatAck { revocations, complete, .. } = bench.heartbeat(&mut a, 1, 0, vec![]) else {
         panic!()
     };
-    assert_eq!((revocations.len(), complete), (bounds::ENTRIES, false));
+    assert_eq!((revocations.len(), complete), (bounds::ENTRIES_PER_DATAGRAM, false));
     let last = revocations.last().unwrap().number;
     let Body::HeartbeatAck { revocations, complete, .. } = bench.heartbeat(&mut a, 1, last, vec![]) else {
         panic!()
@@ -220,17 +220,17 @@
     let now = bench.now;
     let mut told = |bytes: &[u8]| bench.replica.receive(now, address(1), bytes);
 
-    assert_eq!(told(&vec![0; bounds::DATAGRAM + 1]), Err(Fault::TooLong));
+    assert_eq!(told(&vec![0; bounds::MAX_DATAGRAM_BYTES + 1]), Err(Fault::TooLong));
     assert_eq!(told(b"garbage"), Err(Fault::Key));
     let other = Keys::parse([OTHER_KEY]).unwrap();
-    let digest = placement(&Terms::default()).digest();
-    let (_, bytes) = Channel::new(a.me(), digest, other).seal(0, &heartbeat);
+    let digest = placement(&Timing::default()).digest();
+    let (_, bytes) = Channel::new(a.process_id(), digest, other).seal(0, &heartbeat);
     assert_eq!(told(&bytes), Err(Fault::Key));
-    assert_eq!(told(&keys().seal(b"garbage".to_vec())), Err(Fault::Garbled));
+    assert_eq!(told(&keys().seal(b"garbage".to_vec())), Err(Fault::Malformed));
     let mut older = vec![0u8; 40];
     older.extend(crc32fast::hash(&older).to_be_bytes());
     assert_eq!(told(&keys().seal(older)), Err(Fault::Version));
-    let (_, bytes) = Channel::new(a.me(), digest + 1, keys()).seal(0, &heartbeat);
+    let (_, bytes) = Channel::new(a.process_id(), digest + 1, keys()).seal(0, &heartbeat);
     assert_eq!(told(&bytes), Err(Fault::Directory));
     let (_, bytes) = a.seal(77, &heartbeat);
     assert_eq!(told(&bytes), Err(Fault::Incarnation));
@@ -239,14 +239,15 @@
     let ack = Body::HeartbeatAck { heartbeat: 1, term: 1, revocations: vec![], complete: true };
     let (_, bytes) = a.seal(0, &ack);
     assert_eq!(told(&bytes), Err(Fault::Sender));
-    let (_, bytes) = Channel::new(ProcessId { incarnation: 0, ..a.me() }, digest, keys()).seal(0, &heartbeat);
+    let (_, bytes) =
+        Channel::new(ProcessId { incarnation: 0, ..a.process_id() }, digest, keys()).seal(0, &heartbeat);
     assert_eq!(told(&bytes), Err(Fault::Incarnation));
 
     let counted: Vec<(Fault, u64)> = bench.replica.faults().iter().map(|(fault, n)| (*fault, *n)).collect();
     let expected = [
         (Fault::TooLong, 1),
         (Fault::Key, 2),
-        (Fault::Garbled, 1),
+        (Fault::Malformed, 1),
         (Fault::Version, 1),
         (Fault::Directory, 1),
         (Fault::Incarnation, 2),
--- a/crates/directory/tests/storm.rs
+++ b/crates/directory/tests/storm.rs
@@ -3,7 +3,7 @@
 
 mod network;
 
-use directory::Terms;
+use directory::Timing;
 use network::{Net, Shape, Tally, World};
 use rstest::rstest;
 
@@ -134,10 +134,10 @@
 /// Faults that are planted by terms which do not keep what the others rely on.
 #[rstest]
 // A control instance forgets leases before they are over, and answers right after a start.
-#[case("short grants", Terms { lease: 700, ..Terms::default() }, Terms::default())]
+#[case("short grants", Timing { lease: 700, ..Timing::default() }, Timing::default())]
 // A pooler goes by its lease for longer than it was granted.
-#[case("long leases", Terms::default(), Terms { lease: 8_000, ..Terms::default() })]
-fn a_broken_promise_is_found(#[case] what: &str, #[case] machine_terms: Terms, #[case] terms: Terms) {
+#[case("long leases", Timing::default(), Timing { lease: 8_000, ..Timing::default() })]
+fn a_broken_promise_is_found(#[case] what: &str, #[case] machine_terms: Timing, #[case] terms: Timing) {
     let mut stale = 0;
     let mut seeds = 0..SEEDS;
     while let Some(seed) = seeds.next().filter(|_| stale == 0) {
--- a/crates/scale/src/hollow/directory.rs
+++ b/crates/scale/src/hollow/directory.rs
@@ -3,7 +3,7 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-use directory::{Client, Machine, Placement, ProcessId, Terms};
+use directory::{Client, ControlInstance, Placement, ProcessId, Timing};
 use mio::net::UdpSocket;
 use replication::Keys;
 
@@ -37,12 +37,12 @@
     pub fn new(number: usize, seed: u64, world: &World) -> io::Result<Directory> {
         let (network, now) = (world.network, millis(world.clock.now()));
         let address = network.pooler(number);
-        let machines = (0..world.fleet.control).map(|control| Machine {
+        let machines = (0..world.fleet.control).map(|control| ControlInstance {
             name: control_name(control),
             region: region_name(region_of(control_zone(control))),
             address: network.control(control),
         });
-        let terms = Terms::default();
+        let terms = Timing::default();
         let placement = Placement::new(machines.collect(), GROUP, &terms).map_err(io::Error::other)?;
         let groups = placement.groups();
         let keys = Keys::parse([KEY]).map_err(|_| io::Error::other("the key of the run is none"))?;
@@ -95,7 +95,7 @@
     /// Goes on with the load, sends what there is to send, and sets the timer.
     pub fn carry_out(&mut self, owner: Owner, world: &mut World) {
         let load_due = self.load.go_on(&mut self.client, world);
-        for (to, bytes) in self.client.take_out() {
+        for (to, bytes) in self.client.take_datagrams() {
             self.send(to, &bytes, world);
         }
         let due = (self.client.next_due() as f64 / MILLISECONDS).min(load_due);
--- a/crates/scale/src/hollow/sessions.rs
+++ b/crates/scale/src/hollow/sessions.rs
@@ -1,6 +1,6 @@
 //! What the modelled load asks of whoever knows what sessions wrote: other poolers, or the session directory.
 
-use directory::{SessionKey, WriteEnd};
+use directory::{SessionKey, WriteOutcome};
 
 /// Milliseconds of a second.
 pub(super) const MILLISECONDS: f64 = 1e3;
@@ -69,15 +69,15 @@
 
 impl Sessions for directory::Client {
     fn need(&mut self, now: f64, session: &str) -> Option<f64> {
-        match directory::Client::need(self, millis(now), SessionKey::new(session)) {
-            directory::Need::From(position) => Some(position as f64 / MILLISECONDS),
-            directory::Need::Primary(_) => None,
+        match directory::Client::read_requirement(self, millis(now), SessionKey::new(session)) {
+            directory::ReadRequirement::AtLeast(position) => Some(position as f64 / MILLISECONDS),
+            directory::ReadRequirement::Primary(_) => None,
         }
     }
 
     fn write_begins(&mut self, now: f64, session: &str) -> Option<Ticket> {
         let (key, time) = (SessionKey::new(session), millis(WRITE_TIME));
-        directory::Client::write_begins(self, millis(now), key, time).map(|ticket| Ticket(ticket.0))
+        directory::Client::begin_write(self, millis(now), key, time).map(|ticket| Ticket(ticket.0))
     }
 
     fn may_send(&mut self, now: f64, write: Ticket) -> bool {
@@ -91,7 +91,7 @@
     fn write_committed(&mut self, now: f64, write: Ticket, position: f64) {
         // As in the pooler: cut off, it would let a read see less than the write.
         let position = (position * MILLISECONDS).ceil() as u64;
-        self.write_ends(millis(now), directory::Ticket(write.0), WriteEnd::Committed(position));
+        self.end_write(millis(now), directory::Ticket(write.0), WriteOutcome::Committed(position));
     }
 
     fn may_answer(&mut self, now: f64, write: Ticket) -> bool {
