--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -9,11 +9,11 @@
 /// The version of these messages; a call of another is turned down.
 pub const VERSION: u32 = 1;
 /// Longest line (bytes): an operator's file of the longest that is read, as JSON, with what goes with it.
-pub const LONGEST_LINE: usize = operator::LONGEST + operator::LONGEST / 4;
+pub const MAX_LINE_BYTES: usize = operator::LONGEST + operator::LONGEST / 4;
 /// Most differences that an answer lists; the rest are counted.
-pub const MOST_CHANGES: usize = 200;
+pub const MAX_CHANGES: usize = 200;
 /// Most sessions that an answer lists; the rest are counted.
-pub const MOST_SESSIONS: usize = 1_000;
+pub const MAX_SESSIONS: usize = 1_000;
 
 /// A call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -74,14 +74,14 @@
     /// Other instances.
     Peers {
         /// What is asked of them.
-        what: Peers,
+        what: PeersQuery,
     },
 }
 
 /// What can be asked of other instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Peers {
+pub enum PeersQuery {
     /// Who is there, and how far behind each is.
     Status,
     /// How members look to all.
@@ -126,7 +126,7 @@
 
 impl Code {
     /// The exit code of a command that ends so: 0 done, 1 refused, 2 usage or unreadable, 3 rolled back.
-    pub fn exit(self) -> u8 {
+    pub fn exit_code(self) -> u8 {
         match self {
             Code::Ok | Code::Applied | Code::Confirmed | Code::Unchanged => 0,
             Code::Refused | Code::Busy | Code::NotTaken | Code::Nothing => 1,
@@ -154,7 +154,7 @@
 
 impl Found {
     /// Whether it stands in the way unless it is allowed by name.
-    pub fn guarded(&self) -> bool {
+    pub fn is_guarded(&self) -> bool {
         self.severity == Severity::Guarded.to_string()
     }
 }
@@ -316,13 +316,13 @@
 
     /// The same with what differs, as far as the bound admits.
     pub fn with_changes(mut self, differences: &[Difference]) -> Response {
-        self.changes = differences.iter().take(MOST_CHANGES).map(Change::from).collect();
+        self.changes = differences.iter().take(MAX_CHANGES).map(Change::from).collect();
         self.more_changes = differences.len() - self.changes.len();
         self
     }
 
     /// Its line.
-    pub fn line(&self) -> Vec<u8> {
+    pub fn to_line(&self) -> Vec<u8> {
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
         line
@@ -336,14 +336,14 @@
     }
 
     /// Its line.
-    pub fn line(&self) -> Vec<u8> {
+    pub fn to_line(&self) -> Vec<u8> {
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
         line
     }
 
     /// Reads a line; what is wrong with it where it is no call of this version.
-    pub fn read(line: &[u8]) -> Result<Request, String> {
+    pub fn parse(line: &[u8]) -> Result<Request, String> {
         let request: Request =
             serde_json::from_slice(line).map_err(|error| format!("not a call: {error}"))?;
         match request.v {
--- a/crates/daemon/benches/changes.rs
+++ b/crates/daemon/benches/changes.rs
@@ -32,7 +32,7 @@
     /// Makes a call; the answer and how long it took (microseconds).
     fn call(&mut self, call: Call) -> (Response, u64) {
         let begun = Instant::now();
-        self.0.get_mut().write_all(&Request::new(call).line()).unwrap();
+        self.0.get_mut().write_all(&Request::new(call).to_line()).unwrap();
         let mut line = String::new();
         self.0.read_line(&mut line).unwrap();
         (serde_json::from_str(&line).unwrap(), begun.elapsed().as_micros() as u64)
--- a/crates/daemon/src/cli/config.rs
+++ b/crates/daemon/src/cli/config.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use argh::FromArgs;
-use control::{Call, Code, Request, Response, LONGEST_LINE};
+use control::{Call, Code, Request, Response, MAX_LINE_BYTES};
 use operator::{schema, Effective};
 use transaction::Fate;
 
@@ -410,7 +410,7 @@
 
 fn ended(response: &Response, json: bool) -> ExitCode {
     print::response(response, json);
-    ExitCode::from(response.code.exit())
+    ExitCode::from(response.code.exit_code())
 }
 
 /// Makes a call on a daemon's control socket.
@@ -423,9 +423,9 @@
         stream.set_read_timeout(Some(PATIENCE)).and_then(|()| stream.set_write_timeout(Some(PATIENCE)));
     bounded.map_err(|error| named(&error))?;
     // A daemon that turns a call down may not read all of it: what it says counts, not that.
-    let written = stream.write_all(&Request::new(request).line());
+    let written = stream.write_all(&Request::new(request).to_line());
     let mut line = Vec::new();
-    let read = BufReader::new(stream.take(LONGEST_LINE as u64)).read_until(b'\n', &mut line);
+    let read = BufReader::new(stream.take(MAX_LINE_BYTES as u64)).read_until(b'\n', &mut line);
     match (written, read) {
         (Err(error), _) if line.is_empty() => Err(named(&error)),
         (_, Err(error)) => Err(named(&error)),
--- a/crates/daemon/src/cli/fleet.rs
+++ b/crates/daemon/src/cli/fleet.rs
@@ -445,7 +445,7 @@
 
 /// What an instance says of itself; none where it does not answer.
 fn ask_instance(socket: &Path) -> Option<Status> {
-    let answer = exchange(socket, &Request::new(Call::Status {}).line()).ok()?;
+    let answer = exchange(socket, &Request::new(Call::Status {}).to_line()).ok()?;
     serde_json::from_slice::<Response>(&answer).ok()?.status
 }
 
--- a/crates/daemon/src/cli/peers.rs
+++ b/crates/daemon/src/cli/peers.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use ::control::{Call, Code, Peers as What, Response};
+use ::control::{Call, Code, PeersQuery as What, Response};
 use argh::FromArgs;
 use serde_json::Value;
 
@@ -124,7 +124,7 @@
         None if response.code == Code::Ok => println!("{}", response.message),
         None => eprintln!("dewferry: {}", response.message),
     }
-    ExitCode::from(response.code.exit())
+    ExitCode::from(response.code.exit_code())
 }
 
 /// What can be told of both, held against each other.
--- a/crates/daemon/src/cli/print.rs
+++ b/crates/daemon/src/cli/print.rs
@@ -6,7 +6,7 @@
 /// Prints an answer: one JSON object, or lines.
 pub(super) fn response(response: &Response, json: bool) {
     if json {
-        print!("{}", String::from_utf8_lossy(&response.line()));
+        print!("{}", String::from_utf8_lossy(&response.to_line()));
         return;
     }
     if let Some(sessions) = &response.sessions {
@@ -20,7 +20,7 @@
     for Found { code, severity, what } in &response.findings {
         println!("  {severity:8} {code}: {what}");
     }
-    if response.findings.iter().any(Found::guarded) {
+    if response.findings.iter().any(Found::is_guarded) {
         println!("  what is guarded can be allowed by name: --allow CODE");
     }
     for change in &response.changes {
--- a/crates/daemon/src/net/control.rs
+++ b/crates/daemon/src/net/control.rs
@@ -5,7 +5,7 @@
 use std::os::unix::fs::{DirBuilderExt, MetadataExt, PermissionsExt};
 use std::path::{Path, PathBuf};
 
-use ::control::{Code, Request, Response, LONGEST_LINE};
+use ::control::{Code, Request, Response, MAX_LINE_BYTES};
 use buffer::Lines;
 use mio::net::{UnixListener, UnixStream};
 use mio::Interest;
@@ -77,13 +77,13 @@
             };
             if self.conns.len() >= MOST {
                 let full = Response::new(Code::Busy, format!("{MOST} control connections are open"));
-                let _ = stream.write(&full.line());
+                let _ = stream.write(&full.to_line());
                 continue;
             }
             let heard = context.reactor.now();
             let conn = Conn {
                 stream,
-                lines: Lines::new(LONGEST_LINE),
+                lines: Lines::new(MAX_LINE_BYTES),
                 outbox: Outbox::default(),
                 waits: false,
                 ending: false,
@@ -116,7 +116,7 @@
         let mut piece = [0; PIECE];
         while !conn.waits && !conn.ending && conn.outbox.is_empty() {
             if let Some(line) = conn.lines.take() {
-                match Request::read(&line) {
+                match Request::parse(&line) {
                     Ok(request) => {
                         conn.waits = true;
                         context.events.push_back(Event::Called(slot, Box::new(request.call)));
@@ -149,7 +149,7 @@
         let now = context.reactor.now();
         let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.waits) else { return };
         (conn.waits, conn.heard) = (false, now);
-        conn.outbox.push(&response.line());
+        conn.outbox.push(&response.to_line());
         context.reactor.timer(now + self.idle, Due::Caller(slot));
         self.ready(slot, context);
     }
@@ -235,7 +235,7 @@
 
     /// Says what is wrong and ends the connection once that is written.
     fn last_word(&mut self, code: Code, fault: String, now: f64) -> io::Result<()> {
-        self.outbox.push(&Response::new(code, fault).line());
+        self.outbox.push(&Response::new(code, fault).to_line());
         self.ending = true;
         self.flush(now)
     }
--- a/crates/daemon/src/net/coordination.rs
+++ b/crates/daemon/src/net/coordination.rs
@@ -1,7 +1,7 @@
 //! How instances know what sessions wrote at each other: each shares with every other ([`Peers`]), or control instances keep
 //! who owns a session ([`Directory`]).
 
-use ::control::{Peers as Question, Response};
+use ::control::{PeersQuery as Question, Response};
 use config::Config;
 use operator::Effective;
 
--- a/crates/daemon/src/net/directory.rs
+++ b/crates/daemon/src/net/directory.rs
@@ -5,7 +5,7 @@
 
 use std::io;
 
-use ::control::{Code, Peers as Question, Response};
+use ::control::{Code, PeersQuery as Question, Response};
 use config::Config;
 use directory::{
     Client, PrimaryReason, ProcessId, ReadRequirement, SessionKey, Status, Ticket, Timing, WriteOutcome,
--- a/crates/daemon/src/net/peers.rs
+++ b/crates/daemon/src/net/peers.rs
@@ -208,8 +208,8 @@
     }
 
     /// Answers what people ask.
-    pub fn answer(&mut self, now: f64, what: &::control::Peers) -> Response {
-        use ::control::Peers as Ask;
+    pub fn answer(&mut self, now: f64, what: &::control::PeersQuery) -> Response {
+        use ::control::PeersQuery as Ask;
         let told = |value: serde_json::Value, words: &str| Response {
             peers: Some(value),
             ..Response::new(Code::Ok, words)
--- a/crates/daemon/src/net/sessions/report.rs
+++ b/crates/daemon/src/net/sessions/report.rs
@@ -30,8 +30,8 @@
         };
         let mut list: Vec<control::Session> = self.conns.iter().map(|(_, conn)| one(conn)).collect();
         list.sort_by(|a, b| b.lasts_s.total_cmp(&a.lasts_s));
-        let more = list.len().saturating_sub(control::MOST_SESSIONS);
-        list.truncate(control::MOST_SESSIONS);
+        let more = list.len().saturating_sub(control::MAX_SESSIONS);
+        list.truncate(control::MAX_SESSIONS);
         control::Sessions { list, more, servers: self.pools.count(), waiting: self.pools.waiting() }
     }
 }
--- a/crates/footprint/src/runs/configuration.rs
+++ b/crates/footprint/src/runs/configuration.rs
@@ -60,7 +60,7 @@
     let what = "the control socket";
     let stream = UnixStream::connect(pooler.control_socket()).map_err(socket(what))?;
     stream.set_read_timeout(Some(PATIENCE)).map_err(socket(what))?;
-    let request = Request::new(call).line();
+    let request = Request::new(call).to_line();
     let mut connection = BufReader::new(stream);
     connection.get_mut().write_all(&request).map_err(socket(what))?;
     let mut line = String::new();
