--- a/crates/daemon/src/cli/fleet.rs
+++ b/crates/daemon/src/cli/fleet.rs
@@ -12,7 +12,7 @@
 
 use argh::FromArgs;
 use control::{Call, Request, Response, Status};
-use fleet::{Action, Form, Health, Input, State, Supervisor, Terms};
+use fleet::{Action, Health, Input, Release, State, Supervisor, SupervisorConfig};
 use rustix::process::{kill_process, Pid, Signal};
 use serde::{Deserialize, Serialize};
 
@@ -167,31 +167,31 @@
 }
 
 fn spread() -> f64 {
-    Terms::default().spread
+    SupervisorConfig::default().spread
 }
 
 fn batch() -> usize {
-    Terms::default().batch
+    SupervisorConfig::default().batch
 }
 
 fn settle() -> f64 {
-    Terms::default().settle
+    SupervisorConfig::default().batch_observation
 }
 
 fn ready() -> f64 {
-    Terms::default().ready_within
+    SupervisorConfig::default().ready_timeout
 }
 
 fn stop() -> f64 {
-    Terms::default().stop_within
+    SupervisorConfig::default().stop_timeout
 }
 
 fn crashes() -> u32 {
-    Terms::default().crashes
+    SupervisorConfig::default().max_crashes
 }
 
 fn crash() -> f64 {
-    Terms::default().crash_within
+    SupervisorConfig::default().crash_window
 }
 
 impl Settings {
@@ -234,17 +234,17 @@
         Ok(settings)
     }
 
-    fn terms(&self) -> Terms {
-        Terms {
+    fn terms(&self) -> SupervisorConfig {
+        SupervisorConfig {
             instances: self.instances,
             spread: self.spread_s,
-            crash_within: self.crash_within_s,
-            crashes: self.crashes,
-            ready_within: self.ready_within_s,
-            stop_within: self.stop_within_s,
+            crash_window: self.crash_within_s,
+            max_crashes: self.crashes,
+            ready_timeout: self.ready_within_s,
+            stop_timeout: self.stop_within_s,
             batch: self.batch,
-            settle: self.settle_s,
-            ..Terms::default()
+            batch_observation: self.settle_s,
+            ..SupervisorConfig::default()
         }
     }
 
@@ -478,7 +478,7 @@
             if let Some(pid) = pid {
                 println!("instance {n}: found, process {}", pid.as_raw_nonzero());
                 (fleet.processes[n], fleet.told[n]) = (Some(Process::Found(pid)), status);
-                fleet.tell(Input::Found(n));
+                fleet.tell(Input::AlreadyRunning(n));
             }
         }
         Ok(fleet)
@@ -494,10 +494,10 @@
                 Action::Kill(n) => self.signal(n, Signal::KILL),
                 // Everything is looked at with each turn.
                 Action::Timer(_) => {}
-                Action::Note(Some(n), words) => println!("instance {n}: {words}"),
-                Action::Note(None, words) => println!("fleet: {words}"),
-                Action::Rolled(Form::Old) => self.new = None,
-                Action::Rolled(Form::New) => {
+                Action::Log(Some(n), words) => println!("instance {n}: {words}"),
+                Action::Log(None, words) => println!("fleet: {words}"),
+                Action::Rolled(Release::Old) => self.new = None,
+                Action::Rolled(Release::New) => {
                     if let Some(new) = self.new.take() {
                         if let Err(fault) = new.keep(&self.settings.dir.join("held")) {
                             println!("fleet: what was rolled out is not on record: {fault}");
@@ -513,9 +513,9 @@
         self.processes[n].iter().for_each(|process| process.signal(signal));
     }
 
-    fn start(&mut self, n: usize, form: Form) {
+    fn start(&mut self, n: usize, form: Release) {
         let files = match (form, &self.new) {
-            (Form::New, Some(new)) => new,
+            (Release::New, Some(new)) => new,
             _ => &self.old,
         };
         let folder = self.settings.folder(n);
@@ -534,7 +534,7 @@
             Ok(child) => self.processes[n] = Some(Process::Own(child)),
             Err(fault) => {
                 println!("instance {n}: not started: {fault}");
-                self.tell(Input::Ended(n));
+                self.tell(Input::Exited(n));
             }
         }
     }
@@ -544,7 +544,7 @@
         for n in 0..self.processes.len() {
             if self.processes[n].as_mut().is_some_and(Process::has_ended) {
                 (self.processes[n], self.told[n]) = (None, None);
-                self.tell(Input::Ended(n));
+                self.tell(Input::Exited(n));
             }
         }
         let states: Vec<State> = self.supervisor.states().map(|(state, _, _)| state).collect();
@@ -558,7 +558,7 @@
             let socket = self.settings.folder(n).join("control");
             let Some(status) = ask_instance(&socket) else { continue };
             let bad = status.refused + status.failed;
-            let health = Health { answers: status.served + bad, bad };
+            let health = Health { answers: status.served + bad, not_served: bad };
             if starting && status.life == "ready" {
                 self.tell(Input::Ready(n));
             }
@@ -572,7 +572,7 @@
         let mut answer = Answer { done: true, ..Answer::default() };
         match asked {
             Asked::Status {} => answer.message = format!("{} instances", self.settings.instances),
-            Asked::Roll {} if self.supervisor.rolls() => {
+            Asked::Roll {} if self.supervisor.is_rolling() => {
                 (answer.done, answer.message) = (false, "a roll is under way".into());
             }
             Asked::Roll {} => match Settings::read(&self.path).and_then(|settings| Files::of(&settings)) {
@@ -594,14 +594,14 @@
                 answer.message = "all instances are to end".into();
             }
         }
-        answer.rolling = self.supervisor.rolls();
+        answer.rolling = self.supervisor.is_rolling();
         for (n, (state, _, crashes)) in self.supervisor.states().enumerate() {
             let status = self.told[n].clone().unwrap_or_default();
             let pid = self.processes[n].as_ref().and_then(Process::pid);
             answer.instances.push(Row {
                 instance: n,
                 listen: format!("{}:{}", self.settings.listen.ip(), self.settings.listen.port() as usize + n),
-                state: state.words().into(),
+                state: state.name().into(),
                 life: status.life,
                 pid: pid.map(|pid| pid.as_raw_nonzero().get() as u32),
                 crashes,
@@ -646,7 +646,7 @@
     let bound = Bound::new(&socket).map_err(|error| format!("{}: {error}", socket.display()))?;
     let mut fleet = Fleet::new(file)?;
     println!("fleet: looks after {} instances", fleet.settings.instances);
-    while !fleet.supervisor.is_over() {
+    while !fleet.supervisor.has_stopped() {
         fleet.serve(&bound);
         fleet.look();
         std::thread::sleep(TURN);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,4 +5,4 @@
 
 mod supervisor;
 
-pub use supervisor::{Action, Form, Health, Input, State, Supervisor, Terms};
+pub use supervisor::{Action, Health, Input, Release, State, Supervisor, SupervisorConfig};
--- a/crates/fleet/src/supervisor.rs
+++ b/crates/fleet/src/supervisor.rs
@@ -7,7 +7,7 @@
 
 /// How instances are looked after; times in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct SupervisorConfig {
     /// How many there are.
     pub instances: usize,
     /// Over how long the first starts are spread.
@@ -15,41 +15,41 @@
     /// The wait before a first restart; doubles with each crash in a row, up to the most.
     pub backoff: f64,
     /// See above.
-    pub backoff_most: f64,
+    pub max_backoff: f64,
     /// An end within so long after the start is one more crash in a row.
-    pub crash_within: f64,
+    pub crash_window: f64,
     /// So many crashes in a row, and the instance is left alone.
-    pub crashes: u32,
+    pub max_crashes: u32,
     /// How long an instance may take until it is ready.
-    pub ready_within: f64,
+    pub ready_timeout: f64,
     /// How long one may take to end before it is killed.
-    pub stop_within: f64,
+    pub stop_timeout: f64,
     /// How many are replaced at a time.
     pub batch: usize,
     /// For how long a batch is looked at before the next.
-    pub settle: f64,
+    pub batch_observation: f64,
 }
 
-impl Default for Terms {
+impl Default for SupervisorConfig {
     fn default() -> Self {
-        Terms {
+        SupervisorConfig {
             instances: 1,
             spread: 1.0,
             backoff: 0.5,
-            backoff_most: 30.0,
-            crash_within: 10.0,
-            crashes: 5,
-            ready_within: 10.0,
-            stop_within: 40.0,
+            max_backoff: 30.0,
+            crash_window: 10.0,
+            max_crashes: 5,
+            ready_timeout: 10.0,
+            stop_timeout: 40.0,
             batch: 1,
-            settle: 2.0,
+            batch_observation: 2.0,
         }
     }
 }
 
 /// Of which files and which program an instance is started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Form {
+pub enum Release {
     /// Those that held before the present roll.
     #[default]
     Old,
@@ -76,7 +76,7 @@
 
 impl State {
     /// Its name, for people.
-    pub fn words(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             State::Waiting(_) => "waiting",
             State::Starting(_) => "starting",
@@ -94,7 +94,7 @@
     /// All final answers.
     pub answers: u64,
     /// Refusals and failures among them.
-    pub bad: u64,
+    pub not_served: u64,
 }
 
 impl Health {
@@ -103,15 +103,18 @@
         if self.answers < earlier.answers {
             return self;
         }
-        Health { answers: self.answers - earlier.answers, bad: self.bad.saturating_sub(earlier.bad) }
+        Health {
+            answers: self.answers - earlier.answers,
+            not_served: self.not_served.saturating_sub(earlier.not_served),
+        }
     }
 
     fn and(self, other: Health) -> Health {
-        Health { answers: self.answers + other.answers, bad: self.bad + other.bad }
+        Health { answers: self.answers + other.answers, not_served: self.not_served + other.not_served }
     }
 
     fn share(self) -> Option<f64> {
-        (self.answers >= LEAST).then(|| self.bad as f64 / self.answers as f64)
+        (self.answers >= LEAST).then(|| self.not_served as f64 / self.answers as f64)
     }
 }
 
@@ -119,11 +122,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// An instance runs already: this supervisor was not the one that started it.
-    Found(usize),
+    AlreadyRunning(usize),
     /// It is ready.
     Ready(usize),
     /// Its process has ended, or could not be started.
-    Ended(usize),
+    Exited(usize),
     /// What it has answered so far.
     Health(usize, Health),
     /// Replace all by the new form, a batch at a time.
@@ -140,7 +143,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start it.
-    Start(usize, Form),
+    Start(usize, Release),
     /// Tell it to end.
     Stop(usize),
     /// Kill it.
@@ -148,15 +151,15 @@
     /// Come again then.
     Timer(f64),
     /// Tell people: an instance, if it is about one, and words.
-    Note(Option<usize>, String),
+    Log(Option<usize>, String),
     /// The roll is over: all instances are of this form, which holds from now on.
-    Rolled(Form),
+    Rolled(Release),
 }
 
 #[derive(Clone, Debug)]
 struct Instance {
     state: State,
-    form: Form,
+    form: Release,
     started: f64,
     crashes: u32,
     /// It ends because it is to be replaced, not by itself.
@@ -168,7 +171,7 @@
 
 #[derive(Clone, Debug)]
 struct Roll {
-    to: Form,
+    to: Release,
     /// Instances whose turn has not come.
     left: Vec<usize>,
     batch: Vec<usize>,
@@ -182,7 +185,7 @@
 /// The supervisor.
 #[derive(Debug)]
 pub struct Supervisor {
-    terms: Terms,
+    terms: SupervisorConfig,
     all: Vec<Instance>,
     roll: Option<Roll>,
     ending: bool,
@@ -190,16 +193,16 @@
 }
 
 impl Supervisor {
-    /// Looks after instances from now on; those that run already are told by [`Input::Found`] before the first
+    /// Looks after instances from now on; those that run already are told by [`Input::AlreadyRunning`] before the first
     /// [`Input::Time`].
-    pub fn new(terms: Terms, seed: u64, now: f64) -> Supervisor {
+    pub fn new(terms: SupervisorConfig, seed: u64, now: f64) -> Supervisor {
         let mut rng = fastrand::Rng::with_seed(seed);
         // Each in its share of the spread, at a place drawn in it: no two beats fall together, and none is empty.
         let share = terms.spread / terms.instances.max(1) as f64;
         let all = (0..terms.instances)
             .map(|n| Instance {
                 state: State::Waiting(now + share * (n as f64 + rng.f64())),
-                form: Form::Old,
+                form: Release::Old,
                 started: now,
                 crashes: 0,
                 replaced: false,
@@ -211,17 +214,17 @@
     }
 
     /// Where each stands, and of which form it is.
-    pub fn states(&self) -> impl Iterator<Item = (State, Form, u32)> + '_ {
+    pub fn states(&self) -> impl Iterator<Item = (State, Release, u32)> + '_ {
         self.all.iter().map(|instance| (instance.state, instance.form, instance.crashes))
     }
 
     /// Whether a roll is under way.
-    pub fn rolls(&self) -> bool {
+    pub fn is_rolling(&self) -> bool {
         self.roll.is_some()
     }
 
     /// Whether all have ended, as they were told.
-    pub fn is_over(&self) -> bool {
+    pub fn has_stopped(&self) -> bool {
         let over = |one: &Instance| matches!(one.state, State::Stopped | State::Broken);
         self.ending && self.all.iter().all(over)
     }
@@ -229,7 +232,7 @@
     /// Takes in what happens.
     pub fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Action>) {
         match input {
-            Input::Found(n) => {
+            Input::AlreadyRunning(n) => {
                 if let Some(one) = self.all.get_mut(n) {
                     (one.state, one.started) = (State::Ready(now), now);
                 }
@@ -239,16 +242,16 @@
                     one.state = State::Ready(now);
                 }
             }
-            Input::Ended(n) => self.ended(now, n, out),
+            Input::Exited(n) => self.ended(now, n, out),
             Input::Health(n, health) => {
                 if let Some(one) = self.all.get_mut(n) {
                     one.health = health;
                 }
             }
             Input::Roll if self.ending || self.roll.is_some() => {
-                out.push(Action::Note(None, "no roll is begun: one is under way, or all are to end".into()));
+                out.push(Action::Log(None, "no roll is begun: one is under way, or all are to end".into()));
             }
-            Input::Roll => self.begin(Form::New, (0..self.all.len()).collect(), false),
+            Input::Roll => self.begin(Release::New, (0..self.all.len()).collect(), false),
             Input::Retry(n) => {
                 if let Some(one) = self.all.get_mut(n).filter(|one| one.state == State::Broken) {
                     (one.state, one.crashes) = (State::Waiting(now), 0);
@@ -290,19 +293,19 @@
             return;
         }
         // One that ran for long enough begins to count anew.
-        one.crashes = if now - one.started < terms.crash_within { one.crashes + 1 } else { 1 };
-        if one.crashes >= terms.crashes {
+        one.crashes = if now - one.started < terms.crash_window { one.crashes + 1 } else { 1 };
+        if one.crashes >= terms.max_crashes {
             one.state = State::Broken;
             let words =
-                format!("ended {} times in a row within {} s: left alone", one.crashes, terms.crash_within);
-            return out.push(Action::Note(Some(n), words));
+                format!("ended {} times in a row within {} s: left alone", one.crashes, terms.crash_window);
+            return out.push(Action::Log(Some(n), words));
         }
-        let wait = (terms.backoff * f64::from(1u32 << (one.crashes - 1).min(16))).min(terms.backoff_most);
+        let wait = (terms.backoff * f64::from(1u32 << (one.crashes - 1).min(16))).min(terms.max_backoff);
         one.state = State::Waiting(now + wait * jitter);
-        out.push(Action::Note(Some(n), format!("ended; started again in {:.1} s", wait * jitter)));
+        out.push(Action::Log(Some(n), format!("ended; started again in {:.1} s", wait * jitter)));
     }
 
-    fn begin(&mut self, to: Form, left: Vec<usize>, undoes: bool) {
+    fn begin(&mut self, to: Release, left: Vec<usize>, undoes: bool) {
         let before = self.all.iter().fold(Health::default(), |sum, one| sum.and(one.health.since(one.mark)));
         self.all.iter_mut().for_each(|one| one.mark = one.health);
         self.roll = Some(Roll { to, left, batch: Vec::new(), settled: None, before, undoes });
@@ -318,21 +321,21 @@
                 State::Waiting(at) if now >= at => {
                     (one.state, one.started) = (State::Starting(now), now);
                     out.push(Action::Start(n, one.form));
-                    next = next.min(now + terms.ready_within);
+                    next = next.min(now + terms.ready_timeout);
                 }
                 State::Waiting(at) => next = next.min(at),
-                State::Starting(since) if now >= since + terms.ready_within => {
+                State::Starting(since) if now >= since + terms.ready_timeout => {
                     // Its end is told, and counts as a crash.
-                    out.push(Action::Note(Some(n), format!("not ready within {} s", terms.ready_within)));
+                    out.push(Action::Log(Some(n), format!("not ready within {} s", terms.ready_timeout)));
                     out.push(Action::Kill(n));
                     one.state = State::Starting(f64::INFINITY);
                 }
-                State::Starting(since) => next = next.min(since + terms.ready_within),
-                State::Stopping(since) if now >= since + terms.stop_within => {
+                State::Starting(since) => next = next.min(since + terms.ready_timeout),
+                State::Stopping(since) if now >= since + terms.stop_timeout => {
                     out.push(Action::Kill(n));
                     one.state = State::Stopping(f64::INFINITY);
                 }
-                State::Stopping(since) => next = next.min(since + terms.stop_within),
+                State::Stopping(since) => next = next.min(since + terms.stop_timeout),
                 State::Ready(_) | State::Broken | State::Stopped => {}
             }
         }
@@ -347,7 +350,7 @@
         let Some(mut roll) = self.roll.take() else { return };
         if let Some(why) = self.harm(&roll) {
             let done: Vec<usize> = (0..self.all.len()).filter(|n| self.all[*n].form == roll.to).collect();
-            out.push(Action::Note(
+            out.push(Action::Log(
                 None,
                 format!("the roll is stopped and undone in {} instances: {why}", done.len()),
             ));
@@ -358,12 +361,12 @@
                     (one.state, one.crashes) = (State::Stopped, 0);
                 }
             }
-            self.begin(Form::Old, done, true);
+            self.begin(Release::Old, done, true);
             return self.roll_on(now, next, out);
         }
         let ready = roll.batch.iter().all(|n| matches!(self.all[*n].state, State::Ready(_)));
         if !roll.batch.is_empty() && ready {
-            let until = *roll.settled.get_or_insert(now + self.terms.settle);
+            let until = *roll.settled.get_or_insert(now + self.terms.batch_observation);
             if now < until {
                 *next = next.min(until);
                 self.roll = Some(roll);
@@ -375,9 +378,9 @@
             if roll.left.is_empty() {
                 if !roll.undoes {
                     // From here on it is what holds.
-                    self.all.iter_mut().for_each(|one| one.form = Form::Old);
+                    self.all.iter_mut().for_each(|one| one.form = Release::Old);
                 }
-                out.push(Action::Note(None, if roll.undoes { "undone" } else { "rolled out" }.into()));
+                out.push(Action::Log(None, if roll.undoes { "undone" } else { "rolled out" }.into()));
                 return out.push(Action::Rolled(roll.to));
             }
             let size = self.terms.batch.clamp(1, roll.left.len());
--- a/crates/fleet/tests/supervisor.rs
+++ b/crates/fleet/tests/supervisor.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use fleet::{Action, Form, Health, Input, State, Supervisor, Terms};
+use fleet::{Action, Health, Input, Release, State, Supervisor, SupervisorConfig};
 use proptest::prelude::*;
 
 /// How an instance behaves once it is started.
@@ -20,17 +20,17 @@
 struct World {
     supervisor: Supervisor,
     now: f64,
-    ways: BTreeMap<(usize, Form), Way>,
+    ways: BTreeMap<(usize, Release), Way>,
     /// Processes: of which form, since when, whether told to end, what they have answered.
-    running: BTreeMap<usize, (Form, f64, Option<f64>, Health)>,
-    starts: Vec<(f64, usize, Form)>,
+    running: BTreeMap<usize, (Release, f64, Option<f64>, Health)>,
+    starts: Vec<(f64, usize, Release)>,
     notes: Vec<String>,
-    rolled: Vec<Form>,
+    rolled: Vec<Release>,
     most_down: usize,
 }
 
 impl World {
-    fn new(terms: Terms, seed: u64) -> World {
+    fn new(terms: SupervisorConfig, seed: u64) -> World {
         World {
             supervisor: Supervisor::new(terms, seed, 0.0),
             now: 0.0,
@@ -59,17 +59,18 @@
                 }
                 Action::Kill(n) => {
                     self.running.remove(&n);
-                    self.tell(Input::Ended(n));
+                    self.tell(Input::Exited(n));
                 }
-                Action::Note(_, words) => self.notes.push(words),
+                Action::Log(_, words) => self.notes.push(words),
                 Action::Rolled(form) => {
                     self.rolled.push(form);
                     // What is rolled out holds from now on: who starts later starts in it under the name of the old.
-                    if form == Form::New {
-                        self.running.values_mut().for_each(|process| process.0 = Form::Old);
-                        let ways: Vec<_> = self.ways.iter().filter(|(key, _)| key.1 == Form::New).collect();
+                    if form == Release::New {
+                        self.running.values_mut().for_each(|process| process.0 = Release::Old);
                         let ways: Vec<_> =
-                            ways.into_iter().map(|(key, way)| ((key.0, Form::Old), *way)).collect();
+                            self.ways.iter().filter(|(key, _)| key.1 == Release::New).collect();
+                        let ways: Vec<_> =
+                            ways.into_iter().map(|(key, way)| ((key.0, Release::Old), *way)).collect();
                         self.ways.extend(ways);
                     }
                 }
@@ -89,11 +90,11 @@
                     || way == Way::Crashes && self.now >= since + 0.2
                 {
                     self.running.remove(&n);
-                    self.tell(Input::Ended(n));
+                    self.tell(Input::Exited(n));
                 } else if told.is_none() && way != Way::Hangs && self.now >= since + 0.2 {
                     self.tell(Input::Ready(n));
-                    let bad = health.bad + u64::from(way == Way::Harms) * 5;
-                    let health = Health { answers: health.answers + 10, bad };
+                    let bad = health.not_served + u64::from(way == Way::Harms) * 5;
+                    let health = Health { answers: health.answers + 10, not_served: bad };
                     if let Some(process) = self.running.get_mut(&n) {
                         process.3 = health;
                     }
@@ -102,7 +103,7 @@
             }
             self.tell(Input::Time);
             let ready = |state: &State| matches!(state, State::Ready(_));
-            if self.supervisor.rolls() {
+            if self.supervisor.is_rolling() {
                 let down = self.states().iter().filter(|state| !ready(state)).count();
                 self.most_down = self.most_down.max(down);
             }
@@ -113,7 +114,7 @@
         self.supervisor.states().map(|(state, _, _)| state).collect()
     }
 
-    fn forms(&self) -> Vec<Form> {
+    fn forms(&self) -> Vec<Release> {
         self.running.values().map(|process| process.0).collect()
     }
 
@@ -125,7 +126,8 @@
 #[test]
 fn starts_are_spread_and_the_same_for_the_same_seed() {
     let starts = |seed| {
-        let mut world = World::new(Terms { instances: 40, spread: 10.0, ..Terms::default() }, seed);
+        let mut world =
+            World::new(SupervisorConfig { instances: 40, spread: 10.0, ..SupervisorConfig::default() }, seed);
         world.run(11.0);
         assert!(world.all_ready());
         world.starts
@@ -134,7 +136,7 @@
     assert_eq!(first, starts(7));
     assert_ne!(first, starts(8));
     for second in 0..10 {
-        let within = |at: &&(f64, usize, Form)| at.0 >= f64::from(second) && at.0 < f64::from(second + 1);
+        let within = |at: &&(f64, usize, Release)| at.0 >= f64::from(second) && at.0 < f64::from(second + 1);
         let count = first.iter().filter(within).count();
         assert!((3..=5).contains(&count), "{count} in second {second}");
     }
@@ -142,8 +144,8 @@
 
 #[test]
 fn one_that_crashes_waits_longer_each_time_and_is_left_alone_in_the_end() {
-    let mut world = World::new(Terms { instances: 200, ..Terms::default() }, 3);
-    world.ways.insert((17, Form::Old), Way::Crashes);
+    let mut world = World::new(SupervisorConfig { instances: 200, ..SupervisorConfig::default() }, 3);
+    world.ways.insert((17, Release::Old), Way::Crashes);
     world.run(60.0);
     let starts: Vec<f64> = world.starts.iter().filter(|start| start.1 == 17).map(|start| start.0).collect();
     assert_eq!((starts.len(), world.states()[17]), (5, State::Broken));
@@ -162,8 +164,9 @@
 
 #[test]
 fn one_that_does_not_come_up_is_killed_and_counts_as_a_crash() {
-    let mut world = World::new(Terms { instances: 2, ready_within: 1.0, ..Terms::default() }, 3);
-    world.ways.insert((1, Form::Old), Way::Hangs);
+    let mut world =
+        World::new(SupervisorConfig { instances: 2, ready_timeout: 1.0, ..SupervisorConfig::default() }, 3);
+    world.ways.insert((1, Release::Old), Way::Hangs);
     world.run(30.0);
     assert_eq!(world.states()[1], State::Broken);
     assert!(matches!(world.states()[0], State::Ready(_)));
@@ -171,35 +174,37 @@
 
 #[test]
 fn a_roll_replaces_all_and_never_more_than_a_batch_is_down() {
-    let mut world = World::new(Terms { instances: 50, batch: 5, ..Terms::default() }, 3);
+    let mut world =
+        World::new(SupervisorConfig { instances: 50, batch: 5, ..SupervisorConfig::default() }, 3);
     world.run(5.0);
     world.tell(Input::Roll);
     world.tell(Input::Roll);
     assert!(world.notes.pop().unwrap().contains("under way"));
     world.run(60.0);
-    assert_eq!((world.rolled.clone(), world.most_down), (vec![Form::New], 5));
+    assert_eq!((world.rolled.clone(), world.most_down), (vec![Release::New], 5));
     assert!(world.all_ready());
-    let new = world.starts.iter().filter(|(_, _, form)| *form == Form::New).count();
+    let new = world.starts.iter().filter(|(_, _, form)| *form == Release::New).count();
     assert_eq!((world.starts.len(), new), (100, 50));
     // What was rolled out is what holds: one that ends is started in that form.
-    assert!(world.supervisor.states().all(|(_, form, _)| form == Form::Old));
+    assert!(world.supervisor.states().all(|(_, form, _)| form == Release::Old));
 }
 
 #[test]
 fn a_roll_that_harms_in_the_third_batch_is_undone() {
     for way in [Way::Harms, Way::Crashes, Way::Hangs] {
-        let terms = Terms { instances: 20, batch: 4, ready_within: 1.0, ..Terms::default() };
+        let terms =
+            SupervisorConfig { instances: 20, batch: 4, ready_timeout: 1.0, ..SupervisorConfig::default() };
         let mut world = World::new(terms, 3);
         for n in 8..12 {
-            world.ways.insert((n, Form::New), way);
+            world.ways.insert((n, Release::New), way);
         }
         world.run(5.0);
         world.tell(Input::Roll);
         world.run(60.0);
-        assert_eq!(world.rolled, [Form::Old], "{way:?}: {:?}", world.notes);
+        assert_eq!(world.rolled, [Release::Old], "{way:?}: {:?}", world.notes);
         assert!(world.all_ready(), "{way:?}: {:?}", world.states());
-        assert!(world.forms().iter().all(|form| *form == Form::Old));
-        let touched = |n: usize| world.starts.iter().any(|start| start.1 == n && start.2 == Form::New);
+        assert!(world.forms().iter().all(|form| *form == Release::Old));
+        let touched = |n: usize| world.starts.iter().any(|start| start.1 == n && start.2 == Release::New);
         assert!((0..12).all(touched) && !(12..20).any(touched), "{way:?}: the rest was left");
         assert!(
             world.notes.iter().any(|note| note.contains("stopped and undone in 12")),
@@ -211,10 +216,10 @@
 
 #[test]
 fn a_supervisor_that_comes_back_starts_only_what_is_not_there() {
-    let mut world = World::new(Terms { instances: 5, ..Terms::default() }, 3);
+    let mut world = World::new(SupervisorConfig { instances: 5, ..SupervisorConfig::default() }, 3);
     for n in [0, 1, 3] {
-        world.running.insert(n, (Form::Old, 0.0, None, Health::default()));
-        world.tell(Input::Found(n));
+        world.running.insert(n, (Release::Old, 0.0, None, Health::default()));
+        world.tell(Input::AlreadyRunning(n));
     }
     world.run(3.0);
     let mut started: Vec<usize> = world.starts.iter().map(|start| start.1).collect();
@@ -222,7 +227,7 @@
     assert_eq!(started, [2, 4]);
     world.tell(Input::Stop);
     world.run(3.0);
-    assert!(world.supervisor.is_over() && world.running.is_empty());
+    assert!(world.supervisor.has_stopped() && world.running.is_empty());
 }
 
 proptest! {
@@ -235,27 +240,27 @@
         at in 0.0..6.0f64,
         crash in prop::option::of((0..6usize, 0.0..8.0f64)),
     ) {
-        let terms = Terms { instances: 6, batch, ready_within: 1.0, settle: 0.5, ..Terms::default() };
+        let terms = SupervisorConfig { instances: 6, batch, ready_timeout: 1.0, batch_observation: 0.5, ..SupervisorConfig::default() };
         let mut world = World::new(terms, 1);
         let kinds = [Way::Well, Way::Crashes, Way::Hangs, Way::Harms];
         for (n, way) in ways.iter().enumerate() {
-            world.ways.insert((n, Form::New), kinds[usize::from(*way)]);
+            world.ways.insert((n, Release::New), kinds[usize::from(*way)]);
         }
         world.run(3.0 + at);
         world.tell(Input::Roll);
         if let Some((n, after)) = crash {
             world.run(after);
             if world.running.remove(&n).is_some() {
-                world.tell(Input::Ended(n));
+                world.tell(Input::Exited(n));
             }
         }
         world.run(120.0);
-        prop_assert!(!world.supervisor.rolls());
+        prop_assert!(!world.supervisor.is_rolling());
         prop_assert!(world.all_ready(), "{:?} {:?}", world.states(), world.notes);
         let form = world.rolled[0];
-        prop_assert!(world.forms().iter().all(|one| *one == Form::Old), "{form:?} {:?}", world.forms());
+        prop_assert!(world.forms().iter().all(|one| *one == Release::Old), "{form:?} {:?}", world.forms());
         if ways.iter().all(|way| *way == 0) && crash.is_none() {
-            prop_assert_eq!(form, Form::New);
+            prop_assert_eq!(form, Release::New);
         }
     }
 }
