--- a/crates/daemon/src/cli/caller.rs
+++ b/crates/daemon/src/cli/caller.rs
@@ -8,7 +8,7 @@
 use buffer::{Budget, Fill};
 use http1::Whole;
 use operator::Registry as Settings;
-use registry::wire::{self, after, Range, Refusal};
+use registry::wire::{self, prefix_end, Range, Refusal};
 use registry::{Entry, View};
 use tls::Link;
 
@@ -93,7 +93,7 @@
     /// Asks for a token, which all later calls go with.
     pub fn login(&mut self) -> Result<String, String> {
         let body = self.dial.login()?;
-        let token = wire::token(&self.call(wire::AUTHENTICATE, &body)?).map_err(turned_down)?;
+        let token = wire::parse_token(&self.call(wire::AUTHENTICATE, &body)?).map_err(turned_down)?;
         Ok(self.token.insert(token).clone())
     }
 
@@ -160,8 +160,8 @@
         let serializable = self.settings.serializable;
         let (mut from, mut revision, mut cluster, mut keys) = (prefix.clone(), 0, 0, Vec::new());
         for _ in 0..PAGES {
-            let range = Range { from, to: after(&prefix), revision, limit: PAGE, serializable };
-            let page = wire::page(&self.call(wire::RANGE, &range.body())?).map_err(turned_down)?;
+            let range = Range { from, to: prefix_end(&prefix), revision, limit: PAGE, serializable };
+            let page = wire::parse_page(&self.call(wire::RANGE, &range.body())?).map_err(turned_down)?;
             if revision == 0 {
                 (revision, cluster) = (page.header.revision, page.header.cluster_id);
             }
@@ -174,7 +174,7 @@
                     key.push(0);
                     from = key;
                 }
-                None => return Ok(View::kept(cluster, revision, keys)),
+                None => return Ok(View::restore(cluster, revision, keys)),
             }
         }
         Err(format!("over {} keys", PAGES as u64 * PAGE))
--- a/crates/daemon/src/cli/registry.rs
+++ b/crates/daemon/src/cli/registry.rs
@@ -11,7 +11,7 @@
 use listing::Listing;
 use registry::schema::{self, Members};
 use registry::wire::{self, Write as Change};
-use registry::{Action, Endpoints, Guard, Input, Pace, Sync, View};
+use registry::{Action, Endpoints, Input, Pacing, RegistrySync, SyncConfig, View};
 use routing::interface::Phase;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -188,7 +188,7 @@
 fn understood(caller: &mut Caller) -> Result<(View, Members), String> {
     let view = caller.read()?;
     let mut members = Members::default();
-    members.take(&caller.settings.prefix, &view, None);
+    members.update(&caller.settings.prefix, &view, None);
     Ok((view, members))
 }
 
@@ -224,13 +224,13 @@
 fn check(operator: &Path, json: bool) -> Result<ExitCode, String> {
     let mut caller = Caller::of(operator)?;
     let (_, members) = understood(&mut caller)?;
-    let (good, bad) = (members.all().count(), members.poisoned().count());
+    let (good, bad) = (members.all().count(), members.malformed().count());
     let warning = caller.warning();
     if json {
-        let poisoned: BTreeMap<&str, &str> = members.poisoned().collect();
+        let poisoned: BTreeMap<&str, &str> = members.malformed().collect();
         println!("{}", json!({"understood": good, "not_understood": poisoned, "warning": warning}));
     } else {
-        members.poisoned().for_each(|(name, why)| println!("{name}: {why}"));
+        members.malformed().for_each(|(name, why)| println!("{name}: {why}"));
         warning.iter().for_each(|warning| println!("{warning}"));
         println!("{good} members are understood, {bad} are not");
     }
@@ -283,8 +283,8 @@
 
 /// Has changes written in one transaction; false where somebody else has been there meanwhile.
 fn written(caller: &mut Caller, changes: &[Change]) -> Result<bool, String> {
-    let answer = caller.call(wire::TXN, &wire::write_if(changes))?;
-    wire::written(&answer).map_err(turned_down)
+    let answer = caller.call(wire::TXN, &wire::transaction_body(changes))?;
+    wire::parse_transaction(&answer).map_err(turned_down)
 }
 
 /// All members and drains, as they are exported and imported.
@@ -308,9 +308,9 @@
         (format!("{}/members/", caller.settings.prefix), format!("{}/drains/", caller.settings.prefix));
     let named = |prefix: &str, key: &[u8]| String::from_utf8_lossy(&key[prefix.len()..]).into_owned();
     let mut lost = 0;
-    for (key, entry) in view.under(members.as_bytes()) {
+    for (key, entry) in view.with_prefix(members.as_bytes()) {
         let name = named(&members, key);
-        match schema::member(&name, &entry.value)
+        match schema::parse_member(&name, &entry.value)
             .and_then(|_| serde_json::from_slice(&entry.value).map_err(|error| error.to_string()))
         {
             Ok(value) => drop(whole.members.insert(name, value)),
@@ -320,7 +320,7 @@
             }
         }
     }
-    for (key, entry) in view.under(drains.as_bytes()) {
+    for (key, entry) in view.with_prefix(drains.as_bytes()) {
         let note = String::from_utf8_lossy(&entry.value).into_owned();
         whole.drains.insert(named(&drains, key), note);
     }
@@ -335,7 +335,7 @@
     let mut values = BTreeMap::new();
     for (name, value) in &whole.members {
         let value = value.to_string().into_bytes();
-        schema::member(name, &value).map_err(|fault| named(format!("members.{name}: {fault}")))?;
+        schema::parse_member(name, &value).map_err(|fault| named(format!("members.{name}: {fault}")))?;
         values.insert(name.clone(), value);
     }
     if let Some(name) = whole.drains.keys().find(|name| !values.contains_key(*name)) {
@@ -351,7 +351,7 @@
         changes.extend(found);
         gone += if folder == "members" { lost } else { 0 };
     }
-    let listed = view.under(format!("{prefix}/members/").as_bytes()).count();
+    let listed = view.with_prefix(format!("{prefix}/members/").as_bytes()).count();
     if listed >= FEW && gone as f64 > caller.settings.guard_share * listed as f64 && !args.allow_many {
         return Err(format!("{gone} of {listed} members would be deleted; --allow-many lets that be"));
     }
@@ -387,7 +387,7 @@
     prune: bool,
 ) -> (Vec<Change>, usize) {
     let mut changes = Vec::new();
-    for (key, entry) in view.under(prefix.as_bytes()).filter(|_| prune) {
+    for (key, entry) in view.with_prefix(prefix.as_bytes()).filter(|_| prune) {
         let name = String::from_utf8_lossy(&key[prefix.len()..]);
         if !wanted.contains_key(&*name) {
             changes.push(Change { key: key.clone(), revision: entry.revision, value: None });
@@ -414,11 +414,11 @@
     let mut caller = Caller::of(&args.operator)?;
     let settings = caller.settings.clone();
     let seed = now().to_bits() ^ u64::from(std::process::id());
-    let endpoints = Endpoints::new(settings.endpoints.len(), Pace::default(), seed, now());
+    let endpoints = Endpoints::new(settings.endpoints.len(), Pacing::default(), seed, now());
     // Whoever looks is shown what is there, however much has gone.
-    let guard = Guard { share: 1.0, ..guard(&settings) };
+    let guard = SyncConfig { max_removed_share: 1.0, ..guard(&settings) };
     let prefix = format!("{}/", settings.prefix).into_bytes();
-    let mut sync = Sync::new(prefix.clone(), endpoints, guard, View::default());
+    let mut sync = RegistrySync::new(prefix.clone(), endpoints, guard, View::default());
     let (mut members, budget) = (Members::default(), Budget::new(4 * LONGEST));
     let begun = Instant::now();
     let mut inputs = vec![Input::Start];
@@ -430,25 +430,26 @@
             match action {
                 Action::Login(call, _) => {
                     let token = caller.login();
-                    inputs.push(token.map_or(Input::Broken(call), |token| Input::Token(call, Ok(token))));
+                    inputs
+                        .push(token.map_or(Input::Disconnected(call), |token| Input::Token(call, Ok(token))));
                 }
                 Action::Read(call, at, range) => {
                     let answer = caller.exchange(at, wire::RANGE, &range.body());
-                    inputs.push(
-                        answer.map_or(Input::Broken(call), |body| Input::Page(call, wire::page(&body))),
-                    );
+                    inputs.push(answer.map_or(Input::Disconnected(call), |body| {
+                        Input::Page(call, wire::parse_page(&body))
+                    }));
                 }
                 Action::Watch(call, at, revision) => {
-                    let body = wire::watch(&prefix, &wire::after(&prefix), revision);
+                    let body = wire::watch_body(&prefix, &wire::prefix_end(&prefix), revision);
                     match caller.connect(at, wire::WATCH, &body, &budget) {
                         Ok(link) => open = Some((call, link, Answer::default(), Lines::new(LONGEST))),
-                        Err(_) => inputs.push(Input::Broken(call)),
+                        Err(_) => inputs.push(Input::Disconnected(call)),
                     }
                 }
                 Action::Close(call) => drop(open.take_if(|(own, ..)| *own == call)),
                 Action::Changed(keys) => {
                     let revision = sync.view().revision;
-                    for listing in members.take(&settings.prefix, sync.view(), keys.as_deref()) {
+                    for listing in members.update(&settings.prefix, sync.view(), keys.as_deref()) {
                         if args.json {
                             println!("{}", json!({"revision": revision, "member": object(&listing)}));
                         } else {
@@ -466,7 +467,7 @@
             continue;
         }
         let left = args.seconds.map_or(f64::INFINITY, |seconds| seconds - begun.elapsed().as_secs_f64());
-        let wait = Duration::from_secs_f64((sync.due() - now()).min(left).clamp(0.0, 1.0));
+        let wait = Duration::from_secs_f64((sync.next_due() - now()).min(left).clamp(0.0, 1.0));
         match &mut open {
             None => std::thread::sleep(wait),
             Some((call, (patient, link), answer, lines)) => {
@@ -477,13 +478,13 @@
                             lines.push(&bytes).map_err(|_| "a line too long".to_string())?;
                         }
                         while let Some(line) = lines.take() {
-                            inputs.push(Input::Told(*call, wire::told(&line)));
+                            inputs.push(Input::WatchMessage(*call, wire::parse_watch_message(&line)));
                         }
                     }
                     Ok(fill == Fill::Ended)
                 });
                 if told != Ok(false) {
-                    inputs.push(Input::Broken(*call));
+                    inputs.push(Input::Disconnected(*call));
                 }
             }
         }
--- a/crates/daemon/src/dial.rs
+++ b/crates/daemon/src/dial.rs
@@ -6,7 +6,7 @@
 use buffer::Budget;
 use http1::Request;
 use operator::Registry as Settings;
-use registry::{wire, Guard};
+use registry::{wire, SyncConfig};
 use tls::{Client, Link, Session};
 
 use crate::files;
@@ -65,7 +65,7 @@
     pub fn login(&self) -> Result<Vec<u8>, String> {
         let (user, file) =
             self.settings.user.as_ref().zip(self.settings.password_file.as_ref()).ok_or("no user")?;
-        Ok(wire::login(user, &files::password(file)?))
+        Ok(wire::login_body(user, &files::password(file)?))
     }
 
     /// A link made here has failed at the other side's hands: the files are read anew before the next, since they
@@ -86,15 +86,15 @@
 }
 
 /// When what a registry says is believed, and for how long it is waited for.
-pub(crate) fn guard(settings: &Settings) -> Guard {
-    Guard {
-        share: settings.guard_share,
-        time: settings.guard_s,
-        silence: settings.silence_s,
-        call: settings.call_s,
+pub(crate) fn guard(settings: &Settings) -> SyncConfig {
+    SyncConfig {
+        max_removed_share: settings.guard_share,
+        confirm_after: settings.guard_s,
+        watch_timeout: settings.silence_s,
+        call_timeout: settings.call_s,
         serializable: settings.serializable,
         login: settings.user.is_some(),
-        ..Guard::default()
+        ..SyncConfig::default()
     }
 }
 
--- a/crates/daemon/src/net/proxy/sources.rs
+++ b/crates/daemon/src/net/proxy/sources.rs
@@ -114,7 +114,7 @@
 
 /// The view that was kept on disk; none where it is not one of these keys.
 fn from_disk(prefix: &str, bytes: &[u8]) -> registry::View {
-    match registry::kept::decode(prefix, bytes) {
+    match registry::snapshot::decode(prefix, bytes) {
         Ok(view) => {
             let (revision, keys) = (view.revision, view.len());
             logging::info!(event = "registry.kept", revision, keys, "goes on from the view kept on disk");
--- a/crates/daemon/src/net/registry.rs
+++ b/crates/daemon/src/net/registry.rs
@@ -1,5 +1,5 @@
 //! The registry's side: one connection at a time to one of its endpoints, for a range or for the watch. What is
-//! asked of whom, and what of the answers is believed, is decided by [`registry::Sync`].
+//! asked of whom, and what of the answers is believed, is decided by [`registry::RegistrySync`].
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 use mio::net::TcpStream;
 use mio::Interest;
 use operator::Registry as Settings;
-use registry::lease::{self, Ask, Lease};
+use registry::lease::{self, Lease, LeaseRequest};
 use registry::schema::Members;
 use registry::wire::Refusal;
-use registry::{kept, wire, Action, Endpoints, Guard, Input, Notice, Pace, Sync, View};
+use registry::{snapshot, wire, Action, Endpoints, Input, Notice, Pacing, RegistrySync, SyncConfig, View};
 use routing::interface::{ListKind, MemberId};
 use tls::Link;
 
@@ -88,7 +88,7 @@
 pub(crate) struct Registry {
     settings: Settings,
     dial: Dial,
-    sync: Sync,
+    sync: RegistrySync,
     members: Members,
     conns: Slots<Conn>,
     current: Option<(u64, Slot)>,
@@ -114,10 +114,10 @@
     /// Follows the registry of these settings, from what is known of the same one.
     pub fn new(settings: &Settings, who: &Who, known: Known, budget: Budget, now: f64) -> Registry {
         let count = settings.endpoints.len();
-        let endpoints = Endpoints::new(count, Pace::default(), who.seed, now);
+        let endpoints = Endpoints::new(count, Pacing::default(), who.seed, now);
         let own = settings.register.as_ref().map(|prefix| {
             // Another draw than that of the list's: the two need not call the same endpoint.
-            let endpoints = Endpoints::new(count, Pace::default(), !who.seed, now);
+            let endpoints = Endpoints::new(count, Pacing::default(), !who.seed, now);
             let value = serde_json::json!({"v": 1, "address": who.listen, "version": env!("CARGO_PKG_VERSION"),
                 "pid": std::process::id()});
             Own {
@@ -134,7 +134,7 @@
             dial: Dial::new(settings),
             // The first view that is read is kept at once.
             kept: (known.view.revision, if known.view.revision > 0 { now } else { f64::NEG_INFINITY }, false),
-            sync: Sync::new(prefix, endpoints, dial::guard(settings), known.view),
+            sync: RegistrySync::new(prefix, endpoints, dial::guard(settings), known.view),
             members: known.members,
             own,
             conns: Slots::new(),
@@ -191,7 +191,7 @@
         }
         let view = self.sync.view();
         self.kept = (view.revision, now, false);
-        Some(kept::encode(&self.settings.prefix, view))
+        Some(snapshot::encode(&self.settings.prefix, view))
     }
 
     /// When the view is to be kept on disk.
@@ -234,7 +234,7 @@
                     }
                     Action::Watch(call, endpoint, revision) => {
                         let prefix = format!("{}/", self.settings.prefix).into_bytes();
-                        let body = wire::watch(&prefix, &wire::after(&prefix), revision);
+                        let body = wire::watch_body(&prefix, &wire::prefix_end(&prefix), revision);
                         let lines = Lines::new(LONGEST);
                         let taking = Taking::Watch(Answer::default(), lines, self.budget.charge());
                         let opened = self.open(call, endpoint, wire::WATCH, &body, taking, context);
@@ -255,9 +255,9 @@
 
     /// Sets a timer for whatever is due first.
     fn wake(&mut self, context: &mut Context) {
-        let lease = self.own.as_ref().map_or(f64::INFINITY, |own| own.lease.due());
+        let lease = self.own.as_ref().map_or(f64::INFINITY, |own| own.lease.next_due());
         let held = self.held.unwrap_or(f64::INFINITY);
-        let due = self.sync.due().min(lease).min(self.keep_due()).min(held);
+        let due = self.sync.next_due().min(lease).min(self.keep_due()).min(held);
         if due < self.timer {
             self.timer = due;
             context.reactor.timer(due, Due::Registry);
@@ -271,7 +271,7 @@
             if let (lease::Input::Answer(_, Err(Refusal::Unauthenticated)), Some(token)) =
                 (&input, &own.token)
             {
-                let denied = Input::Denied(token.clone());
+                let denied = Input::TokenRejected(token.clone());
                 self.input(denied, context);
             }
             let Some(own) = &mut self.own else { return };
@@ -283,16 +283,18 @@
                     lease::Action::Call(call, endpoint, ask) => {
                         own.token = self.sync.token().map(String::from);
                         let (path, body) = match ask {
-                            Ask::Grant => (wire::GRANT, wire::grant(self.settings.lease_s.into())),
-                            Ask::Put(id) => (wire::PUT, wire::put(&own.key, &own.value, id)),
-                            Ask::Keep(id) => (wire::KEEP, wire::about_lease(id)),
-                            Ask::Revoke(id) => (wire::REVOKE, wire::about_lease(id)),
+                            LeaseRequest::Grant => {
+                                (wire::GRANT, wire::grant_body(self.settings.lease_s.into()))
+                            }
+                            LeaseRequest::Put(id) => (wire::PUT, wire::put_body(&own.key, &own.value, id)),
+                            LeaseRequest::KeepAlive(id) => (wire::KEEP_ALIVE, wire::lease_body(id)),
+                            LeaseRequest::Revoke(id) => (wire::REVOKE, wire::lease_body(id)),
                         };
                         let whole = Whole::new(LONGEST, self.budget.charge());
-                        let taking = Taking::Lease(whole, matches!(ask, Ask::Keep(_)));
+                        let taking = Taking::Lease(whole, matches!(ask, LeaseRequest::KeepAlive(_)));
                         if let Err(fault) = self.open(call, endpoint, path, &body, taking, context) {
                             logging::warn!(event = "registry.call", "{fault}");
-                            inputs.push(lease::Input::Broken(call));
+                            inputs.push(lease::Input::Disconnected(call));
                         }
                     }
                     lease::Action::Close(call) => {
@@ -300,7 +302,7 @@
                             self.conns.remove(slot);
                         }
                     }
-                    lease::Action::Held => {
+                    lease::Action::Registered => {
                         logging::info!(
                             event = "registry.registered",
                             "the pooler's own key stands in the registry"
@@ -322,7 +324,7 @@
     fn opened(&self, call: u64, opened: Result<(), String>) -> Option<Input> {
         let fault = opened.err()?;
         logging::warn!(event = "registry.call", "{fault}");
-        Some(Input::Broken(call))
+        Some(Input::Disconnected(call))
     }
 
     /// Calls an endpoint.
@@ -383,8 +385,8 @@
                 self.dial.doubt();
             }
             heard.push(match self.current {
-                Some((_, own)) if own == slot => Heard::Sync(Input::Broken(call)),
-                _ => Heard::Lease(lease::Input::Broken(call)),
+                Some((_, own)) if own == slot => Heard::Sync(Input::Disconnected(call)),
+                _ => Heard::Lease(lease::Input::Disconnected(call)),
             });
         }
         for heard in heard {
@@ -410,10 +412,10 @@
         if keys.as_ref().is_some_and(Vec::is_empty) {
             return;
         }
-        let changes = self.members.take(&self.settings.prefix, self.sync.view(), keys.as_deref());
-        let poisoned = self.members.poisoned().count();
+        let changes = self.members.update(&self.settings.prefix, self.sync.view(), keys.as_deref());
+        let poisoned = self.members.malformed().count();
         if poisoned != std::mem::replace(&mut self.poisoned, poisoned) {
-            for (name, why) in self.members.poisoned().take(8) {
+            for (name, why) in self.members.malformed().take(8) {
                 logging::warn!(event = "registry.poisoned", member = name, "kept as it was: {why}");
             }
         }
@@ -436,7 +438,7 @@
         let listed: BTreeSet<&MemberId> = self.members.all().map(|listing| &listing.name).collect();
         let gone = self.standing.iter().filter(|name| !listed.contains(name)).count();
         let of = self.standing.len();
-        if of < Guard::default().least || gone as f64 <= self.settings.guard_share * of as f64 {
+        if of < SyncConfig::default().min_keys || gone as f64 <= self.settings.guard_share * of as f64 {
             return false;
         }
         let until = *self.held.get_or_insert_with(|| {
@@ -523,20 +525,21 @@
         match &mut self.taking {
             Taking::Page(whole) => {
                 let whole = whole.next(inbox).map_err(told)?;
-                heard
-                    .extend(whole.as_ref().map(|(_, body)| Heard::Sync(Input::Page(call, wire::page(body)))));
+                heard.extend(
+                    whole.as_ref().map(|(_, body)| Heard::Sync(Input::Page(call, wire::parse_page(body)))),
+                );
                 Ok(whole.is_some())
             }
             Taking::Token(whole) => {
                 let whole = whole.next(inbox).map_err(told)?;
                 heard.extend(
-                    whole.as_ref().map(|(_, body)| Heard::Sync(Input::Token(call, wire::token(body)))),
+                    whole.as_ref().map(|(_, body)| Heard::Sync(Input::Token(call, wire::parse_token(body)))),
                 );
                 Ok(whole.is_some())
             }
             Taking::Lease(whole, stream) => {
                 let whole = whole.next(inbox).map_err(told)?;
-                let answer = whole.as_ref().map(|(_, body)| wire::granted(body.trim_ascii(), *stream));
+                let answer = whole.as_ref().map(|(_, body)| wire::parse_lease(body.trim_ascii(), *stream));
                 heard.extend(answer.map(|answer| Heard::Lease(lease::Input::Answer(call, answer))));
                 Ok(whole.is_some())
             }
@@ -549,7 +552,10 @@
                             charge.set(lines.held()).map_err(|_| "no memory left")?;
                             while let Some(line) = lines.take() {
                                 if !line.trim_ascii().is_empty() {
-                                    heard.push(Heard::Sync(Input::Told(call, wire::told(&line))));
+                                    heard.push(Heard::Sync(Input::WatchMessage(
+                                        call,
+                                        wire::parse_watch_message(&line),
+                                    )));
                                 }
                             }
                             let _ = charge.set(lines.held());
@@ -557,7 +563,9 @@
                         Piece::End => {
                             // Guards against a refusal that is not told: its body need not end with a line end.
                             let rest = lines.take_rest().filter(|line| !line.trim_ascii().is_empty());
-                            heard.extend(rest.map(|line| Heard::Sync(Input::Told(call, wire::told(&line)))));
+                            heard.extend(rest.map(|line| {
+                                Heard::Sync(Input::WatchMessage(call, wire::parse_watch_message(&line)))
+                            }));
                             return Err("the watch ended".into());
                         }
                     }
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -136,7 +136,7 @@
 
     /// The view of a registry that was kept, in bytes; none where there is none that can be read.
     pub fn kept(&self) -> Option<Vec<u8>> {
-        files::read(&self.folder.join(VIEW), registry::kept::LONGEST).ok()
+        files::read(&self.folder.join(VIEW), registry::snapshot::MAX_SNAPSHOT_BYTES).ok()
     }
 
     /// Puts steps on record at once, before anything is served.
--- a/crates/registry/benches/storm.rs
+++ b/crates/registry/benches/storm.rs
@@ -1,8 +1,8 @@
 //! What a fleet asks of a registry that comes back: so many clients in simulated time, all cut off at once, with
 //! full jitter and without. Prints the calls that reach the registry in its worst second and in all.
 
-use registry::wire::{Header, Page, Told};
-use registry::{Action, Endpoints, Guard, Input, Pace, Sync, View};
+use registry::wire::{Header, Page, WatchMessage};
+use registry::{Action, Endpoints, Input, Pacing, RegistrySync, SyncConfig, View};
 
 const CLIENTS: usize = 500;
 /// The registry is away for so long (seconds), and is watched for as long again.
@@ -12,16 +12,19 @@
 
 /// One client, and when it calls next, by what number.
 struct Client {
-    sync: Sync,
+    sync: RegistrySync,
     waits: Option<(u64, bool)>,
 }
 
 fn storm(jitter: bool) -> (u32, u32, f64) {
     let mut clients: Vec<Client> = (0..CLIENTS)
         .map(|n| {
-            let endpoints = Endpoints::new(1, Pace { jitter, ..Pace::default() }, n as u64, 0.0);
-            let view = View::kept(7, 5, []);
-            Client { sync: Sync::new(b"/f/".to_vec(), endpoints, Guard::default(), view), waits: None }
+            let endpoints = Endpoints::new(1, Pacing { jitter, ..Pacing::default() }, n as u64, 0.0);
+            let view = View::restore(7, 5, []);
+            Client {
+                sync: RegistrySync::new(b"/f/".to_vec(), endpoints, SyncConfig::default(), view),
+                waits: None,
+            }
         })
         .collect();
     let (mut worst, mut all, mut back) = (0, 0, f64::INFINITY);
@@ -38,25 +41,28 @@
         for client in &mut clients {
             if let Some((call, watch)) = client.waits.take() {
                 if now < AWAY {
-                    tell(client, now, Input::Broken(call));
+                    tell(client, now, Input::Disconnected(call));
                 } else {
                     in_second += 1;
                     all += 1;
                     worst = worst.max(in_second);
                     let header = Header { cluster_id: 7, revision: 5 };
                     let input = match (in_second <= CAPACITY, watch) {
-                        (false, _) => Input::Broken(call),
-                        (_, true) => Input::Told(call, Ok(Told { header, created: true, ..Told::default() })),
+                        (false, _) => Input::Disconnected(call),
+                        (_, true) => Input::WatchMessage(
+                            call,
+                            Ok(WatchMessage { header, created: true, ..WatchMessage::default() }),
+                        ),
                         (_, false) => Input::Page(call, Ok(Page { header, ..Page::default() })),
                     };
                     tell(client, now, input);
                 }
             }
-            if now >= client.sync.due() {
+            if now >= client.sync.next_due() {
                 tell(client, now, Input::Time);
             }
         }
-        if now > AWAY && back.is_infinite() && clients.iter().all(|client| client.sync.following()) {
+        if now > AWAY && back.is_infinite() && clients.iter().all(|client| client.sync.is_following()) {
             back = now - AWAY;
         }
     }
--- a/crates/registry/src/endpoints.rs
+++ b/crates/registry/src/endpoints.rs
@@ -3,11 +3,11 @@
 
 /// How fast calls may follow one another.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct Pacing {
     /// Longest wait before a first new try (seconds); doubles with each failure in a row ...
-    pub first: f64,
+    pub first_delay: f64,
     /// ... up to this (seconds).
-    pub most: f64,
+    pub max_delay: f64,
     /// Calls that may be made at once, where none were made for long.
     pub burst: f64,
     /// Calls a second, in the long run.
@@ -16,9 +16,9 @@
     pub jitter: bool,
 }
 
-impl Default for Pace {
+impl Default for Pacing {
     fn default() -> Self {
-        Pace { first: 0.2, most: 10.0, burst: 20.0, rate: 2.0, jitter: true }
+        Pacing { first_delay: 0.2, max_delay: 10.0, burst: 20.0, rate: 2.0, jitter: true }
     }
 }
 
@@ -34,7 +34,7 @@
 pub struct Endpoints {
     list: Vec<Endpoint>,
     current: usize,
-    pace: Pace,
+    pace: Pacing,
     tokens: f64,
     at: f64,
     rng: fastrand::Rng,
@@ -42,7 +42,7 @@
 
 impl Endpoints {
     /// So many endpoints; which is called first is drawn, so that a fleet spreads over them.
-    pub fn new(count: usize, pace: Pace, seed: u64, now: f64) -> Endpoints {
+    pub fn new(count: usize, pace: Pacing, seed: u64, now: f64) -> Endpoints {
         let mut rng = fastrand::Rng::with_seed(seed);
         let current = rng.usize(0..count.max(1));
         let list = vec![Endpoint::default(); count.max(1)];
@@ -55,7 +55,7 @@
     }
 
     /// When the next call may be made, from `now` on; takes its place in the budget.
-    pub fn next(&mut self, now: f64) -> f64 {
+    pub fn next_call_at(&mut self, now: f64) -> f64 {
         self.tokens = (self.tokens + (now - self.at).max(0.0) * self.pace.rate).min(self.pace.burst);
         self.at = now;
         self.tokens -= 1.0;
@@ -64,16 +64,16 @@
     }
 
     /// The endpoint in use has answered.
-    pub fn good(&mut self) {
+    pub fn record_success(&mut self) {
         self.list[self.current] = Endpoint::default();
     }
 
     /// The endpoint in use has failed: it rests, and the one that has rested for longest is the next in use.
-    pub fn bad(&mut self, now: f64) {
+    pub fn record_failure(&mut self, now: f64) {
         let endpoint = &mut self.list[self.current];
         endpoint.failures = endpoint.failures.saturating_add(1);
-        let most = (self.pace.first * f64::from(1u32 << endpoint.failures.min(16).saturating_sub(1)))
-            .min(self.pace.most);
+        let most = (self.pace.first_delay * f64::from(1u32 << endpoint.failures.min(16).saturating_sub(1)))
+            .min(self.pace.max_delay);
         // Anywhere in the whole span: of many clients that fail together, no two come back together.
         endpoint.until = now + most * if self.pace.jitter { self.rng.f64() } else { 1.0 };
         let count = self.list.len();
@@ -85,7 +85,7 @@
     }
 
     /// Goes over to another endpoint without holding anything against this one: for a second opinion.
-    pub fn other(&mut self) {
+    pub fn use_next(&mut self) {
         self.current = (self.current + 1) % self.list.len();
     }
 }
--- a/crates/registry/src/lease.rs
+++ b/crates/registry/src/lease.rs
@@ -2,20 +2,20 @@
 //! lease's length after its last word.
 
 use crate::endpoints::Endpoints;
-use crate::wire::{Granted, Refusal};
+use crate::wire::{LeaseGrant, Refusal};
 
 /// Parts of a lease's length after which it is kept alive anew: a lost call or two do not end it.
 const PARTS: f64 = 3.0;
 
 /// What is asked of the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum LeaseRequest {
     /// A lease.
     Grant,
     /// The key, under this lease.
     Put(u64),
     /// That this lease go on.
-    Keep(u64),
+    KeepAlive(u64),
     /// That this lease end, and the key with it.
     Revoke(u64),
 }
@@ -26,9 +26,9 @@
     /// Time has passed.
     Time,
     /// A call's answer; those to a put and a revocation say no more than that it was done.
-    Answer(u64, Result<Granted, Refusal>),
+    Answer(u64, Result<LeaseGrant, Refusal>),
     /// The connection of a call has ended, or was never made.
-    Broken(u64),
+    Disconnected(u64),
     /// The pooler ends: the key is to go.
     Leave,
 }
@@ -37,11 +37,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Ask an endpoint; tell its end under this number.
-    Call(u64, usize, Ask),
+    Call(u64, usize, LeaseRequest),
     /// End the call of this number.
     Close(u64),
     /// The key stands in the registry from now on.
-    Held,
+    Registered,
     /// It may stand there no longer.
     Lost(String),
 }
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Stage {
     Resting(f64),
-    Calling { call: u64, since: f64, ask: Ask },
+    Calling { call: u64, since: f64, ask: LeaseRequest },
     Ended,
 }
 
@@ -84,7 +84,7 @@
     }
 
     /// When time must be told next; never once it has ended.
-    pub fn due(&self) -> f64 {
+    pub fn next_due(&self) -> f64 {
         match self.stage {
             Stage::Resting(until) => until,
             Stage::Calling { since, .. } => since + self.patience,
@@ -106,7 +106,7 @@
             (Input::Time, Stage::Calling { since, .. }) if now >= since + self.patience => {
                 self.failed(now, "no answer in time", out)
             }
-            (Input::Broken(number), Stage::Calling { call, .. }) if number == call => {
+            (Input::Disconnected(number), Stage::Calling { call, .. }) if number == call => {
                 self.failed(now, "the connection ended", out)
             }
             (Input::Answer(number, answer), Stage::Calling { call, since, ask }) if number == call => {
@@ -136,41 +136,48 @@
                 self.stage = Stage::Ended;
                 return;
             }
-            None => Ask::Grant,
-            Some(held) if self.leaving => Ask::Revoke(held.id),
-            Some(Held { id, put: false, .. }) => Ask::Put(id),
-            Some(held) => Ask::Keep(held.id),
+            None => LeaseRequest::Grant,
+            Some(held) if self.leaving => LeaseRequest::Revoke(held.id),
+            Some(Held { id, put: false, .. }) => LeaseRequest::Put(id),
+            Some(held) => LeaseRequest::KeepAlive(held.id),
         };
         self.calls += 1;
         self.stage = Stage::Calling { call: self.calls, since: now, ask };
         out.push(Action::Call(self.calls, self.endpoints.current(), ask));
     }
 
-    fn answered(&mut self, now: f64, since: f64, ask: Ask, granted: Granted, out: &mut Vec<Action>) {
-        self.endpoints.good();
+    fn answered(
+        &mut self,
+        now: f64,
+        since: f64,
+        ask: LeaseRequest,
+        granted: LeaseGrant,
+        out: &mut Vec<Action>,
+    ) {
+        self.endpoints.record_success();
         // Counted from when it was asked for: the registry counts from later.
         let until = since + granted.length as f64;
         match (ask, &mut self.held) {
-            (Ask::Grant, held) if granted.id != 0 && granted.length > 0 => {
+            (LeaseRequest::Grant, held) if granted.id != 0 && granted.length > 0 => {
                 *held = Some(Held { id: granted.id, until, put: false });
                 self.begin(now, out);
             }
-            (Ask::Put(_), Some(held)) => {
+            (LeaseRequest::Put(_), Some(held)) => {
                 held.put = true;
                 if !std::mem::replace(&mut self.told, true) {
-                    out.push(Action::Held);
+                    out.push(Action::Registered);
                 }
                 self.stage = Stage::Resting(since + self.length / PARTS);
             }
-            (Ask::Keep(_), Some(held)) if granted.length > 0 => {
+            (LeaseRequest::KeepAlive(_), Some(held)) if granted.length > 0 => {
                 held.until = until;
                 self.stage = Stage::Resting(since + granted.length as f64 / PARTS);
             }
-            (Ask::Keep(_), _) => {
+            (LeaseRequest::KeepAlive(_), _) => {
                 self.gone("the registry has ended it", out);
-                self.stage = Stage::Resting(self.endpoints.next(now));
+                self.stage = Stage::Resting(self.endpoints.next_call_at(now));
             }
-            (Ask::Revoke(_), held) => {
+            (LeaseRequest::Revoke(_), held) => {
                 *held = None;
                 self.stage = Stage::Ended;
             }
@@ -179,13 +186,13 @@
     }
 
     /// The registry says no: a lease that it does not know (any more) is no lease.
-    fn refused(&mut self, now: f64, ask: Ask, what: &str, out: &mut Vec<Action>) {
+    fn refused(&mut self, now: f64, ask: LeaseRequest, what: &str, out: &mut Vec<Action>) {
         match ask {
-            Ask::Put(_) | Ask::Keep(_) if what.contains("lease not found") => {
+            LeaseRequest::Put(_) | LeaseRequest::KeepAlive(_) if what.contains("lease not found") => {
                 self.gone("the registry does not know it", out);
-                self.stage = Stage::Resting(self.endpoints.next(now));
+                self.stage = Stage::Resting(self.endpoints.next_call_at(now));
             }
-            Ask::Revoke(_) => self.stage = Stage::Ended,
+            LeaseRequest::Revoke(_) => self.stage = Stage::Ended,
             _ => self.failed(now, what, out),
         }
     }
@@ -207,7 +214,7 @@
         if self.held.is_some_and(|held| now >= held.until) {
             self.gone(why, out);
         }
-        self.endpoints.bad(now);
-        self.stage = Stage::Resting(self.endpoints.next(now));
+        self.endpoints.record_failure(now);
+        self.stage = Stage::Resting(self.endpoints.next_call_at(now));
     }
 }
--- a/crates/registry/src/schema.rs
+++ b/crates/registry/src/schema.rs
@@ -17,7 +17,7 @@
 /// The version of the values that are understood.
 pub const VERSION: u32 = 1;
 /// Longest value that is read (bytes); a member's line has some hundred.
-pub const LONGEST: usize = 4 * 1024;
+pub const MAX_VALUE_BYTES: usize = 4 * 1024;
 /// Most members whose values could not be understood that are told apart.
 const MOST_POISONED: usize = 1_000;
 
@@ -44,9 +44,9 @@
 }
 
 /// Reads a member's value; what is wrong with it where it is none.
-pub fn member(name: &str, value: &[u8]) -> Result<Listing, String> {
-    if value.len() > LONGEST {
-        return Err(format!("{} bytes; at most {LONGEST} are read", value.len()));
+pub fn parse_member(name: &str, value: &[u8]) -> Result<Listing, String> {
+    if value.len() > MAX_VALUE_BYTES {
+        return Err(format!("{} bytes; at most {MAX_VALUE_BYTES} are read", value.len()));
     }
     let value: Value = serde_json::from_slice(value).map_err(|error| error.to_string())?;
     if value.v != VERSION {
@@ -77,7 +77,7 @@
     /// Takes in a view under a prefix, or only these keys of it. What has changed for the list: members that are
     /// new, changed or gone. A value that cannot be understood costs that change alone: its member stays as it
     /// was.
-    pub fn take(&mut self, prefix: &str, view: &View, keys: Option<&[Vec<u8>]>) -> Vec<Listing> {
+    pub fn update(&mut self, prefix: &str, view: &View, keys: Option<&[Vec<u8>]>) -> Vec<Listing> {
         let (members, drains) = (format!("{prefix}/members/"), format!("{prefix}/drains/"));
         let name = |key: &[u8]| {
             let name =
@@ -87,7 +87,7 @@
         let names: BTreeSet<String> = match keys {
             Some(keys) => keys.iter().filter_map(|key| name(key)).collect(),
             None => {
-                let now = view.under(members.as_bytes()).filter_map(|(key, _)| name(key));
+                let now = view.with_prefix(members.as_bytes()).filter_map(|(key, _)| name(key));
                 now.chain(self.understood.keys().cloned()).collect()
             }
         };
@@ -103,7 +103,7 @@
             return self.understood.remove(name).map(|listing| Listing { phase: Phase::Left, ..listing });
         };
         let sound = (1..=64).contains(&name.len());
-        let read = if sound { member(name, &entry.value) } else { Err("not a member's name".into()) };
+        let read = if sound { parse_member(name, &entry.value) } else { Err("not a member's name".into()) };
         let mut listing = match read {
             Ok(listing) => {
                 self.poisoned.remove(name);
@@ -132,7 +132,7 @@
     }
 
     /// What could not be understood, by name, and why.
-    pub fn poisoned(&self) -> impl Iterator<Item = (&str, &str)> {
+    pub fn malformed(&self) -> impl Iterator<Item = (&str, &str)> {
         self.poisoned.iter().map(|(name, why)| (name.as_str(), why.as_str()))
     }
 }
--- a/crates/registry/src/kept.rs
+++ b/crates/registry/src/snapshot.rs
@@ -8,34 +8,34 @@
 
 use std::fmt;
 
-use crate::sync::{Entry, View, MOST_BYTES, MOST_KEYS};
+use crate::sync::{Entry, View, MAX_BYTES, MAX_KEYS};
 
 const HEAD: &[u8] = b"dewferry view 1\n";
 /// Longest snapshot there can be (bytes).
-pub const LONGEST: usize = MOST_BYTES + MOST_KEYS * 32;
+pub const MAX_SNAPSHOT_BYTES: usize = MAX_BYTES + MAX_KEYS * 32;
 
 /// Why bytes are no view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsound {
+pub enum SnapshotError {
     /// Not of this form, or of another version of it.
-    Form,
+    Format,
     /// Cut off, or changed since.
     Damaged,
     /// Of another prefix.
-    Prefix,
+    WrongPrefix,
 }
 
-impl fmt::Display for Unsound {
+impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Unsound::Form => "not a snapshot of this version",
-            Unsound::Damaged => "damaged or cut off",
-            Unsound::Prefix => "of another prefix",
+            SnapshotError::Format => "not a snapshot of this version",
+            SnapshotError::Damaged => "damaged or cut off",
+            SnapshotError::WrongPrefix => "of another prefix",
         })
     }
 }
 
-impl std::error::Error for Unsound {}
+impl std::error::Error for SnapshotError {}
 
 /// The bytes of a view of the keys under a prefix.
 pub fn encode(prefix: &str, view: &View) -> Vec<u8> {
@@ -48,7 +48,7 @@
     bytes.extend(view.revision.to_le_bytes());
     text(&mut bytes, prefix.as_bytes());
     bytes.extend((view.len() as u32).to_le_bytes());
-    for (key, entry) in view.under(b"") {
+    for (key, entry) in view.with_prefix(b"") {
         bytes.extend(entry.revision.to_le_bytes());
         text(&mut bytes, key);
         text(&mut bytes, &entry.value);
@@ -59,11 +59,11 @@
 }
 
 /// The view of bytes, where it is one of this prefix.
-pub fn decode(prefix: &str, bytes: &[u8]) -> Result<View, Unsound> {
-    let rest = bytes.strip_prefix(HEAD).ok_or(Unsound::Form)?;
-    let (_, check) = bytes.split_last_chunk::<4>().ok_or(Unsound::Damaged)?;
+pub fn decode(prefix: &str, bytes: &[u8]) -> Result<View, SnapshotError> {
+    let rest = bytes.strip_prefix(HEAD).ok_or(SnapshotError::Format)?;
+    let (_, check) = bytes.split_last_chunk::<4>().ok_or(SnapshotError::Damaged)?;
     if crc32fast::hash(&bytes[..bytes.len() - 4]) != u32::from_le_bytes(*check) {
-        return Err(Unsound::Damaged);
+        return Err(SnapshotError::Damaged);
     }
     let mut from = Reader(&rest[..rest.len().saturating_sub(4)]);
     let read = |from: &mut Reader| -> Option<(bool, View)> {
@@ -76,12 +76,12 @@
             let (key, value) = (from.text()?.to_vec(), from.text()?.to_vec());
             keys.push((key, Entry { revision, value }));
         }
-        Some((same, View::kept(cluster, revision, keys)))
+        Some((same, View::restore(cluster, revision, keys)))
     };
     match read(&mut from) {
-        Some((true, view)) if from.0.is_empty() && view.len() <= MOST_KEYS => Ok(view),
-        Some((false, _)) => Err(Unsound::Prefix),
-        _ => Err(Unsound::Damaged),
+        Some((true, view)) if from.0.is_empty() && view.len() <= MAX_KEYS => Ok(view),
+        Some((false, _)) => Err(SnapshotError::WrongPrefix),
+        _ => Err(SnapshotError::Damaged),
     }
 }
 
--- a/crates/registry/src/sync.rs
+++ b/crates/registry/src/sync.rs
@@ -5,13 +5,13 @@
 use std::ops::Bound;
 
 use crate::endpoints::Endpoints;
-use crate::wire::{after, is_about_token, Change, Kind, Page, Range, Refusal, Revision, Told};
+use crate::wire::{needs_new_token, prefix_end, Change, Kind, Page, Range, Refusal, Revision, WatchMessage};
 
 /// Keys asked for in one page.
 const PAGE: u64 = 1_000;
 /// Most keys, and most bytes of keys and values, that a view may hold. Guards the memory of the process.
-pub(crate) const MOST_KEYS: usize = 100_000;
-pub(crate) const MOST_BYTES: usize = 64 * 1024 * 1024;
+pub(crate) const MAX_KEYS: usize = 100_000;
+pub(crate) const MAX_BYTES: usize = 64 * 1024 * 1024;
 /// Most changes of a message in fragments that are held until it is whole.
 const MOST_HELD: usize = 200_000;
 
@@ -36,7 +36,11 @@
 
 impl View {
     /// A view that was kept.
-    pub fn kept(cluster: u64, revision: Revision, keys: impl IntoIterator<Item = (Vec<u8>, Entry)>) -> View {
+    pub fn restore(
+        cluster: u64,
+        revision: Revision,
+        keys: impl IntoIterator<Item = (Vec<u8>, Entry)>,
+    ) -> View {
         View { cluster, revision, keys: keys.into_iter().collect() }
     }
 
@@ -46,8 +50,8 @@
     }
 
     /// All keys that begin with a prefix, in their order.
-    pub fn under(&self, prefix: &[u8]) -> impl Iterator<Item = (&Vec<u8>, &Entry)> {
-        let end = after(prefix);
+    pub fn with_prefix(&self, prefix: &[u8]) -> impl Iterator<Item = (&Vec<u8>, &Entry)> {
+        let end = prefix_end(prefix);
         let end = if end == [0] { Bound::Unbounded } else { Bound::Excluded(end) };
         self.keys.range::<Vec<u8>, _>((Bound::Included(prefix.to_vec()), end))
     }
@@ -74,26 +78,34 @@
 /// When a list that has all but vanished, or a registry that is another or stands further back than it did, is
 /// believed.
 #[derive(Clone, Copy, Debug)]
-pub struct Guard {
+pub struct SyncConfig {
     /// Share of the keys that may go in one step without being asked about again.
-    pub share: f64,
+    pub max_removed_share: f64,
     /// A view of fewer keys than this may lose them all.
-    pub least: usize,
+    pub min_keys: usize,
     /// Believed once it is still so after this long (seconds), from another endpoint where there is one.
-    pub time: f64,
+    pub confirm_after: f64,
     /// A watch that says nothing for so long is dead (seconds): the registry tells of its progress meanwhile.
-    pub silence: f64,
+    pub watch_timeout: f64,
     /// A call that is not answered within this has failed (seconds).
-    pub call: f64,
+    pub call_timeout: f64,
     /// Reads that an endpoint answers from what it has.
     pub serializable: bool,
     /// Whether a token is needed for all else.
     pub login: bool,
 }
 
-impl Default for Guard {
+impl Default for SyncConfig {
     fn default() -> Self {
-        Guard { share: 0.5, least: 4, time: 5.0, silence: 30.0, call: 5.0, serializable: false, login: false }
+        SyncConfig {
+            max_removed_share: 0.5,
+            min_keys: 4,
+            confirm_after: 5.0,
+            watch_timeout: 30.0,
+            call_timeout: 5.0,
+            serializable: false,
+            login: false,
+        }
     }
 }
 
@@ -108,11 +120,11 @@
     /// The answer to a login.
     Token(u64, Result<String, Refusal>),
     /// This token was turned down, for a call that is not of this machine.
-    Denied(String),
+    TokenRejected(String),
     /// A message of a watch.
-    Told(u64, Result<Told, Refusal>),
+    WatchMessage(u64, Result<WatchMessage, Refusal>),
     /// The connection of a call or a watch has ended, or was never made.
-    Broken(u64),
+    Disconnected(u64),
     /// Time has passed.
     Time,
 }
@@ -173,10 +185,10 @@
 }
 
 /// Follows the keys under a prefix.
-pub struct Sync {
+pub struct RegistrySync {
     prefix: Vec<u8>,
     endpoints: Endpoints,
-    guard: Guard,
+    guard: SyncConfig,
     view: View,
     stage: Stage,
     calls: u64,
@@ -189,12 +201,12 @@
     proven: bool,
 }
 
-impl Sync {
+impl RegistrySync {
     /// Follows the keys under a prefix, from a view that was kept, or from none.
-    pub fn new(prefix: Vec<u8>, endpoints: Endpoints, guard: Guard, view: View) -> Sync {
+    pub fn new(prefix: Vec<u8>, endpoints: Endpoints, guard: SyncConfig, view: View) -> RegistrySync {
         let afresh = view.revision == 0;
         let stage = Stage::Resting(f64::NEG_INFINITY);
-        Sync {
+        RegistrySync {
             prefix,
             endpoints,
             guard,
@@ -215,7 +227,7 @@
     }
 
     /// Whether the registry is followed at present.
-    pub fn following(&self) -> bool {
+    pub fn is_following(&self) -> bool {
         self.following
     }
 
@@ -225,12 +237,12 @@
     }
 
     /// When time must be told next.
-    pub fn due(&self) -> f64 {
+    pub fn next_due(&self) -> f64 {
         match &self.stage {
             Stage::Resting(until) => *until,
-            Stage::Entering { since, .. } | Stage::Reading { since, .. } => since + self.guard.call,
-            Stage::Watching { heard, created: false, .. } => heard + self.guard.call,
-            Stage::Watching { heard, .. } => heard + self.guard.silence,
+            Stage::Entering { since, .. } | Stage::Reading { since, .. } => since + self.guard.call_timeout,
+            Stage::Watching { heard, created: false, .. } => heard + self.guard.call_timeout,
+            Stage::Watching { heard, .. } => heard + self.guard.watch_timeout,
         }
     }
 
@@ -249,13 +261,15 @@
                 }
                 Err(refusal) => self.refused(now, refusal, out),
             },
-            Input::Denied(token) if self.token.as_ref() == Some(&token) => self.denied(now, out),
-            Input::Told(number, told) if self.is(number) => match told {
+            Input::TokenRejected(token) if self.token.as_ref() == Some(&token) => self.denied(now, out),
+            Input::WatchMessage(number, told) if self.is(number) => match told {
                 Ok(told) => self.told(now, told, out),
                 Err(refusal) => self.refused(now, refusal, out),
             },
-            Input::Broken(number) if self.is(number) => self.failed(now, "the connection ended".into(), out),
-            Input::Time if now >= self.due() => match self.stage {
+            Input::Disconnected(number) if self.is(number) => {
+                self.failed(now, "the connection ended".into(), out)
+            }
+            Input::Time if now >= self.next_due() => match self.stage {
                 Stage::Resting(_) => self.begin(now, out),
                 _ => self.failed(now, "no answer in time".into(), out),
             },
@@ -298,7 +312,7 @@
     fn range(&self, from: Vec<u8>, revision: Revision) -> Range {
         // Doubts are not settled by what an endpoint has by itself.
         let serializable = self.guard.serializable && self.doubt.is_none();
-        Range { from, to: after(&self.prefix), revision, limit: PAGE, serializable }
+        Range { from, to: prefix_end(&self.prefix), revision, limit: PAGE, serializable }
     }
 
     fn close(&mut self, out: &mut Vec<Action>) {
@@ -318,8 +332,8 @@
         if std::mem::take(&mut self.following) || self.view.revision == 0 {
             out.push(Action::Notice(Notice::Lost(why)));
         }
-        self.endpoints.bad(now);
-        let until = self.endpoints.next(now);
+        self.endpoints.record_failure(now);
+        let until = self.endpoints.next_call_at(now);
         self.rest(until, out);
     }
 
@@ -338,7 +352,7 @@
         if !self.guard.login || !std::mem::take(&mut self.proven) {
             return self.failed(now, "no valid token".into(), out);
         }
-        let until = self.endpoints.next(now);
+        let until = self.endpoints.next_call_at(now);
         self.rest(until, out);
         self.begin(now, out);
     }
@@ -347,7 +361,7 @@
     fn compacted(&mut self, now: f64, revision: Revision, out: &mut Vec<Action>) {
         out.push(Action::Notice(Notice::Compacted(revision)));
         self.afresh = true;
-        let until = self.endpoints.next(now);
+        let until = self.endpoints.next_call_at(now);
         self.rest(until, out);
         self.begin(now, out);
     }
@@ -366,8 +380,8 @@
         for kv in page.kvs {
             view.keys.insert(kv.key, Entry { revision: kv.mod_revision, value: kv.value });
         }
-        if view.len() > MOST_KEYS || *bytes > MOST_BYTES {
-            return self.failed(now, format!("over {MOST_KEYS} keys or {MOST_BYTES} bytes"), out);
+        if view.len() > MAX_KEYS || *bytes > MAX_BYTES {
+            return self.failed(now, format!("over {MAX_KEYS} keys or {MAX_BYTES} bytes"), out);
         }
         if revision == 0 {
             return self.failed(now, "an answer without a revision".into(), out);
@@ -405,7 +419,8 @@
 
     /// Whether so many keys at once are too many to believe it at first.
     fn doubtful(&self, gone: usize) -> bool {
-        self.view.len() >= self.guard.least && gone as f64 > self.guard.share * self.view.len() as f64
+        self.view.len() >= self.guard.min_keys
+            && gone as f64 > self.guard.max_removed_share * self.view.len() as f64
     }
 
     /// Believes a view that is hard to believe only once it is still so after a while.
@@ -417,20 +432,20 @@
                 && found.keys <= doubt.keys.max(1) * 2
         });
         match confirmed.map(|doubt| doubt.since) {
-            Some(since) if now >= since + self.guard.time => return self.adopt(now, view, out),
+            Some(since) if now >= since + self.guard.confirm_after => return self.adopt(now, view, out),
             Some(_) => {}
             None => {
                 out.push(Action::Notice(Notice::Doubted(gone, self.view.len())));
                 self.doubt = Some(found);
             }
         }
-        self.endpoints.other();
+        self.endpoints.use_next();
         let since = self.doubt.as_ref().map_or(now, |doubt| doubt.since);
         let until = self
             .endpoints
-            .next(now)
-            .max(now + self.guard.time / 4.0)
-            .max((since + self.guard.time).min(now + self.guard.time));
+            .next_call_at(now)
+            .max(now + self.guard.confirm_after / 4.0)
+            .max((since + self.guard.confirm_after).min(now + self.guard.confirm_after));
         self.rest(until, out);
     }
 
@@ -439,7 +454,7 @@
         (self.doubt, self.afresh) = (None, false);
         let changed = self.view.keys != view.keys || self.view.revision == 0;
         self.view = view;
-        self.endpoints.good();
+        self.endpoints.record_success();
         if changed {
             out.push(Action::Changed(None));
         }
@@ -447,7 +462,7 @@
         self.begin(now, out);
     }
 
-    fn told(&mut self, now: f64, told: Told, out: &mut Vec<Action>) {
+    fn told(&mut self, now: f64, told: WatchMessage, out: &mut Vec<Action>) {
         let Stage::Watching { heard, created, held, .. } = &mut self.stage else { return };
         *heard = now;
         if told.header.cluster_id != 0
@@ -460,7 +475,7 @@
         if told.compact_revision > self.view.revision {
             return self.compacted(now, told.compact_revision, out);
         }
-        if told.canceled && is_about_token(&told.cancel_reason) {
+        if told.canceled && needs_new_token(&told.cancel_reason) {
             return self.denied(now, out);
         }
         if told.canceled {
@@ -488,7 +503,7 @@
         if !std::mem::replace(&mut self.following, true) {
             out.push(Action::Notice(Notice::Following(told.header.revision)));
         }
-        self.endpoints.good();
+        self.endpoints.record_success();
         self.apply(now, changes, out);
         self.view.revision = self.view.revision.max(progress.unwrap_or(0));
     }
@@ -520,8 +535,8 @@
                     Doubt { cluster: self.view.cluster, keys: self.view.len() - gone, revision, since: now };
                 out.push(Action::Notice(Notice::Doubted(gone, self.view.len())));
                 self.doubt = Some(found);
-                self.endpoints.other();
-                let until = self.endpoints.next(now).max(now + self.guard.time);
+                self.endpoints.use_next();
+                let until = self.endpoints.next_call_at(now).max(now + self.guard.confirm_after);
                 if from > 0 {
                     out.push(Action::Changed(Some(keys)));
                 }
@@ -535,9 +550,9 @@
             from = to;
         }
         out.push(Action::Changed(Some(keys)));
-        if self.view.len() > MOST_KEYS {
+        if self.view.len() > MAX_KEYS {
             self.afresh = true;
-            self.failed(now, format!("over {MOST_KEYS} keys"), out);
+            self.failed(now, format!("over {MAX_KEYS} keys"), out);
         }
     }
 }
--- a/crates/registry/src/wire.rs
+++ b/crates/registry/src/wire.rs
@@ -16,7 +16,7 @@
 /// Where a lease is asked for, kept alive and ended.
 pub const GRANT: &str = "/v3/lease/grant";
 /// See [`GRANT`].
-pub const KEEP: &str = "/v3/lease/keepalive";
+pub const KEEP_ALIVE: &str = "/v3/lease/keepalive";
 /// See [`GRANT`].
 pub const REVOKE: &str = "/v3/lease/revoke";
 /// Where a token is asked for.
@@ -119,7 +119,7 @@
 /// One message of a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
-pub struct Told {
+pub struct WatchMessage {
     /// Its header.
     pub header: Header,
     /// The watch is there.
@@ -174,14 +174,14 @@
         match self.code {
             OUT_OF_RANGE if text.contains("compacted") => Refusal::Compacted,
             UNAUTHENTICATED => Refusal::Unauthenticated,
-            _ if is_about_token(text) => Refusal::Unauthenticated,
+            _ if needs_new_token(text) => Refusal::Unauthenticated,
             _ => Refusal::Other(text.chars().take(200).collect()),
         }
     }
 }
 
 /// Whether words of the registry's say that a new token is needed.
-pub fn is_about_token(text: &str) -> bool {
+pub fn needs_new_token(text: &str) -> bool {
     TOKEN_WORDS.iter().any(|words| text.contains(words))
 }
 
@@ -206,12 +206,12 @@
 }
 
 /// Reads the answer to a range.
-pub fn page(body: &[u8]) -> Result<Page, Refusal> {
+pub fn parse_page(body: &[u8]) -> Result<Page, Refusal> {
     decode(body, false)
 }
 
 /// Reads one line of a watch.
-pub fn told(line: &[u8]) -> Result<Told, Refusal> {
+pub fn parse_watch_message(line: &[u8]) -> Result<WatchMessage, Refusal> {
     decode(line, true)
 }
 
@@ -265,7 +265,7 @@
 
 /// The body of a transaction that makes all of these writes, or none where one of the keys is not as its revision
 /// left it.
-pub fn write_if(writes: &[Write]) -> Vec<u8> {
+pub fn transaction_body(writes: &[Write]) -> Vec<u8> {
     let compare = |write: &Write| {
         serde_json::json!({"key": STANDARD.encode(&write.key), "target": "MOD", "result": "EQUAL",
             "mod_revision": write.revision.to_string()})
@@ -283,7 +283,7 @@
 }
 
 /// Reads the answer to a transaction: whether it was carried out.
-pub fn written(body: &[u8]) -> Result<bool, Refusal> {
+pub fn parse_transaction(body: &[u8]) -> Result<bool, Refusal> {
     #[derive(Default, Deserialize)]
     #[serde(default)]
     struct Written {
@@ -293,12 +293,12 @@
 }
 
 /// The body of a call for a token.
-pub fn login(user: &str, password: &str) -> Vec<u8> {
+pub fn login_body(user: &str, password: &str) -> Vec<u8> {
     serde_json::to_vec(&serde_json::json!({"name": user, "password": password})).unwrap_or_default()
 }
 
 /// Reads the answer to a call for a token.
-pub fn token(body: &[u8]) -> Result<String, Refusal> {
+pub fn parse_token(body: &[u8]) -> Result<String, Refusal> {
     #[derive(Default, Deserialize)]
     #[serde(default)]
     struct Given {
@@ -314,7 +314,7 @@
 /// A lease as the registry tells of it; all zero in the answer to a call that only says that it was done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
-pub struct Granted {
+pub struct LeaseGrant {
     /// Its number.
     #[serde(rename = "ID", deserialize_with = "number")]
     pub id: u64,
@@ -324,17 +324,17 @@
 }
 
 /// The body of a call for a lease of so many seconds.
-pub fn grant(length: u64) -> Vec<u8> {
+pub fn grant_body(length: u64) -> Vec<u8> {
     serde_json::to_vec(&serde_json::json!({"TTL": length.to_string()})).unwrap_or_default()
 }
 
 /// The body of a call about a lease.
-pub fn about_lease(id: u64) -> Vec<u8> {
+pub fn lease_body(id: u64) -> Vec<u8> {
     serde_json::to_vec(&serde_json::json!({"ID": id.to_string()})).unwrap_or_default()
 }
 
 /// The body of a call that puts a key under a lease.
-pub fn put(key: &[u8], value: &[u8], lease: u64) -> Vec<u8> {
+pub fn put_body(key: &[u8], value: &[u8], lease: u64) -> Vec<u8> {
     let body = serde_json::json!({"key": STANDARD.encode(key), "value": STANDARD.encode(value),
         "lease": lease.to_string()});
     serde_json::to_vec(&body).unwrap_or_default()
@@ -342,12 +342,12 @@
 
 /// Reads the answer to a call about a lease, or to one that only says that it was done. That to a call which keeps
 /// one alive is a line of a stream, like a watch's.
-pub fn granted(body: &[u8], stream: bool) -> Result<Granted, Refusal> {
+pub fn parse_lease(body: &[u8], stream: bool) -> Result<LeaseGrant, Refusal> {
     decode(body, stream)
 }
 
 /// The body of a call that watches all keys from one up to another, from a revision on.
-pub fn watch(from: &[u8], to: &[u8], revision: Revision) -> Vec<u8> {
+pub fn watch_body(from: &[u8], to: &[u8], revision: Revision) -> Vec<u8> {
     let create = serde_json::json!({"create_request": {
         "key": STANDARD.encode(from),
         "range_end": STANDARD.encode(to),
@@ -359,7 +359,7 @@
 }
 
 /// The end of a range of all keys that begin with a prefix.
-pub fn after(prefix: &[u8]) -> Vec<u8> {
+pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
         if last < 0xff {
--- a/crates/registry/tests/form.rs
+++ b/crates/registry/tests/form.rs
@@ -1,8 +1,8 @@
 //! The form of calls, answers, members and drains: what is understood, and what is told of the rest.
 
-use registry::schema::{member, Members};
-use registry::wire::{after, page, told, Kind, Range, Refusal};
-use registry::{Action, Endpoints, Guard, Input, Pace, Sync, View};
+use registry::schema::{parse_member, Members};
+use registry::wire::{parse_page, parse_watch_message, prefix_end, Kind, Range, Refusal};
+use registry::{Action, Endpoints, Input, Pacing, RegistrySync, SyncConfig, View};
 use routing::interface::Phase;
 
 #[test]
@@ -10,13 +10,13 @@
     let body = br#"{"header":{"cluster_id":"14841639068965178418","member_id":"1","revision":"9","raft_term":"2"},
         "kvs":[{"key":"L2YvYQ==","create_revision":"2","mod_revision":"9","version":"3","value":"eA==","lease":"0"}],
         "more":true,"count":"2"}"#;
-    let page = page(body).unwrap();
+    let page = parse_page(body).unwrap();
     assert_eq!((page.header.revision, page.more, page.kvs.len()), (9, true, 1));
     assert_eq!((page.kvs[0].key.as_slice(), page.kvs[0].value.as_slice()), (&b"/f/a"[..], &b"x"[..]));
     let line =
         br#"{"result":{"header":{"revision":"10"},"events":[{"kv":{"key":"L2YvYQ==","mod_revision":"10"}},
         {"type":"DELETE","kv":{"key":"L2YvYg==","mod_revision":"10"}}]}}"#;
-    let told = told(line).unwrap();
+    let told = parse_watch_message(line).unwrap();
     assert_eq!((told.events[0].kind, told.events[1].kind), (Kind::Put, Kind::Delete));
 }
 
@@ -24,25 +24,26 @@
 fn an_error_is_one_whatever_its_status_says() {
     let compacted = br#"{"error":"etcdserver: mvcc: required revision has been compacted","code":11,
         "message":"etcdserver: mvcc: required revision has been compacted"}"#;
-    assert_eq!(page(compacted), Err(Refusal::Compacted));
+    assert_eq!(parse_page(compacted), Err(Refusal::Compacted));
     let future = br#"{"code":11,"message":"etcdserver: mvcc: required revision is a future revision"}"#;
-    assert!(matches!(page(future), Err(Refusal::Other(_))));
+    assert!(matches!(parse_page(future), Err(Refusal::Other(_))));
     let token = br#"{"error":{"grpc_code":16,"code":16,"message":"etcdserver: invalid auth token"}}"#;
-    assert_eq!(told(token), Err(Refusal::Unauthenticated));
+    assert_eq!(parse_watch_message(token), Err(Refusal::Unauthenticated));
     for bad in
         [&b"<html>"[..], b"\xff", b"[]", br#"{"header":{"revision":"x"}}"#, br#"{"kvs":[{"key":"!"}]}"#]
     {
-        assert!(matches!(page(bad), Err(Refusal::Malformed(_))), "{}", String::from_utf8_lossy(bad));
+        assert!(matches!(parse_page(bad), Err(Refusal::Malformed(_))), "{}", String::from_utf8_lossy(bad));
     }
-    assert!(matches!(told(br#"{"other":1}"#), Err(Refusal::Malformed(_))));
+    assert!(matches!(parse_watch_message(br#"{"other":1}"#), Err(Refusal::Malformed(_))));
 }
 
 #[test]
 fn a_prefix_ends_where_its_last_byte_can_grow() {
-    assert_eq!(after(b"/f/"), b"/f0");
-    assert_eq!(after(b"a\xff\xff"), b"b");
-    assert_eq!(after(b"\xff"), [0]);
-    let range = Range { from: b"/f/".to_vec(), to: after(b"/f/"), revision: 3, limit: 9, serializable: true };
+    assert_eq!(prefix_end(b"/f/"), b"/f0");
+    assert_eq!(prefix_end(b"a\xff\xff"), b"b");
+    assert_eq!(prefix_end(b"\xff"), [0]);
+    let range =
+        Range { from: b"/f/".to_vec(), to: prefix_end(b"/f/"), revision: 3, limit: 9, serializable: true };
     let body = String::from_utf8(range.body()).unwrap();
     for part in [r#""key":"L2Yv""#, r#""range_end":"L2Yw""#, r#""revision":"3""#, r#""limit":"9""#] {
         assert!(body.contains(part), "{body}");
@@ -53,7 +54,7 @@
 fn a_member_is_understood_or_the_fault_is_told() {
     let value =
         br#"{"v":1,"address":"10.1.0.18:5432","zone":"a","group":3,"status":"DRAINING","since_ms":1500}"#;
-    let listing = member("s-1", value).unwrap();
+    let listing = parse_member("s-1", value).unwrap();
     assert_eq!((listing.group, listing.phase, listing.since), (3, Phase::Leaving, 1.5));
     for (bad, words) in [
         (&b"x"[..], "expected value"),
@@ -64,15 +65,15 @@
         (br#"{"v":1,"address":"10.1.0.18:5432","status":"ASLEEP"}"#, "unknown variant `ASLEEP`"),
         (&[b' '; 5_000], "5000 bytes; at most 4096"),
     ] {
-        let fault = member("s-1", bad).unwrap_err();
+        let fault = parse_member("s-1", bad).unwrap_err();
         assert!(fault.contains(words), "{fault}");
     }
 }
 
 /// A machine that has read a view of these keys.
-fn following(keys: &[(&str, &str)]) -> Sync {
-    let endpoints = Endpoints::new(1, Pace::default(), 1, 0.0);
-    let mut sync = Sync::new(b"/f/".to_vec(), endpoints, Guard::default(), View::default());
+fn following(keys: &[(&str, &str)]) -> RegistrySync {
+    let endpoints = Endpoints::new(1, Pacing::default(), 1, 0.0);
+    let mut sync = RegistrySync::new(b"/f/".to_vec(), endpoints, SyncConfig::default(), View::default());
     let mut out = Vec::new();
     sync.handle(0.0, Input::Start, &mut out);
     let Action::Read(call, ..) = out[0] else { panic!("{out:?}") };
@@ -85,7 +86,7 @@
         })
         .collect();
     let body = serde_json::json!({"header": {"cluster_id": "7", "revision": "2"}, "kvs": kvs}).to_string();
-    sync.handle(0.0, Input::Page(call, page(body.as_bytes())), &mut out);
+    sync.handle(0.0, Input::Page(call, parse_page(body.as_bytes())), &mut out);
     sync
 }
 
@@ -94,39 +95,39 @@
     let good = r#"{"v":1,"address":"127.0.0.1:1"}"#;
     let mut members = Members::default();
     let view = following(&[("/f/members/a", good), ("/f/members/b", good), ("/f/drains/b", "why")]);
-    let told = members.take("/f", view.view(), None);
+    let told = members.update("/f", view.view(), None);
     let phases: Vec<(String, Phase)> = told.iter().map(|l| (l.name.to_string(), l.phase)).collect();
     assert_eq!(phases, [("a".into(), Phase::Active), ("b".into(), Phase::Leaving)]);
     // b's value is spoilt and its drain is lifted at once: it is active, as its last good value says.
     let view = following(&[("/f/members/a", good), ("/f/members/b", "spoilt")]);
-    let told = members.take("/f", view.view(), None);
+    let told = members.update("/f", view.view(), None);
     assert_eq!(
         told.iter().map(|l| (l.name.to_string(), l.phase)).collect::<Vec<_>>(),
         [("b".into(), Phase::Active)]
     );
-    assert_eq!(members.poisoned().count(), 1);
+    assert_eq!(members.malformed().count(), 1);
     // A drain of nobody, and a member that goes: only the latter is told.
     let view = following(&[("/f/members/b", good), ("/f/drains/c", "")]);
-    let told = members.take("/f", view.view(), None);
+    let told = members.update("/f", view.view(), None);
     assert_eq!(
         told.iter().map(|l| (l.name.to_string(), l.phase)).collect::<Vec<_>>(),
         [("a".into(), Phase::Left)]
     );
-    assert_eq!((members.poisoned().count(), members.all().count()), (0, 1));
+    assert_eq!((members.malformed().count(), members.all().count()), (0, 1));
 }
 
 #[test]
 fn full_jitter_spreads_over_the_whole_span_and_the_budget_holds() {
-    let pace = Pace { first: 1.0, most: 8.0, burst: 2.0, rate: 0.5, jitter: true };
+    let pace = Pacing { first_delay: 1.0, max_delay: 8.0, burst: 2.0, rate: 0.5, jitter: true };
     let mut waits = Vec::new();
     for seed in 0..400 {
         let mut endpoints = Endpoints::new(1, pace, seed, 0.0);
-        (0..4).for_each(|_| endpoints.bad(0.0));
-        waits.push(endpoints.next(0.0));
+        (0..4).for_each(|_| endpoints.record_failure(0.0));
+        waits.push(endpoints.next_call_at(0.0));
     }
     let mean = waits.iter().sum::<f64>() / waits.len() as f64;
     assert!((3.5..4.5).contains(&mean) && waits.iter().all(|wait| *wait <= 8.0), "{mean}");
     let mut endpoints = Endpoints::new(3, pace, 1, 0.0);
-    let times: Vec<f64> = (0..6).map(|_| endpoints.next(0.0)).collect();
+    let times: Vec<f64> = (0..6).map(|_| endpoints.next_call_at(0.0)).collect();
     assert_eq!(times, [0.0, 0.0, 2.0, 4.0, 6.0, 8.0], "two at once, then one in two seconds");
 }
--- a/crates/registry/tests/model.rs
+++ b/crates/registry/tests/model.rs
@@ -8,7 +8,7 @@
 use base64::Engine;
 use proptest::prelude::*;
 use registry::wire::{self, Range};
-use registry::{kept, Action, Endpoints, Guard, Input, Notice, Pace, Sync, View};
+use registry::{snapshot, Action, Endpoints, Input, Notice, Pacing, RegistrySync, SyncConfig, View};
 use serde_json::json;
 
 const PREFIX: &[u8] = b"/f/";
@@ -119,7 +119,7 @@
     token: u64,
     cut: [bool; ENDPOINTS],
     lag: [u64; ENDPOINTS],
-    sync: Sync,
+    sync: RegistrySync,
     now: f64,
     serving: Option<(u64, usize, Serving)>,
     /// The last messages of watches that were whole, the newest last.
@@ -130,12 +130,12 @@
     restored: bool,
 }
 
-fn guard() -> Guard {
-    Guard { time: 1.0, least: 4, serializable: true, login: true, ..Guard::default() }
+fn guard() -> SyncConfig {
+    SyncConfig { confirm_after: 1.0, min_keys: 4, serializable: true, login: true, ..SyncConfig::default() }
 }
 
 fn endpoints(seed: u64, now: f64) -> Endpoints {
-    Endpoints::new(ENDPOINTS, Pace { rate: 50.0, most: 2.0, ..Pace::default() }, seed, now)
+    Endpoints::new(ENDPOINTS, Pacing { rate: 50.0, max_delay: 2.0, ..Pacing::default() }, seed, now)
 }
 
 impl World {
@@ -145,7 +145,7 @@
             token: 0,
             cut: [false; ENDPOINTS],
             lag: [0; ENDPOINTS],
-            sync: Sync::new(PREFIX.to_vec(), endpoints(1, 0.0), guard(), View::default()),
+            sync: RegistrySync::new(PREFIX.to_vec(), endpoints(1, 0.0), guard(), View::default()),
             now: 0.0,
             serving: None,
             last: VecDeque::new(),
@@ -199,22 +199,22 @@
         match serving {
             Serving::Login => {
                 let body = json!({"token": self.token.to_string()}).to_string();
-                self.input(Input::Token(call, wire::token(body.as_bytes())));
+                self.input(Input::Token(call, wire::parse_token(body.as_bytes())));
             }
             Serving::Read(_) if !valid => {
                 let body = br#"{"code":16,"message":"etcdserver: invalid auth token"}"#;
-                self.input(Input::Page(call, wire::page(body)));
+                self.input(Input::Page(call, wire::parse_page(body)));
             }
             Serving::Watch { .. } if !valid => {
                 let words = r#","canceled":true,"cancel_reason":"etcdserver: invalid auth token""#;
                 let line = self.line(seen, &[], false, words);
-                self.input(Input::Told(call, wire::told(&line)));
+                self.input(Input::WatchMessage(call, wire::parse_watch_message(&line)));
             }
             Serving::Read(range) => {
                 // Only what an endpoint may answer by itself can be behind.
                 let present = if range.serializable { seen } else { self.registry.revision() };
                 let body = self.page(&range, present);
-                self.input(Input::Page(call, wire::page(body.as_bytes())));
+                self.input(Input::Page(call, wire::parse_page(body.as_bytes())));
             }
             Serving::Watch { mut next, mut created, mut fragments } => {
                 let line = if !created {
@@ -253,7 +253,7 @@
                         self.last.push_back(line.clone());
                         self.last.drain(..self.last.len().saturating_sub(4));
                     }
-                    self.input(Input::Told(call, wire::told(&line)));
+                    self.input(Input::WatchMessage(call, wire::parse_watch_message(&line)));
                 }
             }
         }
@@ -320,7 +320,7 @@
                 if let Some((call, _, Serving::Watch { .. })) = &self.serving {
                     let (call, line) =
                         (*call, self.line(1, &[], false, r#","canceled":true,"cancel_reason":"no leader""#));
-                    self.input(Input::Told(call, wire::told(&line)));
+                    self.input(Input::WatchMessage(call, wire::parse_watch_message(&line)));
                 }
             }
             Move::Expire => self.token += 1,
@@ -335,17 +335,18 @@
                     _ => return,
                 };
                 if let Some(line) = self.last.front().cloned() {
-                    self.input(Input::Told(open, wire::told(&line)));
+                    self.input(Input::WatchMessage(open, wire::parse_watch_message(&line)));
                 }
             }
             Move::Pass(ms) => self.pass(f64::from(*ms) / 1000.0),
             Move::Crash => {
                 // As it comes back from the disk.
                 let prefix = std::str::from_utf8(PREFIX).unwrap();
-                let view = kept::decode(prefix, &kept::encode(prefix, self.sync.view())).unwrap();
+                let view = snapshot::decode(prefix, &snapshot::encode(prefix, self.sync.view())).unwrap();
                 assert_eq!(&view, self.sync.view());
                 self.serving = None;
-                self.sync = Sync::new(PREFIX.to_vec(), endpoints(self.changes, self.now), guard(), view);
+                self.sync =
+                    RegistrySync::new(PREFIX.to_vec(), endpoints(self.changes, self.now), guard(), view);
                 self.input(Input::Start);
             }
         }
@@ -367,7 +368,7 @@
         self.highest = view.revision;
         if view.revision > 0 && !self.restored {
             let keys: Keys =
-                view.under(PREFIX).map(|(k, e)| (k.clone(), (e.revision, e.value.clone()))).collect();
+                view.with_prefix(PREFIX).map(|(k, e)| (k.clone(), (e.revision, e.value.clone()))).collect();
             assert_eq!(keys, self.registry.at(view.revision), "the view of revision {}", view.revision);
         }
     }
@@ -382,7 +383,7 @@
         }
         let view = self.sync.view();
         let keys: Keys =
-            view.under(PREFIX).map(|(k, e)| (k.clone(), (e.revision, e.value.clone()))).collect();
+            view.with_prefix(PREFIX).map(|(k, e)| (k.clone(), (e.revision, e.value.clone()))).collect();
         assert_eq!(keys, self.registry.at(self.registry.revision()));
     }
 }
@@ -489,7 +490,7 @@
     // A minute of it: the watch is given up at 30 s, then a call each 5 s and its back-off.
     assert!((2..=10).contains(&calls), "{calls}");
     let mut out = Vec::new();
-    world.sync.handle(world.now, Input::Broken(u64::MAX), &mut out);
+    world.sync.handle(world.now, Input::Disconnected(u64::MAX), &mut out);
     assert_eq!(out, [], "an end of something else is nothing");
     assert!(!out.contains(&Action::Notice(Notice::Following(0))));
 }
