--- a/crates/daemon/src/net/proxy/handover.rs
+++ b/crates/daemon/src/net/proxy/handover.rs
@@ -1,5 +1,5 @@
-//! Hand-overs on their sockets, from both sides: what [`handover::Giver`] and [`handover::Taker`] say is carried out,
-//! descriptors go along with the offer.
+//! Hand-overs on their sockets, from both sides: what [`handover::Predecessor`] and [`handover::Successor`] say is
+//! carried out, descriptors go along with the offer.
 
 use std::collections::HashMap;
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut, Read, Write};
@@ -11,8 +11,9 @@
 
 use buffer::Lines;
 use handover::{
-    Act, Do, Fault, Giver, Heard, Known, Member, Place, Say, Seen, Snapshot, Taker, Trial, LONGEST,
-    LONGEST_LINE, OLDEST, PATIENCE, VERSION,
+    KnownState, ListedMember, Member, Message, Predecessor, PredecessorAction, PredecessorEvent, Snapshot,
+    SnapshotError, Successor, SuccessorAction, SuccessorEvent, Trial, ANSWER_TIMEOUT, MAX_LINE_BYTES,
+    MAX_SNAPSHOT_BYTES, OLDEST_READABLE_VERSION, VERSION,
 };
 use lifecycle::{Input as Lived, Stage};
 use listing::Listing;
@@ -48,21 +49,21 @@
 
 impl Conn {
     fn new(stream: UnixStream) -> Conn {
-        Conn { stream, lines: Lines::new(LONGEST_LINE), outbox: Outbox::default() }
+        Conn { stream, lines: Lines::new(MAX_LINE_BYTES), outbox: Outbox::default() }
     }
 
     fn flush(&mut self) -> io::Result<()> {
         self.outbox.flush(&mut self.stream).map(drop)
     }
 
-    fn say(&mut self, say: &Say) {
-        self.outbox.push(&say.line());
+    fn say(&mut self, say: &Message) {
+        self.outbox.push(&say.to_line());
         // A fault is found out again by reading.
         let _ = self.flush();
     }
 
     /// What has been said, and whether that was the last.
-    fn hear(&mut self) -> (Vec<Result<Say, String>>, bool) {
+    fn hear(&mut self) -> (Vec<Result<Message, String>>, bool) {
         let (mut heard, mut over, mut piece) = (Vec::new(), self.flush().is_err(), [0; 1024]);
         while !over {
             match self.stream.read(&mut piece) {
@@ -73,7 +74,7 @@
                 Err(_) => over = true,
             }
             while let Some(line) = self.lines.take() {
-                heard.push(Say::read(&line));
+                heard.push(Message::parse(&line));
             }
         }
         (heard, over)
@@ -84,7 +85,7 @@
 pub(crate) struct Inherited {
     stream: std::os::unix::net::UnixStream,
     fds: HashMap<String, OwnedFd>,
-    known: Result<Known, Fault>,
+    known: Result<KnownState, SnapshotError>,
 }
 
 impl Inherited {
@@ -92,14 +93,14 @@
     pub fn ask(path: &Path, now: f64) -> Result<Inherited, String> {
         let named = |fault: &dyn std::fmt::Display| format!("{}: {fault}", path.display());
         let mut stream = std::os::unix::net::UnixStream::connect(path).map_err(|error| named(&error))?;
-        let patience = Some(Duration::from_secs_f64(PATIENCE));
+        let patience = Some(Duration::from_secs_f64(ANSWER_TIMEOUT));
         stream.set_read_timeout(patience).map_err(|error| named(&error))?;
-        let ask = Say::Ask { oldest: OLDEST, version: VERSION, pid: std::process::id() };
-        stream.write_all(&ask.line()).map_err(|error| named(&error))?;
+        let ask = Message::Ask { oldest: OLDEST_READABLE_VERSION, version: VERSION, pid: std::process::id() };
+        stream.write_all(&ask.to_line()).map_err(|error| named(&error))?;
         // The descriptors come with the first byte of the line; what is behind it is the snapshot.
         let (mut bytes, mut got) = (Vec::new(), Vec::new());
         let end = loop {
-            let mut piece = [0; LONGEST_LINE];
+            let mut piece = [0; MAX_LINE_BYTES];
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_FDS))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let mut into = [IoSliceMut::new(&mut piece)];
@@ -113,22 +114,25 @@
             bytes.extend(&piece[..count]);
             match bytes.iter().position(|byte| *byte == b'\n') {
                 Some(end) => break end,
-                None if count == 0 || bytes.len() > LONGEST_LINE => {
+                None if count == 0 || bytes.len() > MAX_LINE_BYTES => {
                     return Err(named(&"ended without an answer"))
                 }
                 None => {}
             }
         };
         let mut rest = bytes.split_off(end + 1);
-        let (names, length) = match Say::read(&bytes).map_err(|fault| named(&fault))? {
-            Say::Offer { fds, snapshot } if fds.len() == got.len() && snapshot <= LONGEST => (fds, snapshot),
-            Say::Denied { why } => return Err(named(&format!("no hand-over now: {why}"))),
+        let (names, length) = match Message::parse(&bytes).map_err(|fault| named(&fault))? {
+            Message::Offer { fds, snapshot } if fds.len() == got.len() && snapshot <= MAX_SNAPSHOT_BYTES => {
+                (fds, snapshot)
+            }
+            Message::Denied { why } => return Err(named(&format!("no hand-over now: {why}"))),
             _ => return Err(named(&"an offer that is none")),
         };
         let before = rest.len();
         rest.resize(length.max(before), 0);
         stream.read_exact(&mut rest[before..]).map_err(|error| named(&error))?;
-        let known = Snapshot::decode(&rest, (OLDEST, VERSION)).map(|snapshot| snapshot.at(now));
+        let known = Snapshot::decode(&rest, (OLDEST_READABLE_VERSION, VERSION))
+            .map(|snapshot| snapshot.usable_at(now));
         let _ = stream.set_read_timeout(None);
         Ok(Inherited { stream, fds: names.into_iter().zip(got).collect(), known })
     }
@@ -160,8 +164,8 @@
     }
 }
 
-fn place(listing: &Listing) -> Place {
-    Place {
+fn place(listing: &Listing) -> ListedMember {
+    ListedMember {
         name: listing.name.to_string(),
         address: listing.address.to_string(),
         zone: listing.zone.clone(),
@@ -171,7 +175,7 @@
     }
 }
 
-fn listing(place: &Place) -> Option<Listing> {
+fn listing(place: &ListedMember) -> Option<Listing> {
     Some(Listing {
         name: place.name.as_str().into(),
         address: place.address.parse().ok()?,
@@ -185,7 +189,7 @@
 /// Hand-overs to a successor.
 pub(super) struct ToSuccessor {
     bound: Bound,
-    giver: Giver,
+    giver: Predecessor,
     conn: Option<Conn>,
 }
 
@@ -193,7 +197,7 @@
     pub fn new(mut bound: Bound, context: &mut Context) -> io::Result<ToSuccessor> {
         let token = Source::SuccessorListener.into();
         context.reactor.registry.register(&mut bound.listener, token, Interest::READABLE)?;
-        Ok(ToSuccessor { bound, giver: Giver::default(), conn: None })
+        Ok(ToSuccessor { bound, giver: Predecessor::default(), conn: None })
     }
 
     /// Whether a successor is at it.
@@ -204,16 +208,20 @@
 
 /// The hand-over from the daemon before this one.
 pub(super) struct FromPredecessor {
-    taker: Taker,
+    taker: Successor,
     conn: Conn,
     /// What the old daemon knew, until it is taken over.
-    known: Option<Result<Known, Fault>>,
+    known: Option<Result<KnownState, SnapshotError>>,
     /// Answers, and bad ones among them, when clients were first taken in.
     base: (u64, u64),
 }
 
 impl FromPredecessor {
-    pub fn new(inherited: Inherited, trial_s: f64, context: &mut Context) -> io::Result<(Self, Vec<Do>)> {
+    pub fn new(
+        inherited: Inherited,
+        trial_s: f64,
+        context: &mut Context,
+    ) -> io::Result<(Self, Vec<SuccessorAction>)> {
         let Inherited { stream, known, .. } = inherited;
         stream.set_nonblocking(true)?;
         let mut stream = UnixStream::from_std(stream);
@@ -221,7 +229,7 @@
         context.reactor.registry.register(&mut stream, Source::Predecessor.into(), both)?;
         let mut out = Vec::new();
         let trial = Trial { seconds: trial_s, ..Trial::default() };
-        let taker = Taker::new(trial, context.reactor.now(), &mut out);
+        let taker = Successor::new(trial, context.reactor.now(), &mut out);
         Ok((FromPredecessor { taker, conn: Conn::new(stream), known: Some(known), base: (0, 0) }, out))
     }
 }
@@ -256,7 +264,7 @@
     }
 
     /// What this daemon knows.
-    fn known(&self) -> Known {
+    fn known(&self) -> KnownState {
         let finite = |value: f64| value.is_finite().then_some(value);
         let (sessions, forgotten) = self.policy.written();
         let listed = self.changes.iter().flat_map(|changes| changes.roster.listed());
@@ -266,7 +274,7 @@
             position: learned.position,
             cold_since: learned.cold_since,
         });
-        Known {
+        KnownState {
             index: self.discovery.index(),
             places: listed.filter(|listing| listing.phase != Phase::Left).map(place).collect(),
             members: members.collect(),
@@ -280,8 +288,8 @@
         let Some(successor) = &mut self.successor else { return };
         while let Ok((mut stream, _)) = successor.bound.listener.accept() {
             if successor.conn.is_some() {
-                let denied = Say::Denied { why: "another successor is at it".into() };
-                let _ = stream.write(&denied.line());
+                let denied = Message::Denied { why: "another successor is at it".into() };
+                let _ = stream.write(&denied.to_line());
                 continue;
             }
             let (token, both) = (Source::Successor.into(), Interest::READABLE | Interest::WRITABLE);
@@ -301,19 +309,19 @@
         };
         for said in heard {
             match said {
-                Ok(say) => self.give(Heard::Said(say), context),
-                Err(why) => self.give(Heard::Said(Say::Back { why }), context),
+                Ok(say) => self.give(PredecessorEvent::Received(say), context),
+                Err(why) => self.give(PredecessorEvent::Received(Message::HandBack { why }), context),
             }
         }
         if over {
             if let Some(successor) = &mut self.successor {
                 successor.conn = None;
             }
-            self.give(Heard::Gone, context);
+            self.give(PredecessorEvent::Disconnected, context);
         }
     }
 
-    fn give(&mut self, heard: Heard, context: &mut Context) {
+    fn give(&mut self, heard: PredecessorEvent, context: &mut Context) {
         use transaction::Stage as At;
         let hindrance = match (self.life.stage(), &self.changes) {
             (Stage::Ready, Some(changes)) if !matches!(changes.machine.stage(), At::Idle) => {
@@ -327,26 +335,30 @@
         successor.giver.handle(context.reactor.now(), heard, hindrance, &mut acts);
         for act in acts {
             match act {
-                Act::Say(say) => self.successor_conn().into_iter().for_each(|conn| conn.say(&say)),
-                Act::Offer { versions } => self.offer(versions, context),
-                Act::Pause => {
+                PredecessorAction::Send(say) => {
+                    self.successor_conn().into_iter().for_each(|conn| conn.say(&say))
+                }
+                PredecessorAction::Offer { versions } => self.offer(versions, context),
+                PredecessorAction::Pause => {
                     logging::info!(event = "handover.given", "a successor takes in clients, on trial");
                     self.pause(true, context);
                 }
-                Act::Resume(why) => {
+                PredecessorAction::Resume(why) => {
                     logging::warn!(event = "handover.back", "takes in clients again: {why}");
                     if let Some(changes) = &mut self.changes {
                         changes.reclaim();
                     }
                     self.pause(false, context);
                 }
-                Act::Succeeded => {
+                PredecessorAction::Succeeded => {
                     logging::info!(event = "handover.over", "the successor stands");
                     self.registry.iter_mut().for_each(|registry| registry.leave(context));
                     self.live(Lived::Succeeded, context);
                 }
-                Act::Hang => self.successor.iter_mut().for_each(|successor| successor.conn = None),
-                Act::Timer(at) => context.reactor.timer(at, Due::Handover),
+                PredecessorAction::Disconnect => {
+                    self.successor.iter_mut().for_each(|successor| successor.conn = None)
+                }
+                PredecessorAction::Timer(at) => context.reactor.timer(at, Due::Handover),
             }
         }
     }
@@ -363,8 +375,8 @@
     /// Sends the descriptors, and what is known to a reader of these versions.
     fn offer(&mut self, versions: (u32, u32), context: &mut Context) {
         let snapshot = Snapshot::new(context.reactor.now(), self.known());
-        let bytes = if snapshot.is_for(versions) { snapshot.encode() } else { Vec::new() };
-        let bytes = if bytes.len() > LONGEST { Vec::new() } else { bytes };
+        let bytes = if snapshot.is_readable_by(versions) { snapshot.encode() } else { Vec::new() };
+        let bytes = if bytes.len() > MAX_SNAPSHOT_BYTES { Vec::new() } else { bytes };
         let state = self.changes.as_ref().and_then(|changes| changes.lock());
         let fds: Vec<(&str, BorrowedFd)> = [
             (LISTEN, self.clients.listener().map(AsFd::as_fd)),
@@ -376,7 +388,7 @@
         .filter_map(|(name, fd)| Some((name, fd?)))
         .collect();
         let names = fds.iter().map(|(name, _)| name.to_string()).collect();
-        let line = Say::Offer { fds: names, snapshot: bytes.len() }.line();
+        let line = Message::Offer { fds: names, snapshot: bytes.len() }.to_line();
         let fds: Vec<BorrowedFd> = fds.into_iter().map(|(_, fd)| fd).collect();
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_FDS))];
         let mut control = SendAncillaryBuffer::new(&mut space);
@@ -392,7 +404,7 @@
         } else {
             logging::error!(event = "handover.back", "the descriptors cannot be sent: {sent:?}");
             self.successor.iter_mut().for_each(|successor| successor.conn = None);
-            self.give(Heard::Gone, context);
+            self.give(PredecessorEvent::Disconnected, context);
         }
     }
 
@@ -401,10 +413,10 @@
         let Some(predecessor) = &mut self.predecessor else { return };
         let (heard, over) = predecessor.conn.hear();
         for said in heard.into_iter().flatten() {
-            self.take(Seen::Said(said), context);
+            self.take(SuccessorEvent::Received(said), context);
         }
         if over {
-            self.take(Seen::Gone, context);
+            self.take(SuccessorEvent::Disconnected, context);
             // From here on there is no write that this daemon does not hear of.
             self.beside(context);
             self.predecessor = None;
@@ -420,40 +432,40 @@
 
     /// Time passes for a hand-over.
     pub(super) fn hand_over(&mut self, context: &mut Context) {
-        self.give(Heard::Time, context);
+        self.give(PredecessorEvent::Time, context);
         let Some(predecessor) = &self.predecessor else { return };
         let (answers, bad) = answers(context);
         let (all, worse) = (answers - predecessor.base.0, bad - predecessor.base.1);
         let waiting = self.owed().waiting as u64;
-        self.take(Seen::Time(all, worse, waiting), context);
+        self.take(SuccessorEvent::Time(all, worse, waiting), context);
     }
 
-    pub(super) fn take(&mut self, seen: Seen, context: &mut Context) {
+    pub(super) fn take(&mut self, seen: SuccessorEvent, context: &mut Context) {
         let Some(predecessor) = &mut self.predecessor else { return };
         let mut does = Vec::new();
         predecessor.taker.handle(context.reactor.now(), seen, &mut does);
         self.taken(does, context);
     }
 
-    pub(super) fn taken(&mut self, does: Vec<Do>, context: &mut Context) {
+    pub(super) fn taken(&mut self, does: Vec<SuccessorAction>, context: &mut Context) {
         for act in does {
             match act {
-                Do::Say(say) => {
+                SuccessorAction::Send(say) => {
                     self.predecessor.iter_mut().for_each(|predecessor| predecessor.conn.say(&say))
                 }
-                Do::Accept => {
+                SuccessorAction::Accept => {
                     logging::info!(event = "handover.taken", "takes in clients, on trial");
                     self.predecessor.iter_mut().for_each(|predecessor| predecessor.base = answers(context));
                     self.pause(false, context);
                 }
-                Do::Yield(why) => {
+                SuccessorAction::Yield(why) => {
                     logging::error!(event = "handover.yielded", "hands back to the old daemon: {why}");
                     self.yielded = true;
                     self.pause(true, context);
                     self.live(Lived::Succeeded, context);
                 }
-                Do::Stand => self.stand(context),
-                Do::Timer(at) => context.reactor.timer(at, Due::Handover),
+                SuccessorAction::TakeOver => self.stand(context),
+                SuccessorAction::Timer(at) => context.reactor.timer(at, Due::Handover),
             }
         }
     }
--- a/crates/daemon/src/net/proxy/life.rs
+++ b/crates/daemon/src/net/proxy/life.rs
@@ -229,7 +229,7 @@
     /// Looks whether the life has come further by what has been carried out.
     pub(super) fn look(&mut self, context: &mut Context) {
         if self.predecessor.is_some() && self.life.stage() == Stage::Ready {
-            self.take(handover::Seen::Up, context);
+            self.take(handover::SuccessorEvent::ReadyToServe, context);
         }
         match self.life.stage() {
             Stage::Reloading => {
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,18 +1,21 @@
 //! A daemon handed over to its successor without a gap. Both hold the same listening socket; at each moment one of them
-//! takes in clients. Two machines without I/O: [`Giver`] in the daemon that runs, [`Taker`] in the one that comes;
-//! [`Say`] is what they tell each other, [`Snapshot`] what the one knows.
+//! takes in clients. Two machines without I/O: [`Predecessor`] in the daemon that runs, [`Successor`] in the one that comes;
+//! [`Message`] is what they tell each other, [`Snapshot`] what the one knows.
 #![warn(missing_docs)]
 
-mod giver;
 mod message;
+mod predecessor;
 mod snapshot;
-mod taker;
+mod successor;
 
-pub use giver::{Act, Giver, Heard};
-pub use message::{Say, LONGEST_LINE};
-pub use snapshot::{Fault, Known, Member, Place, Snapshot, LONGEST, OLDEST, VERSION};
-pub use taker::{Do, Seen, Taker, Trial};
+pub use message::{Message, MAX_LINE_BYTES};
+pub use predecessor::{Predecessor, PredecessorAction, PredecessorEvent};
+pub use snapshot::{
+    KnownState, ListedMember, Member, Snapshot, SnapshotError, MAX_SNAPSHOT_BYTES, OLDEST_READABLE_VERSION,
+    VERSION,
+};
+pub use successor::{Successor, SuccessorAction, SuccessorEvent, Trial};
 
 /// How long one side waits for the next word of the other, the trial apart (seconds). A successor that has not come up
 /// by then is given up.
-pub const PATIENCE: f64 = 10.0;
+pub const ANSWER_TIMEOUT: f64 = 10.0;
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -3,12 +3,12 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest line (bytes).
-pub const LONGEST_LINE: usize = 4_096;
+pub const MAX_LINE_BYTES: usize = 4_096;
 
 /// A word of either side.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
-pub enum Say {
+pub enum Message {
     /// The successor asks, and says which snapshots it can read: from this version up to its own.
     Ask {
         /// The oldest version of a snapshot that it can read.
@@ -33,26 +33,29 @@
     /// The successor could take in clients now.
     Ready,
     /// The old one no longer does.
-    Yours,
+    #[serde(rename = "yours")]
+    AcceptClients,
     /// The successor's first seconds were fine: the old one can go.
-    Stands,
+    #[serde(rename = "stands")]
+    Confirmed,
     /// They were not: the old one takes in clients again.
-    Back {
+    #[serde(rename = "back")]
+    HandBack {
         /// In words.
         why: String,
     },
 }
 
-impl Say {
+impl Message {
     /// Its line.
-    pub fn line(&self) -> Vec<u8> {
+    pub fn to_line(&self) -> Vec<u8> {
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
         line
     }
 
     /// Reads a line; what is wrong with it where it is none of these.
-    pub fn read(line: &[u8]) -> Result<Say, String> {
+    pub fn parse(line: &[u8]) -> Result<Message, String> {
         serde_json::from_slice(line).map_err(|error| format!("not a word of a hand-over: {error}"))
     }
 }
--- a/crates/handover/src/snapshot.rs
+++ b/crates/handover/src/snapshot.rs
@@ -8,9 +8,9 @@
 pub const VERSION: u32 = 1;
 /// The oldest version that is read, and the oldest reader that this one is meant for: fields that a reader does not know
 /// it passes over, those that it misses it does without.
-pub const OLDEST: u32 = 1;
+pub const OLDEST_READABLE_VERSION: u32 = 1;
 /// Longest snapshot (bytes): 20,000 sessions and 10,000 members take some 5 MB.
-pub const LONGEST: usize = 64 * 1024 * 1024;
+pub const MAX_SNAPSHOT_BYTES: usize = 64 * 1024 * 1024;
 
 /// Knowledge of roles and positions older than this is not used (seconds): a primary may have changed since.
 const ROLES: f64 = 5.0;
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 #[allow(missing_docs)] // As in the list.
-pub struct Place {
+pub struct ListedMember {
     pub name: String,
     pub address: String,
     pub zone: String,
@@ -51,11 +51,11 @@
 /// What is known.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Known {
+pub struct KnownState {
     /// The version of the list.
     pub index: u64,
     /// The list.
-    pub places: Vec<Place>,
+    pub places: Vec<ListedMember>,
     /// The members.
     pub members: Vec<Member>,
     /// What sessions wrote last, by name: a position in the log.
@@ -75,12 +75,12 @@
     /// When it was taken (Unix seconds).
     pub at: f64,
     /// The rest.
-    pub known: Known,
+    pub known: KnownState,
 }
 
 /// Why a snapshot is not used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum SnapshotError {
     /// It was damaged on the way, or is cut off.
     Damaged,
     /// Not of the agreed form.
@@ -89,22 +89,24 @@
     Version(u32),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Damaged => f.write_str("damaged or cut off"),
-            Fault::Malformed(what) => write!(f, "not of the agreed form: {what}"),
-            Fault::Version(version) => write!(f, "of version {version}; read are {OLDEST} to {VERSION}"),
+            SnapshotError::Damaged => f.write_str("damaged or cut off"),
+            SnapshotError::Malformed(what) => write!(f, "not of the agreed form: {what}"),
+            SnapshotError::Version(version) => {
+                write!(f, "of version {version}; read are {OLDEST_READABLE_VERSION} to {VERSION}")
+            }
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SnapshotError {}
 
 impl Snapshot {
     /// Of what is known at this time (Unix seconds).
-    pub fn new(at: f64, known: Known) -> Snapshot {
-        Snapshot { version: VERSION, readable_from: OLDEST, at, known }
+    pub fn new(at: f64, known: KnownState) -> Snapshot {
+        Snapshot { version: VERSION, readable_from: OLDEST_READABLE_VERSION, at, known }
     }
 
     /// Its bytes: a checksum, then JSON.
@@ -116,27 +118,27 @@
     }
 
     /// Reads bytes as a reader of `version`, which can read from `oldest` on.
-    pub fn decode(bytes: &[u8], (oldest, version): (u32, u32)) -> Result<Snapshot, Fault> {
-        let (crc, body) = bytes.split_first_chunk::<4>().ok_or(Fault::Damaged)?;
-        if bytes.len() > LONGEST || crc32fast::hash(body) != u32::from_le_bytes(*crc) {
-            return Err(Fault::Damaged);
+    pub fn decode(bytes: &[u8], (oldest, version): (u32, u32)) -> Result<Snapshot, SnapshotError> {
+        let (crc, body) = bytes.split_first_chunk::<4>().ok_or(SnapshotError::Damaged)?;
+        if bytes.len() > MAX_SNAPSHOT_BYTES || crc32fast::hash(body) != u32::from_le_bytes(*crc) {
+            return Err(SnapshotError::Damaged);
         }
         let snapshot: Snapshot =
-            serde_json::from_slice(body).map_err(|error| Fault::Malformed(error.to_string()))?;
-        if !snapshot.is_for((oldest, version)) {
-            return Err(Fault::Version(snapshot.version));
+            serde_json::from_slice(body).map_err(|error| SnapshotError::Malformed(error.to_string()))?;
+        if !snapshot.is_readable_by((oldest, version)) {
+            return Err(SnapshotError::Version(snapshot.version));
         }
         Ok(snapshot)
     }
 
     /// Whether a reader of `version`, which can read from `oldest` on, can use it.
-    pub fn is_for(&self, (oldest, version): (u32, u32)) -> bool {
+    pub fn is_readable_by(&self, (oldest, version): (u32, u32)) -> bool {
         self.version >= oldest && self.readable_from <= version
     }
 
     /// What is of use at this time (Unix seconds), weighed by its age. The list and what sessions wrote hold at any
     /// age: they are facts that only make stricter. One from the future is taken for old: a clock was set.
-    pub fn at(mut self, now: f64) -> Known {
+    pub fn usable_at(mut self, now: f64) -> KnownState {
         let age = if now >= self.at - SKEW { now - self.at } else { f64::INFINITY };
         for member in &mut self.known.members {
             if age > ROLES {
--- a/crates/handover/src/taker.rs
+++ b/crates/handover/src/successor.rs
@@ -1,7 +1,7 @@
 //! The daemon that comes.
 
-use crate::message::Say;
-use crate::PATIENCE;
+use crate::message::Message;
+use crate::ANSWER_TIMEOUT;
 
 /// What its first seconds are judged by.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -9,26 +9,26 @@
     /// How long they last (seconds).
     pub seconds: f64,
     /// Answers below which nothing is said against it.
-    pub least: u64,
+    pub min_answers: u64,
     /// Share of them that may be refusals or failures.
     pub bad_share: f64,
 }
 
 impl Default for Trial {
     fn default() -> Self {
-        Trial { seconds: 3.0, least: 20, bad_share: 0.5 }
+        Trial { seconds: 3.0, min_answers: 20, bad_share: 0.5 }
     }
 }
 
 /// What happens.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum SuccessorEvent {
     /// The old daemon says this.
-    Said(Say),
+    Received(Message),
     /// Its connection has ended: it is gone.
-    Gone,
+    Disconnected,
     /// All that is needed to serve is there.
-    Up,
+    ReadyToServe,
     /// Time passes; answers since clients are taken in, how many of them were refusals or failures (at most as many), and how many
     /// requests wait for a server now.
     Time(u64, u64, u64),
@@ -36,15 +36,15 @@
 
 /// What the driver does, in this order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
+pub enum SuccessorAction {
     /// Tell the old daemon.
-    Say(Say),
+    Send(Message),
     /// Take in clients.
     Accept,
     /// Take in no more, and come to an end: the old daemon does so again.
     Yield(String),
     /// It is the daemon now: what only one may have is taken over.
-    Stand,
+    TakeOver,
     /// Come again then.
     Timer(f64),
 }
@@ -63,45 +63,46 @@
 
 /// The successor's side, from the offer on.
 #[derive(Debug)]
-pub struct Taker {
+pub struct Successor {
     trial: Trial,
     stage: Stage,
     until: f64,
 }
 
-impl Taker {
+impl Successor {
     /// The offer has been taken.
-    pub fn new(trial: Trial, now: f64, out: &mut Vec<Do>) -> Taker {
-        out.push(Do::Timer(now + PATIENCE));
-        Taker { trial, stage: Stage::Coming, until: now + PATIENCE }
+    pub fn new(trial: Trial, now: f64, out: &mut Vec<SuccessorAction>) -> Successor {
+        out.push(SuccessorAction::Timer(now + ANSWER_TIMEOUT));
+        Successor { trial, stage: Stage::Coming, until: now + ANSWER_TIMEOUT }
     }
 
     /// Whether it is the daemon.
-    pub fn stands(&self) -> bool {
+    pub fn has_taken_over(&self) -> bool {
         self.stage == Stage::Standing
     }
 
     /// Takes in what happens.
-    pub fn handle(&mut self, now: f64, seen: Seen, out: &mut Vec<Do>) {
+    pub fn handle(&mut self, now: f64, seen: SuccessorEvent, out: &mut Vec<SuccessorAction>) {
         match (self.stage, seen) {
-            (Stage::Coming, Seen::Up) => {
-                self.wait(Stage::Ready, now + PATIENCE, out);
-                out.push(Do::Say(Say::Ready));
+            (Stage::Coming, SuccessorEvent::ReadyToServe) => {
+                self.wait(Stage::Ready, now + ANSWER_TIMEOUT, out);
+                out.push(SuccessorAction::Send(Message::Ready));
             }
-            (Stage::Ready, Seen::Said(Say::Yours)) => {
+            (Stage::Ready, SuccessorEvent::Received(Message::AcceptClients)) => {
                 self.wait(Stage::Trial, now + self.trial.seconds, out);
-                out.push(Do::Accept);
+                out.push(SuccessorAction::Accept);
             }
             // Nobody is there any more to hand back to, and nobody else takes in clients.
-            (Stage::Coming | Stage::Ready | Stage::Trial, Seen::Gone) => {
+            (Stage::Coming | Stage::Ready | Stage::Trial, SuccessorEvent::Disconnected) => {
                 if self.stage != Stage::Trial {
-                    out.push(Do::Accept);
+                    out.push(SuccessorAction::Accept);
                 }
                 self.stage = Stage::Standing;
-                out.push(Do::Stand);
+                out.push(SuccessorAction::TakeOver);
             }
-            (Stage::Trial, Seen::Time(answers, bad, waiting)) => {
-                let worse = answers >= self.trial.least && bad as f64 > answers as f64 * self.trial.bad_share;
+            (Stage::Trial, SuccessorEvent::Time(answers, bad, waiting)) => {
+                let worse =
+                    answers >= self.trial.min_answers && bad as f64 > answers as f64 * self.trial.bad_share;
                 if worse {
                     self.gives_back(format!("{bad} of {answers} answers are refusals or failures"), out);
                 } else if now >= self.until && waiting > answers - bad {
@@ -114,43 +115,48 @@
                     self.stage = Stage::Standing;
                     // Told last: an old daemon at its end removes the paths that are still its own, and would remove
                     // one that this daemon takes between its look and its removal.
-                    out.push(Do::Stand);
-                    out.push(Do::Say(Say::Stands));
+                    out.push(SuccessorAction::TakeOver);
+                    out.push(SuccessorAction::Send(Message::Confirmed));
                 } else {
                     // Looked at more often than once: harm ends sooner.
-                    out.push(Do::Timer(self.until.min(now + 0.1)));
+                    out.push(SuccessorAction::Timer(self.until.min(now + 0.1)));
                 }
             }
-            (Stage::Coming, Seen::Time(..)) if now >= self.until => {
+            (Stage::Coming, SuccessorEvent::Time(..)) if now >= self.until => {
                 self.gives_back("no list with a member that serves".into(), out);
             }
-            (Stage::Ready, Seen::Time(..)) if now >= self.until => {
+            (Stage::Ready, SuccessorEvent::Time(..)) if now >= self.until => {
                 self.gives_back("the old daemon does not answer".into(), out);
             }
-            (Stage::Coming | Stage::Ready, Seen::Time(..)) => out.push(Do::Timer(self.until)),
-            (Stage::Coming | Stage::Ready | Stage::Trial, Seen::Said(Say::Denied { why })) => {
+            (Stage::Coming | Stage::Ready, SuccessorEvent::Time(..)) => {
+                out.push(SuccessorAction::Timer(self.until))
+            }
+            (
+                Stage::Coming | Stage::Ready | Stage::Trial,
+                SuccessorEvent::Received(Message::Denied { why }),
+            ) => {
                 self.stage = Stage::Yielded;
-                out.push(Do::Yield(format!("the old daemon does not wait: {why}")));
+                out.push(SuccessorAction::Yield(format!("the old daemon does not wait: {why}")));
             }
-            (Stage::Coming | Stage::Ready | Stage::Trial, Seen::Said(_)) => {
+            (Stage::Coming | Stage::Ready | Stage::Trial, SuccessorEvent::Received(_)) => {
                 self.gives_back("the old daemon says what makes no sense".into(), out);
             }
             (Stage::Trial | Stage::Ready | Stage::Standing | Stage::Yielded, _) => {}
         }
     }
 
-    fn wait(&mut self, stage: Stage, until: f64, out: &mut Vec<Do>) {
+    fn wait(&mut self, stage: Stage, until: f64, out: &mut Vec<SuccessorAction>) {
         (self.stage, self.until) = (stage, until);
-        out.push(Do::Timer(until.min(if stage == Stage::Trial {
+        out.push(SuccessorAction::Timer(until.min(if stage == Stage::Trial {
             until - self.trial.seconds + 0.1
         } else {
             until
         })));
     }
 
-    fn gives_back(&mut self, why: String, out: &mut Vec<Do>) {
+    fn gives_back(&mut self, why: String, out: &mut Vec<SuccessorAction>) {
         self.stage = Stage::Yielded;
-        out.push(Do::Say(Say::Back { why: why.clone() }));
-        out.push(Do::Yield(why));
+        out.push(SuccessorAction::Send(Message::HandBack { why: why.clone() }));
+        out.push(SuccessorAction::Yield(why));
     }
 }
