--- a/crates/daemon/src/cli/config.rs
+++ b/crates/daemon/src/cli/config.rs
@@ -9,7 +9,7 @@
 use argh::FromArgs;
 use control::{Call, Code, Request, Response, MAX_LINE_BYTES};
 use operator::{schema, Effective};
-use transaction::Fate;
+use transaction::GenerationStatus;
 
 use super::{fail, load, print};
 use crate::files;
@@ -383,12 +383,14 @@
         };
         let Some(entry) = history.iter().find(|entry| entry.number == number) else { break };
         let end = match entry.fate {
-            Fate::Confirmed => Response::new(Code::Confirmed, format!("generation {number} stands")),
-            Fate::RolledBack => {
+            GenerationStatus::Confirmed => {
+                Response::new(Code::Confirmed, format!("generation {number} stands"))
+            }
+            GenerationStatus::RolledBack => {
                 let message = format!("generation {number} was rolled back: {}", entry.why);
                 Response::new(Code::RolledBack, message)
             }
-            Fate::Staged | Fate::Applied => continue,
+            GenerationStatus::Staged | GenerationStatus::Applied => continue,
         };
         return ended(&Response { generation: Some(number), ..end }, json);
     }
--- a/crates/daemon/src/net/change.rs
+++ b/crates/daemon/src/net/change.rs
@@ -9,8 +9,8 @@
 use config::Config;
 use operator::{Confirm, Conflict, Difference, Digest, Document, Effective};
 use transaction::{
-    check, Bad, Finding, Health, History, Input, Machine, Mode, Outcome, Proposal, Roster, Rules, Severity,
-    Stage, Start, Verdict, View, TURN,
+    check, Finding, Health, HealthRules, History, Input, LiveState, Mode, Outcome, Proposal, RequestFailure,
+    Roster, Severity, Stage, StartupPlan, StateMachine, Verdict, HEALTH_CHECK_INTERVAL,
 };
 
 use crate::counters::Counters;
@@ -24,7 +24,7 @@
 pub(crate) struct Opening {
     pub path: PathBuf,
     pub effective: Effective,
-    start: Start,
+    start: StartupPlan,
     history: History,
     store: Option<Store>,
     /// The digest of the file, where it can be used.
@@ -67,8 +67,8 @@
         return Err(fault.clone());
     }
     let taken = file.as_ref().ok().map(Document::digest);
-    let start = history.start(file, now);
-    loud.extend(start.loud.clone());
+    let start = history.plan_startup(file, now);
+    loud.extend(start.warning.clone());
     let effective = Effective::new(platform, (*start.generation.document).clone());
     let effective = effective
         .map_err(|c| format!("generation {} no longer fits: {}", start.generation.number, words(&c)))?;
@@ -76,7 +76,7 @@
         store.record(&start.records)?;
     }
     let mut history = history;
-    start.records.iter().for_each(|record| history.take(record));
+    start.records.iter().for_each(|record| history.apply(record));
     let kept = store.as_ref().and_then(Store::kept);
     Ok(Opening { kept, path: path.to_path_buf(), effective, start, history, store, taken })
 }
@@ -88,7 +88,7 @@
 
 /// All that changes have to do with.
 pub(crate) struct Changes {
-    pub machine: Machine,
+    pub machine: StateMachine,
     pub health: Health,
     pub roster: Roster,
     /// Inputs that wait for the machine: what its actions bring about comes after them.
@@ -123,7 +123,7 @@
         let most = effective.document.state.max_kb as usize * 1024;
         let writer = store.map(|store| store.spawn(waker()?, most)).transpose()?;
         Ok(Changes {
-            machine: Machine::new(history, start.generation),
+            machine: StateMachine::new(history, start.generation),
             health: Health::new(now, LOOK_BACK),
             roster: Roster::default(),
             inputs: VecDeque::new(),
@@ -188,7 +188,7 @@
     }
 
     /// Lays a document over the platform's word and looks at what it would do now.
-    pub fn read(&self, document: Document, view: &View) -> Result<Read, Vec<Finding>> {
+    pub fn read(&self, document: Document, view: &LiveState) -> Result<Read, Vec<Finding>> {
         let effective = Effective::new(&self.platform, document).map_err(|conflicts| {
             let finding =
                 |c: &Conflict| Finding { code: "conflict", severity: Severity::Error, what: c.to_string() };
@@ -217,11 +217,11 @@
     }
 
     /// What a file would do.
-    pub fn plan(&self, document: Document, view: &View) -> Response {
+    pub fn plan(&self, document: Document, view: &LiveState) -> Response {
         match self.read(document, view) {
             Err(findings) => Response::new(Code::Refused, "does not fit").with_findings(&findings),
             Ok(read) => {
-                let stands = transaction::refused(&read.findings, &[]);
+                let stands = transaction::is_refused(&read.findings, &[]);
                 let code = if stands { Code::Refused } else { Code::Ok };
                 let message = format!(
                     "{} values would change; {}",
@@ -241,7 +241,7 @@
         note: String,
         confirm_within: Option<f64>,
         allow: Vec<String>,
-        view: &View,
+        view: &LiveState,
     ) {
         // By the policy in force: a change cannot loosen its own probation.
         let policy = &self.effective.document.change;
@@ -259,8 +259,15 @@
     }
 
     /// Counts how a request ended.
-    pub fn note(&mut self, now: f64, (class, group): (u16, u32), repeat: bool, bad: Option<Bad>, took: f64) {
-        self.health.note(now, class, group, repeat, bad, took);
+    pub fn note(
+        &mut self,
+        now: f64,
+        (class, group): (u16, u32),
+        repeat: bool,
+        bad: Option<RequestFailure>,
+        took: f64,
+    ) {
+        self.health.record(now, class, group, repeat, bad, took);
     }
 
     /// What has become worse since the change on probation, if anything.
@@ -269,15 +276,15 @@
             return None;
         }
         let policy = &self.machine.base().document.change;
-        let rules = Rules {
+        let rules = HealthRules {
             significance: policy.significance,
-            worse_by: policy.worse_by,
-            least: policy.least_requests.into(),
-            looks: (policy.probation_s.max(policy.confirm_within_s) / TURN).ceil() as u32,
+            min_increase: policy.worse_by,
+            min_requests: policy.least_requests.into(),
+            checks: (policy.probation_s.max(policy.confirm_within_s) / HEALTH_CHECK_INTERVAL).ceil() as u32,
         };
         match self.health.judge(now, &rules) {
             Verdict::Fine => None,
-            Verdict::Worse(judged) => Some(judged.words(&name(judged.class))),
+            Verdict::Worse(judged) => Some(judged.describe(&name(judged.class))),
         }
     }
 
--- a/crates/daemon/src/net/proxy.rs
+++ b/crates/daemon/src/net/proxy.rs
@@ -32,7 +32,7 @@
 use routing::Policy;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook_mio::v1_0::Signals;
-use transaction::{Bad, MemberView, View, SPARES};
+use transaction::{LiveMember, LiveState, RequestFailure, RESERVED_DESCRIPTORS};
 
 use super::change::{self, Changes};
 use super::clients::{Clients, CommandNumber};
@@ -221,7 +221,7 @@
         // commands ahead or second copies are allowed these may be short; then an attempt ends as never sent, which costs
         // nothing but itself.
         // Half the memory is for buffers, statements and values, whoever needs them at the time.
-        let sockets = effective.sockets.saturating_sub(SPARES + pooled(&effective));
+        let sockets = effective.sockets.saturating_sub(RESERVED_DESCRIPTORS + pooled(&effective));
         let clients = sockets / 2;
         if clients == 0 {
             return Err(io::Error::new(io::ErrorKind::InvalidInput, "too few sockets"));
@@ -378,7 +378,7 @@
 
     /// Follows a list that is pushed, unless the operator's file has one of its own or names a registry.
     fn follow(&mut self, context: &mut Context) {
-        let fixed = self.changes.as_ref().is_some_and(|changes| changes.roster.is_fixed());
+        let fixed = self.changes.as_ref().is_some_and(|changes| changes.roster.has_static_list());
         if !fixed && self.registry.is_none() {
             self.discovery.follow(context);
         }
@@ -444,7 +444,8 @@
                 Action::LetGo { member } => self.servers.let_go(&member),
                 Action::Withhold { member } => self.servers.withhold(&member, context),
                 // With a list of the operator's own there may be no discovery at all.
-                Action::Listen if self.changes.as_ref().is_some_and(|changes| changes.roster.is_fixed()) => {}
+                Action::Listen
+                    if self.changes.as_ref().is_some_and(|changes| changes.roster.has_static_list()) => {}
                 // A registry is followed by itself, whether or not it is asked for.
                 Action::Listen if self.registry.is_some() => {}
                 Action::Listen => self.discovery.listen(context),
@@ -591,7 +592,7 @@
         let finished = request.client.is_none();
         if finished {
             if let Some(changes) = &mut self.changes {
-                let bad = (outcome != Outcome::Ok).then_some(Bad::Failed);
+                let bad = (outcome != Outcome::Ok).then_some(RequestFailure::Failed);
                 let now = context.reactor.now();
                 changes.note(now, (request.class, request.group), false, bad, elapsed);
             }
@@ -636,8 +637,8 @@
             if let Some(changes) = &mut self.changes {
                 let bad = match answer {
                     Answer::Served(_) => None,
-                    Answer::Refused(_) => Some(Bad::Refused),
-                    Answer::Failed | Answer::Invalid(_) => Some(Bad::Failed),
+                    Answer::Refused(_) => Some(RequestFailure::Refused),
+                    Answer::Failed | Answer::Invalid(_) => Some(RequestFailure::Failed),
                 };
                 let now = context.reactor.now();
                 changes.note(now, (request.class, request.group), request.repeat, bad, now - request.taken);
@@ -715,16 +716,16 @@
     }
 
     /// What a change would meet now.
-    fn view(&self) -> View {
-        let Some(changes) = &self.changes else { return View::default() };
+    fn view(&self) -> LiveState {
+        let Some(changes) = &self.changes else { return LiveState::default() };
         let known: BTreeMap<&str, (f64, bool)> =
             self.policy.members().map(|(id, _, warmth, primary)| (&**id, (warmth, primary))).collect();
         let members = changes.roster.listed().map(|listing| {
             let (warmth, primary) = known.get(&*listing.name).copied().unwrap_or((1.0, false));
             let (name, group) = (listing.name.to_string(), listing.group);
-            MemberView { name, group, serving: listing.phase == Phase::Active, warmth, primary }
+            LiveMember { name, group, serving: listing.phase == Phase::Active, warmth, primary }
         });
-        let mut view = View { members: members.collect(), ..View::default() };
+        let mut view = LiveState { members: members.collect(), ..LiveState::default() };
         for ((class, group), count) in changes.health.traffic() {
             *view.traffic.entry((self.numbers.name(class).to_string(), group)).or_insert(0) += count;
         }
@@ -732,9 +733,9 @@
         for request in self.requests.values() {
             let class = self.numbers.name(request.class).to_string();
             *view.traffic.entry((class.clone(), request.group)).or_insert(0) += 1;
-            *view.classes_in_hand.entry(class).or_insert(0) += 1;
+            *view.classes_in_flight.entry(class).or_insert(0) += 1;
             if let Some(tenant) = tenants.get(&request.tenant) {
-                *view.tenants_in_hand.entry(tenant.to_string()).or_insert(0) += 1;
+                *view.tenants_in_flight.entry(tenant.to_string()).or_insert(0) += 1;
             }
         }
         view.clients_busy = self.in_flight.clients();
--- a/crates/daemon/src/net/proxy/calls.rs
+++ b/crates/daemon/src/net/proxy/calls.rs
@@ -54,7 +54,7 @@
                     changes.inputs.push_back(Input::Rollback { caller: Some(caller.number()) });
                     return self.change(context);
                 }
-                match changes.machine.history().earlier(to).cloned() {
+                match changes.machine.history().rollback_target(to).cloned() {
                     Some(earlier) => {
                         let (document, note) =
                             ((*earlier.document).clone(), format!("back to {}", earlier.number));
--- a/crates/daemon/src/net/proxy/configuration.rs
+++ b/crates/daemon/src/net/proxy/configuration.rs
@@ -3,7 +3,7 @@
 use config::Config;
 use mio::net::TcpListener;
 use operator::Effective;
-use transaction::{Action as Step, Input, Notice, SPARES};
+use transaction::{Action as Step, Input, Notice, RESERVED_DESCRIPTORS};
 
 use super::{advice, life, pooled, Proxy, ToSuccessor};
 use crate::files;
@@ -106,9 +106,9 @@
                 // Before anything else that waits: it is in force now.
                 changes.inputs.push_front(Input::Applied { number, result });
             }
-            Step::Watch => changes.health.freeze(now),
-            Step::Settle => {
-                changes.health.thaw();
+            Step::Watch => changes.health.begin_comparison(now),
+            Step::EndWatch => {
+                changes.health.end_comparison();
                 self.listened = None;
                 self.clients.let_go(context);
             }
@@ -148,7 +148,7 @@
             self.clients.listen_again();
             self.listened = Some(std::mem::replace(&mut self.listen, effective.listen));
         }
-        let sockets = effective.sockets.saturating_sub(SPARES + pooled(&effective));
+        let sockets = effective.sockets.saturating_sub(RESERVED_DESCRIPTORS + pooled(&effective));
         self.clients.set_limit(sockets / 2, context);
         self.servers.set_limits(sockets - sockets / 2, effective.keepalive, connect_timeout);
         self.budget.resize(effective.memory / 2);
--- a/crates/daemon/src/net/proxy/sources.rs
+++ b/crates/daemon/src/net/proxy/sources.rs
@@ -15,7 +15,7 @@
         match &mut self.changes {
             None => self.members(kind, listings, context),
             Some(changes) => {
-                if let Some((kind, listings)) = changes.roster.fact(kind, listings) {
+                if let Some((kind, listings)) = changes.roster.apply_list(kind, listings) {
                     self.members(kind, listings, context);
                 }
             }
@@ -94,7 +94,7 @@
     /// Lays the operator's intents over the list.
     pub(super) fn intend(&mut self, effective: &Effective, context: &mut Context) {
         let Some(changes) = &mut self.changes else { return };
-        if let Some((kind, listings)) = changes.roster.intend(effective) {
+        if let Some((kind, listings)) = changes.roster.apply_intents(effective) {
             self.members(kind, listings, context);
         }
         let excluded = effective.document.overrides.iter().filter(|(_, wish)| **wish == Override::Exclude);
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -96,7 +96,7 @@
         }
         // The folder's own entry must outlast a crash as well.
         File::open(folder).and_then(|folder| folder.sync_all()).map_err(|error| named(folder, &error))?;
-        Ok((store, History::of(records), cut))
+        Ok((store, History::replay(records), cut))
     }
 
     /// Cuts off what is not known to be sound.
--- a/crates/steplog/tests/torn.rs
+++ b/crates/steplog/tests/torn.rs
@@ -2,7 +2,7 @@
 
 use operator::Document;
 use steplog::{frame, rewritten, scan, HEAD};
-use transaction::{Fate, History, Record};
+use transaction::{GenerationStatus, History, Record};
 
 fn steps() -> Vec<Record> {
     let mut document = Document::default();
@@ -35,7 +35,7 @@
         assert!(steps.starts_with(&scan.records));
         assert!(scan.sound <= cut);
         assert_eq!(scan.cut.is_none(), scan.sound == cut, "{cut}");
-        let confirmed = History::of(scan.records).confirmed().map(|generation| generation.number);
+        let confirmed = History::replay(scan.records).confirmed().map(|generation| generation.number);
         // The second generation holds only once its confirmation is there to the last byte.
         let expected = match cut {
             cut if cut == whole.len() => Some(2),
@@ -73,14 +73,14 @@
         text: "listen = \"127.0.0.1:9\"".into(),
     });
     steps.push(Record::Applied { number: 3 });
-    let history = History::of(steps);
-    let again = History::of(scan(&rewritten(&history)).unwrap().records);
+    let history = History::replay(steps);
+    let again = History::replay(scan(&rewritten(&history)).unwrap().records);
     assert_eq!(
         again.confirmed().map(|g| (g.number, g.digest)),
         history.confirmed().map(|g| (g.number, g.digest))
     );
     assert!(again.entries().eq(history.entries()));
-    assert_eq!(again.next(), 4);
-    assert_eq!(again.entries().last().map(|entry| entry.fate), Some(Fate::Applied));
-    assert_eq!(again.earlier(None).map(|g| g.number), Some(1));
+    assert_eq!(again.next_number(), 4);
+    assert_eq!(again.entries().last().map(|entry| entry.fate), Some(GenerationStatus::Applied));
+    assert_eq!(again.rollback_target(None).map(|g| g.number), Some(1));
 }
--- a/crates/transaction/benches/list.rs
+++ b/crates/transaction/benches/list.rs
@@ -6,7 +6,7 @@
 
 use config::Config;
 use operator::{read, Effective};
-use transaction::{check, MemberView, Roster, View};
+use transaction::{check, LiveMember, LiveState, Roster};
 
 const MEMBERS: usize = 10_000;
 const RUNS: usize = 21;
@@ -44,7 +44,7 @@
     timed("differences of documents", || old.differences(&new));
     let (old, new) = (Effective::new(&platform, old).unwrap(), Effective::new(&platform, new).unwrap());
     timed("differences of what is in force", || old.differences(&new));
-    let members = (0..MEMBERS).map(|n| MemberView {
+    let members = (0..MEMBERS).map(|n| LiveMember {
         name: format!("m-{n}"),
         group: n as u32 / 5,
         serving: true,
@@ -52,10 +52,10 @@
         primary: n % 5 == 0,
     });
     let traffic = (0..MEMBERS as u32 / 5).map(|group| (("a".to_string(), group), 10));
-    let view = View { members: members.collect(), traffic: traffic.collect(), ..View::default() };
+    let view = LiveState { members: members.collect(), traffic: traffic.collect(), ..LiveState::default() };
     let differences = old.differences(&new);
     timed("check", || check(&old, &new, &differences, &view));
     let mut roster = Roster::default();
-    roster.intend(&old);
-    timed("intents there and back", || (roster.intend(&new), roster.intend(&old)));
+    roster.apply_intents(&old);
+    timed("intents there and back", || (roster.apply_intents(&new), roster.apply_intents(&old)));
 }
--- a/crates/transaction/src/check.rs
+++ b/crates/transaction/src/check.rs
@@ -41,7 +41,7 @@
 
 /// A member as the daemon sees it now.
 #[derive(Clone, Debug)]
-pub struct MemberView {
+pub struct LiveMember {
     /// Its name.
     pub name: String,
     /// Its group.
@@ -56,15 +56,15 @@
 
 /// What a change is held against.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct LiveState {
     /// The members on the list in force.
-    pub members: Vec<MemberView>,
+    pub members: Vec<LiveMember>,
     /// Requests of the last minutes, by class and group.
     pub traffic: BTreeMap<(String, u32), u64>,
     /// Requests in hand, by class.
-    pub classes_in_hand: BTreeMap<String, u64>,
+    pub classes_in_flight: BTreeMap<String, u64>,
     /// Requests in hand, by tenant.
-    pub tenants_in_hand: BTreeMap<String, u64>,
+    pub tenants_in_flight: BTreeMap<String, u64>,
     /// Connections in use: of clients with a request, and to db machines with an attempt.
     pub clients_busy: usize,
     /// The same towards db machines.
@@ -74,7 +74,7 @@
 }
 
 /// Whether findings stand in the way of a change; a guarded one does not where its code is allowed.
-pub fn refused(findings: &[Finding], allow: &[String]) -> bool {
+pub fn is_refused(findings: &[Finding], allow: &[String]) -> bool {
     findings.iter().any(|finding| match finding.severity {
         Severity::Error => true,
         Severity::Guarded => !allow.iter().any(|code| code == finding.code),
@@ -83,7 +83,7 @@
 }
 
 /// Looks at what a change would do now; `differences` are those between the two.
-pub fn check(old: &Effective, new: &Effective, differences: &[Difference], view: &View) -> Vec<Finding> {
+pub fn check(old: &Effective, new: &Effective, differences: &[Difference], view: &LiveState) -> Vec<Finding> {
     let mut found = Findings(Vec::new());
     for difference in differences.iter().filter(|difference| difference.when == When::Start) {
         let absent = || "nothing".to_string();
@@ -132,7 +132,7 @@
     }
 }
 
-fn members(old: &Effective, new: &Effective, view: &View, found: &mut Findings) {
+fn members(old: &Effective, new: &Effective, view: &LiveState, found: &mut Findings) {
     let mut groups: BTreeMap<u32, Group> = BTreeMap::new();
     for member in &view.members {
         let group = groups.entry(member.group).or_default();
@@ -270,9 +270,9 @@
     out.map(|(_, warmth)| warmth).sum::<f64>() / all.max(1e-9)
 }
 
-fn requests(old: &Effective, new: &Effective, view: &View, found: &mut Findings) {
+fn requests(old: &Effective, new: &Effective, view: &LiveState, found: &mut Findings) {
     for class in old.classes.iter().filter(|class| !new.classes.contains(class)) {
-        let hand = view.classes_in_hand.get(class).copied().unwrap_or(0);
+        let hand = view.classes_in_flight.get(class).copied().unwrap_or(0);
         let lately: u64 = view.traffic.iter().filter(|((c, _), _)| c == class).map(|(_, n)| n).sum();
         if hand + lately > 0 {
             let what =
@@ -281,7 +281,7 @@
         }
     }
     for tenant in old.tenants.iter().filter(|tenant| !new.tenants.contains(tenant)) {
-        let hand = view.tenants_in_hand.get(tenant).copied().unwrap_or(0);
+        let hand = view.tenants_in_flight.get(tenant).copied().unwrap_or(0);
         if hand > 0 {
             let what = format!("tenant {tenant} would be gone, with {hand} requests in hand");
             found.add("tenant-in-use", Severity::Guarded, what);
@@ -303,9 +303,9 @@
     }
 }
 
-fn budgets(new: &Effective, view: &View, found: &mut Findings) {
+fn budgets(new: &Effective, view: &LiveState, found: &mut Findings) {
     // As the daemon divides them: 16 spares, half of the rest for clients, half of the memory for buffers.
-    let half = new.sockets.saturating_sub(SPARES) / 2;
+    let half = new.sockets.saturating_sub(RESERVED_DESCRIPTORS) / 2;
     for (side, busy) in [("clients", view.clients_busy), ("db machines", view.servers_busy)] {
         if busy > half {
             let what =
@@ -320,4 +320,4 @@
 }
 
 /// Descriptors kept for the listener, the poll, signals, the log, discovery's watch and surprises.
-pub const SPARES: usize = 16;
+pub const RESERVED_DESCRIPTORS: usize = 16;
--- a/crates/transaction/src/health.rs
+++ b/crates/transaction/src/health.rs
@@ -11,7 +11,7 @@
 use statrs::distribution::{ContinuousCDF, DiscreteCDF, Hypergeometric, Normal};
 
 /// Most pairs of a class and a group that are told apart; what comes beyond goes uncounted.
-pub const MOST_CELLS: usize = 2_048;
+pub const MAX_CELLS: usize = 2_048;
 /// Periods that the time before a change is made of; the oldest is forgotten as a new one begins.
 const SLICES: usize = 4;
 /// Length of a period of what is told as asked of late (seconds). The check looks at it: a group that writes
@@ -39,7 +39,7 @@
 
 /// How a request ended for its client, where it was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum RequestFailure {
     /// Refused.
     Refused,
     /// Failed.
@@ -85,15 +85,15 @@
 
 /// By what a probation is judged.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct HealthRules {
     /// Chance of a false alarm, over all comparisons of a probation.
     pub significance: f64,
     /// Least rise in a share of bad answers.
-    pub worse_by: f64,
+    pub min_increase: f64,
     /// Least requests in each period.
-    pub least: u64,
+    pub min_requests: u64,
     /// Looks taken in a probation.
-    pub looks: u32,
+    pub checks: u32,
 }
 
 /// What became of a comparison.
@@ -102,12 +102,12 @@
     /// Nothing is surely worse.
     Fine,
     /// Something is, and load does not explain it.
-    Worse(Judged),
+    Worse(Regression),
 }
 
 /// What was found worse.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Judged {
+pub struct Regression {
     /// The class, by the number it was noted under.
     pub class: u16,
     /// The group.
@@ -124,10 +124,10 @@
     pub chance: f64,
 }
 
-impl Judged {
+impl Regression {
     /// The same in words, with the class's name.
-    pub fn words(&self, class: &str) -> String {
-        let Judged { group, measure, before, after, requests: (old, new), chance, .. } = self;
+    pub fn describe(&self, class: &str) -> String {
+        let Regression { group, measure, before, after, requests: (old, new), chance, .. } = self;
         let unit = if *measure == "latency" { " s" } else { "" };
         format!(
             "{measure} of class {class} in group {group} went from {before:.4}{unit} to {after:.4}{unit} \
@@ -168,13 +168,21 @@
     }
 
     /// Takes in how a request ended: none for one that was served, after so long (seconds).
-    pub fn note(&mut self, now: f64, class: u16, group: u32, repeat: bool, bad: Option<Bad>, took: f64) {
+    pub fn record(
+        &mut self,
+        now: f64,
+        class: u16,
+        group: u32,
+        repeat: bool,
+        bad: Option<RequestFailure>,
+        took: f64,
+    ) {
         if now >= self.lately_from + LATELY {
             self.lately.swap(0, 1);
             self.lately[0].clear();
             self.lately_from = now;
         }
-        if self.lately[0].len() < MOST_CELLS || self.lately[0].contains_key(&(class, group)) {
+        if self.lately[0].len() < MAX_CELLS || self.lately[0].contains_key(&(class, group)) {
             *self.lately[0].entry((class, group)).or_insert(0) += 1;
         }
         // While a change is watched, all since it is one period.
@@ -185,14 +193,14 @@
             self.slices.push((now, Cells::new()));
         }
         let Some((_, cells)) = self.slices.last_mut() else { return };
-        if cells.len() >= MOST_CELLS && !cells.contains_key(&(class, group)) {
+        if cells.len() >= MAX_CELLS && !cells.contains_key(&(class, group)) {
             return;
         }
         let counts = cells.entry((class, group)).or_default();
         counts.first += u64::from(!repeat);
         match bad {
-            Some(Bad::Refused) => counts.refused += 1,
-            Some(Bad::Failed) => counts.failed += 1,
+            Some(RequestFailure::Refused) => counts.refused += 1,
+            Some(RequestFailure::Failed) => counts.failed += 1,
             None => {
                 counts.good += 1;
                 counts.latency[bucket(took)] += 1;
@@ -201,7 +209,7 @@
     }
 
     /// A change is in force from now on: what came before is kept to be compared with.
-    pub fn freeze(&mut self, now: f64) {
+    pub fn begin_comparison(&mut self, now: f64) {
         let from = self.slices.first().map_or(self.begun, |(from, _)| *from);
         let mut cells = Cells::new();
         for (_, slice) in self.slices.drain(..) {
@@ -214,7 +222,7 @@
     }
 
     /// The change is watched no more; what has come since it is what the next is compared with.
-    pub fn thaw(&mut self) {
+    pub fn end_comparison(&mut self) {
         self.frozen = None;
     }
 
@@ -224,25 +232,26 @@
     }
 
     /// Compares what has come since the change with what came before it.
-    pub fn judge(&self, now: f64, rules: &Rules) -> Verdict {
+    pub fn judge(&self, now: f64, rules: &HealthRules) -> Verdict {
         let (Some(before), Some((_, after))) = (&self.frozen, self.slices.last()) else {
             return Verdict::Fine;
         };
         let lengths = (before.length.max(1e-3), (now - before.since).max(1e-3));
         let enough = |(cell, new): &(&(u16, u32), &Counts)| {
             let old = before.cells.get(*cell).map_or(0, Counts::all);
-            old >= rules.least && new.all() >= rules.least
+            old >= rules.min_requests && new.all() >= rules.min_requests
         };
         let compared: Vec<_> = after.iter().filter(enough).collect();
-        let limit = rules.significance / (3.0 * compared.len().max(1) as f64 * f64::from(rules.looks.max(1)));
-        let mut worst: Option<Judged> = None;
+        let limit =
+            rules.significance / (3.0 * compared.len().max(1) as f64 * f64::from(rules.checks.max(1)));
+        let mut worst: Option<Regression> = None;
         for (&(class, group), new) in &compared {
             let Some(old) = before.cells.get(&(class, group)) else { continue };
             for (measure, was, is) in
                 [("refused", old.refused, new.refused), ("failed", old.failed, new.failed)]
             {
                 let shares = (was as f64 / old.all() as f64, is as f64 / new.all() as f64);
-                if shares.1 - shares.0 < rules.worse_by {
+                if shares.1 - shares.0 < rules.min_increase {
                     continue;
                 }
                 let chance = rise(was, old.all(), is, new.all());
@@ -251,14 +260,14 @@
                 }
                 let requests = (old.all(), new.all());
                 let judged =
-                    Judged { class, group, measure, before: shares.0, after: shares.1, requests, chance };
+                    Regression { class, group, measure, before: shares.0, after: shares.1, requests, chance };
                 if worst.as_ref().is_none_or(|worst| judged.chance < worst.chance) {
                     worst = Some(judged);
                 }
             }
             let (was, is) = (old.median(), new.median());
-            if old.good >= rules.least
-                && new.good >= rules.least
+            if old.good >= rules.min_requests
+                && new.good >= rules.min_requests
                 && is >= was + SLOWER_BUCKETS
                 && upper(is) > NEGLIGIBLE
             {
@@ -269,7 +278,7 @@
                     let (before, after) = (upper(was), upper(is));
                     let requests = (old.good, new.good);
                     let measure = "latency";
-                    worst = Some(Judged { class, group, measure, before, after, requests, chance });
+                    worst = Some(Regression { class, group, measure, before, after, requests, chance });
                 }
             }
         }
--- a/crates/transaction/src/history.rs
+++ b/crates/transaction/src/history.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Most generations that are remembered, and of how many confirmed ones the document is kept.
-pub const MOST_ENTRIES: usize = 64;
+pub const MAX_ENTRIES: usize = 64;
 const MOST_DOCUMENTS: usize = 4;
 
 /// One configuration with its number.
@@ -35,7 +35,7 @@
 /// What became of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Fate {
+pub enum GenerationStatus {
     /// On record, not in force yet.
     Staged,
     /// In force, on probation.
@@ -58,7 +58,7 @@
     /// When it was staged (Unix seconds).
     pub at: f64,
     /// What became of it.
-    pub fate: Fate,
+    pub fate: GenerationStatus,
     /// Why it was undone; empty where it was not.
     pub why: String,
 }
@@ -105,45 +105,47 @@
 
 /// On what a daemon comes up.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct StartupPlan {
     /// The generation.
     pub generation: Arc<Generation>,
     /// Steps to be put on record for it; none for one that stands there already.
     pub records: Vec<Record>,
     /// What the operator must be told, if anything.
-    pub loud: Option<String>,
+    pub warning: Option<String>,
 }
 
 impl History {
     /// Adds up steps in their order. A step that cannot follow from those before it changes nothing.
-    pub fn of(records: impl IntoIterator<Item = Record>) -> History {
+    pub fn replay(records: impl IntoIterator<Item = Record>) -> History {
         let mut history = History::default();
-        records.into_iter().for_each(|record| history.take(&record));
+        records.into_iter().for_each(|record| history.apply(&record));
         history
     }
 
     /// Adds one step.
-    pub fn take(&mut self, record: &Record) {
+    pub fn apply(&mut self, record: &Record) {
         match record {
             Record::Staged { number, at, note, text } if *number > self.last => {
                 let Ok(document) = operator::read(text.as_bytes()) else { return };
                 self.stage(Generation::new(*number, Arc::new(document), note.clone(), *at));
             }
-            Record::Applied { number } if self.is_open(*number) => self.mark(*number, Fate::Applied, ""),
+            Record::Applied { number } if self.is_open(*number) => {
+                self.mark(*number, GenerationStatus::Applied, "")
+            }
             Record::Confirmed { number } if self.is_open(*number) => {
-                self.mark(*number, Fate::Confirmed, "");
+                self.mark(*number, GenerationStatus::Confirmed, "");
                 self.confirmed.extend(self.open.take());
                 while self.confirmed.len() > MOST_DOCUMENTS {
                     self.confirmed.pop_front();
                 }
             }
             Record::RolledBack { number, why } if self.is_open(*number) => {
-                self.mark(*number, Fate::RolledBack, why);
+                self.mark(*number, GenerationStatus::RolledBack, why);
                 self.open = None;
             }
             // A confirmation whose record was not sure, and which therefore does not stand.
             Record::RolledBack { number, why } if self.open.is_none() && self.is_newest(*number) => {
-                self.mark(*number, Fate::RolledBack, why);
+                self.mark(*number, GenerationStatus::RolledBack, why);
                 self.confirmed.pop_back();
             }
             Record::Snapshot { entries, documents, next } => {
@@ -152,7 +154,7 @@
                     let document = Arc::new(operator::read(text.as_bytes()).ok()?);
                     Some(Generation::new(*number, document, entry.note.clone(), entry.at))
                 };
-                self.entries = entries.iter().rev().take(MOST_ENTRIES).rev().cloned().collect();
+                self.entries = entries.iter().rev().take(MAX_ENTRIES).rev().cloned().collect();
                 self.confirmed = documents.iter().filter_map(generation).collect();
                 (self.open, self.last) = (None, *next);
             }
@@ -169,10 +171,10 @@
             digest: generation.digest.to_string(),
             note: generation.note.clone(),
             at: generation.at,
-            fate: Fate::Staged,
+            fate: GenerationStatus::Staged,
             why: String::new(),
         });
-        while self.entries.len() > MOST_ENTRIES {
+        while self.entries.len() > MAX_ENTRIES {
             self.entries.pop_front();
         }
         self.open = Some(generation);
@@ -186,7 +188,7 @@
         self.confirmed.len() > 1 && self.confirmed().is_some_and(|newest| newest.number == number)
     }
 
-    fn mark(&mut self, number: u64, fate: Fate, why: &str) {
+    fn mark(&mut self, number: u64, fate: GenerationStatus, why: &str) {
         if let Some(entry) = self.entries.iter_mut().find(|entry| entry.number == number) {
             (entry.fate, entry.why) = (fate, why.into());
         }
@@ -194,7 +196,7 @@
 
     fn close(&mut self, why: &str) {
         if let Some(open) = self.open.take() {
-            self.mark(open.number, Fate::RolledBack, why);
+            self.mark(open.number, GenerationStatus::RolledBack, why);
         }
     }
 
@@ -213,7 +215,7 @@
         let Some(open) = &self.open else { return Vec::new() };
         let text = open.document.text();
         let staged = Record::Staged { number: open.number, at: open.at, note: open.note.clone(), text };
-        let applied = self.entries.back().is_some_and(|entry| entry.fate == Fate::Applied);
+        let applied = self.entries.back().is_some_and(|entry| entry.fate == GenerationStatus::Applied);
         let applied = applied.then_some(Record::Applied { number: open.number });
         std::iter::once(staged).chain(applied).collect()
     }
@@ -229,7 +231,7 @@
     }
 
     /// A confirmed generation whose document is still kept: that of a number, or the one before the newest.
-    pub fn earlier(&self, number: Option<u64>) -> Option<&Arc<Generation>> {
+    pub fn rollback_target(&self, number: Option<u64>) -> Option<&Arc<Generation>> {
         match number {
             Some(number) => self.confirmed.iter().find(|generation| generation.number == number),
             None => self.confirmed.iter().rev().nth(1),
@@ -237,29 +239,29 @@
     }
 
     /// The number that comes next.
-    pub fn next(&self) -> u64 {
+    pub fn next_number(&self) -> u64 {
         self.last + 1
     }
 
     /// On which generation to come up: the last confirmed one, unless the file says something that history has
     /// never seen. A file that is bad, that was undone, or whose probation a crash cut short, does not count,
     /// nor does one that a later change has taken the place of.
-    pub fn start(&self, file: Result<Document, String>, now: f64) -> Start {
+    pub fn plan_startup(&self, file: Result<Document, String>, now: f64) -> StartupPlan {
         let new = |document: Document, note: &str| {
-            let generation = Generation::new(self.next(), Arc::new(document), note.into(), now);
+            let generation = Generation::new(self.next_number(), Arc::new(document), note.into(), now);
             let (number, text) = (generation.number, generation.document.text());
             let staged = Record::Staged { number, at: now, note: note.into(), text };
-            Start { records: vec![staged, Record::Confirmed { number }], generation, loud: None }
+            StartupPlan { records: vec![staged, Record::Confirmed { number }], generation, warning: None }
         };
-        let kept = |confirmed: &Arc<Generation>, loud: Option<String>| Start {
+        let kept = |confirmed: &Arc<Generation>, loud: Option<String>| StartupPlan {
             generation: confirmed.clone(),
             records: Vec::new(),
-            loud,
+            warning: loud,
         };
         match (file, self.confirmed()) {
             (Ok(document), None) => new(document, "first start"),
-            (Err(fault), None) => Start {
-                loud: Some(format!("the operator file is not used, and no earlier one is kept: {fault}")),
+            (Err(fault), None) => StartupPlan {
+                warning: Some(format!("the operator file is not used, and no earlier one is kept: {fault}")),
                 ..new(Document::default(), "defaults: the file is not used")
             },
             (Err(fault), Some(confirmed)) => {
@@ -278,10 +280,12 @@
                 let number = confirmed.number;
                 let why = match known.map(|entry| (entry.number, entry.fate)) {
                     None => return new(document, "changed while the daemon was down"),
-                    Some((n, Fate::Confirmed)) => {
+                    Some((n, GenerationStatus::Confirmed)) => {
                         format!("holds generation {n}, which {number} has replaced")
                     }
-                    Some((n, Fate::RolledBack)) => format!("holds generation {n}, which was rolled back"),
+                    Some((n, GenerationStatus::RolledBack)) => {
+                        format!("holds generation {n}, which was rolled back")
+                    }
                     Some((n, _)) => format!("holds generation {n}, which was never confirmed"),
                 };
                 kept(confirmed, Some(format!("the operator file {why}; generation {number} holds")))
--- a/crates/transaction/src/machine.rs
+++ b/crates/transaction/src/machine.rs
@@ -11,14 +11,14 @@
 
 use operator::Document;
 
-use crate::check::{refused, Finding};
-use crate::history::{Entry, Fate, Generation, History, Record};
+use crate::check::{is_refused, Finding};
+use crate::history::{Entry, Generation, GenerationStatus, History, Record};
 
 /// How often health is looked at during a probation (seconds): a rollback begins this long after what it is
 /// for has become sure.
-pub const TURN: f64 = 0.25;
+pub const HEALTH_CHECK_INTERVAL: f64 = 0.25;
 /// Longest note of an author (bytes); the rest is cut.
-pub const LONGEST_NOTE: usize = 200;
+pub const MAX_NOTE_BYTES: usize = 200;
 
 /// Whoever waits for what becomes of a call; opaque.
 pub type Caller = u64;
@@ -86,24 +86,24 @@
 
 /// Why a change was undone.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Why {
+pub enum RollbackReason {
     /// Health has worsened, by this.
-    Worse(String),
+    HealthWorsened(String),
     /// Nobody confirmed it in time.
-    NoWord,
+    NotConfirmed,
     /// The operator asked for it.
-    Asked,
+    Requested,
     /// A step cannot be put on record.
-    Record(String),
+    RecordFailed(String),
 }
 
-impl std::fmt::Display for Why {
+impl std::fmt::Display for RollbackReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Why::Worse(what) => write!(f, "health worsened: {what}"),
-            Why::NoWord => f.write_str("not confirmed in time"),
-            Why::Asked => f.write_str("asked for"),
-            Why::Record(what) => write!(f, "the history cannot be written: {what}"),
+            RollbackReason::HealthWorsened(what) => write!(f, "health worsened: {what}"),
+            RollbackReason::NotConfirmed => f.write_str("not confirmed in time"),
+            RollbackReason::Requested => f.write_str("asked for"),
+            RollbackReason::RecordFailed(what) => write!(f, "the history cannot be written: {what}"),
         }
     }
 }
@@ -133,7 +133,7 @@
         /// What holds.
         to: u64,
         /// Why.
-        why: Why,
+        why: RollbackReason,
     },
     /// It could not be taken; nothing has changed.
     NotTaken(String),
@@ -153,7 +153,7 @@
     /// It stands.
     Confirmed(u64),
     /// Undone: what, what holds again, why.
-    RolledBack(u64, u64, Why),
+    RolledBack(u64, u64, RollbackReason),
     /// Not taken; why.
     NotTaken(u64, String),
 }
@@ -173,7 +173,7 @@
     /// Compare health from now on with what it was.
     Watch,
     /// Compare it no more, and let go of what was kept to undo the change.
-    Settle,
+    EndWatch,
     /// Tell the time at this time.
     Timer(f64),
     /// Answer a caller.
@@ -196,7 +196,7 @@
     /// Its confirmation is being put on record.
     Confirming,
     /// Being undone.
-    Reverting(Why),
+    Reverting(RollbackReason),
 }
 
 struct Candidate {
@@ -211,7 +211,7 @@
 }
 
 /// One change at a time.
-pub struct Machine {
+pub struct StateMachine {
     history: History,
     /// The generation that holds whatever breaks off.
     base: Arc<Generation>,
@@ -220,10 +220,10 @@
     steps: u64,
 }
 
-impl Machine {
+impl StateMachine {
     /// Nothing under way; `base` is in force and confirmed.
-    pub fn new(history: History, base: Arc<Generation>) -> Machine {
-        Machine { history, base, candidate: None, stage: Stage::Idle, steps: 0 }
+    pub fn new(history: History, base: Arc<Generation>) -> StateMachine {
+        StateMachine { history, base, candidate: None, stage: Stage::Idle, steps: 0 }
     }
 
     /// Where the change under way stands.
@@ -254,8 +254,8 @@
     pub fn entries(&self) -> impl DoubleEndedIterator<Item = Entry> + '_ {
         let open = self.candidate.as_ref().map(|candidate| candidate.generation.number);
         self.history.entries().cloned().map(move |entry| {
-            let early = entry.fate == Fate::Confirmed && open == Some(entry.number);
-            Entry { fate: if early { Fate::Applied } else { entry.fate }, ..entry }
+            let early = entry.fate == GenerationStatus::Confirmed && open == Some(entry.number);
+            Entry { fate: if early { GenerationStatus::Applied } else { entry.fate }, ..entry }
         })
     }
 
@@ -274,18 +274,18 @@
                 if let Some(candidate) = &mut self.candidate {
                     candidate.ender = caller;
                 }
-                self.revert(Why::Asked, out);
+                self.revert(RollbackReason::Requested, out);
             }
             Input::Time(worse) => {
                 let Stage::Probation(until) = self.stage else { return };
                 if let Some(what) = worse {
-                    return self.revert(Why::Worse(what), out);
+                    return self.revert(RollbackReason::HealthWorsened(what), out);
                 }
                 if now < until {
-                    return out.push(Action::Timer((now + TURN).min(until)));
+                    return out.push(Action::Timer((now + HEALTH_CHECK_INTERVAL).min(until)));
                 }
                 match self.candidate.as_ref().map(|candidate| candidate.mode) {
-                    Some(Mode::Manual(_)) => self.revert(Why::NoWord, out),
+                    Some(Mode::Manual(_)) => self.revert(RollbackReason::NotConfirmed, out),
                     _ => self.seal(out),
                 }
             }
@@ -303,14 +303,14 @@
         if digest == self.base.digest {
             return reply(caller, Outcome::Unchanged(self.base.number), out);
         }
-        if refused(&findings, &allow) {
+        if is_refused(&findings, &allow) {
             let codes = findings.iter().map(|finding| finding.code).collect();
             out.push(Action::Notice(Notice::Refused(codes)));
             return reply(caller, Outcome::Refused(findings), out);
         }
         let mut note = note;
-        note.truncate((0..=LONGEST_NOTE).rev().find(|at| note.is_char_boundary(*at)).unwrap_or(0));
-        let (number, text) = (self.history.next(), document.text());
+        note.truncate((0..=MAX_NOTE_BYTES).rev().find(|at| note.is_char_boundary(*at)).unwrap_or(0));
+        let (number, text) = (self.history.next_number(), document.text());
         let generation = Arc::new(Generation { number, digest, note: note.clone(), at: now, document });
         self.history.stage(generation.clone());
         self.candidate = Some(Candidate { generation, mode, caller, ender: None, step: 0 });
@@ -323,7 +323,7 @@
         self.steps += 1;
         // What is staged has been added as it is, without being read back from its text.
         if !matches!(record, Record::Staged { .. }) {
-            self.history.take(&record);
+            self.history.apply(&record);
         }
         if let Some(candidate) = &mut self.candidate {
             candidate.step = self.steps;
@@ -353,12 +353,14 @@
             (Stage::Confirming, Ok(())) => {
                 let ender = candidate.ender.take();
                 (self.base, self.candidate, self.stage) = (generation, None, Stage::Idle);
-                out.push(Action::Settle);
+                out.push(Action::EndWatch);
                 out.push(Action::Notice(Notice::Confirmed(number)));
                 reply(ender, Outcome::Confirmed(number), out);
             }
             // What is not on record would not be there after a crash: it does not stand.
-            (Stage::Probation(_) | Stage::Confirming, Err(what)) => self.revert(Why::Record(what), out),
+            (Stage::Probation(_) | Stage::Confirming, Err(what)) => {
+                self.revert(RollbackReason::RecordFailed(what), out)
+            }
             _ => {}
         }
     }
@@ -372,7 +374,7 @@
                     self.stage = Stage::Probation(now + time);
                     out.push(Action::Watch);
                     out.push(Action::Notice(Notice::Applied(number)));
-                    out.push(Action::Timer(now + time.min(TURN)));
+                    out.push(Action::Timer(now + time.min(HEALTH_CHECK_INTERVAL)));
                     self.persist(Record::Applied { number }, out);
                 }
                 Err(what) => self.drop_candidate(what, out),
@@ -381,13 +383,15 @@
                 let why = match result {
                     Ok(()) => why.clone(),
                     // The old one cannot be had back: told, since the new one would be no better.
-                    Err(what) => Why::Record(format!("{why}; and part of the old one is not back: {what}")),
+                    Err(what) => RollbackReason::RecordFailed(format!(
+                        "{why}; and part of the old one is not back: {what}"
+                    )),
                 };
                 let Some(candidate) = self.candidate.take() else { return };
                 let (undone, to) = (candidate.generation.number, self.base.number);
                 self.stage = Stage::Idle;
                 self.persist(Record::RolledBack { number: undone, why: why.to_string() }, out);
-                out.push(Action::Settle);
+                out.push(Action::EndWatch);
                 out.push(Action::Notice(Notice::RolledBack(undone, to, why.clone())));
                 let outcome = Outcome::RolledBack { number: undone, to, why };
                 reply(candidate.caller, outcome.clone(), out);
@@ -429,7 +433,7 @@
         self.persist(Record::Confirmed { number }, out);
     }
 
-    fn revert(&mut self, why: Why, out: &mut Vec<Action>) {
+    fn revert(&mut self, why: RollbackReason, out: &mut Vec<Action>) {
         self.stage = Stage::Reverting(why);
         out.push(Action::Apply(self.base.clone()));
     }
--- a/crates/transaction/src/roster.rs
+++ b/crates/transaction/src/roster.rs
@@ -22,7 +22,7 @@
 impl Roster {
     /// Takes in what discovery tells; what the decisions are to be told of it. With a static list in force
     /// that is nothing, but it is remembered.
-    pub fn fact(&mut self, kind: ListKind, listings: Vec<Listing>) -> Option<(ListKind, Vec<Listing>)> {
+    pub fn apply_list(&mut self, kind: ListKind, listings: Vec<Listing>) -> Option<(ListKind, Vec<Listing>)> {
         if !kind.is_news() {
             return self.fixed.is_none().then_some((kind, Vec::new()));
         }
@@ -50,7 +50,7 @@
 
     /// Takes the intents of a configuration in place of those before; what the decisions are to be told.
     /// Nothing where nothing has changed for any member.
-    pub fn intend(&mut self, effective: &Effective) -> Option<(ListKind, Vec<Listing>)> {
+    pub fn apply_intents(&mut self, effective: &Effective) -> Option<(ListKind, Vec<Listing>)> {
         let wanted = effective.document.overrides.iter().map(|(name, wish)| (name.as_str().into(), *wish));
         self.overrides = wanted.collect();
         let fixed: BTreeMap<MemberId, Listing> =
@@ -74,7 +74,7 @@
     }
 
     /// Whether the operator's own list is in force.
-    pub fn is_fixed(&self) -> bool {
+    pub fn has_static_list(&self) -> bool {
         self.fixed.is_some()
     }
 
--- a/crates/transaction/tests/check.rs
+++ b/crates/transaction/tests/check.rs
@@ -3,7 +3,7 @@
 use config::Config;
 use operator::{read, Effective};
 use rstest::rstest;
-use transaction::{check, refused, Finding, MemberView, Severity, View};
+use transaction::{check, is_refused, Finding, LiveMember, LiveState, Severity};
 
 const PLATFORM: &str = r#"{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7f",
     "limits":{"memory_mb":64,"sockets":512},"settings":{"classes":[
@@ -17,22 +17,22 @@
     Effective::new(&Config::parse(PLATFORM).unwrap(), document).unwrap()
 }
 
-fn member(name: &str, group: u32) -> MemberView {
-    MemberView { name: name.into(), group, serving: true, warmth: 1.0, primary: name.ends_with('1') }
+fn member(name: &str, group: u32) -> LiveMember {
+    LiveMember { name: name.into(), group, serving: true, warmth: 1.0, primary: name.ends_with('1') }
 }
 
 /// Two groups of three, with traffic of both kinds.
-fn view() -> View {
+fn view() -> LiveState {
     let members = (0..2).flat_map(|group| (1..=3).map(move |n| member(&format!("s-{group}{n}"), group)));
     let traffic = [("browse", 0), ("order", 0), ("browse", 1), ("order", 1)];
-    View {
+    LiveState {
         members: members.collect(),
         traffic: traffic.iter().map(|(class, group)| ((class.to_string(), *group), 100)).collect(),
-        ..View::default()
+        ..LiveState::default()
     }
 }
 
-fn found(old: &str, new: &str, view: &View) -> Vec<Finding> {
+fn found(old: &str, new: &str, view: &LiveState) -> Vec<Finding> {
     let (old, new) = (effective(old), effective(new));
     check(&old, &new, &old.differences(&new), view)
 }
@@ -74,13 +74,13 @@
     let last = findings.iter().find(|finding| finding.code == "last-primary").unwrap();
     assert!(last.what.contains("group 0") && last.what.contains("100 requests"), "{}", last.what);
     let allow: Vec<String> = findings.iter().map(|finding| finding.code.to_string()).collect();
-    assert!(refused(&findings, &allow));
+    assert!(is_refused(&findings, &allow));
     // A group that nobody asks a primary of can be emptied, by name.
-    let quiet = View { traffic: Default::default(), ..view() };
+    let quiet = LiveState { traffic: Default::default(), ..view() };
     let findings = found("", ALL_OF_0, &quiet);
     assert!(codes(&findings).contains(&"group-emptied"));
-    assert!(refused(&findings, &[]));
-    assert!(!refused(&findings, &["group-emptied".to_string(), "members-share".to_string()]));
+    assert!(is_refused(&findings, &[]));
+    assert!(!is_refused(&findings, &["group-emptied".to_string(), "members-share".to_string()]));
 }
 
 #[test]
@@ -111,8 +111,8 @@
 #[test]
 fn nothing_in_hand_vanishes_unseen_and_no_budget_falls_below_its_use() {
     let mut view = view();
-    view.tenants_in_hand.insert("acme".into(), 4);
-    view.classes_in_hand.insert("order".into(), 3);
+    view.tenants_in_flight.insert("acme".into(), 4);
+    view.classes_in_flight.insert("order".into(), 3);
     let findings = found("", "[tenant.acme]\nretired = true\n[class.order]\nretired = true", &view);
     assert!(findings.iter().any(|f| f.code == "tenant-in-use" && f.what.contains("4 requests in hand")));
     assert!(findings
--- a/crates/transaction/tests/explored.rs
+++ b/crates/transaction/tests/explored.rs
@@ -10,8 +10,8 @@
 use proptest::prelude::*;
 use routing::interface::{ListKind, Phase};
 use transaction::{
-    Action, Fate, Finding, Generation, Health, History, Input, Machine, Mode, Outcome, Proposal, Record,
-    Roster, Severity, Stage,
+    Action, Finding, Generation, GenerationStatus, Health, History, Input, Mode, Outcome, Proposal, Record,
+    Roster, Severity, Stage, StateMachine,
 };
 
 const PLATFORM: &str = r#"{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7f",
@@ -59,7 +59,7 @@
 /// A daemon as far as a transaction touches it.
 struct Daemon {
     platform: Config,
-    machine: Machine,
+    machine: StateMachine,
     now: f64,
     disk: Vec<Record>,
     waiting: Vec<(u64, Record)>,
@@ -84,10 +84,10 @@
 
 impl Daemon {
     fn new() -> Daemon {
-        let start = History::default().start(Ok(Document::default()), 0.0);
+        let start = History::default().plan_startup(Ok(Document::default()), 0.0);
         let mut daemon = Daemon {
             platform: Config::parse(PLATFORM).unwrap(),
-            machine: Machine::new(History::of(start.records.clone()), start.generation.clone()),
+            machine: StateMachine::new(History::replay(start.records.clone()), start.generation.clone()),
             now: 0.0,
             disk: start.records,
             waiting: Vec::new(),
@@ -114,7 +114,7 @@
         self.attempts = effective.settings.max_attempts;
         self.overrides = effective.document.overrides.keys().cloned().collect();
         self.in_force = generation.number;
-        let news = self.roster.intend(&effective);
+        let news = self.roster.apply_intents(&effective);
         self.tell(news);
     }
 
@@ -132,7 +132,7 @@
         let name = format!("s-{member}");
         let phase = if drains { Phase::Leaving } else { Phase::Active };
         self.facts.insert(name.clone(), drains);
-        let news = self.roster.fact(ListKind::Incremental, vec![listing(&name, phase)]);
+        let news = self.roster.apply_list(ListKind::Incremental, vec![listing(&name, phase)]);
         self.tell(news);
     }
 
@@ -144,7 +144,7 @@
                 Action::Persist { step, record } => self.waiting.push((step, record)),
                 Action::Apply(generation) => self.to_apply = Some(generation),
                 Action::Reply(_, outcome) => self.replies.push(outcome),
-                Action::Watch | Action::Settle | Action::Timer(_) | Action::Notice(_) => {}
+                Action::Watch | Action::EndWatch | Action::Timer(_) | Action::Notice(_) => {}
             }
         }
     }
@@ -213,17 +213,18 @@
                 }
                 self.waiting.clear();
                 self.to_apply = None;
-                let history = History::of(self.disk.clone());
+                let history = History::replay(self.disk.clone());
                 let before = self.in_force;
                 let base = self.machine.base().number;
-                let start = history.start(Ok(Document::default()), self.now);
+                let start = history.plan_startup(Ok(Document::default()), self.now);
                 assert!(history.confirmed().is_some());
                 assert!(start.generation.number == base || start.generation.number == before);
                 if let Some(Record::Confirmed { number }) = self.disk.last() {
                     self.confirmed.insert(*number);
                 }
                 self.disk.extend(start.records.iter().cloned());
-                self.machine = Machine::new(History::of(self.disk.clone()), start.generation.clone());
+                self.machine =
+                    StateMachine::new(History::replay(self.disk.clone()), start.generation.clone());
                 // The list is told anew; facts are facts.
                 self.roster = Roster::default();
                 self.told.clear();
@@ -257,7 +258,7 @@
             assert!(self.confirmed.contains(&self.in_force), "{} was never confirmed", self.in_force);
         }
         // What people are told stands is on disk.
-        let told = self.machine.entries().filter(|entry| entry.fate == Fate::Confirmed);
+        let told = self.machine.entries().filter(|entry| entry.fate == GenerationStatus::Confirmed);
         told.for_each(|entry| assert!(self.confirmed.contains(&entry.number), "{} is told", entry.number));
         // No change and no rollback makes a draining member take work again.
         for (name, drains) in &self.facts {
@@ -267,7 +268,7 @@
                 assert_eq!(self.told.get(name), Some(&Phase::Active), "{name} was forgotten");
             }
         }
-        assert!(self.machine.history().entries().count() <= transaction::MOST_ENTRIES);
+        assert!(self.machine.history().entries().count() <= transaction::MAX_ENTRIES);
     }
 }
 
@@ -296,7 +297,7 @@
 fn health_is_counted_within_bounds() {
     let mut health = Health::new(0.0, 10.0);
     for n in 0..10_000u32 {
-        health.note(f64::from(n) * 0.01, (n % 100) as u16, n, false, None, 0.01);
+        health.record(f64::from(n) * 0.01, (n % 100) as u16, n, false, None, 0.01);
     }
-    assert!(health.traffic().count() <= 5 * transaction::MOST_CELLS);
+    assert!(health.traffic().count() <= 5 * transaction::MAX_CELLS);
 }
--- a/crates/transaction/tests/health.rs
+++ b/crates/transaction/tests/health.rs
@@ -1,8 +1,9 @@
 //! What counts as worse, and what does not. All randomness is seeded.
 
-use transaction::{Bad, Health, Rules, Verdict};
+use transaction::{Health, HealthRules, RequestFailure, Verdict};
 
-const RULES: Rules = Rules { significance: 0.001, worse_by: 0.05, least: 30, looks: 60 };
+const RULES: HealthRules =
+    HealthRules { significance: 0.001, min_increase: 0.05, min_requests: 30, checks: 60 };
 /// Before the change and since, in seconds.
 const BEFORE: f64 = 15.0;
 const SINCE: f64 = 10.0;
@@ -23,12 +24,12 @@
     class: u16,
     rate: f64,
     bad: f64,
-    kind: Bad,
+    kind: RequestFailure,
     latency: f64,
 }
 
 fn cell(class: u16, rate: f64, bad: f64) -> Cell {
-    Cell { class, rate, bad, kind: Bad::Refused, latency: 0.01 }
+    Cell { class, rate, bad, kind: RequestFailure::Refused, latency: 0.01 }
 }
 
 fn play(health: &mut Health, draw: &mut Draw, from: f64, to: f64, cells: &[Cell]) {
@@ -41,7 +42,7 @@
             }
             let bad = (draw.part() < cell.bad).then_some(cell.kind);
             let took = -(1.0 - draw.part()).ln() * cell.latency;
-            health.note(now, cell.class, 3, false, bad, took);
+            health.record(now, cell.class, 3, false, bad, took);
         }
     }
 }
@@ -49,7 +50,7 @@
 fn judge(seed: u64, before: &[Cell], since: &[Cell]) -> Verdict {
     let (mut health, mut draw) = (Health::new(0.0, BEFORE), Draw(seed));
     play(&mut health, &mut draw, 0.0, BEFORE, before);
-    health.freeze(BEFORE);
+    health.begin_comparison(BEFORE);
     play(&mut health, &mut draw, BEFORE, BEFORE + SINCE, since);
     health.judge(BEFORE + SINCE, &RULES)
 }
@@ -71,7 +72,7 @@
 #[test]
 fn a_small_class_that_alone_fares_worse_is_found() {
     let before = [cell(0, 500.0, 0.01), cell(1, 6.0, 0.0)];
-    let since = [cell(0, 500.0, 0.01), Cell { kind: Bad::Failed, ..cell(1, 6.0, 0.8) }];
+    let since = [cell(0, 500.0, 0.01), Cell { kind: RequestFailure::Failed, ..cell(1, 6.0, 0.8) }];
     for seed in 0..50 {
         assert_eq!(measure(judge(seed, &before, &since)), Some((1, "failed")), "{seed}");
     }
@@ -114,13 +115,13 @@
 fn refusals_that_bring_repeats_are_no_rise_of_load() {
     let (mut health, mut draw) = (Health::new(0.0, BEFORE), Draw(1));
     play(&mut health, &mut draw, 0.0, BEFORE, &[cell(0, 100.0, 0.0)]);
-    health.freeze(BEFORE);
+    health.begin_comparison(BEFORE);
     // Half are refused, each comes again twice, in vain.
     for n in 0..1_000 {
         let now = BEFORE + f64::from(n) / 100.0;
-        let bad = (n % 2 == 0).then_some(Bad::Refused);
-        health.note(now, 0, 3, false, bad, 0.01);
-        (0..2).filter(|_| bad.is_some()).for_each(|_| health.note(now, 0, 3, true, bad, 0.01));
+        let bad = (n % 2 == 0).then_some(RequestFailure::Refused);
+        health.record(now, 0, 3, false, bad, 0.01);
+        (0..2).filter(|_| bad.is_some()).for_each(|_| health.record(now, 0, 3, true, bad, 0.01));
     }
     assert_eq!(measure(health.judge(BEFORE + SINCE, &RULES)), Some((0, "refused")));
 }
@@ -142,13 +143,13 @@
 fn the_next_change_is_compared_with_what_followed_the_last() {
     let (mut health, mut draw) = (Health::new(0.0, BEFORE), Draw(1));
     play(&mut health, &mut draw, 0.0, BEFORE, &[cell(0, 100.0, 0.0)]);
-    health.freeze(BEFORE);
+    health.begin_comparison(BEFORE);
     play(&mut health, &mut draw, BEFORE, BEFORE + SINCE, &[cell(0, 100.0, 0.5)]);
     assert!(matches!(health.judge(BEFORE + SINCE, &RULES), Verdict::Worse(_)));
-    health.thaw();
+    health.end_comparison();
     let end = BEFORE + SINCE;
     play(&mut health, &mut draw, end, end + 2.0 * BEFORE, &[cell(0, 100.0, 0.5)]);
-    health.freeze(end + 2.0 * BEFORE);
+    health.begin_comparison(end + 2.0 * BEFORE);
     play(&mut health, &mut draw, end + 2.0 * BEFORE, end + 2.0 * BEFORE + SINCE, &[cell(0, 100.0, 0.5)]);
     assert_eq!(health.judge(end + 2.0 * BEFORE + SINCE, &RULES), Verdict::Fine);
 }
