--- a/crates/daemon/src/dial.rs
+++ b/crates/daemon/src/dial.rs
@@ -6,7 +6,7 @@
 use buffer::Budget;
 use http1::Request;
 use operator::Registry as Settings;
-use registry::{wire, Guard};
+use registry::{wire, SyncConfig};
 use tls::{ClientContext, Session, Transport};
 
 use crate::files;
@@ -66,7 +66,7 @@
     pub fn login_body(&self) -> Result<Vec<u8>, String> {
         let (user, file) =
             self.settings.user.as_ref().zip(self.settings.password_file.as_ref()).ok_or("no user")?;
-        Ok(wire::login(user, &files::read_password(file)?))
+        Ok(wire::login_body(user, &files::read_password(file)?))
     }
 
     /// A link made here has failed at the other side's hands: the files are read anew before the next, since they
@@ -87,15 +87,15 @@
 }
 
 /// When what a registry says is believed, and for how long it is waited for.
-pub(crate) fn guard(settings: &Settings) -> Guard {
-    Guard {
-        share: settings.guard_share,
-        time: settings.guard_s,
-        silence: settings.silence_s,
-        call: settings.call_s,
+pub(crate) fn guard(settings: &Settings) -> SyncConfig {
+    SyncConfig {
+        max_removed_share: settings.guard_share,
+        confirm_after: settings.guard_s,
+        watch_timeout: settings.silence_s,
+        call_timeout: settings.call_s,
         serializable: settings.serializable,
         login: settings.user.is_some(),
-        ..Guard::default()
+        ..SyncConfig::default()
     }
 }
 
--- a/crates/daemon/src/net/coordination.rs
+++ b/crates/daemon/src/net/coordination.rs
@@ -1,7 +1,7 @@
 //! How instances know what sessions wrote at each other: each shares with every other ([`Peers`]), or control instances keep
 //! who owns a session ([`Directory`]).
 
-use ::control::{Peers as Question, Response};
+use ::control::{PeersQuery as Question, Response};
 use config::Config;
 use operator::EffectiveConfig;
 
@@ -89,7 +89,7 @@
     /// A write of a session has come, with so much time left (seconds). None at a bound: it must not be sent.
     pub fn begin_write(&mut self, now: f64, session: &str, left: f64) -> Option<WriteTicket> {
         match self {
-            Coordination::Peers(peers) => Some(WriteTicket::Peers(peers.node.write_begins(now, session))),
+            Coordination::Peers(peers) => Some(WriteTicket::Peers(peers.node.begin_write(now, session))),
             Coordination::Directory(directory) => {
                 directory.begin_write(now, session, left).map(WriteTicket::Directory)
             }
@@ -118,7 +118,7 @@
     /// Whether to wait for leave to be sent is in vain.
     pub fn cannot_be_sent(&mut self, now: f64, ticket: WriteTicket) -> bool {
         match (self, ticket) {
-            (Coordination::Peers(peers), _) => peers.node.hopeless(now),
+            (Coordination::Peers(peers), _) => peers.node.cannot_send_writes(now),
             (Coordination::Directory(directory), WriteTicket::Directory(ticket)) => {
                 directory.cannot_be_sent(now, ticket)
             }
@@ -130,7 +130,7 @@
     pub fn record_commit(&mut self, now: f64, ticket: WriteTicket, position: f64) {
         match (self, ticket) {
             (Coordination::Peers(peers), WriteTicket::Peers(ticket)) => {
-                peers.node.write_ends(now, ticket, Some(position));
+                peers.node.end_write(now, ticket, Some(position));
             }
             (Coordination::Directory(directory), WriteTicket::Directory(ticket)) => {
                 directory.record_commit(now, ticket, position);
--- a/crates/daemon/src/net/pooler/calls.rs
+++ b/crates/daemon/src/net/pooler/calls.rs
@@ -54,7 +54,7 @@
                     changes.inputs.push_back(Input::Rollback { caller: Some(caller.number()) });
                     return self.advance_change(context);
                 }
-                match changes.transaction.history().earlier(to).cloned() {
+                match changes.transaction.history().rollback_target(to).cloned() {
                     Some(earlier) => {
                         let (document, note) =
                             ((*earlier.document).clone(), format!("back to {}", earlier.number));
--- a/crates/daemon/src/net/pooler/configuration.rs
+++ b/crates/daemon/src/net/pooler/configuration.rs
@@ -3,7 +3,7 @@
 use config::Config;
 use mio::net::TcpListener;
 use operator::EffectiveConfig;
-use transaction::{Action as Step, Input, Notice, SPARES};
+use transaction::{Action as Step, Input, Notice, RESERVED_DESCRIPTORS};
 
 use super::{max_retry_after, process_lifecycle, session_sockets, Pooler, SuccessorHandover};
 use crate::files;
@@ -106,9 +106,9 @@
                 // Before anything else that waits: it is in force now.
                 changes.inputs.push_front(Input::Applied { number, result });
             }
-            Step::Watch => changes.health.freeze(now),
-            Step::Settle => {
-                changes.health.thaw();
+            Step::Watch => changes.health.begin_comparison(now),
+            Step::EndWatch => {
+                changes.health.end_comparison();
                 self.previous_listen = None;
                 self.clients.close_previous_listener(context);
             }
@@ -148,7 +148,7 @@
             self.clients.revert_listener();
             self.previous_listen = Some(std::mem::replace(&mut self.listen, effective.listen));
         }
-        let sockets = effective.sockets.saturating_sub(SPARES + session_sockets(&effective));
+        let sockets = effective.sockets.saturating_sub(RESERVED_DESCRIPTORS + session_sockets(&effective));
         self.clients.set_limit(sockets / 2, context);
         self.servers.set_limits(sockets - sockets / 2, effective.keepalive, connect_timeout);
         self.budget.resize(effective.memory / 2);
--- a/crates/daemon/src/net/pooler/process_lifecycle.rs
+++ b/crates/daemon/src/net/pooler/process_lifecycle.rs
@@ -238,7 +238,7 @@
     /// Looks whether the life has come further by what has been carried out.
     pub(super) fn check_lifecycle(&mut self, context: &mut Context) {
         if self.predecessor.is_some() && self.lifecycle.stage() == Stage::Ready {
-            self.handle_predecessor_input(handover::Seen::Up, context);
+            self.handle_predecessor_input(handover::SuccessorEvent::ReadyToServe, context);
         }
         match self.lifecycle.stage() {
             Stage::Reloading => {
--- a/crates/daemon/src/net/pooler/sharing.rs
+++ b/crates/daemon/src/net/pooler/sharing.rs
@@ -141,7 +141,7 @@
         let Some(coordination) = &mut self.coordination else { return };
         if let Some(peers) = coordination.peers() {
             let beats = peers.take_report_due(now);
-            if beats || peers.node.news() {
+            if beats || peers.node.take_changed() {
                 self.exchange(beats, context);
             }
         }
@@ -204,9 +204,14 @@
         if tells {
             peers.report_observations(now, &found);
             let generation = self.changes.as_ref().map_or(0, |c| c.transaction.current().number);
-            peers.node.works_by(now, self.discovery.list_version(), generation, env!("CARGO_PKG_VERSION"));
+            peers.node.report_versions(
+                now,
+                self.discovery.list_version(),
+                generation,
+                env!("CARGO_PKG_VERSION"),
+            );
         }
-        let (heard, instances) = (peers.peer_reports(now, &found), peers.node.alive() as u32);
+        let (heard, instances) = (peers.peer_reports(now, &found), peers.node.reachable_instances() as u32);
         let mut actions = Vec::new();
         self.policy.apply_peer_reports(now, &heard, instances, &mut actions);
         self.carry_out(actions, context);
--- a/crates/daemon/src/net/pooler/sources.rs
+++ b/crates/daemon/src/net/pooler/sources.rs
@@ -15,7 +15,7 @@
         match &mut self.changes {
             None => self.apply_members(kind, listings, context),
             Some(changes) => {
-                if let Some((kind, listings)) = changes.roster.fact(kind, listings) {
+                if let Some((kind, listings)) = changes.roster.apply_list(kind, listings) {
                     self.apply_members(kind, listings, context);
                 }
             }
@@ -94,7 +94,7 @@
     /// Lays the operator's intents over the list.
     pub(super) fn apply_overrides(&mut self, effective: &EffectiveConfig, context: &mut Context) {
         let Some(changes) = &mut self.changes else { return };
-        if let Some((kind, listings)) = changes.roster.intend(effective) {
+        if let Some((kind, listings)) = changes.roster.apply_intents(effective) {
             self.apply_members(kind, listings, context);
         }
         let excluded = effective.document.overrides.iter().filter(|(_, wish)| **wish == Override::Exclude);
@@ -114,7 +114,7 @@
 
 /// The view that was kept on disk; none where it is not one of these keys.
 fn from_disk(prefix: &str, bytes: &[u8]) -> registry::View {
-    match registry::kept::decode(prefix, bytes) {
+    match registry::snapshot::decode(prefix, bytes) {
         Ok(view) => {
             let (revision, keys) = (view.revision, view.len());
             logging::info!(event = "registry.kept", revision, keys, "goes on from the view kept on disk");
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -97,7 +97,7 @@
         }
         // The folder's own entry must outlast a crash as well.
         File::open(folder).and_then(|folder| folder.sync_all()).map_err(|error| named(folder, &error))?;
-        Ok((store, History::of(records), cut))
+        Ok((store, History::replay(records), cut))
     }
 
     /// Cuts off what is not known to be sound.
@@ -137,7 +137,7 @@
 
     /// The view of a registry that was kept, in bytes; none where there is none that can be read.
     pub fn stored_view(&self) -> Option<Vec<u8>> {
-        files::read(&self.folder.join(VIEW), registry::kept::LONGEST).ok()
+        files::read(&self.folder.join(VIEW), registry::snapshot::MAX_SNAPSHOT_BYTES).ok()
     }
 
     /// Puts steps on record at once, before anything is served.
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -19,5 +19,5 @@
 
 pub use auth::Keys;
 pub use fact::Fact;
-pub use membership::{Identity, State, MOST};
-pub use node::{Need, Node, Notice, Terms, Ticket};
+pub use membership::{Identity, State, MAX_INSTANCES};
+pub use node::{Node, NodeConfig, Notice, ReadRequirement, Ticket};
