--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,90 +1,92 @@
-//! What the policy keeps of members, groups and requests: plain data, no decision.
+//! State of members, groups and requests: plain data, no decisions.
 
-use crate::calls::Calls;
-use crate::demand::{Demand, Share};
+use crate::calls::ListRequests;
+use crate::demand::{Demand, TenantShare};
 use crate::interface::{
-    AttemptSummary, Conclusion, Explanation, MemberId, Outcome, Phase, Reason, RequestId, Settings,
+    AttemptSummary, Conclusion, Consistency, Explanation, MemberId, Outcome, Phase, Reason, RequestId,
+    Settings,
 };
 use crate::latency::Latency;
-use crate::pace::Pace;
+use crate::pace::RelativeLatency;
 use crate::permission::{AttemptRules, History};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
-/// What other instances say of a member, where they talk.
+/// What other instances have reported about a member, if the state exchange is in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ReportedState {
-    /// Whether any list tells it to take nothing new.
+    /// A list seen by another instance forbids new work for the member.
     pub drained: bool,
-    /// Whether it alone is said to be the primary of its group.
+    /// The member is the only one reported as the primary of its group.
     pub primary: bool,
-    /// It was ejected by the word of others: that is no evidence for anybody else.
+    /// The ejection is due to reports of others, and is therefore not reported as an own observation.
     pub ejected: bool,
-    /// Requests of others there ...
+    /// Requests of other instances in flight at the member, as of `received_at`.
     pub in_flight: f64,
-    /// ... and when that was told (seconds).
-    pub at: f64,
+    /// When the report was received (seconds).
+    pub received_at: f64,
 }
 
-/// A member, as far as this proxy knows it.
+/// A member, as observed by this pooler. All times are in seconds; `NEG_INFINITY` means never.
 #[derive(Default)]
 pub(crate) struct Member {
     pub id: MemberId,
     pub zone: u32,
     pub group: u32,
     pub phase: Phase,
-    /// Listed as leaving: binding even where being gone is only advice.
-    pub bound_gone: bool,
+    /// Listed as leaving: it takes no new work, even if removal from the list is only advisory.
+    pub leaving_listed: bool,
     pub started_at: f64,
     pub listed_primary: bool,
     pub listed_at: f64,
-    /// First-hand role and the time it speaks of.
+    /// Observed role (true for the primary) and the time for which it holds.
     pub role: Option<(bool, f64)>,
-    /// Claims to be the primary that speak of an earlier time than this, or come earlier and speak of none, are not taken: it
-    /// has said that it is none.
+    /// The member has said that it is not the primary: claims to be the primary that date from before this
+    /// time, or are received before it without a date, are ignored.
     pub handing_over_until: f64,
     pub position: f64,
     pub position_at: f64,
-    /// When the last answer came, and the last failure to get one.
-    pub heard: f64,
-    /// No read on hope before then.
-    pub shy_until: f64,
+    /// When the member last answered anything.
+    pub last_heard_at: f64,
+    /// No speculative read is sent to the member before this time.
+    pub catch_up_until: f64,
     pub in_flight: u32,
-    /// Work given up on that may still run: counts as load until these times.
-    pub ghosts: Vec<f64>,
+    /// Abandoned requests that may still run on the member count as load until these times.
+    pub abandoned_until: Vec<f64>,
     pub suspicion: f64,
-    pub suspicion_at: f64,
-    pub out_until: f64,
-    /// What spoke against it last was an answer: an error, which comes at once.
-    pub errs: bool,
-    /// When a connection to it last failed.
-    pub lost_at: f64,
+    pub suspicion_updated_at: f64,
+    pub ejected_until: f64,
+    /// The latest suspicion is due to an error answer, not to a missing answer.
+    pub answers_errors: bool,
+    /// When a connection to the member last failed.
+    pub connect_failed_at: f64,
     pub ejected: bool,
-    /// Ejections in a row, counting relapses.
-    pub strikes: i32,
-    pub back_at: f64,
-    /// The one request that tries an ejected member is out.
-    pub trial: bool,
-    /// Time to answer over what the class takes elsewhere.
-    pub pace: Pace,
-    /// Mean own in flight when something was sent.
-    pub usual_load: f64,
-    /// When it was last listed as anything but left.
-    pub left_at: f64,
-    /// When something was last sent, and when the last that ended without an answer was.
-    pub sent_at: f64,
-    pub unanswered_at: f64,
+    /// Ejections in a row, including relapses soon after a return.
+    pub ejection_count: i32,
+    pub restored_at: f64,
+    /// The one trial request of an ejected member is in flight.
+    pub trial_in_flight: bool,
+    /// Latency relative to that of the same class at other members.
+    pub relative_latency: RelativeLatency,
+    /// Mean number of own requests in flight at the member when one more was sent.
+    pub mean_load: f64,
+    /// When the member was last listed in a phase other than `Left`.
+    pub last_listed_at: f64,
+    /// When an attempt was last sent.
+    pub last_sent_at: f64,
+    /// When the latest of the attempts that ended without an answer was sent.
+    pub last_unanswered_at: f64,
     pub cold_since: f64,
     pub probed_at: f64,
     pub probing: bool,
-    /// Not asked before then unless its answer is needed.
-    pub quiet_until: f64,
-    /// What other instances say of it, where they talk.
+    /// No background probe is sent before this time; a probe that a request needs may be.
+    pub next_background_probe_at: f64,
+    /// What other instances have reported about the member.
     pub reported: ReportedState,
 }
 
 impl Member {
-    /// A member of which nothing is known but its place.
+    /// A member of which only zone and group are known.
     pub fn new(id: MemberId, zone: u32, group: u32) -> Member {
         let never = f64::NEG_INFINITY;
         let (position, position_at, cold_since, probed_at) = (never, never, never, never);
@@ -96,11 +98,11 @@
             position_at,
             cold_since,
             probed_at,
-            back_at: never,
-            lost_at: never,
-            heard: never,
-            sent_at: never,
-            unanswered_at: never,
+            restored_at: never,
+            connect_failed_at: never,
+            last_heard_at: never,
+            last_sent_at: never,
+            last_unanswered_at: never,
             handing_over_until: never,
             ..Member::default()
         }
@@ -112,37 +114,39 @@
 pub(crate) struct Group {
     pub members: Vec<usize>,
     pub primary: Option<usize>,
-    pub held: VecDeque<u64>,
-    pub seek_at: f64,
-    pub seeking_since: Option<f64>,
+    /// Numbers of the requests that wait for a member.
+    pub queue: VecDeque<u64>,
+    pub next_search_at: f64,
+    /// Since when the group has had no usable primary.
+    pub searching_since: Option<f64>,
     pub trial_write: Option<u64>,
 }
 
 /// One attempt of a request.
 pub(crate) struct Attempt {
     pub member: usize,
-    pub sent: f64,
-    /// The position that its answer must have seen, where its member was not known to have.
-    pub needed: Option<f64>,
+    pub sent_at: f64,
+    /// The position that the answer must reflect, unless the member was known to have reached it.
+    pub required_position: Option<f64>,
     pub open: bool,
     pub cancelled: bool,
-    /// That its member does not answer has been counted.
+    /// The missing answer has already been counted against the member.
     pub overdue: bool,
-    /// It never reached its member.
+    /// The attempt never reached its member.
     pub unsent: bool,
-    /// How it ended, and what was concluded from that.
+    /// How the attempt ended, and what was concluded from that.
     pub ended: Option<(Outcome, Conclusion)>,
 }
 
 impl Attempt {
-    /// An attempt just sent.
-    pub fn new(member: usize, sent: f64, needed: Option<f64>) -> Attempt {
+    /// An attempt that is being sent.
+    pub fn new(member: usize, sent_at: f64, required_position: Option<f64>) -> Attempt {
         let (open, cancelled, overdue, unsent, ended) = (true, false, false, false, None);
-        Attempt { member, sent, needed, open, cancelled, overdue, unsent, ended }
+        Attempt { member, sent_at, required_position, open, cancelled, overdue, unsent, ended }
     }
 }
 
-/// A request that is not finished, or still has attempts out.
+/// A request that is not finished, or still has attempts in flight.
 pub(crate) struct Request {
     pub id: RequestId,
     pub class: usize,
@@ -150,25 +154,25 @@
     pub arrived: f64,
     pub aim_at: f64,
     pub deadline: f64,
-    /// Until then it may wait without having reached any member.
-    pub hold_until: f64,
-    /// Position a session read needs.
-    pub token: f64,
+    /// Until this time the request may wait without having reached any member.
+    pub queue_until: f64,
+    /// Lowest position that the answer must reflect; infinite if unknown: only the primary can serve it then.
+    pub required_position: f64,
     pub over_share: bool,
     pub session: Option<Arc<str>>,
-    /// Drawn once from 0 to 1: decides where only a share of all requests may go.
-    pub lot: f64,
+    /// Drawn once per request: decides whether it belongs to the share that a cold member may get.
+    pub sample: f64,
     pub attempts: Vec<Attempt>,
-    /// What is certain of its attempts, and what may still be done about it.
+    /// What is certain about the attempts, and what may still be done.
     pub history: History,
-    pub held: bool,
+    pub queued: bool,
     pub done: bool,
-    /// The longest back-off that its refusal may tell (seconds), whatever the settings become meanwhile.
+    /// Longest back-off to send with a refusal (seconds); later changes of the settings do not affect it.
     pub backoff: f64,
 }
 
 impl Request {
-    /// A request that nothing has been done for yet.
+    /// A request without attempts.
     pub fn new(
         id: RequestId,
         (class, group): (usize, u32),
@@ -181,111 +185,122 @@
             arrived,
             aim_at,
             deadline,
-            hold_until: deadline,
-            token: f64::NEG_INFINITY,
+            queue_until: deadline,
+            required_position: f64::NEG_INFINITY,
             over_share: false,
             session: None,
-            lot: 0.0,
+            sample: 0.0,
             attempts: Vec::new(),
             history: History::new(AttemptRules::default()),
-            held: false,
+            queued: false,
             done: false,
             backoff: 0.0,
         }
     }
 
-    /// Whether only the primary can serve it, whatever its class: what it must see is not known here.
-    pub fn unknown(&self) -> bool {
-        self.token == f64::INFINITY
+    /// Returns true if the required position is unknown, so that only the primary can serve the request.
+    pub fn position_unknown(&self) -> bool {
+        self.required_position == f64::INFINITY
+    }
+
+    /// Returns true if only the primary can serve a request of this consistency.
+    pub fn needs_primary(&self, consistency: Consistency) -> bool {
+        matches!(consistency, Consistency::Write | Consistency::Fresh) || self.position_unknown()
     }
 
-    /// Whether it has been sent to a member.
-    pub fn tried(&self, m: usize) -> bool {
+    /// Returns true if an attempt was made at the member.
+    pub fn was_sent_to(&self, m: usize) -> bool {
         self.attempts.iter().any(|a| a.member == m)
     }
 
-    /// Whether no member has got it, as far as is known.
-    pub fn untried(&self) -> bool {
+    /// Returns true if no attempt is known to have reached a member.
+    pub fn reached_no_member(&self) -> bool {
         self.attempts.iter().all(|a| a.unsent)
     }
 }
 
-/// What to do with a request now.
+/// Decision on the next step of a request.
 pub(crate) enum Choice {
+    /// Send it to the member with this index.
     To(usize),
-    Hold,
+    /// Queue it.
+    Wait,
+    /// Refuse it.
     Refuse,
 }
 
-/// Decides where each request of one proxy goes.
+/// Decides where each request of one pooler goes.
 pub struct Policy {
     pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: f64,
     pub(crate) members: Vec<Member>,
-    /// Places of members that are forgotten.
-    pub(crate) free: Vec<usize>,
+    /// Indices in `members` that are free for reuse.
+    pub(crate) free_slots: Vec<usize>,
     pub(crate) by_id: HashMap<MemberId, usize>,
     pub(crate) groups: BTreeMap<u32, Group>,
     pub(crate) requests: BTreeMap<u64, Request>,
-    pub(crate) numbers: HashMap<RequestId, u64>,
-    pub(crate) next: u64,
-    /// What each class usually takes.
+    pub(crate) request_numbers: HashMap<RequestId, u64>,
+    pub(crate) next_number: u64,
+    /// Latency of each class.
     pub(crate) latency: Vec<Latency>,
-    /// Until then members are taken to have no room for idle connections.
+    /// Until this time members are assumed to have no connections to spare for idle ones.
     pub(crate) no_idle_until: f64,
-    pub(crate) retries: f64,
-    pub(crate) probes: f64,
-    pub(crate) tenants: Vec<Share>,
-    /// Requests a second that this proxy gets.
+    pub(crate) retry_budget: f64,
+    pub(crate) probe_budget: f64,
+    pub(crate) tenant_shares: Vec<TenantShare>,
+    /// Rate of requests at this pooler.
     pub(crate) demand: Demand,
+    /// Position of the last write of each session, and the writes in their order.
     pub(crate) sessions: HashMap<Arc<str>, f64>,
     pub(crate) session_order: VecDeque<(Arc<str>, f64)>,
-    pub(crate) forgotten: f64,
-    /// The shortest staleness bound of any class.
-    pub(crate) bound: f64,
-    pub(crate) tick: f64,
-    pub(crate) ticking: bool,
-    pub(crate) calls: Calls,
-    pub(crate) refusing_until: f64,
+    /// Sessions that are not among `sessions` may have written up to this position.
+    pub(crate) unknown_session_position: f64,
+    /// The shortest staleness bound of any class (seconds), at most 1 s.
+    pub(crate) min_staleness_bound: f64,
+    pub(crate) housekeeping_interval: f64,
+    pub(crate) housekeeping_scheduled: bool,
+    pub(crate) list_requests: ListRequests,
+    /// A refusal before this time is not logged: there was another in the second before it.
+    pub(crate) next_refusal_log_at: f64,
 }
 
 impl Policy {
-    /// An empty state around these settings.
+    /// An empty state with these settings.
     pub(crate) fn blank(settings: Settings, rng: fastrand::Rng) -> Policy {
         Policy {
             settings,
             rng,
             now: 0.0,
             members: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             by_id: HashMap::new(),
             groups: BTreeMap::new(),
             requests: BTreeMap::new(),
-            numbers: HashMap::new(),
-            next: 1,
+            request_numbers: HashMap::new(),
+            next_number: 1,
             latency: Vec::new(),
             no_idle_until: f64::NEG_INFINITY,
-            retries: 0.0,
-            probes: 0.0,
-            tenants: Vec::new(),
+            retry_budget: 0.0,
+            probe_budget: 0.0,
+            tenant_shares: Vec::new(),
             demand: Demand::default(),
             sessions: HashMap::new(),
             session_order: VecDeque::new(),
-            forgotten: f64::NEG_INFINITY,
-            bound: 0.0,
-            tick: 0.0,
-            ticking: false,
-            calls: Calls::default(),
-            refusing_until: f64::NEG_INFINITY,
+            unknown_session_position: f64::NEG_INFINITY,
+            min_staleness_bound: 0.0,
+            housekeeping_interval: 0.0,
+            housekeeping_scheduled: false,
+            list_requests: ListRequests::default(),
+            next_refusal_log_at: f64::NEG_INFINITY,
         }
     }
 
-    /// Why a request is given up, and what has become of its attempts.
+    /// Builds the explanation of why a request is given up, with its attempts.
     pub(crate) fn explain(&self, request: &Request, reason: Reason) -> Explanation {
         let summary = |attempt: &Attempt| AttemptSummary {
             member: self.members[attempt.member].id.clone(),
-            age: self.now - attempt.sent,
+            age: self.now - attempt.sent_at,
             ended: attempt.ended,
         };
         let attempts = request.attempts.iter().map(summary).collect();
@@ -293,17 +308,17 @@
         Explanation { id, class, waited, reason, attempts }
     }
 
-    /// How many members are kept in mind, those that left lately included.
+    /// Number of member slots, including those of members that have left.
     pub fn tracked_members(&self) -> usize {
         self.members.len()
     }
 
-    /// How many requests are kept in mind, those answered whose attempts have not all ended included.
+    /// Number of tracked requests, including finished ones with attempts in flight.
     pub fn tracked_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// How many groups are kept in mind.
+    /// Number of tracked groups.
     pub fn tracked_groups(&self) -> usize {
         self.groups.len()
     }
--- a/crates/routing/src/thresholds.rs
+++ b/crates/routing/src/thresholds.rs
@@ -1,13 +1,14 @@
-//! Thresholds that more than one part of the policy goes by. This module uses no other.
+//! Thresholds that several modules of the policy use. This module uses no other.
 
-/// Suspicion at which a member is ejected: two plain failures or one broken connection.
-pub(crate) const EJECT_AT: f64 = 2.0;
-/// Longest pause of a suspect, in multiples of the connect time-out: it is tried, and asked, no less often, so that a member
-/// that is back is found within a few seconds.
-pub(crate) const EJECT_MOST: f64 = 12.0;
-/// Most probes that can be saved up.
-pub(crate) const PROBE_MOST: f64 = 20.0;
-/// While a primary is sought, time between rounds of probes or of trial writes, in multiples of the connect time-out.
-pub(crate) const SEEK_EVERY: f64 = 0.8;
-/// Requests in flight at a member, from all proxies together, that one proxy's own have to be held against.
+/// Suspicion at which a member is ejected: two failed requests, or one connection that is refused at once.
+pub(crate) const EJECTION_THRESHOLD: f64 = 2.0;
+/// Longest ejection in multiples of the connect timeout: an ejected member is tried and probed at least this
+/// often, so that its return is noticed within a few seconds.
+pub(crate) const MAX_EJECTION_FACTOR: f64 = 12.0;
+/// Maximum probe budget.
+pub(crate) const MAX_PROBE_BUDGET: f64 = 20.0;
+/// Interval between rounds of probes or trial writes while the primary is searched, in multiples of the
+/// connect timeout.
+pub(crate) const PRIMARY_SEARCH_INTERVAL_FACTOR: f64 = 0.8;
+/// Number of requests of the whole fleet in flight at a member that one pooler's own are compared with.
 pub(crate) const FLEET_MIN_IN_FLIGHT: f64 = 8.0;
