--- a/crates/routing/src/permission/tests.rs
+++ b/crates/routing/src/permission/tests.rs
@@ -12,7 +12,7 @@
     })
 }
 
-/// Every way in which an attempt may end.
+/// All ways in which an attempt may end.
 const ENDS: [(Outcome, Conclusion, Evidence); 10] = [
     (Outcome::Ok, Conclusion::AsReceived, Evidence::Ran),
     (Outcome::Ok, Conclusion::TooOld, Evidence::Ran),
@@ -27,7 +27,7 @@
 ];
 
 #[test]
-fn what_may_have_run_is_neither_repeated_nor_refused_where_that_could_run_it_twice() {
+fn a_request_that_may_have_run_is_not_retried_or_refused_if_it_could_run_twice() {
     for (outcome, conclusion, evidence) in ENDS {
         assert_eq!(Evidence::of(outcome, conclusion), evidence);
         let untouched = evidence == Evidence::NeverRan;
@@ -42,7 +42,7 @@
                 untouched || effect == Effect::Safe,
                 "{effect:?} {outcome:?}"
             );
-            // Past the window nothing is dropped any more.
+            // After the window repeats are no longer dropped.
             let late = untouched || effect == Effect::Safe;
             assert_eq!(history.may_begin(1.76).is_ok(), late, "{effect:?} {outcome:?}");
         }
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_refusal_of_a_keyed_request_is_true_where_every_member_drops_repeats() {
+fn a_keyed_request_may_be_refused_if_all_members_drop_repeats() {
     let rules = AttemptRules { effect: Effect::Keyed, dedup: Dedup::All, ..AttemptRules::default() };
     let mut history = History::new(rules);
     history.begin(0.0);
@@ -58,19 +58,19 @@
 }
 
 #[test]
-fn a_repeat_is_written_before_the_window_of_the_first_that_may_have_run_ends() {
+fn a_repeat_is_written_within_the_window_of_the_first_attempt_that_may_have_run() {
     let mut history = history(Effect::Keyed);
     history.begin(0.0);
     history.end(0, Evidence::NeverRan);
     history.begin(1.0);
-    assert_eq!(history.write_deadline(), 10.0, "the first that may run");
+    assert_eq!(history.write_deadline(), 10.0, "the first attempt that may run");
     history.end(1, Evidence::MayHaveRun);
     history.begin(2.0);
     assert_eq!(history.write_deadline(), 3.0 - MAX_PROCESS_PAUSE);
 }
 
 #[test]
-fn an_attempt_is_denied_behind_another_past_the_last_after_the_deadline_and_after_the_answer() {
+fn an_attempt_is_denied_for_each_limit() {
     let mut history = history(Effect::Safe);
     assert_eq!(history.may_begin(10.0), Err(Denial::OutOfTime));
     for attempt in 0..3 {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn two_copies_at_most_are_out_where_copies_are_allowed() {
+fn with_hedging_at_most_two_attempts_are_in_flight() {
     let mut history = History::new(AttemptRules {
         effect: Effect::Safe,
         allow_hedging: true,
--- a/crates/routing/tests/deposed.rs
+++ b/crates/routing/tests/deposed.rs
@@ -1,99 +1,99 @@
-//! Scenarios of a primary that is deposed without this proxy hearing of it. Each guards one decision.
+//! Scenarios of a primary that is deposed without this pooler's knowledge. Each guards one decision.
 
 mod drive;
 
 use drive::*;
 use routing::interface::*;
 
-/// A site whose members answer from what they have and may be asked; the primary has just served a write.
-fn served() -> Drive {
+/// Members answer from the data they have and may be probed; the primary has just served a write.
+fn with_served_write() -> Drive {
     let mut d = Drive::new(Settings { when_behind: WhenBehind::ServeStale, probes: true, ..settings() });
-    d.ask("first", 0);
+    d.request("first", 0);
     d.now += 0.05;
-    d.told("first", "p", 0, Outcome::Ok, Some(true), Some(d.now));
+    d.ended_with("first", "p", 0, Outcome::Ok, Some(true), Some(d.now));
     d.now += 0.1;
     d
 }
 
-fn asked(actions: &[Action]) -> Vec<&str> {
+fn probed(actions: &[Action]) -> Vec<&str> {
     let probes =
         actions.iter().filter_map(|a| if let Action::Probe { member } = a { Some(member) } else { None });
     probes.map(|member| &**member).collect()
 }
 
-fn reports(d: &mut Drive, member: &str, primary: bool) -> Vec<Action> {
+fn probe_answer(d: &mut Drive, member: &str, primary: bool) -> Vec<Action> {
     let report = Report { position: Some(d.now), primary: Some(primary) };
-    d.feed(Event::ProbeEnded { member: member.into(), outcome: Outcome::Ok, report })
+    d.handle(Event::ProbeEnded { member: member.into(), outcome: Outcome::Ok, report })
 }
 
-/// Its answer may have said that it is no primary any more, and got lost.
+/// The lost answer may have said that the member is no longer the primary.
 #[test]
-fn after_a_lost_answer_a_fresh_read_waits_until_the_primary_has_said_that_it_is_one() {
+fn after_a_lost_answer_a_fresh_read_waits_for_the_primary_to_confirm_its_role() {
     for outcome in [Outcome::Cancelled, Outcome::Reset, Outcome::Timeout] {
-        let mut d = served();
-        assert_eq!(sent(&d.ask("sure", 4)), ["p"], "nothing was lost");
-        d.told("sure", "p", 0, Outcome::Ok, Some(true), Some(d.now));
-        d.ask("lost", 5);
+        let mut d = with_served_write();
+        assert_eq!(sent(&d.request("sure", 4)), ["p"], "no answer was lost");
+        d.ended_with("sure", "p", 0, Outcome::Ok, Some(true), Some(d.now));
+        d.request("lost", 5);
         d.now += 0.05;
-        d.answer("lost", "p", 0, outcome);
+        d.ended("lost", "p", 0, outcome);
         d.now += 0.2;
-        let waits = d.ask("fresh", 4);
-        assert_eq!((sent(&waits), asked(&waits)), (vec![], vec!["p"]), "{outcome:?}");
-        assert_eq!(sent(&reports(&mut d, "p", true)), ["p"], "{outcome:?}");
-        // A write needs no such word: who is no primary turns it away untouched.
-        let mut d = served();
-        d.ask("lost", 5);
-        d.answer("lost", "p", 0, outcome);
-        assert_eq!(sent(&d.ask("write", 0)), ["p"], "{outcome:?}");
+        let waits = d.request("fresh", 4);
+        assert_eq!((sent(&waits), probed(&waits)), (vec![], vec!["p"]), "{outcome:?}");
+        assert_eq!(sent(&probe_answer(&mut d, "p", true)), ["p"], "{outcome:?}");
+        // A write needs no confirmation: a member that is not the primary turns it away without running it.
+        let mut d = with_served_write();
+        d.request("lost", 5);
+        d.ended("lost", "p", 0, outcome);
+        assert_eq!(sent(&d.request("write", 0)), ["p"], "{outcome:?}");
     }
 }
 
 #[test]
-fn a_fresh_read_goes_to_the_one_that_took_over_once_the_old_primary_says_so() {
-    let mut d = served();
-    d.ask("lost", 5);
-    d.answer("lost", "p", 0, Outcome::Cancelled);
+fn a_fresh_read_goes_to_the_new_primary_once_the_old_one_denies_its_role() {
+    let mut d = with_served_write();
+    d.request("lost", 5);
+    d.ended("lost", "p", 0, Outcome::Cancelled);
     d.now += 0.2;
-    d.ask("fresh", 4);
-    reports(&mut d, "p", false);
-    assert_eq!(sent(&reports(&mut d, "r", true)), ["r"]);
+    d.request("fresh", 4);
+    probe_answer(&mut d, "p", false);
+    assert_eq!(sent(&probe_answer(&mut d, "r", true)), ["r"]);
 }
 
-/// What a read needs may be older than the word: the primary stood at the present then.
+/// The read's required position is older than the role: a primary had all commits when it stated its role.
 #[test]
-fn a_bounded_read_goes_to_the_primary_while_its_word_is_younger_than_the_bound() {
-    let mut d = served();
-    d.ask("lost", 5);
-    d.answer("lost", "p", 0, Outcome::Cancelled);
+fn a_bounded_read_relies_on_a_role_younger_than_its_bound() {
+    let mut d = with_served_write();
+    d.request("lost", 5);
+    d.ended("lost", "p", 0, Outcome::Cancelled);
     d.now += 0.2;
-    assert_eq!(sent(&d.ask("bounded", 1)), ["p"]);
-    d.told("bounded", "p", 0, Outcome::Reset, None, None);
+    assert_eq!(sent(&d.request("bounded", 1)), ["p"]);
+    d.ended_with("bounded", "p", 0, Outcome::Reset, None, None);
     d.now += 0.4;
-    let waits = d.ask("later", 1);
-    assert!(!sent(&waits).contains(&"p") && asked(&waits).contains(&"p"), "{waits:?}");
+    let waits = d.request("later", 1);
+    assert!(!sent(&waits).contains(&"p") && probed(&waits).contains(&"p"), "{waits:?}");
 }
 
-/// Where members may not be asked there is nothing to wait for.
+/// Without probes a read cannot wait for a confirmation.
 #[test]
-fn where_nobody_may_be_asked_a_fresh_read_goes_on_what_is_known() {
+fn without_probes_a_fresh_read_relies_on_the_known_role() {
     let mut d = Drive::new(Settings { when_behind: WhenBehind::ServeStale, ..settings() });
-    d.ask("first", 0);
-    d.told("first", "p", 0, Outcome::Ok, Some(true), Some(d.now));
-    d.ask("lost", 5);
-    d.answer("lost", "p", 0, Outcome::Reset);
-    assert_eq!(sent(&d.ask("fresh", 4)), ["p"]);
+    d.request("first", 0);
+    d.ended_with("first", "p", 0, Outcome::Ok, Some(true), Some(d.now));
+    d.request("lost", 5);
+    d.ended("lost", "p", 0, Outcome::Reset);
+    assert_eq!(sent(&d.request("fresh", 4)), ["p"]);
 }
 
-/// An answer that began before its member was deposed said that it is the primary, and came after one that said no.
+/// An answer begun before its member was deposed claims to be from the primary, and arrives after a denial.
 #[test]
-fn a_role_is_as_old_as_the_work_that_its_answer_took() {
-    let mut d = served();
-    d.ask("long", 0);
+fn a_primary_role_dates_from_the_sending_of_its_attempt() {
+    let mut d = with_served_write();
+    d.request("long", 0);
     d.now += 0.3;
-    d.ask("quick", 0);
-    d.told("quick", "p", 0, Outcome::Miss, Some(false), Some(d.now));
+    d.request("quick", 0);
+    d.ended_with("quick", "p", 0, Outcome::Miss, Some(false), Some(d.now));
     d.now += 0.05;
-    d.feed(Event::AttemptEnded(AttemptEnded {
+    d.handle(Event::AttemptEnded(AttemptEnded {
         id: "long".into(),
         member: "p".into(),
         attempt: 0,
@@ -105,87 +105,87 @@
         primary: Some(true),
         report: Report::default(),
     }));
-    assert_eq!(sent(&d.ask("fresh", 4)), [] as [&str; 0]);
-    assert_eq!(sent(&reports(&mut d, "r", true))[0], "r");
+    assert_eq!(sent(&d.request("fresh", 4)), [] as [&str; 0]);
+    assert_eq!(sent(&probe_answer(&mut d, "r", true))[0], "r");
 }
 
-/// It takes no writes while it hands over, and still says with reads that it is the primary, until another takes over.
+/// During a handover the old primary accepts no writes, but still claims with reads to be the primary.
 #[test]
-fn a_primary_that_hands_over_is_not_believed_before_that_is_over() {
-    let mut d = served();
-    d.ask("write", 0);
-    d.told("write", "p", 0, Outcome::Miss, Some(false), Some(d.now));
+fn claims_of_a_primary_during_its_handover_are_ignored() {
+    let mut d = with_served_write();
+    d.request("write", 0);
+    d.ended_with("write", "p", 0, Outcome::Miss, Some(false), Some(d.now));
     for _ in 0..4 {
         d.now += 0.2;
         let (id, position) = (format!("fresh-{}", d.now), d.now);
-        assert!(!sent(&reports(&mut d, "p", true)).contains(&"p"));
+        assert!(!sent(&probe_answer(&mut d, "p", true)).contains(&"p"));
         assert!(
-            !sent(&d.ask(&id, 4)).contains(&"p"),
-            "it may have been deposed since it said so at {position}"
+            !sent(&d.request(&id, 4)).contains(&"p"),
+            "the member may have been deposed since its claim at {position}"
         );
     }
-    // Nobody has taken over within the time of a handover: it is the primary.
+    // No other member has taken over within the longest duration of a handover: it is still the primary.
     d.now += 0.3;
-    reports(&mut d, "p", true);
-    assert_eq!(sent(&d.ask("over", 4)), ["p"]);
+    probe_answer(&mut d, "p", true);
+    assert_eq!(sent(&d.request("over", 4)), ["p"]);
 }
 
-/// A front that is told a role without a time goes by it, unless the member has just turned something away as none.
+/// A claim without a time counts, unless the member has just turned a request away as not the primary.
 #[test]
-fn a_claim_without_a_time_is_taken_until_the_member_has_said_that_it_is_none() {
-    let says = |d: &mut Drive| {
+fn an_undated_primary_claim_counts_until_the_member_denies_its_role() {
+    let claims_role = |d: &mut Drive| {
         let report = Report { position: None, primary: Some(true) };
-        d.feed(Event::ProbeEnded { member: "p".into(), outcome: Outcome::Ok, report });
+        d.handle(Event::ProbeEnded { member: "p".into(), outcome: Outcome::Ok, report });
     };
     let mut d = Drive::new(Settings { when_behind: WhenBehind::ServeStale, probes: true, ..settings() });
-    says(&mut d);
-    assert_eq!(sent(&d.ask("write", 0)), ["p"]);
-    d.told("write", "p", 0, Outcome::Miss, Some(false), Some(d.now));
+    claims_role(&mut d);
+    assert_eq!(sent(&d.request("write", 0)), ["p"]);
+    d.ended_with("write", "p", 0, Outcome::Miss, Some(false), Some(d.now));
     d.now += 0.2;
-    says(&mut d);
-    assert!(!sent(&d.ask("fresh", 4)).contains(&"p"));
+    claims_role(&mut d);
+    assert!(!sent(&d.request("fresh", 4)).contains(&"p"));
 }
 
-/// One that was asked for a write before it was elected has handed nothing over.
+/// A member that got a write before it was elected has handed nothing over.
 #[test]
-fn one_that_takes_over_is_believed_at_once() {
-    let mut d = served();
-    d.told("none", "r", 0, Outcome::Miss, Some(false), Some(d.now));
-    d.ask("write", 0);
-    d.told("write", "p", 0, Outcome::Miss, Some(false), Some(d.now));
-    let tried = d.ask("seeks", 0);
+fn the_claim_of_a_new_primary_counts_at_once() {
+    let mut d = with_served_write();
+    d.ended_with("none", "r", 0, Outcome::Miss, Some(false), Some(d.now));
+    d.request("write", 0);
+    d.ended_with("write", "p", 0, Outcome::Miss, Some(false), Some(d.now));
+    let tried = d.request("seeks", 0);
     for member in sent(&tried).iter().filter(|member| **member != "p") {
-        d.told("seeks", member, 0, Outcome::Miss, Some(false), Some(d.now));
+        d.ended_with("seeks", member, 0, Outcome::Miss, Some(false), Some(d.now));
     }
     d.now += 0.2;
-    reports(&mut d, "r", true);
-    assert_eq!(sent(&d.ask("fresh", 4)), ["r"]);
+    probe_answer(&mut d, "r", true);
+    assert_eq!(sent(&d.request("fresh", 4)), ["r"]);
 }
 
-/// An answer is held against what it must have seen where its member was not known to have.
+/// An answer is compared with the required position if the member was not known to have reached it.
 #[test]
-fn an_answer_of_one_that_is_no_primary_any_more_is_too_old_for_what_it_has_not_seen() {
-    let mut d = served();
-    d.ask("fresh", 4);
+fn an_answer_of_a_former_primary_below_the_required_position_is_too_old() {
+    let mut d = with_served_write();
+    d.request("fresh", 4);
     let at = |position, primary| (Some(position), Some(primary));
     let now = d.now;
-    let checked = |d: &Drive, told| d.policy.assess_answer(&"fresh".into(), (0, 0.05), Outcome::Ok, told);
-    assert_eq!(checked(&d, at(now, true)), Conclusion::AsReceived);
-    assert_eq!(checked(&d, at(now, false)), Conclusion::TooOld);
+    let assess = |d: &Drive, stated| d.policy.assess_answer(&"fresh".into(), (0, 0.05), Outcome::Ok, stated);
+    assert_eq!(assess(&d, at(now, true)), Conclusion::AsReceived);
+    assert_eq!(assess(&d, at(now, false)), Conclusion::TooOld);
     assert_eq!(
-        checked(&d, (None, None)),
+        assess(&d, (None, None)),
         Conclusion::AsReceived,
-        "one that tells nothing says nothing against itself"
+        "an answer without position and role is not checked"
     );
-    // It has run, which does a read no harm: the next try goes elsewhere.
+    // It has run, which is harmless for a read: the next attempt goes elsewhere.
     d.now += 0.05;
-    assert!(!sent(&d.told("fresh", "p", 0, Outcome::Miss, Some(false), Some(now))).contains(&"p"));
-    // A replica known to have come so far answers for that, however long it takes.
-    d.freshen("r");
-    assert_eq!(sent(&d.ask("bounded", 1)), ["r"]);
-    let told = at(d.now - 0.4, false);
+    assert!(!sent(&d.ended_with("fresh", "p", 0, Outcome::Miss, Some(false), Some(now))).contains(&"p"));
+    // A replica known to have reached the position needs no check, however long the answer takes.
+    d.report_fresh("r");
+    assert_eq!(sent(&d.request("bounded", 1)), ["r"]);
+    let stated = at(d.now - 0.4, false);
     assert_eq!(
-        d.policy.assess_answer(&"bounded".into(), (0, 0.3), Outcome::Ok, told),
+        d.policy.assess_answer(&"bounded".into(), (0, 0.3), Outcome::Ok, stated),
         Conclusion::AsReceived
     );
 }
--- a/crates/routing/tests/drive/mod.rs
+++ b/crates/routing/tests/drive/mod.rs
@@ -1,14 +1,14 @@
-//! What the scenarios share: a policy that is driven by events, and what they look for in its actions.
-#![allow(dead_code)] // Each set of scenarios uses its part of it.
+//! Shared by the scenarios: a policy that is driven by events, and queries on its actions.
+#![allow(dead_code)] // Each test file uses a part of it.
 
 use routing::interface::*;
 use routing::Policy;
 
-/// Drives one policy and keeps what it did.
+/// Drives one policy and records its actions.
 pub struct Drive {
     pub policy: Policy,
     pub now: f64,
-    pub acts: Vec<Action>,
+    pub actions: Vec<Action>,
     pub timers: Vec<(f64, u64)>,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Drive {
-    /// Primary "p" and replica "r" at home, replica "far" elsewhere.
+    /// Primary "p" and replica "r" in the home zone, replica "far" in another one.
     pub fn new(settings: Settings) -> Drive {
         Drive::seeded(settings, 1)
     }
@@ -47,14 +47,14 @@
         let mut drive = Drive {
             policy: Policy::new(settings, seed).unwrap(),
             now: 100.0,
-            acts: Vec::new(),
+            actions: Vec::new(),
             timers: Vec::new(),
         };
         drive.list(ListKind::Saved, vec![entry("p", 0, true), entry("r", 0, false), entry("far", 1, false)]);
         drive
     }
 
-    pub fn feed(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
         for action in &out {
@@ -62,17 +62,17 @@
                 self.timers.push((*at, *cookie));
             }
         }
-        self.acts.extend(out.iter().cloned());
+        self.actions.extend(out.iter().cloned());
         out
     }
 
     pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.feed(Event::Members { kind, entries })
+        self.handle(Event::Members { kind, entries })
     }
 
-    /// Lets time pass, firing timers as they come due.
-    pub fn pass(&mut self, seconds: f64) -> Vec<Action> {
-        let (end, from) = (self.now + seconds, self.acts.len());
+    /// Advances the time and fires the timers that come due.
+    pub fn advance(&mut self, seconds: f64) -> Vec<Action> {
+        let (end, from) = (self.now + seconds, self.actions.len());
         while let Some(next) =
             (0..self.timers.len()).min_by(|&a, &b| self.timers[a].0.total_cmp(&self.timers[b].0))
         {
@@ -81,21 +81,21 @@
             }
             let (at, cookie) = self.timers.swap_remove(next);
             self.now = self.now.max(at);
-            self.feed(Event::Timer { cookie });
+            self.handle(Event::Timer { cookie });
         }
         self.now = end;
-        self.acts[from..].to_vec()
+        self.actions[from..].to_vec()
     }
 
-    pub fn ask(&mut self, id: &str, class: usize) -> Vec<Action> {
-        self.feed(Event::arrival(id, class, 0, 1.8))
+    pub fn request(&mut self, id: &str, class: usize) -> Vec<Action> {
+        self.handle(Event::arrival(id, class, 0, 1.8))
     }
 
-    pub fn answer(&mut self, id: &str, member: &str, attempt: usize, outcome: Outcome) -> Vec<Action> {
-        self.told(id, member, attempt, outcome, None, None)
+    pub fn ended(&mut self, id: &str, member: &str, attempt: usize, outcome: Outcome) -> Vec<Action> {
+        self.ended_with(id, member, attempt, outcome, None, None)
     }
 
-    pub fn told(
+    pub fn ended_with(
         &mut self,
         id: &str,
         member: &str,
@@ -104,7 +104,7 @@
         primary: Option<bool>,
         position: Option<f64>,
     ) -> Vec<Action> {
-        self.feed(Event::AttemptEnded(AttemptEnded {
+        self.handle(Event::AttemptEnded(AttemptEnded {
             id: id.into(),
             member: member.into(),
             attempt,
@@ -118,7 +118,7 @@
         }))
     }
 
-    /// The end of an attempt after so long (seconds); where it is an answer, it is the primary's.
+    /// Ends an attempt after `elapsed` seconds; an `Ok` answer is the primary's.
     pub fn ended_after(
         &mut self,
         id: &str,
@@ -128,7 +128,7 @@
         elapsed: f64,
     ) -> Vec<Action> {
         let answered = outcome == Outcome::Ok;
-        self.feed(Event::AttemptEnded(AttemptEnded {
+        self.handle(Event::AttemptEnded(AttemptEnded {
             id: id.into(),
             member: member.into(),
             attempt,
@@ -142,15 +142,15 @@
         }))
     }
 
-    /// The primary's answer to a request that went out once, after so long (seconds).
+    /// Answers the first attempt of a request as the primary, after `elapsed` seconds.
     pub fn served_after(&mut self, id: &str, member: &str, elapsed: f64) -> Vec<Action> {
         self.ended_after(id, member, 0, Outcome::Ok, elapsed)
     }
 
-    /// Makes a replica known to be fresh as of now.
-    pub fn freshen(&mut self, member: &str) {
+    /// Reports the replica's position as of now.
+    pub fn report_fresh(&mut self, member: &str) {
         let report = Report { position: Some(self.now), primary: Some(false) };
-        self.feed(Event::ProbeEnded { member: member.into(), outcome: Outcome::Ok, report });
+        self.handle(Event::ProbeEnded { member: member.into(), outcome: Outcome::Ok, report });
     }
 }
 
--- a/crates/routing/tests/knowledge.rs
+++ b/crates/routing/tests/knowledge.rs
@@ -1,12 +1,12 @@
-//! Scenarios of what is known of members, and of how it is found out. Each guards one decision.
+//! Scenarios of probes for positions and roles. Each guards one decision.
 
 mod drive;
 
 use drive::*;
 use routing::interface::*;
 
-/// Members answer reads from what they have, and may be probed.
-fn unchecked() -> Settings {
+/// Members answer reads from the data they have, and may be probed.
+fn without_position_checks() -> Settings {
     Settings { when_behind: WhenBehind::ServeStale, probes: true, ..settings() }
 }
 
@@ -17,148 +17,148 @@
         .collect()
 }
 
-/// Primary "p" and replica "far", both in another zone; what "far" said is older than the bound of 0.5 s.
-fn unheard() -> Drive {
-    let mut d = Drive::new(unchecked());
+/// Primary "p" and replica "far", both in another zone. The position of "far" is too old for the 0.5 s bound.
+fn position_outdated() -> Drive {
+    let mut d = Drive::new(without_position_checks());
     d.list(ListKind::Full, vec![entry("p", 1, true), entry("far", 1, false)]);
-    d.freshen("far");
+    d.report_fresh("far");
     let primary = Report { position: Some(d.now), primary: Some(true) };
-    d.feed(Event::ProbeEnded { member: "p".into(), outcome: Outcome::Ok, report: primary });
+    d.handle(Event::ProbeEnded { member: "p".into(), outcome: Outcome::Ok, report: primary });
     d.now += 1.0;
     d
 }
 
 #[test]
-fn a_read_that_finds_no_fresh_replica_has_those_asked_that_were_not_heard_of() {
-    let mut d = unheard();
-    // One read now and then is worth no question: the answer would be too old for the next.
+fn a_read_without_a_fresh_replica_probes_replicas_of_unknown_position() {
+    let mut d = position_outdated();
+    // Rare reads justify no probe: the answer would be too old for the next one.
     for id in ["now", "then"] {
-        assert_eq!((sent(&d.ask(id, 1)), probed(&d.acts).len()), (vec!["p"], 0));
+        assert_eq!((sent(&d.request(id, 1)), probed(&d.actions).len()), (vec!["p"], 0));
     }
-    // The primary has little to do and takes this one; the replica is asked for the sake of those to come.
-    let first = d.ask("a", 1);
+    // The primary has little load and takes this read; the replica is probed for later reads.
+    let first = d.request("a", 1);
     assert_eq!((sent(&first), probed(&first)), (vec!["p"], vec!["far"]));
-    d.freshen("far");
-    assert_eq!(sent(&d.ask("b", 1)), ["far"]);
+    d.report_fresh("far");
+    assert_eq!(sent(&d.request("b", 1)), ["far"]);
 }
 
 #[test]
-fn a_read_that_nobody_could_take_waits_for_what_is_being_asked() {
-    let mut d = unheard();
+fn a_read_that_no_member_can_serve_waits_for_pending_probes() {
+    let mut d = position_outdated();
     d.list(ListKind::Incremental, vec![Entry { phase: Phase::Leaving, ..entry("p", 1, true) }]);
-    let next = d.ask("a", 1);
+    let next = d.request("a", 1);
     assert_eq!((probed(&next), finals(&next)), (vec!["far"], 0), "{next:?}");
     let report = Report { position: Some(d.now), primary: Some(false) };
-    let told = d.feed(Event::ProbeEnded { member: "far".into(), outcome: Outcome::Ok, report });
-    assert_eq!(sent(&told), ["far"]);
+    let actions = d.handle(Event::ProbeEnded { member: "far".into(), outcome: Outcome::Ok, report });
+    assert_eq!(sent(&actions), ["far"]);
 }
 
-/// Guards the rule on the age of data: what is asked may turn out to be behind.
+/// Guards the staleness bound: a probed replica may be too far behind.
 #[test]
-fn a_replica_that_turns_out_to_be_behind_gets_nothing() {
-    let mut d = unheard();
+fn a_replica_probed_as_too_far_behind_gets_no_read() {
+    let mut d = position_outdated();
     d.list(ListKind::Incremental, vec![Entry { phase: Phase::Leaving, ..entry("p", 1, true) }]);
-    d.ask("a", 1);
+    d.request("a", 1);
     let report = Report { position: Some(d.now - 0.6), primary: Some(false) };
-    let told = d.feed(Event::ProbeEnded { member: "far".into(), outcome: Outcome::Ok, report });
-    assert_eq!(sent(&told), [] as [&str; 0]);
-    // It may catch up: the read waits for that, and ends in time.
-    d.pass(1.8);
-    assert_eq!(finals(&d.acts), 1);
+    let actions = d.handle(Event::ProbeEnded { member: "far".into(), outcome: Outcome::Ok, report });
+    assert_eq!(sent(&actions), [] as [&str; 0]);
+    // The replica may catch up: the read waits for that, and ends in time.
+    d.advance(1.8);
+    assert_eq!(finals(&d.actions), 1);
 }
 
-/// Guards against waiting for ever, or at all, where nobody can be asked.
+/// Guards against waiting where no member can be probed.
 #[test]
-fn without_probes_a_read_that_nobody_can_take_is_refused_at_once_or_held_for_a_primary() {
-    let mut d = Drive::new(Settings { probes: false, ..unchecked() });
+fn without_probes_and_members_a_read_is_refused_at_once() {
+    let mut d = Drive::new(Settings { probes: false, ..without_position_checks() });
     d.list(ListKind::Full, vec![]);
-    assert_eq!(finals(&d.ask("a", 1)), 1);
+    assert_eq!(finals(&d.request("a", 1)), 1);
 }
 
 #[test]
-fn several_that_wait_for_a_silent_member_prove_more_than_one() {
-    // Each has waited for a third of what one alone would have to.
+fn several_unanswered_attempts_eject_a_member_sooner_than_one() {
+    // Each has waited for a third of the time that a single attempt would need.
     let suspected = |together: usize| {
         let mut d = Drive::new(settings());
         for i in 0..together {
-            assert_eq!(sent(&d.ask(&format!("w{i}"), 3)).len(), 1);
+            assert_eq!(sent(&d.request(&format!("w{i}"), 3)).len(), 1);
         }
-        let acts = d.pass(0.33);
-        acts.iter().any(|a| matches!(a, Action::Log(line) if line.contains("member r suspected")))
+        let actions = d.advance(0.33);
+        actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("member r suspected")))
     };
     assert!(!suspected(1));
     assert!(suspected(8));
 }
 
-/// Guards the rule on the age of data to the moment: what was heard holds for the bound less its lag.
+/// Guards the staleness bound exactly: an observed position is valid for the bound minus the lag.
 #[test]
-fn a_lone_replica_at_home_serves_up_to_the_bound_and_not_past_it() {
+fn a_home_replica_serves_reads_up_to_the_staleness_bound() {
     for (age, served) in [(0.49, true), (0.51, false)] {
-        let mut d = Drive::new(Settings { probes: false, ..unchecked() });
+        let mut d = Drive::new(Settings { probes: false, ..without_position_checks() });
         d.list(ListKind::Full, vec![entry("p", 1, true), entry("r", 0, false)]);
-        d.freshen("r");
+        d.report_fresh("r");
         d.now += age;
-        assert_eq!(sent(&d.ask("a", 1)), [if served { "r" } else { "p" }]);
+        assert_eq!(sent(&d.request("a", 1)), [if served { "r" } else { "p" }]);
     }
 }
 
-/// Guards against a read that waits only because the primary has its hands full with writes.
+/// Guards against queueing a read only because the primary is busy with writes.
 #[test]
-fn a_read_that_waits_is_not_paced_by_the_primarys_writes() {
-    let mut d = unheard();
+fn a_queued_read_is_not_delayed_by_the_primarys_writes() {
+    let mut d = position_outdated();
     for i in 0..10 {
-        d.ask(&format!("w{i}"), 0);
+        d.request(&format!("w{i}"), 0);
     }
     d.list(ListKind::Incremental, vec![entry("late", 1, false)]);
-    d.ask("a", 1);
+    d.request("a", 1);
     let report = Report { position: Some(d.now), primary: Some(false) };
-    d.feed(Event::ProbeEnded { member: "late".into(), outcome: Outcome::Ok, report });
+    d.handle(Event::ProbeEnded { member: "late".into(), outcome: Outcome::Ok, report });
     let to_a: Vec<_> =
-        d.acts.iter().filter(|a| matches!(a, Action::Send { id, .. } if &**id == "a")).collect();
+        d.actions.iter().filter(|a| matches!(a, Action::Send { id, .. } if &**id == "a")).collect();
     assert_eq!(to_a.len(), 1, "{to_a:?}");
 }
 
-/// A primary that was away came back as a replica, and its last word, that it was the primary, kept all reads from it.
+/// Guards against a former primary that got no reads as a replica, since its last known role was primary.
 #[test]
-fn a_suspect_is_asked_where_it_stands() {
-    let mut d = unheard();
+fn an_ejected_member_is_probed_for_its_position() {
+    let mut d = position_outdated();
     for i in 0..3 {
-        d.ask(&format!("a{i}"), 1);
-        d.told(&format!("a{i}"), "p", 0, Outcome::ConnectFailed, None, None);
+        d.request(&format!("a{i}"), 1);
+        d.ended_with(&format!("a{i}"), "p", 0, Outcome::ConnectFailed, None, None);
     }
-    assert!(d.acts.iter().any(|a| matches!(a, Action::Log(line) if line.contains("member p suspected"))));
+    assert!(d.actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("member p suspected"))));
     let report = Report { position: Some(d.now), primary: Some(true) };
-    d.feed(Event::ProbeEnded { member: "far".into(), outcome: Outcome::Ok, report });
-    let mut asked = Vec::new();
+    d.handle(Event::ProbeEnded { member: "far".into(), outcome: Outcome::Ok, report });
+    let mut probed_members = Vec::new();
     for i in 0..12 {
-        d.pass(1.0);
-        let acts = d.ask(&format!("b{i}"), 1);
-        asked.extend(probed(&acts).iter().map(|m| m.to_string()));
-        d.told(&format!("b{i}"), "far", 0, Outcome::Ok, Some(true), Some(d.now));
+        d.advance(1.0);
+        let actions = d.request(&format!("b{i}"), 1);
+        probed_members.extend(probed(&actions).iter().map(|m| m.to_string()));
+        d.ended_with(&format!("b{i}"), "far", 0, Outcome::Ok, Some(true), Some(d.now));
     }
-    assert!(asked.contains(&"p".to_string()), "{asked:?}");
+    assert!(probed_members.contains(&"p".to_string()), "{probed_members:?}");
 }
 
-/// Each of hundreds asked every home replica of a group at its first read, though all of them together are to ask one that
-/// gets no reads four times in the shortest bound.
+/// Guards against a probe of every home replica by each of hundreds of poolers at its first read. All poolers
+/// together probe an unused replica four times within the shortest staleness bound.
 #[test]
-fn home_replicas_that_nobody_needs_are_not_all_asked_at_the_start() {
-    let asked = |fleet_size: u32, seconds: u32| {
-        let mut asked = 0;
+fn background_probes_of_home_replicas_are_spread_over_the_fleet() {
+    let probe_count = |fleet_size: u32, seconds: u32| {
+        let mut probe_count = 0;
         for seed in 0..100 {
-            let mut d = Drive::seeded(Settings { fleet_size, ..unchecked() }, seed);
+            let mut d = Drive::seeded(Settings { fleet_size, ..without_position_checks() }, seed);
             d.list(ListKind::Full, ["p", "r", "s"].map(|m| entry(m, 0, m == "p")).to_vec());
             for i in 0..seconds {
-                d.freshen("r");
-                assert_eq!(sent(&d.ask(&format!("a{i}"), 1)), ["r"]);
-                d.told(&format!("a{i}"), "r", 0, Outcome::Ok, Some(false), None);
-                d.pass(1.0);
+                d.report_fresh("r");
+                assert_eq!(sent(&d.request(&format!("a{i}"), 1)), ["r"]);
+                d.ended_with(&format!("a{i}"), "r", 0, Outcome::Ok, Some(false), None);
+                d.advance(1.0);
             }
-            asked += probed(&d.acts).len();
+            probe_count += probed(&d.actions).len();
         }
-        asked
+        probe_count
     };
-    // 0.5 s x 300 / 4 between two askings by one of 300: a home replica in 1 s by a hundred.
-    assert!(asked(300, 1) <= 20, "{}", asked(300, 1));
-    assert!(asked(3, 2) >= 50, "each of three asks within its pause: {}", asked(3, 2));
+    // At 300 poolers each probes a home replica every 0.5 s x 300 / 4 = 37.5 s; a hundred of them run for 1 s.
+    assert!(probe_count(300, 1) <= 20, "{}", probe_count(300, 1));
+    assert!(probe_count(3, 2) >= 50, "each of three poolers probes at its interval: {}", probe_count(3, 2));
 }
--- a/crates/routing/tests/peer_reports.rs
+++ b/crates/routing/tests/peer_reports.rs
@@ -1,4 +1,5 @@
-//! What other instances say of members: stricter at once, never laxer where it would cost more than a miss.
+//! Reports of other instances: they make decisions stricter at once, never laxer where that costs more than a
+//! miss.
 
 use routing::interface::*;
 use routing::peer_reports::PeerReport;
@@ -8,7 +9,8 @@
     Entry { member: name.into(), zone, group: 0, phase: Phase::Active, started_at: 0.0, primary: name == "p" }
 }
 
-/// A primary and two replicas at home, one elsewhere; classes: a session's reads, writes.
+/// A primary and two replicas in the home zone, one replica elsewhere.
+/// Classes: 0 session read, 1 write, 2 read of any age.
 fn policy(now: f64) -> (Policy, Vec<Action>) {
     let session = Class { consistency: Consistency::Session, ..Class::default() };
     let write = Class { consistency: Consistency::Write, effect: Effect::Keyed, ..Class::default() };
@@ -24,10 +26,16 @@
     (policy, out)
 }
 
-fn arrive(policy: &mut Policy, now: f64, id: &str, class: usize, own: Option<f64>) -> Option<String> {
+fn arrive(
+    policy: &mut Policy,
+    now: f64,
+    id: &str,
+    class: usize,
+    session_position: Option<f64>,
+) -> Option<String> {
     let Event::Arrival(arrival) = Event::arrival(id, class, 0, 1.0) else { unreachable!() };
     let mut out = Vec::new();
-    policy.handle(now, Event::Arrival(Arrival { session_position: own, ..arrival }), &mut out);
+    policy.handle(now, Event::Arrival(Arrival { session_position, ..arrival }), &mut out);
     out.iter().find_map(|action| match action {
         Action::Send { member, .. } => Some(member.to_string()),
         _ => None,
@@ -50,12 +58,12 @@
     policy.handle(now, Event::AttemptEnded(done), &mut Vec::new());
 }
 
-fn heard(member: &str) -> PeerReport {
+fn report(member: &str) -> PeerReport {
     PeerReport { member: member.into(), ..PeerReport::default() }
 }
 
 #[test]
-fn a_read_of_what_is_not_known_goes_to_the_primary_and_one_of_what_is_known_stays_near() {
+fn a_read_of_unknown_position_goes_to_the_primary_and_of_a_known_one_to_a_home_replica() {
     let (mut policy, _) = policy(100.0);
     assert_eq!(arrive(&mut policy, 100.1, "1", 0, Some(f64::INFINITY)).as_deref(), Some("p"));
     done(&mut policy, 100.2, "1", "p", Outcome::Ok, Some(100.19));
@@ -64,7 +72,8 @@
         let member = arrive(&mut policy, 100.3, &id, 2, None).unwrap();
         done(&mut policy, 100.31, &id, &member, Outcome::Ok, Some(100.2));
     }
-    // Known to have come to 100.2: what needs less stays near. All of it is past what was forgotten at the start.
+    // The replicas are known to be at 100.2: reads that need less stay in the zone. All these positions are
+    // after the start, before which any session may have written.
     let near = arrive(&mut policy, 100.4, "2", 0, Some(100.1)).unwrap();
     assert!(["a", "b"].contains(&near.as_str()), "{near}");
     assert!(
@@ -73,7 +82,7 @@
 }
 
 #[test]
-fn an_answer_that_may_have_seen_less_is_too_old() {
+fn an_answer_that_may_not_reflect_the_required_position_is_too_old() {
     let at = |primary, position| Policy::assess_freshness(primary, position, 50.0, 0.2);
     assert_eq!(at(Some(false), Some(50.1)), Conclusion::TooOld);
     assert_eq!(at(Some(false), Some(50.3)), Conclusion::AsReceived);
@@ -82,10 +91,10 @@
 }
 
 #[test]
-fn a_drain_heard_of_holds_at_once_and_ends_with_its_word() {
+fn a_reported_drain_holds_at_once_and_until_the_report_ends() {
     let (mut policy, mut out) = policy(100.0);
-    let drained = PeerReport { drained: true, ..heard("a") };
-    policy.apply_peer_reports(100.1, &[drained, PeerReport { drained: true, ..heard("b") }], 3, &mut out);
+    let drained = PeerReport { drained: true, ..report("a") };
+    policy.apply_peer_reports(100.1, &[drained, PeerReport { drained: true, ..report("b") }], 3, &mut out);
     for n in 0..10 {
         let member = arrive(&mut policy, 100.2, &format!("{n}"), 2, None).unwrap();
         assert!(!["a", "b"].contains(&member.as_str()), "{member}");
@@ -97,12 +106,12 @@
 }
 
 #[test]
-fn one_observer_alone_ejects_nobody_and_two_do_unless_it_has_just_been_heard() {
-    let suspected = |count| PeerReport { suspected_by: count, ..heard("a") };
-    let ejected = |count, hears: bool| {
+fn two_observers_eject_a_member_unless_it_has_just_answered() {
+    let suspected = |count| PeerReport { suspected_by: count, ..report("a") };
+    let ejected = |count, answers: bool| {
         let (mut policy, mut out) = policy(100.0);
-        if hears {
-            // It answers this one: whoever else does not hear it.
+        if answers {
+            // The member answers this instance, whatever others observe.
             let member = (0..40).find_map(|n| {
                 let id = format!("h{n}");
                 let member = arrive(&mut policy, 100.1, &id, 2, None)?;
@@ -120,34 +129,34 @@
 }
 
 #[test]
-fn a_report_that_ejected_is_no_evidence_for_others() {
+fn an_ejection_due_to_reports_is_not_reported_as_an_observation() {
     let (mut policy, mut out) = policy(100.0);
-    policy.apply_peer_reports(100.2, &[PeerReport { suspected_by: 2, ..heard("a") }], 3, &mut out);
-    let found = policy.observations();
-    let a = found.iter().find(|found| &*found.observed.member == "a").unwrap();
+    policy.apply_peer_reports(100.2, &[PeerReport { suspected_by: 2, ..report("a") }], 3, &mut out);
+    let observations = policy.observations();
+    let a = observations.iter().find(|observation| &*observation.observed.member == "a").unwrap();
     assert!(!a.suspected);
 }
 
 #[test]
-fn the_load_of_others_makes_a_read_leave_its_zone() {
+fn reported_load_makes_a_read_leave_its_zone() {
     let (mut policy, mut out) = policy(100.0);
-    // Both at home are full of what others sent there, which this one does not see by itself.
-    let full = |member| PeerReport { in_flight: 20.0, ..heard(member) };
+    // Both home replicas are loaded by requests of other instances, which this one cannot observe itself.
+    let full = |member| PeerReport { in_flight: 20.0, ..report(member) };
     policy.apply_peer_reports(100.1, &[full("a"), full("b")], 3, &mut out);
     assert_eq!(arrive(&mut policy, 100.1, "1", 2, None).as_deref(), Some("far"));
-    // It fades where nobody renews it.
+    // The reported load decays without new reports.
     assert!(["a", "b"].contains(&arrive(&mut policy, 104.0, "2", 2, None).unwrap().as_str()));
 }
 
 #[test]
-fn who_is_said_to_be_the_primary_is_tried_first_where_nobody_is_known() {
+fn the_reported_primary_gets_the_first_trial_write() {
     for seed in 0..5 {
         let write = Class { consistency: Consistency::Write, effect: Effect::Keyed, ..Class::default() };
         let settings = Settings { classes: vec![write], ..Settings::default() };
         let (mut policy, mut out) = (Policy::new(settings, seed).unwrap(), Vec::new());
         let entries = ["a", "b", "c", "d"].map(|name| entry(name, 0)).to_vec();
         policy.handle(100.0, Event::Members { kind: ListKind::Saved, entries }, &mut out);
-        policy.apply_peer_reports(100.0, &[PeerReport { primary: true, ..heard("c") }], 1, &mut out);
+        policy.apply_peer_reports(100.0, &[PeerReport { primary: true, ..report("c") }], 1, &mut out);
         assert_eq!(arrive(&mut policy, 100.1, "1", 0, None).as_deref(), Some("c"));
     }
 }
