--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -15,7 +15,6 @@
 //! ```
 #![warn(missing_docs)]
 
-mod calls;
 mod check;
 mod demand;
 mod deposed;
@@ -23,20 +22,21 @@
 mod failure_detection;
 mod guard;
 pub mod interface;
-mod knowledge;
 mod latency;
+mod list_requests;
 mod load;
 mod messages;
 mod observed_state;
 mod outcome;
 mod own_writes;
-mod pace;
 pub mod peer_reports;
 pub mod permission;
 mod policy;
-mod ramp;
+mod probing;
 mod reconfigure;
+mod relative_latency;
 mod share;
+mod slow_start;
 mod state;
 mod thresholds;
 
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -1,14 +1,14 @@
 //! State of members, groups and requests: plain data, no decisions.
 
-use crate::calls::ListRequests;
 use crate::demand::{Demand, TenantShare};
 use crate::interface::{
     AttemptSummary, Conclusion, Consistency, Explanation, MemberId, Outcome, Phase, Reason, RequestId,
     Settings,
 };
 use crate::latency::Latency;
-use crate::pace::RelativeLatency;
+use crate::list_requests::ListRequests;
 use crate::permission::{AttemptRules, History};
+use crate::relative_latency::RelativeLatency;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
