--- a/crates/routing/src/peer_reports.rs
+++ b/crates/routing/src/peer_reports.rs
@@ -132,7 +132,7 @@
         })
     }
 
-    /// Assesses an answer that may not reflect the position `needed`. It is too old if a replica states an
+    /// Assesses an answer that may not reflect the position `required`. It is too old if a replica states an
     /// older position or none. The answer was begun `elapsed` seconds ago, and the data may be older by that
     /// time.
     pub fn assess_freshness(
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -548,7 +548,8 @@
         let highest = self.settings.classes.iter().zip(&self.latency).map(priority).fold(1e-9, f64::max);
         let worth = priority((class, &self.latency[request.class])) / highest;
         let worth = worth * if request.over_share { self.settings.over_share_worth } else { 1.0 };
-        // A request past its aim gets its full time left: queueing it would delay those still in time.
+        // A request past its aim may take until its deadline, but at most another aim (see `limit`):
+        // otherwise it would delay requests that are still in time.
         let left = if self.now < request.aim_at { request.aim_at } else { request.deadline } - self.now;
         // The error of the expected latency grows with the root of the unobserved load: the limit allows it.
         let margin = 1.0 + PREDICTION_ERROR_RATIO * (self.unobserved_factor().sqrt() - 1.0);
@@ -679,8 +680,8 @@
             }
         }
         // Fallback instead of a refusal: an ejected member that still answers some requests, or, if no
-        // member is healthy, one that has not answered for a while. Members known to be behind are excluded:
-        // trying each of them in turn would add work for nothing.
+        // member is healthy, any without a recent connection failure. Members known to be behind are
+        // excluded: trying each of them in turn would add work for nothing.
         let none_healthy = !candidates.iter().any(|&m| self.healthy(m));
         let recent = self.now - self.settings.connect_timeout * MAX_EJECTION_FACTOR;
         let fallback = candidates.iter().copied().filter(|&m| {
--- a/crates/routing/src/probing.rs
+++ b/crates/routing/src/probing.rs
@@ -1,5 +1,5 @@
 //! Probes for positions and roles of members. A member states its position with each answer; one that gets no
-//! requests has to be probed, which costs it work and costs the site points.
+//! requests has to be probed, which costs it work and the site points.
 
 use crate::interface::Action;
 use crate::state::Policy;
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -1,6 +1,6 @@
 //! Slow start: limits the load of a member that has just started (a cold member). Its capacity is at least
 //! the share of its full capacity that the settings state; it fails if it is loaded far beyond that. Poolers
-//! that exchange no state keep the limit together by sampling: each request draws a number once, and each
+//! that exchange no state stay within the limit together by sampling: each request draws a number once, each
 //! cold member gets the requests in a range of samples whose width is the part of the group's requests that
 //! it can take by now.
 
