--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,5 +1,6 @@
-//! Decides where each read and write of a replicated database goes. No I/O: a proxy feeds [`Policy`] events and
-//! the time, and carries out the actions it gets back; [`interface`] holds the types that pass between them.
+//! Decides where each read and write of a replicated database goes. It does no I/O: a pooler passes events
+//! and the time to [`Policy`], and carries out the actions that it returns. [`interface`] has the types of
+//! both.
 //!
 //! ```
 //! use routing::interface::{Action, Entry, Event, ListKind, Phase, Settings};
@@ -14,7 +15,6 @@
 //! ```
 #![warn(missing_docs)]
 
-mod calls;
 mod check;
 mod demand;
 mod deposed;
@@ -22,19 +22,21 @@
 mod failure_detection;
 mod guard;
 pub mod interface;
-mod knowledge;
 mod latency;
+mod list_requests;
 mod load;
+mod messages;
 mod observed_state;
 mod outcome;
 mod own_writes;
-mod pace;
 pub mod peer_reports;
 pub mod permission;
 mod policy;
-mod ramp;
+mod probing;
 mod reconfigure;
+mod relative_latency;
 mod share;
+mod slow_start;
 mod state;
 mod thresholds;
 
