--- a/crates/daemon/src/counters.rs
+++ b/crates/daemon/src/counters.rs
@@ -1,66 +1,67 @@
-//! What the pooler counts.
+//! Counters of the pooler.
 
 use std::fmt;
 
 use routing::interface::Outcome;
 use routing::permission::Denial;
 
-/// What was taken in, sent and answered since the start.
+/// Counts of what was received, sent and answered since the start.
 #[derive(Default)]
 pub(crate) struct Counters {
     pub clients: u64,
     pub requests: u64,
     pub malformed: u64,
-    /// Clients that did not ask, end a message or read in time.
+    /// Clients that did not send a request, complete a message or read an answer in time.
     pub clients_timed_out: u64,
-    /// Clients whose connection was closed because it had rested for too long.
+    /// Client connections that were closed because they had been idle for too long.
     pub idle_clients_closed: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
     pub requests_abandoned: u64,
-    /// Requests that came while an earlier one of their connection had no answer yet.
+    /// Requests that arrived while an earlier request of their connection was still unanswered.
     pub pipelined: u64,
     pub attempts_sent: u64,
     pub probes_sent: u64,
-    /// Answers that were none, what came behind an answer or without a request, and reports that could not be
-    /// read.
+    /// Answers of members that broke the protocol.
     pub malformed_answers: u64,
+    /// Times that a member sent data after an answer, or without a request.
     pub unexpected_data: u64,
+    /// Reports of members that could not be parsed.
     pub unreadable_reports: u64,
     pub connected: u64,
-    /// How attempts and probes ended, in the order of [`OUTCOMES`].
+    /// Attempts and probes by outcome, in the order of [`OUTCOMES`].
     pub attempt_outcomes: [u64; OUTCOMES.len()],
     pub probe_outcomes: [u64; OUTCOMES.len()],
     pub lists: u64,
     pub lists_failed: u64,
-    /// Times that the configuration was read again, and that it could not be used.
+    /// Reloads of the configuration that succeeded and that failed.
     pub reloads: u64,
     pub reloads_failed: u64,
-    /// Answers that were served from data older than their requests may see.
+    /// Attempts whose answer was read from data older than the request's freshness bound.
     pub too_old: u64,
-    /// What the decisions came to and may not be done, and what could not be done any more when it was to be.
+    /// Actions of the policy that the permission check denied: `violations` are faults of the policy,
+    /// `withheld` are attempts whose conditions changed between the decision and the check.
     pub violations: Denials,
     pub withheld: Denials,
-    /// Times that the process was held up, or one round of its loop took, for longer than
-    /// [`LOOP_DELAY_THRESHOLD`], and the longest of these (seconds).
+    /// Times that the process was not scheduled, or one iteration of the event loop took, for at least
+    /// [`LOOP_DELAY_THRESHOLD`], and the longest such delay (seconds).
     pub loop_delays: u64,
     pub longest_loop_delay: f64,
 }
 
-/// How often each denial was met.
+/// Number of occurrences of each denial.
 #[derive(Default)]
 pub(crate) struct Denials([u64; Denial::ALL.len()]);
 
 impl Denials {
-    /// One more.
     pub fn count(&mut self, denial: Denial) {
         if let Some(index) = Denial::ALL.iter().position(|known| *known == denial) {
             self.0[index] += 1;
         }
     }
 
-    /// Writes their number under a name, and that of each kind that was met.
+    /// Writes the total as `name=total`, and the count of each denial that occurred as `name_denial=count`.
     fn write(&self, name: &str, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, " {name}={}", self.0.iter().sum::<u64>())?;
         for (denial, count) in Denial::ALL.iter().zip(self.0).filter(|(_, count)| *count > 0) {
@@ -70,18 +71,19 @@
     }
 }
 
-/// A pause of the loop that is counted and logged (seconds): well below the shortest grace of a drain.
+/// Delays of the event loop from this length on are counted and logged (seconds). Well below the shortest
+/// grace period of a drain.
 pub(crate) const LOOP_DELAY_THRESHOLD: f64 = 0.1;
 
 impl Counters {
-    /// The loop did nothing for so long though it had something to do, or took so long for one round.
+    /// Records how long the loop was late in waking, or how long it took for one iteration.
     pub fn record_loop_time(&mut self, seconds: f64) {
         if seconds < LOOP_DELAY_THRESHOLD {
             return;
         }
         self.loop_delays += 1;
         self.longest_loop_delay = self.longest_loop_delay.max(seconds);
-        logging::warn!(event = "loop.held_up", seconds, "the loop was held up");
+        logging::warn!(event = "loop.held_up", seconds, "the event loop was delayed");
     }
 }
 
@@ -97,7 +99,6 @@
     (Outcome::Miss, "miss"),
 ];
 
-/// Counts one outcome in `counts`.
 pub(crate) fn count_outcome(counts: &mut [u64; OUTCOMES.len()], outcome: Outcome) {
     if let Some(index) = OUTCOMES.iter().position(|(known, _)| *known == outcome) {
         counts[index] += 1;
@@ -106,20 +107,14 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Counters {
-            clients,
-            requests: taken,
-            malformed,
-            served,
-            refused,
-            failed,
-            requests_abandoned: gone,
-            ..
-        } = self;
-        write!(f, "clients={clients} taken={taken} malformed={malformed} served={served} refused={refused}")?;
+        let Counters { clients, requests, malformed, served, refused, failed, requests_abandoned, .. } = self;
         write!(
             f,
-            " failed={failed} gone={gone} overdue={} rested={}",
+            "clients={clients} taken={requests} malformed={malformed} served={served} refused={refused}"
+        )?;
+        write!(
+            f,
+            " failed={failed} gone={requests_abandoned} overdue={} rested={}",
             self.clients_timed_out, self.idle_clients_closed
         )?;
         write!(f, " connected={} sent={}", self.connected, self.attempts_sent)?;
--- a/crates/daemon/src/net/control.rs
+++ b/crates/daemon/src/net/control.rs
@@ -1,5 +1,5 @@
-//! The control socket: takes calls off local connections, a line each, and writes the answers. What a call does
-//! is not known here.
+//! The control socket: reads calls from local connections, one per line, and writes the answers. The calls
+//! themselves are carried out elsewhere.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::os::unix::fs::{DirBuilderExt, MetadataExt, PermissionsExt};
@@ -14,53 +14,57 @@
 use super::outbox::Outbox;
 use super::{Context, Event};
 
-/// Most connections at a time; a further one is closed at once.
-const MOST: usize = 8;
-/// A line past this (bytes) is a long one, of which one at a time is taken in: it can need megabytes.
-const LONG: usize = 64 * 1024;
-/// Bytes read at a time.
-const PIECE: usize = 16 * 1024;
+/// Maximum number of open connections; a further one is answered with "busy" and closed.
+const MAX_CONNECTIONS: usize = 8;
+/// Longer lines (bytes) are read from one connection at a time, since each can need megabytes.
+const LONG_CALL_BYTES: usize = 64 * 1024;
+/// Bytes per read call.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 struct Conn {
     stream: UnixStream,
     lines: Lines,
     outbox: Outbox,
-    /// A call of it is not answered yet; no further one is read until then.
-    waits: bool,
-    /// Ends once all is written.
-    ending: bool,
-    /// When it last asked, or read.
-    heard: f64,
+    /// True while a call of this connection has no answer yet; no further call is read until then.
+    awaits_answer: bool,
+    /// True if the connection is to be closed once the outbox is written.
+    close_after_write: bool,
+    /// When the connection last sent or accepted bytes, or was given an answer (Unix seconds).
+    last_active_at: f64,
 }
 
-/// The socket and all connections on it.
+/// The listening socket and its connections.
 pub(crate) struct ControlSocket {
     bound: OwnedListener,
     conns: Slots<Conn>,
-    idle: f64,
+    idle_timeout: f64,
 }
 
 impl ControlSocket {
-    /// Listens at a path; only the owner's processes can connect. A socket that a daemon left behind when it
-    /// was killed is taken over, one that answers is not.
-    pub fn new(path: &Path, idle: f64, context: &mut Context) -> io::Result<ControlSocket> {
-        ControlSocket::over(OwnedListener::new(path)?, idle, context)
+    /// Listens at a path; only processes of the same user can connect. A socket file that a killed daemon has
+    /// left behind is replaced; it is an error if another process still answers there.
+    pub fn new(path: &Path, idle_timeout: f64, context: &mut Context) -> io::Result<ControlSocket> {
+        ControlSocket::from_listener(OwnedListener::new(path)?, idle_timeout, context)
     }
 
-    /// Listens at a path in place of a daemon that answers there still.
-    pub fn replace(path: &Path, idle: f64, context: &mut Context) -> io::Result<ControlSocket> {
-        ControlSocket::over(OwnedListener::replace(path)?, idle, context)
+    /// Listens at a path instead of a daemon that may still answer there.
+    pub fn replace(path: &Path, idle_timeout: f64, context: &mut Context) -> io::Result<ControlSocket> {
+        ControlSocket::from_listener(OwnedListener::replace(path)?, idle_timeout, context)
     }
 
-    fn over(mut bound: OwnedListener, idle: f64, context: &mut Context) -> io::Result<ControlSocket> {
+    fn from_listener(
+        mut bound: OwnedListener,
+        idle_timeout: f64,
+        context: &mut Context,
+    ) -> io::Result<ControlSocket> {
         let token = Source::ControlListener.into();
         context.reactor.registry.register(&mut bound.listener, token, Interest::READABLE)?;
-        Ok(ControlSocket { bound, conns: Slots::new(), idle })
+        Ok(ControlSocket { bound, conns: Slots::new(), idle_timeout })
     }
 
-    /// Closes a connection that is silent for so long (seconds), from now on.
-    pub fn set_idle_timeout(&mut self, idle: f64) {
-        self.idle = idle;
+    /// Sets how long a connection may be idle until it is closed (seconds).
+    pub fn set_idle_timeout(&mut self, idle_timeout: f64) {
+        self.idle_timeout = idle_timeout;
     }
 
     pub fn accept(&mut self, context: &mut Context) {
@@ -72,22 +76,24 @@
                 {
                     continue
                 }
-                // Without a descriptor what waits is announced again with the next that comes.
+                // Without a free descriptor, waiting connections are reported again with the next one that
+                // arrives.
                 Err(_) => return,
             };
-            if self.conns.len() >= MOST {
-                let full = Response::new(Code::Busy, format!("{MOST} control connections are open"));
+            if self.conns.len() >= MAX_CONNECTIONS {
+                let full =
+                    Response::new(Code::Busy, format!("{MAX_CONNECTIONS} control connections are open"));
                 let _ = stream.write(&full.to_line());
                 continue;
             }
-            let heard = context.reactor.now();
+            let now = context.reactor.now();
             let conn = Conn {
                 stream,
                 lines: Lines::new(MAX_LINE_BYTES),
                 outbox: Outbox::default(),
-                waits: false,
-                ending: false,
-                heard,
+                awaits_answer: false,
+                close_after_write: false,
+                last_active_at: now,
             };
             let slot = self.conns.insert(conn);
             let Some(conn) = self.conns.get_mut(slot) else { return };
@@ -97,47 +103,55 @@
                 self.conns.remove(slot);
                 continue;
             }
-            context.reactor.set_timer(heard + self.idle, TimerKind::ControlConnection(slot));
+            context.reactor.set_timer(now + self.idle_timeout, TimerKind::ControlConnection(slot));
             self.on_ready(slot, context);
         }
     }
 
-    /// A connection may be read from or written to.
+    /// Handles a connection that may be readable or writable.
     pub fn on_ready(&mut self, slot: Slot, context: &mut Context) {
-        if self.turn(slot, context).is_err() {
+        if self.process(slot, context).is_err() {
             self.conns.remove(slot);
         }
     }
 
-    fn turn(&mut self, slot: Slot, context: &mut Context) -> io::Result<()> {
-        let others = self
+    fn process(&mut self, slot: Slot, context: &mut Context) -> io::Result<()> {
+        let other_long_calls = self
             .conns
             .iter()
-            .filter(|(other, conn)| *other != slot && conn.lines.buffered_bytes() > LONG)
+            .filter(|(other, conn)| *other != slot && conn.lines.buffered_bytes() > LONG_CALL_BYTES)
             .count();
         let Some(conn) = self.conns.get_mut(slot) else { return Ok(()) };
         conn.flush(context.reactor.now())?;
-        let mut piece = [0; PIECE];
-        while !conn.waits && !conn.ending && conn.outbox.is_empty() {
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        while !conn.awaits_answer && !conn.close_after_write && conn.outbox.is_empty() {
             if let Some(line) = conn.lines.take() {
                 match Request::parse(&line) {
                     Ok(request) => {
-                        conn.waits = true;
+                        conn.awaits_answer = true;
                         context.events.push_back(Event::ControlCallReceived(slot, Box::new(request.call)));
                     }
-                    Err(fault) => conn.last_word(Code::Malformed, fault, context.reactor.now())?,
+                    Err(fault) => conn.send_error_and_close(Code::Malformed, fault, context.reactor.now())?,
                 }
                 continue;
             }
-            match conn.stream.read(&mut piece) {
+            match conn.stream.read(&mut chunk) {
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
                 Ok(count) => {
-                    conn.heard = context.reactor.now();
-                    let long = conn.lines.buffered_bytes() + count > LONG;
-                    if long && others > 0 {
-                        conn.last_word(Code::Busy, "another long call is being taken in".into(), conn.heard)?;
-                    } else if conn.lines.push(&piece[..count]).is_err() {
-                        conn.last_word(Code::Malformed, "the call is too long".into(), conn.heard)?;
+                    conn.last_active_at = context.reactor.now();
+                    let long = conn.lines.buffered_bytes() + count > LONG_CALL_BYTES;
+                    if long && other_long_calls > 0 {
+                        conn.send_error_and_close(
+                            Code::Busy,
+                            "another connection is sending a long call; try again later".into(),
+                            conn.last_active_at,
+                        )?;
+                    } else if conn.lines.push(&chunk[..count]).is_err() {
+                        conn.send_error_and_close(
+                            Code::Malformed,
+                            "the call is too long".into(),
+                            conn.last_active_at,
+                        )?;
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
@@ -148,53 +162,53 @@
         Ok(())
     }
 
-    /// Answers the call of a connection; it may have left meanwhile.
+    /// Answers the pending call of a connection; does nothing if the connection has been closed meanwhile.
     pub fn answer(&mut self, slot: Slot, response: &Response, context: &mut Context) {
         let now = context.reactor.now();
-        let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.waits) else { return };
-        (conn.waits, conn.heard) = (false, now);
+        let Some(conn) = self.conns.get_mut(slot).filter(|conn| conn.awaits_answer) else { return };
+        (conn.awaits_answer, conn.last_active_at) = (false, now);
         conn.outbox.push(&response.to_line());
-        context.reactor.set_timer(now + self.idle, TimerKind::ControlConnection(slot));
+        context.reactor.set_timer(now + self.idle_timeout, TimerKind::ControlConnection(slot));
         self.on_ready(slot, context);
     }
 
-    /// A connection may have been silent for long enough.
+    /// Closes a connection whose idle timeout has passed.
     pub fn on_timer(&mut self, slot: Slot, context: &mut Context) {
         let now = context.reactor.now();
-        let until = match self.conns.get_mut(slot) {
-            Some(conn) if !conn.waits => conn.heard + self.idle,
+        let close_at = match self.conns.get_mut(slot) {
+            Some(conn) if !conn.awaits_answer => conn.last_active_at + self.idle_timeout,
             _ => return,
         };
-        if now >= until {
+        if now >= close_at {
             self.conns.remove(slot);
         } else {
-            context.reactor.set_timer(until, TimerKind::ControlConnection(slot));
+            context.reactor.set_timer(close_at, TimerKind::ControlConnection(slot));
         }
     }
 }
 
-/// A listener at a path, which goes with it.
+/// A listener on a socket file, which is removed when the listener is dropped.
 pub(crate) struct OwnedListener {
     pub listener: UnixListener,
     path: PathBuf,
-    /// The file that was made: another may have taken its place.
-    file: Option<(u64, u64)>,
+    /// Device and inode of the socket file that was created: another process may have replaced the file.
+    file_id: Option<(u64, u64)>,
 }
 
 impl OwnedListener {
-    /// Listens at a path that no other process answers at; a file that one has left behind is taken over.
+    /// Listens at a path if no other process answers there; a socket file that was left behind is replaced.
     pub fn new(path: &Path) -> io::Result<OwnedListener> {
         if path.exists() {
             if std::os::unix::net::UnixStream::connect(path).is_ok() {
-                return Err(io::Error::new(ErrorKind::AddrInUse, "another daemon answers there"));
+                return Err(io::Error::new(ErrorKind::AddrInUse, "another process answers there"));
             }
             std::fs::remove_file(path)?;
         }
         OwnedListener::replace(path)
     }
 
-    /// Listens at a path whoever answers there until now. Bound inside a folder that only the owner may enter, and
-    /// moved out once its mode is set: at no time can another user connect.
+    /// Listens at a path even if another process answers there. The socket is bound inside a folder that only
+    /// its owner may enter, and moved out once its mode is set: at no time can another user connect.
     pub fn replace(path: &Path) -> io::Result<OwnedListener> {
         let name = path.file_name().ok_or(ErrorKind::InvalidInput)?;
         let private = path.with_extension(format!("{}.new", std::process::id()));
@@ -206,18 +220,18 @@
             Ok(listener)
         });
         let _ = std::fs::remove_dir_all(&private);
-        Ok(OwnedListener { listener: bound?, path: path.to_path_buf(), file: file(path) })
+        Ok(OwnedListener { listener: bound?, path: path.to_path_buf(), file_id: file_id(path) })
     }
 }
 
-/// Which file stands at a path.
-fn file(path: &Path) -> Option<(u64, u64)> {
+/// Device and inode of the file at a path.
+fn file_id(path: &Path) -> Option<(u64, u64)> {
     std::fs::symlink_metadata(path).ok().map(|metadata| (metadata.dev(), metadata.ino()))
 }
 
 impl Drop for OwnedListener {
     fn drop(&mut self) {
-        if self.file.is_some() && file(&self.path) == self.file {
+        if self.file_id.is_some() && file_id(&self.path) == self.file_id {
             let _ = std::fs::remove_file(&self.path);
         }
     }
@@ -226,21 +240,21 @@
 impl Conn {
     fn flush(&mut self, now: f64) -> io::Result<()> {
         if self.outbox.flush(&mut self.stream)? {
-            self.heard = now;
+            self.last_active_at = now;
         }
         if !self.outbox.is_empty() {
             return Ok(());
         }
-        if self.ending {
+        if self.close_after_write {
             return Err(ErrorKind::ConnectionAborted.into());
         }
         Ok(())
     }
 
-    /// Says what is wrong and ends the connection once that is written.
-    fn last_word(&mut self, code: Code, fault: String, now: f64) -> io::Result<()> {
+    /// Sends an error and closes the connection once that is written.
+    fn send_error_and_close(&mut self, code: Code, fault: String, now: f64) -> io::Result<()> {
         self.outbox.push(&Response::new(code, fault).to_line());
-        self.ending = true;
+        self.close_after_write = true;
         self.flush(now)
     }
 }
--- a/crates/daemon/src/net/control_instance.rs
+++ b/crates/daemon/src/net/control_instance.rs
@@ -1,5 +1,5 @@
-//! A control instance of the session directory: a socket and a clock for [`directory::Replica`]. It keeps nothing on disk and
-//! answers nothing for the first 2.5 s (docs/session-directory.md).
+//! A control instance of the session directory: a socket and a clock for [`directory::Replica`]. It stores
+//! nothing on disk and answers nothing for the first 2.5 s (docs/session-directory.md).
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -18,11 +18,11 @@
 
 const SOCKET: Token = Token(0);
 const SIGNALS: Token = Token(1);
-/// Events fetched in one go.
-const BATCH: usize = 16;
-/// Longest wait between two looks at what has become due (milliseconds): records of claims whose lease has ended are dropped
-/// in parts.
-const LONGEST_WAIT: u64 = 100;
+/// Maximum number of events fetched by one poll.
+const MAX_EVENTS_PER_POLL: usize = 16;
+/// Maximum wait of one poll (milliseconds): each tick removes only a part of the claim records whose lease
+/// has ended.
+const MAX_POLL_WAIT_MS: u64 = 100;
 
 /// A running control instance.
 struct ControlInstance {
@@ -35,104 +35,110 @@
     silent: bool,
 }
 
-/// Serves as the control instance of that name, at the address that the list gives it or at another, until it is told to end.
+/// Runs the control instance `name` until a signal requests its shutdown. It listens on `listen`, by default
+/// on its address in `peers.control`.
 pub(crate) fn serve(document: &Document, name: &str, listen: Option<SocketAddr>) -> Result<(), String> {
     let _log = logging::start(document.log.level, document.log.format);
     let settings = &document.peers;
-    let known =
+    let known_names =
         || settings.control.iter().map(|instance| instance.name.as_str()).collect::<Vec<_>>().join(", ");
     let own = settings.control.iter().find(|instance| instance.name == name);
-    let own = own.ok_or_else(|| format!("--name {name}: not in peers.control; accepted: {}", known()))?;
+    let own =
+        own.ok_or_else(|| format!("--name {name}: not in peers.control; accepted: {}", known_names()))?;
     let listen = listen.unwrap_or(own.address);
-    let failed = |error: io::Error| format!("{listen}: {error}");
-    let mut poll = Poll::new().map_err(failed)?;
-    let reactor = Reactor::new(&poll).map_err(failed)?;
-    let mut signals = Signals::new([SIGTERM, SIGINT, SIGUSR1]).map_err(failed)?;
-    let mut socket = UdpSocket::bind(listen).map_err(failed)?;
+    let with_address = |error: io::Error| format!("{listen}: {error}");
+    let mut poll = Poll::new().map_err(with_address)?;
+    let reactor = Reactor::new(&poll).map_err(with_address)?;
+    let mut signals = Signals::new([SIGTERM, SIGINT, SIGUSR1]).map_err(with_address)?;
+    let mut socket = UdpSocket::bind(listen).map_err(with_address)?;
     let registry = poll.registry();
-    registry.register(&mut socket, SOCKET, Interest::READABLE).map_err(failed)?;
-    registry.register(&mut signals, SIGNALS, Interest::READABLE).map_err(failed)?;
+    registry.register(&mut socket, SOCKET, Interest::READABLE).map_err(with_address)?;
+    registry.register(&mut signals, SIGNALS, Interest::READABLE).map_err(with_address)?;
     let now = millis(reactor.now());
-    let me = ProcessId::new(name, now);
+    let process_id = ProcessId::new(name, now);
     let keys = files::read_peer_keys(&settings.keys)?;
-    let replica = Replica::new(me, keys, terms(settings), placement(settings)?, now);
+    let replica = Replica::new(process_id, keys, terms(settings), placement(settings)?, now);
     let replica = replica.ok_or_else(|| format!("--name {name}: not in peers.control"))?;
     logging::info!(
         event = "control.listening",
-        start = me.incarnation,
-        "control instance {name} listens on {listen}; it answers once leases of an earlier start are over"
+        start = process_id.incarnation,
+        "control instance {name} listens on {listen}; it answers once leases from an earlier start have ended"
     );
     let routes = Routes::new(settings);
     let drops = DropLog::default();
     let mut instance =
         ControlInstance { name: name.into(), replica, socket, routes, reactor, drops, silent: true };
-    instance.run(&mut poll, &mut signals).map_err(failed)
+    instance.run(&mut poll, &mut signals).map_err(with_address)
 }
 
 impl ControlInstance {
     fn run(&mut self, poll: &mut Poll, signals: &mut Signals) -> io::Result<()> {
-        let mut events = Events::with_capacity(BATCH);
+        let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
         loop {
             let now = millis(self.reactor.now());
-            let wait = self.replica.next_due().saturating_sub(now).clamp(1, LONGEST_WAIT);
+            let wait = self.replica.next_due().saturating_sub(now).clamp(1, MAX_POLL_WAIT_MS);
             match poll.poll(&mut events, Some(std::time::Duration::from_millis(wait))) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 result => result?,
             }
             while self.read() {}
-            self.turn();
-            if signals.pending().any(|signal| self.ends_at(signal)) {
+            self.tick();
+            if signals.pending().any(|signal| self.handle_signal(signal)) {
                 logging::info!(
                     event = "control.ended",
-                    "control instance {} ends: {}",
+                    "control instance {} shuts down: {}",
                     self.name,
-                    self.figures()
+                    self.describe_counts()
                 );
                 return Ok(());
             }
         }
     }
 
-    /// Takes in what has come and answers it; whether more may wait.
+    /// Handles and answers a batch of received datagrams. Returns true if more may be waiting.
     fn read(&mut self) -> bool {
         let (replica, reactor) = (&mut self.replica, &self.reactor);
-        // What is dropped is counted by the replica, and logged from there.
-        let mut take = |from, bytes: &[u8]| {
+        // The replica counts datagrams that it drops; `tick` logs those counts.
+        let mut receive = |from, bytes: &[u8]| {
             let _ = replica.receive(millis(reactor.now()), from, bytes);
         };
-        let more = datagrams::receive(&self.socket, &mut take);
+        let more = datagrams::receive(&self.socket, &mut receive);
         self.send();
         more
     }
 
     fn send(&mut self) {
         for (to, bytes) in self.replica.take_datagrams() {
-            // What does not go out is as lost as what does not arrive.
+            // A datagram that cannot be sent counts as lost on the network.
             let _ = self.socket.send_to(&bytes, self.routes.resolve(to));
         }
     }
 
-    /// Time has passed.
-    fn turn(&mut self) {
+    /// Advances the replica's timers, and logs the end of its startup silence and dropped datagrams.
+    fn tick(&mut self) {
         let now = self.reactor.now();
         self.replica.tick(millis(now));
         self.send();
         let silent = self.replica.is_silent(millis(now));
         if std::mem::replace(&mut self.silent, silent) && !silent {
-            logging::info!(event = "control.answers", "control instance {} answers from now on", self.name);
+            logging::info!(
+                event = "control.answers",
+                "control instance {} answers requests from now on",
+                self.name
+            );
         }
         self.drops.report(now, self.replica.faults());
     }
 
-    /// Takes a signal; whether it asks for the end.
-    fn ends_at(&self, signal: i32) -> bool {
+    /// Handles a signal. Returns true if it requests the shutdown.
+    fn handle_signal(&self, signal: i32) -> bool {
         if signal == SIGUSR1 {
-            logging::info!(event = "control.figures", "{}", self.figures());
+            logging::info!(event = "control.figures", "{}", self.describe_counts());
         }
         signal != SIGUSR1
     }
 
-    fn figures(&self) -> String {
+    fn describe_counts(&self) -> String {
         let counts = self.replica.counts();
         let dropped: u64 = self.replica.faults().values().sum();
         format!(
--- a/crates/daemon/src/net/datagrams.rs
+++ b/crates/daemon/src/net/datagrams.rs
@@ -1,23 +1,25 @@
-//! Datagrams read off a socket, so many at a time.
+//! Reads datagrams from a socket in bounded batches.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
 use mio::net::UdpSocket;
 
-/// Longest datagram that is looked at (bytes): a longer one is none of an instance's.
+/// Maximum size of a datagram (bytes). Instances send none that are longer; a longer one is truncated and
+/// then rejected.
 pub(crate) const MAX_DATAGRAM_BYTES: usize = 2_048;
-/// Datagrams read at a time; the others have their turn first.
-const AT_A_TIME: usize = 512;
+/// Maximum number of datagrams read in one call, so that other event sources are handled in between.
+const MAX_DATAGRAMS_PER_CALL: usize = 512;
 
-/// Hands on what has come, with where it came from. Whether some may be left.
+/// Passes each received datagram with its sender to `take`. Returns true if more datagrams may be waiting.
 pub(crate) fn receive(socket: &UdpSocket, mut take: impl FnMut(SocketAddr, &[u8])) -> bool {
     let mut bytes = [0; MAX_DATAGRAM_BYTES];
-    for _ in 0..AT_A_TIME {
+    for _ in 0..MAX_DATAGRAMS_PER_CALL {
         match socket.recv_from(&mut bytes) {
             Ok((count, from)) => take(from, &bytes[..count]),
             Err(error) if error.kind() == ErrorKind::WouldBlock => return false,
-            // Interrupted, or word that nobody listens at a port; it says nothing of the next datagram.
+            // Interrupted, or an ICMP "port unreachable" for a datagram sent earlier: the next read may
+            // succeed.
             Err(_) => {}
         }
     }
--- a/crates/daemon/src/net/event_loop.rs
+++ b/crates/daemon/src/net/event_loop.rs
@@ -1,4 +1,4 @@
-//! Waits for sockets, signals and timers, and tells whoever they belong to.
+//! Event loop: waits for sockets, signals and timers, and passes each event to the handler.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,29 +10,30 @@
 
 use super::Context;
 
-/// Events fetched in one go.
-const BATCH: usize = 256;
+/// Maximum number of events fetched by one poll.
+const MAX_EVENTS_PER_POLL: usize = 256;
 
-/// A place in [`Slots`] together with its tenant's number: a late event for an earlier tenant finds nobody.
+/// Index in [`Slots`] and generation of the entry there: a late event for an earlier entry of that index
+/// finds nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Slot {
     index: u32,
     generation: u32,
 }
 
-/// Connections by slot. Places are used again, numbers only after 2^29 others.
+/// Connections by slot. Indices are reused at once, generations only after 2^29 insertions.
 pub(crate) struct Slots<T> {
     slab: Slab<(u32, T)>,
-    next: u32,
+    next_generation: u32,
 }
 
 impl Slot {
-    /// The slot as a number, for those who only hand it back.
+    /// The slot as a number, for callers that only store it and pass it back.
     pub fn number(self) -> u64 {
         u64::from(self.generation) << 32 | u64::from(self.index)
     }
 
-    /// The slot of a number.
+    /// The slot for a number from [`Slot::number`].
     pub fn from_number(number: u64) -> Slot {
         Slot { index: number as u32, generation: (number >> 32) as u32 }
     }
@@ -40,7 +41,7 @@
 
 impl<T> Slots<T> {
     pub fn new() -> Self {
-        Slots { slab: Slab::new(), next: 0 }
+        Slots { slab: Slab::new(), next_generation: 0 }
     }
 
     pub fn len(&self) -> usize {
@@ -48,8 +49,8 @@
     }
 
     pub fn insert(&mut self, item: T) -> Slot {
-        let generation = self.next;
-        self.next = (self.next + 1) & GENERATIONS;
+        let generation = self.next_generation;
+        self.next_generation = (self.next_generation + 1) & GENERATION_MASK;
         Slot { index: self.slab.insert((generation, item)) as u32, generation }
     }
 
@@ -75,10 +76,11 @@
     }
 }
 
-/// Generations fit beside the kind of the source in a token's upper half.
-const GENERATIONS: u32 = (1 << 29) - 1;
+/// Mask for the 29 bits of a generation: the upper half of a token holds it beside the source's kind (3
+/// bits).
+const GENERATION_MASK: u32 = (1 << 29) - 1;
 
-/// What an event of the poll belongs to.
+/// Source of an event of the poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
     ClientListener,
@@ -90,42 +92,47 @@
     ControlConnection(Slot),
     Registry(Slot),
     Disk,
-    /// The listener for ordinary clients, their connections, and those to the servers behind them.
+    /// Listener for ordinary clients.
     SessionListener,
-    /// The listener for a successor, its connection, and that to the daemon before this one.
+    /// Listener for a successor process.
     SuccessorListener,
+    /// Connection from a successor.
     Successor,
+    /// Connection to the predecessor, the process that this one takes over from.
     Predecessor,
+    /// Connection from an ordinary client.
     SessionClient(Slot),
+    /// Server connection for ordinary clients.
     SessionServer(Slot),
-    /// The sockets towards other instances, and the streams to and from them.
+    /// Sockets and streams for the exchange of state with peers.
     PeerDatagrams,
     PeerListener,
     PeerStream(Slot),
 }
 
-/// Those that there is one of come before the slots of streams among instances, which share their kind.
-const SINGLE: u32 = 16;
+/// Offset of the indices of peer streams: sources with a single socket have the same kind and use the indices
+/// below.
+const FIRST_STREAM_INDEX: u32 = 16;
 
 // A token holds the kind, the generation and the index side by side.
 const _: () = assert!(usize::BITS == 64);
 
 impl From<Source> for Token {
     fn from(source: Source) -> Token {
-        // Those that there is one of share a kind, told apart by the place of the index.
-        let one = |index| Slot { index, generation: 0 };
+        // Sources with a single socket share kind 0 and differ in the index.
+        let single = |index| Slot { index, generation: 0 };
         let (kind, Slot { index, generation }) = match source {
-            Source::ClientListener => (0, one(0)),
-            Source::Signals => (0, one(1)),
-            Source::ControlListener => (0, one(2)),
-            Source::Disk => (0, one(3)),
-            Source::SessionListener => (0, one(4)),
-            Source::SuccessorListener => (0, one(5)),
-            Source::Successor => (0, one(6)),
-            Source::Predecessor => (0, one(7)),
-            Source::PeerDatagrams => (0, one(8)),
-            Source::PeerListener => (0, one(9)),
-            Source::PeerStream(slot) => (0, Slot { index: slot.index + SINGLE, ..slot }),
+            Source::ClientListener => (0, single(0)),
+            Source::Signals => (0, single(1)),
+            Source::ControlListener => (0, single(2)),
+            Source::Disk => (0, single(3)),
+            Source::SessionListener => (0, single(4)),
+            Source::SuccessorListener => (0, single(5)),
+            Source::Successor => (0, single(6)),
+            Source::Predecessor => (0, single(7)),
+            Source::PeerDatagrams => (0, single(8)),
+            Source::PeerListener => (0, single(9)),
+            Source::PeerStream(slot) => (0, Slot { index: slot.index + FIRST_STREAM_INDEX, ..slot }),
             Source::Client(slot) => (1, slot),
             Source::Server(slot) => (2, slot),
             Source::Discovery(slot) => (3, slot),
@@ -140,7 +147,7 @@
 
 impl From<Token> for Source {
     fn from(Token(token): Token) -> Source {
-        let slot = Slot { index: token as u32, generation: (token >> 32) as u32 & GENERATIONS };
+        let slot = Slot { index: token as u32, generation: (token >> 32) as u32 & GENERATION_MASK };
         match (token >> 61, slot.index) {
             (0, 0) => Source::ClientListener,
             (0, 1) => Source::Signals,
@@ -151,7 +158,9 @@
             (0, 6) => Source::Successor,
             (0, 7) => Source::Predecessor,
             (0, 8) => Source::PeerDatagrams,
-            (0, index) if index >= SINGLE => Source::PeerStream(Slot { index: index - SINGLE, ..slot }),
+            (0, index) if index >= FIRST_STREAM_INDEX => {
+                Source::PeerStream(Slot { index: index - FIRST_STREAM_INDEX, ..slot })
+            }
             (0, _) => Source::PeerListener,
             (1, _) => Source::Client(slot),
             (2, _) => Source::Server(slot),
@@ -164,36 +173,37 @@
     }
 }
 
-/// What a timer belongs to. Timers are not withdrawn: whoever is told looks whether it still matters.
+/// Owner of a timer. Timers cannot be cancelled: the owner checks, when the timer fires, whether it is still
+/// relevant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimerKind {
     Policy(u64),
     Accept,
     ClientSweep,
     Client(Slot),
-    /// A request of a client may have waited for earlier ones for long enough.
+    /// A request of a client may have waited for earlier requests of its connection for the maximum time.
     InFlight(Slot),
     Server(Slot),
     Discovery,
     ControlConnection(Slot),
     Registry,
-    /// A change of configuration is to be looked at.
+    /// A configuration change is to be re-evaluated.
     ConfigChange,
-    /// The daemon's life goes on.
+    /// The state machine of the process lifecycle is to be advanced.
     Lifecycle,
     Handover,
-    /// A session of an ordinary client has its turn.
+    /// A session of an ordinary client is to be processed.
     Session(Slot),
     SessionSweep,
-    /// Other instances are to be asked, answered or looked at.
+    /// The exchange of state with peers is to be advanced.
     Peers,
 }
 
 struct Timer {
     at: f64,
-    /// Keeps timers of the same time in the order in which they were set.
+    /// Sequence number: timers that fire at the same time do so in the order in which they were set.
     number: u64,
-    due: TimerKind,
+    kind: TimerKind,
 }
 
 impl Ord for Timer {
@@ -216,8 +226,9 @@
 
 impl Eq for Timer {}
 
-/// Registers sockets, sets timers and tells the time: Unix seconds, fixed at the start and monotonic from
-/// then on, so that a clock set meanwhile neither stops nor fires a timer.
+/// Registers sockets, sets timers and provides the time: Unix seconds, read from the system clock at the
+/// start and advanced by the monotonic clock, so that setting the system clock neither delays nor fires a
+/// timer.
 pub(crate) struct Reactor {
     pub registry: Registry,
     timers: BinaryHeap<Reverse<Timer>>,
@@ -237,29 +248,29 @@
         self.epoch + self.start.elapsed().as_secs_f64()
     }
 
-    pub fn set_timer(&mut self, at: f64, due: TimerKind) {
+    pub fn set_timer(&mut self, at: f64, kind: TimerKind) {
         self.timers_set += 1;
-        self.timers.push(Reverse(Timer { at, number: self.timers_set, due }));
+        self.timers.push(Reverse(Timer { at, number: self.timers_set, kind }));
     }
 
-    /// How long until the next timer.
-    fn patience(&self) -> Option<Duration> {
+    /// Time until the next timer; none without a timer.
+    fn poll_timeout(&self) -> Option<Duration> {
         let Reverse(next) = self.timers.peek()?;
         Some(Duration::try_from_secs_f64(next.at - self.now()).unwrap_or(Duration::ZERO))
     }
 
-    /// What came due by `now`. A timer that is set meanwhile waits for the next round, so that sockets are
-    /// looked at in between.
-    fn due(&mut self, now: f64) -> Option<TimerKind> {
+    /// Removes the next timer that is due by `now`. The caller fixes `now` for an iteration, so that timers
+    /// set meanwhile wait for the next one and sockets are handled in between.
+    fn pop_expired(&mut self, now: f64) -> Option<TimerKind> {
         if self.timers.peek().is_none_or(|Reverse(next)| next.at > now) {
             return None;
         }
-        self.timers.pop().map(|Reverse(timer)| timer.due)
+        self.timers.pop().map(|Reverse(timer)| timer.kind)
     }
 }
 
-/// The earliest timer that its owner waits for. Guards against a timer for each event: one is set only where none goes off
-/// before it.
+/// The earliest pending timer of an owner. Guards against one timer per event: a timer is set only if none
+/// that is pending fires before it.
 pub(crate) struct EarliestTimer(f64);
 
 impl Default for EarliestTimer {
@@ -269,54 +280,54 @@
 }
 
 impl EarliestTimer {
-    /// A timer of the owner's has gone off.
+    /// Records that a timer of the owner has fired.
     pub fn fired(&mut self, now: f64) {
         if self.0 <= now {
             self.0 = f64::INFINITY;
         }
     }
 
-    /// Has the owner told at that time, or before.
-    pub fn set(&mut self, at: f64, due: TimerKind, reactor: &mut Reactor) {
+    /// Ensures that a timer of the owner fires at the time `at` or earlier.
+    pub fn set(&mut self, at: f64, kind: TimerKind, reactor: &mut Reactor) {
         if at < self.0 {
             self.0 = at;
-            reactor.set_timer(at, due);
+            reactor.set_timer(at, kind);
         }
     }
 }
 
-/// Whom the loop tells.
+/// Receiver of the loop's events.
 pub(crate) trait Handler {
-    /// A source may be read from or written to. Where it is a connection `half_closed` by its peer, what that still sends lies
-    /// before the end and is all that will come.
+    /// A source may be readable or writable. `half_closed` is true if the remote side has shut down its
+    /// sending direction: the bytes that can still be read are the last ones.
     fn on_ready(&mut self, source: Source, half_closed: bool, context: &mut Context);
-    /// A timer came due.
-    fn on_timer(&mut self, due: TimerKind, context: &mut Context);
-    /// Whether there is nothing left to wait for.
+    /// A timer has fired.
+    fn on_timer(&mut self, kind: TimerKind, context: &mut Context);
+    /// Returns true once the loop is to end.
     fn finished(&self) -> bool;
 }
 
 /// Runs until the handler has finished.
 pub(crate) fn run(poll: &mut Poll, handler: &mut impl Handler, context: &mut Context) -> io::Result<()> {
-    let mut events = Events::with_capacity(BATCH);
+    let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
     while !handler.finished() {
-        let (patience, asked) = (context.reactor.patience(), context.reactor.now());
-        match poll.poll(&mut events, patience) {
+        let (timeout, polled_at) = (context.reactor.poll_timeout(), context.reactor.now());
+        match poll.poll(&mut events, timeout) {
             Err(error) if error.kind() == ErrorKind::Interrupted => continue,
             result => result?,
         }
-        let woke = context.reactor.now();
-        if let Some(patience) = patience {
-            context.counters.record_loop_time(woke - asked - patience.as_secs_f64());
+        let woken_at = context.reactor.now();
+        if let Some(timeout) = timeout {
+            context.counters.record_loop_time(woken_at - polled_at - timeout.as_secs_f64());
         }
         for event in &events {
             handler.on_ready(event.token().into(), event.is_read_closed(), context);
         }
         let now = context.reactor.now();
-        while let Some(due) = context.reactor.due(now) {
-            handler.on_timer(due, context);
+        while let Some(kind) = context.reactor.pop_expired(now) {
+            handler.on_timer(kind, context);
         }
-        context.counters.record_loop_time(context.reactor.now() - woke);
+        context.counters.record_loop_time(context.reactor.now() - woken_at);
     }
     Ok(())
 }
--- a/crates/daemon/src/net/event_loop/tests.rs
+++ b/crates/daemon/src/net/event_loop/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_late_event_finds_nobody_in_a_place_that_was_used_again() {
+fn slot_of_removed_entry_does_not_match_new_entry_of_same_index() {
     let mut slots = Slots::new();
     let old = slots.insert("old");
     for source in [Source::Server(old), Source::PeerStream(old), Source::PeerDatagrams, Source::PeerListener]
--- a/crates/daemon/src/net/mod.rs
+++ b/crates/daemon/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The pooler on its sockets, a module for each kind of peer. What passes between them stands here, in no
-//! protocol's form.
+//! Network code of the pooler, with a module for each kind of remote party. This module defines the events
+//! that the other modules exchange; these events do not depend on a wire protocol.
 
 mod change;
 mod clients;
@@ -34,25 +34,26 @@
 pub(crate) use control_instance::serve as serve_control;
 pub(crate) use pooler::{serve, OperatorOptions};
 
-/// Share of the shortest aim of a write for which one waits, at the most, until others know of it and it may be sent.
+/// A write waits for at most this share of the shortest latency aim of any write class until enough other
+/// instances know of it and it may be sent.
 const WRITE_HOLD_AIM_SHARE: f64 = 0.5;
 
-/// Something to send to a db machine.
+/// A task to send to a member.
 #[derive(Clone, Debug)]
 pub(crate) enum ServerTask {
-    /// An attempt of a request, by its number.
+    /// An attempt of a request, with the number of the attempt.
     Attempt(RequestId, usize, Rc<Statement>),
-    /// A question about the machine itself.
+    /// A health probe of the member itself.
     Probe,
 }
 
-/// How a task ended.
+/// Result of a server task.
 #[derive(Debug)]
 pub(crate) struct TaskResult {
     task: ServerTask,
     member: MemberId,
     outcome: Outcome,
-    /// Since it was sent (seconds).
+    /// Time since the task was sent (seconds).
     elapsed: f64,
     position: Option<f64>,
     primary: Option<bool>,
@@ -60,36 +61,36 @@
     value: Vec<u8>,
 }
 
-/// What the connections tell the pooler.
+/// Events that the connections report to the pooler.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// A client's command is a query.
+    /// A client has sent a query.
     QueryReceived(Slot, CommandNumber, Box<Query>),
-    /// A request has waited for earlier ones of its connection, which have their answers now.
+    /// A request that waited for earlier requests of its connection may proceed: they have been answered.
     RequestReleased(Slot, RequestId),
     ClientLeft(Slot),
-    /// On a connection of its own a client has asked for its requests to be cancelled, by this key.
+    /// A cancel request arrived, on a separate connection, for the client that has this key.
     CancelRequested((u32, u32)),
     TaskEnded(Box<TaskResult>),
     ListReceived(ListKind, Vec<Listing>),
-    /// An ordinary client's session wants a server, ...
+    /// An ordinary client's session requests a server.
     ServerRequested(Slot, Box<sessions::RoutedServerRequest>),
-    /// ... is on one, ...
+    /// The session has been attached to a server.
     SessionAttached(RequestId),
-    /// ... no longer wants one, ...
+    /// The session has withdrawn its request for a server.
     ServerRequestAbandoned(RequestId),
-    /// ... or is no longer on one.
+    /// The session has been detached from its server, or could not be attached to it.
     SessionDetached(Box<sessions::Detachment>),
-    /// A server has told an ordinary client's connection whether it is the primary.
+    /// A server has reported on an ordinary client's server connection whether it is the primary.
     RoleReported(MemberId, bool),
-    /// A control connection asks.
+    /// A call has arrived on a control connection.
     ControlCallReceived(Slot, Box<Call>),
 }
 
-/// What every callback is handed.
+/// State that is passed to every callback.
 pub(crate) struct Context {
     reactor: Reactor,
-    /// Born but not yet told; each waits until the actions of the one before it are carried out.
+    /// Events not handled yet. Each is handled once the actions of the previous event have been carried out.
     events: VecDeque<Event>,
     counters: Counters,
 }
--- a/crates/daemon/src/net/outbox.rs
+++ b/crates/daemon/src/net/outbox.rs
@@ -1,8 +1,8 @@
-//! What is to go over a local connection, as far as it has not gone yet.
+//! Bytes that are still to be written to a local connection.
 
 use std::io::{self, ErrorKind, Write};
 
-/// Bytes that wait. Grows with what is said: whoever says it bounds that.
+/// Unwritten bytes. The buffer has no limit of its own: the callers bound what they push.
 #[derive(Default)]
 pub(crate) struct Outbox {
     bytes: Vec<u8>,
@@ -18,7 +18,7 @@
         self.bytes.is_empty()
     }
 
-    /// Writes as far as it goes without waiting; whether anything went.
+    /// Writes as much as possible without blocking. Returns true if at least one byte was written.
     pub fn flush(&mut self, stream: &mut impl Write) -> io::Result<bool> {
         let before = self.written;
         while self.written < self.bytes.len() {
