--- a/crates/daemon/src/cli/registry.rs
+++ b/crates/daemon/src/cli/registry.rs
@@ -18,7 +18,7 @@
 
 use super::fail;
 use super::registry_client::{describe_refusal, now, RegistryClient, MAX_ANSWER_BYTES};
-use crate::dial::guard;
+use crate::dial::sync_config;
 use crate::files;
 
 /// Keys that one transaction writes at the most: etcd takes 128 operations.
@@ -416,7 +416,7 @@
     let seed = now().to_bits() ^ u64::from(std::process::id());
     let endpoints = Endpoints::new(settings.endpoints.len(), Pacing::default(), seed, now());
     // Whoever looks is shown what is there, however much has gone.
-    let guard = SyncConfig { max_removed_share: 1.0, ..guard(&settings) };
+    let guard = SyncConfig { max_removed_share: 1.0, ..sync_config(&settings) };
     let prefix = format!("{}/", settings.prefix).into_bytes();
     let mut sync = RegistrySync::new(prefix.clone(), endpoints, guard, View::default());
     let (mut members, budget) = (Members::default(), Budget::new(4 * MAX_ANSWER_BYTES));
--- a/crates/daemon/src/cli/registry_client.rs
+++ b/crates/daemon/src/cli/registry_client.rs
@@ -124,7 +124,8 @@
     ) -> Result<(TimedStream, Transport), String> {
         let endpoint: SocketAddr = self.settings.endpoints[at];
         let patience = Duration::from_secs_f64(self.settings.call_s);
-        let link = self.dial.link_with_request(endpoint, path, body, self.token.as_deref(), budget, now())?;
+        let link =
+            self.dial.transport_with_request(endpoint, path, body, self.token.as_deref(), budget, now())?;
         let words = |error: std::io::Error| error.to_string();
         let stream = TcpStream::connect_timeout(&endpoint, patience).map_err(words)?;
         stream.set_write_timeout(Some(patience)).map_err(words)?;
--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -1,4 +1,4 @@
-//! Files of the operator's: read whole within bounds, and only where they are what they must be.
+//! Reads the operator's files, within size limits and after checks of their type and mode.
 
 use std::fs::File;
 use std::io::Read;
@@ -9,91 +9,92 @@
 use bundle::Key;
 use operator::{Document, MAX_FILE_BYTES};
 
-/// Times that a file that changes under its reader is read again, and the pause before (the file of a writer
-/// who is at it takes no longer).
-const TRIES: u32 = 3;
-const PAUSE: Duration = Duration::from_millis(5);
+/// Number of attempts to read a file that changes while it is read, and the delay between them, which is long
+/// enough for a writer that is writing the file to finish.
+const MAX_ATTEMPTS: u32 = 3;
+const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Longest file with a password (bytes).
-const LONGEST_PASSWORD: usize = 1024;
+/// Maximum size of a password file (bytes).
+const MAX_PASSWORD_FILE_BYTES: usize = 1024;
 
-/// Reads a file of at most so many bytes. One that is replaced meanwhile is read as it was when it was opened;
-/// one that is written to in place is read again, and refused if that goes on.
-pub(crate) fn read(path: &Path, longest: usize) -> Result<Vec<u8>, String> {
-    let named = |fault: String| format!("{}: {fault}", path.display());
-    for attempt in 0..TRIES {
+/// Reads a file of at most `max_bytes` bytes. If the file is replaced meanwhile, the version that was opened
+/// is read; if it is modified in place, it is read again, and refused if it keeps changing.
+pub(crate) fn read(path: &Path, max_bytes: usize) -> Result<Vec<u8>, String> {
+    let with_path = |fault: String| format!("{}: {fault}", path.display());
+    for attempt in 0..MAX_ATTEMPTS {
         if attempt > 0 {
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(RETRY_DELAY);
         }
-        let mut file = File::open(path).map_err(|error| named(error.to_string()))?;
+        let mut file = File::open(path).map_err(|error| with_path(error.to_string()))?;
         let state = |file: &File| file.metadata().map(|m| (m.len(), m.mtime(), m.mtime_nsec(), m.is_file()));
-        let before = state(&file).map_err(|error| named(error.to_string()))?;
+        let before = state(&file).map_err(|error| with_path(error.to_string()))?;
         if !before.3 {
-            return Err(named("not a regular file".into()));
+            return Err(with_path("not a regular file".into()));
         }
-        if before.0 > longest as u64 {
-            return Err(named(format!("{} bytes; at most {longest} are read", before.0)));
+        if before.0 > max_bytes as u64 {
+            return Err(with_path(format!("{} bytes; accepted: at most {max_bytes}", before.0)));
         }
         let mut bytes = Vec::with_capacity(before.0 as usize);
-        let taken = Read::by_ref(&mut file).take(longest as u64 + 1).read_to_end(&mut bytes);
-        taken.map_err(|error| named(error.to_string()))?;
-        let after = state(&file).map_err(|error| named(error.to_string()))?;
+        let result = Read::by_ref(&mut file).take(max_bytes as u64 + 1).read_to_end(&mut bytes);
+        result.map_err(|error| with_path(error.to_string()))?;
+        let after = state(&file).map_err(|error| with_path(error.to_string()))?;
         if before == after && bytes.len() as u64 == before.0 {
             return Ok(bytes);
         }
     }
-    Err(named("it is being written to; write a new file and rename it over this one".into()))
+    Err(with_path("changes while it is read; write a new file and rename it over this one".into()))
 }
 
 /// Reads the operator's file.
 pub(crate) fn read_document(path: &Path) -> Result<(String, Document), String> {
     let bytes = read(path, MAX_FILE_BYTES)?;
-    let named = |fault: String| {
-        let place = format!("{}: ", path.display());
-        fault.lines().map(|line| format!("{place}{line}")).collect::<Vec<_>>().join("\n")
+    let with_path = |fault: String| {
+        let prefix = format!("{}: ", path.display());
+        fault.lines().map(|line| format!("{prefix}{line}")).collect::<Vec<_>>().join("\n")
     };
-    let document = operator::parse(&bytes).map_err(|faults| named(faults.to_string()))?;
+    let document = operator::parse(&bytes).map_err(|faults| with_path(faults.to_string()))?;
     Ok((String::from_utf8_lossy(&bytes).into_owned(), document))
 }
 
-/// Reads a file that nobody but its owner may read.
-fn private(path: &Path, longest: usize) -> Result<Vec<u8>, String> {
-    let named = |fault: String| format!("{}: {fault}", path.display());
-    let mode = std::fs::metadata(path).map_err(|error| named(error.to_string()))?.permissions().mode();
+/// Reads a file whose mode permits access to its owner only.
+fn read_private(path: &Path, max_bytes: usize) -> Result<Vec<u8>, String> {
+    let with_path = |fault: String| format!("{}: {fault}", path.display());
+    let mode = std::fs::metadata(path).map_err(|error| with_path(error.to_string()))?.permissions().mode();
     if mode & 0o077 != 0 {
-        return Err(named(format!("mode {:04o}; accepted: 0600 or stricter", mode & 0o7777)));
+        return Err(with_path(format!("mode {:04o}; accepted: 0600 or stricter", mode & 0o7777)));
     }
-    read(path, longest)
+    read(path, max_bytes)
 }
 
-/// Reads a key file for signatures.
+/// Reads a key file for signatures of documents.
 pub(crate) fn read_key(path: &Path) -> Result<Key, String> {
-    let named = |fault: String| format!("{}: {fault}", path.display());
-    let bytes = private(path, bundle::MAX_KEY_FILE_BYTES)?;
-    let text = String::from_utf8(bytes).map_err(|_| named(bundle::SignatureError::InvalidKey.to_string()))?;
-    Key::parse(&text).map_err(|fault| named(fault.to_string()))
+    let with_path = |fault: String| format!("{}: {fault}", path.display());
+    let bytes = read_private(path, bundle::MAX_KEY_FILE_BYTES)?;
+    let text =
+        String::from_utf8(bytes).map_err(|_| with_path(bundle::SignatureError::InvalidKey.to_string()))?;
+    Key::parse(&text).map_err(|fault| with_path(fault.to_string()))
 }
 
-/// Reads the key files of instances that talk.
+/// Reads the key files for the exchange of state with peers.
 pub(crate) fn read_peer_keys(paths: &[PathBuf]) -> Result<replication::Keys, String> {
-    let named = |path: &Path, fault: &str| format!("{}: {fault}", path.display());
+    let with_path = |path: &Path, fault: &str| format!("{}: {fault}", path.display());
     let mut texts = Vec::new();
     for path in paths {
-        let bytes = private(path, bundle::MAX_KEY_FILE_BYTES)?;
+        let bytes = read_private(path, bundle::MAX_KEY_FILE_BYTES)?;
         texts.push(
             String::from_utf8(bytes)
-                .map_err(|_| named(path, "not a key; accepted: 64 hexadecimal digits"))?,
+                .map_err(|_| with_path(path, "not a key; accepted: 64 hexadecimal digits"))?,
         );
     }
     replication::Keys::parse(texts.iter().map(String::as_str)).map_err(|at| match paths.get(at) {
-        Some(path) => named(path, "not a key; accepted: 64 hexadecimal digits on one line"),
+        Some(path) => with_path(path, "not a key; accepted: 64 hexadecimal digits on one line"),
         None => "peers.keys: accepted: 1 or 2 files".into(),
     })
 }
 
-/// Reads a password: the file's only line.
+/// Reads a password file, whose only line is the password.
 pub(crate) fn read_password(path: &Path) -> Result<String, String> {
-    let text = String::from_utf8(private(path, LONGEST_PASSWORD)?).unwrap_or_default();
+    let text = String::from_utf8(read_private(path, MAX_PASSWORD_FILE_BYTES)?).unwrap_or_default();
     let line = text.strip_suffix('\n').unwrap_or(&text);
     if line.is_empty() || line.chars().any(char::is_control) {
         return Err(format!("{}: not a password; accepted: one line of UTF-8 text", path.display()));
@@ -101,11 +102,11 @@
     Ok(line.to_string())
 }
 
-/// Reads the files of TLS for ordinary clients and makes a server of them at the time `now` (Unix seconds); none where
-/// they are served without.
+/// Creates the TLS server context for ordinary clients from its files; none if they are served without TLS.
+/// `now` is in Unix seconds.
 pub(crate) fn pool_tls(pool: &operator::Pool, now: f64) -> Result<Option<tls::ServerContext>, String> {
     let Some((cert, key)) = pool.tls_cert.as_ref().zip(pool.tls_key.as_ref()) else { return Ok(None) };
-    let (chain, secret) = (read(cert, tls::MAX_FILE_BYTES)?, private(key, tls::MAX_FILE_BYTES)?);
+    let (chain, secret) = (read(cert, tls::MAX_FILE_BYTES)?, read_private(key, tls::MAX_FILE_BYTES)?);
     let clients = pool.tls_client_ca.as_ref().map(|path| read(path, tls::MAX_FILE_BYTES)).transpose()?;
     let server = tls::ServerContext::new(&chain, &secret, clients.as_deref(), now);
     server.map(Some).map_err(|fault| {
@@ -118,25 +119,25 @@
     })
 }
 
-/// Reads the files of TLS towards the servers of ordinary clients; none where those are called without TLS.
+/// Creates the TLS client context for server connections of ordinary clients; none if these do not use TLS.
 pub(crate) fn server_tls(pool: &operator::Pool, now: f64) -> Result<Option<tls::ClientContext>, String> {
     tls_client(&pool.server_tls_ca, &pool.server_tls_cert, &pool.server_tls_key, now)
 }
 
-/// Reads a file of users.
+/// Reads the file of users and their password verifiers.
 pub(crate) fn read_users(path: &Path) -> Result<scram::Users, String> {
-    let text = String::from_utf8(private(path, scram::MAX_FILE_BYTES)?);
+    let text = String::from_utf8(read_private(path, scram::MAX_FILE_BYTES)?);
     let text = text.map_err(|_| format!("{}: not UTF-8", path.display()))?;
     scram::Users::parse(&text).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
-/// Fills bytes with what nobody can foretell.
+/// Fills the slice with cryptographically secure random bytes.
 pub(crate) fn fill_random(bytes: &mut [u8]) -> Result<(), String> {
     let read = File::open("/dev/urandom").and_then(|mut file| file.read_exact(bytes));
     read.map_err(|error| format!("/dev/urandom: {error}"))
 }
 
-/// Reads the files of TLS towards a registry; none where it is called without TLS.
+/// Creates the TLS client context for connections to a registry; none if these do not use TLS.
 pub(crate) fn registry_tls(
     settings: &operator::Registry,
     now: f64,
@@ -144,8 +145,8 @@
     tls_client(&settings.tls_ca, &settings.tls_cert, &settings.tls_key, now)
 }
 
-/// Reads the certificates of whoever may vouch for the other side, and this side's own certificate and key, and makes
-/// a client of them at the time `now` (Unix seconds).
+/// Creates a TLS client context from a file of trusted certificates and, if set, the client's own certificate
+/// and key; none without trusted certificates. `now` is in Unix seconds.
 fn tls_client(
     ca: &Option<PathBuf>,
     cert: &Option<PathBuf>,
@@ -156,7 +157,7 @@
     let own = cert.as_ref().zip(key.as_ref());
     let authorities = read(ca, tls::MAX_FILE_BYTES)?;
     let texts = own.map(|(cert, key)| {
-        Ok::<_, String>((read(cert, tls::MAX_FILE_BYTES)?, private(key, tls::MAX_FILE_BYTES)?))
+        Ok::<_, String>((read(cert, tls::MAX_FILE_BYTES)?, read_private(key, tls::MAX_FILE_BYTES)?))
     });
     let texts = texts.transpose()?;
     let own_texts = texts.as_ref().map(|(cert, key)| (cert.as_slice(), key.as_slice()));
@@ -171,7 +172,8 @@
     })
 }
 
-/// Whether a file's text may be taken under the change policy in force.
+/// Checks that a document is signed with one of the keys of the change policy in force, if the policy
+/// requires that.
 pub(crate) fn check_signature(text: &str, policy: &operator::ChangePolicy) -> Result<(), String> {
     if !policy.require_signature {
         return Ok(());
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,6 @@
-//! dewferry is a pooler that decides where each read and write of a replicated database goes, and sends it
-//! there. [`cli`] runs it; the network code behind that is private. Every decision is taken by [`routing`].
+//! dewferry is a connection pooler that chooses a database server for each read and write of a replicated
+//! database. [`cli`] is the entry point; the network code is private. [`routing`] makes every routing
+//! decision.
 #![warn(missing_docs)]
 
 pub mod cli;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The pooler's program.
+//! Entry point of the pooler's executable.
 
 use std::process::ExitCode;
 
--- a/crates/daemon/src/net/registry.rs
+++ b/crates/daemon/src/net/registry.rs
@@ -140,7 +140,7 @@
             dial: Dialer::new(settings),
             // The first view that is read is kept at once.
             kept: (known.view.revision, if known.view.revision > 0 { now } else { f64::NEG_INFINITY }, false),
-            sync: RegistrySync::new(prefix, endpoints, dial::guard(settings), known.view),
+            sync: RegistrySync::new(prefix, endpoints, dial::sync_config(settings), known.view),
             members: known.members,
             own,
             conns: Slots::new(),
@@ -350,7 +350,8 @@
         let Some(&address) = self.settings.endpoints.get(at) else { return Err("no such endpoint".into()) };
         let named = |error: std::io::Error| format!("{address}: {error}");
         let now = context.reactor.now();
-        let link = self.dial.link_with_request(address, path, body, self.sync.token(), &self.budget, now)?;
+        let link =
+            self.dial.transport_with_request(address, path, body, self.sync.token(), &self.budget, now)?;
         if let Some(warning) = self.dial.expiry_warning(now) {
             logging::warn!(event = "registry.expiring", "{warning}");
         }
--- a/crates/daemon/src/numbers.rs
+++ b/crates/daemon/src/numbers.rs
@@ -1,83 +1,87 @@
-//! The numbers under which the policy knows classes and tenants, over changes of configuration: a class that
-//! has requests in hand keeps its number and its fields until they are done, whatever its name comes to mean.
+//! Assigns classes and tenants the numbers that the policy uses for them, across configuration changes: a
+//! class that has unfinished requests keeps its number and fields until these have ended, even if its name
+//! gets other fields.
 
 use operator::EffectiveConfig;
 use routing::interface::{Class, Consistency, Effect, Settings};
 
-/// Most numbers of classes, and of tenants: those in force, and those with requests in hand still.
-const MOST: usize = 1_024;
+/// Maximum number of classes at the policy (those in force and those with unfinished requests), and of class
+/// names since the start.
+const MAX_CLASSES: usize = 1_024;
 
-/// A class in force.
+/// A class of the configuration in force.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ActiveClass {
     pub name: String,
-    /// Its number at the policy.
+    /// Number of the class at the policy.
     pub number: usize,
-    /// Its number for as long as the daemon lives, whatever its fields become.
+    /// Number of the class's name while the daemon runs; independent of the class's fields.
     pub stable_id: u16,
     pub consistency: Consistency,
     pub effect: Effect,
 }
 
-/// Who has which number.
+/// The assigned numbers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Numbers {
-    /// Under each number, the name and the fields of its class; no name where it is free.
+    /// Name and fields of the class by its number at the policy; the name is empty if the number is free.
     classes: Vec<(String, Class)>,
     tenants: Vec<String>,
-    /// Names of classes by their lasting numbers.
-    ids: Vec<String>,
+    /// Names of classes by stable id.
+    class_names: Vec<String>,
 }
 
-/// What a configuration comes to at the policy.
+/// The policy's settings for a configuration, with the numbers of its classes and tenants.
 #[derive(Clone, Debug)]
 pub(crate) struct NumberedSettings {
     pub settings: Settings,
     pub classes: Vec<ActiveClass>,
-    /// Names of the tenants in force, and their numbers.
+    /// Names and numbers of the tenants in force.
     pub tenants: Vec<(String, usize)>,
 }
 
 impl Numbers {
-    /// The name of the class that has a number at the policy; empty where none has.
+    /// Name of the class with this number at the policy; empty if the number is free.
     pub fn class_name(&self, number: usize) -> &str {
         self.classes.get(number).map_or("", |(name, _)| name)
     }
 
-    /// Gives the classes and tenants of a configuration their numbers.
+    /// Assigns numbers to the classes and tenants of a configuration. `has_requests` returns true for the
+    /// number of a class with unfinished requests.
     pub fn assign(
         &mut self,
         effective: &EffectiveConfig,
-        in_hand: impl Fn(usize) -> bool,
+        has_requests: impl Fn(usize) -> bool,
     ) -> Result<NumberedSettings, String> {
         let mut settings = effective.settings.clone();
-        let wanted = || effective.classes.iter().zip(&effective.settings.classes);
+        let configured = || effective.classes.iter().zip(&effective.settings.classes);
         for (number, (name, class)) in self.classes.iter_mut().enumerate() {
-            let stays = wanted().any(|(n, c)| n == name && c == class);
-            if !stays && !in_hand(number) {
-                // Free, and of no weight with the policy.
+            let unchanged = configured().any(|(n, c)| n == name && c == class);
+            if !unchanged && !has_requests(number) {
+                // The number is free; the class counts for nothing at the policy.
                 (*name, *class) = (String::new(), Class { value: 0.0, ..Class::default() });
             }
         }
         let mut classes = Vec::new();
-        for (name, class) in wanted() {
+        for (name, class) in configured() {
             let known = self.classes.iter().position(|(n, c)| n == name && c == class);
             let free = || self.classes.iter().position(|(n, _)| n.is_empty());
             let number = known.or_else(free).unwrap_or(self.classes.len());
-            if number == MOST {
-                return Err(format!("{MOST} classes are in use or have requests in hand"));
+            if number == MAX_CLASSES {
+                return Err(format!("{MAX_CLASSES} classes are in use or have unfinished requests"));
             }
-            let place = (name.clone(), class.clone());
+            let entry = (name.clone(), class.clone());
             match self.classes.get_mut(number) {
-                Some(old) => *old = place,
-                None => self.classes.push(place),
+                Some(old) => *old = entry,
+                None => self.classes.push(entry),
             }
-            let id = self.ids.iter().position(|known| known == name).unwrap_or(self.ids.len());
-            if id == MOST {
-                return Err(format!("{MOST} names of classes have been in use since the start"));
+            let id =
+                self.class_names.iter().position(|known| known == name).unwrap_or(self.class_names.len());
+            if id == MAX_CLASSES {
+                return Err(format!("{MAX_CLASSES} class names have been in use since the start"));
             }
-            if id == self.ids.len() {
-                self.ids.push(name.clone());
+            if id == self.class_names.len() {
+                self.class_names.push(name.clone());
             }
             let Class { consistency, effect, .. } = *class;
             classes.push(ActiveClass {
@@ -89,7 +93,7 @@
             });
         }
         settings.classes = self.classes.iter().map(|(_, class)| class.clone()).collect();
-        // A tenant's number stays its own until another needs it: nothing in hand depends on it.
+        // The number of a removed tenant can be reused at once: unfinished requests do not depend on it.
         let mut quotas = vec![f64::INFINITY; self.tenants.len()];
         for tenant in &mut self.tenants {
             if !effective.tenants.contains(tenant) {
@@ -113,9 +117,9 @@
         Ok(NumberedSettings { settings, classes, tenants })
     }
 
-    /// The name of a class by its lasting number.
+    /// Name of a class by its stable id.
     pub fn class_name_by_stable_id(&self, id: u16) -> &str {
-        self.ids.get(usize::from(id)).map_or("", String::as_str)
+        self.class_names.get(usize::from(id)).map_or("", String::as_str)
     }
 }
 
@@ -135,14 +139,14 @@
     }
 
     #[test]
-    fn a_class_in_hand_keeps_its_number_and_fields_until_it_is_done() {
+    fn class_with_unfinished_requests_keeps_its_number_and_fields() {
         let mut numbers = Numbers::default();
         let first = numbers.assign(&effective(""), |_| false).unwrap();
         assert_eq!(
             first.classes.iter().map(|c| (c.number, c.stable_id)).collect::<Vec<_>>(),
             [(0, 0), (1, 1)]
         );
-        // b changes while a request of it is in hand: the old one stays beside the new.
+        // Class b changes while it has an unfinished request: the old class remains beside the new one.
         let changed = effective("[class.b]\naim_s = 0.5\n[tenant.u]\nquota_per_s = 5");
         let second = numbers.assign(&changed, |number| number == 1).unwrap();
         assert_eq!(
@@ -152,7 +156,7 @@
         assert_eq!(second.settings.classes[1], first.settings.classes[1]);
         assert_eq!(second.settings.classes[2].aim, 0.5);
         assert_eq!(second.settings.tenant_quota, [10.0, 5.0]);
-        // Back again: the number that it had is still there, and the other is freed.
+        // Class b gets its old fields again: its old number is still assigned, and the other one is freed.
         let back = numbers.assign(&effective(""), |number| number == 1).unwrap();
         assert_eq!(back.classes, first.classes);
         assert_eq!(back.settings.classes[2].value, 0.0);
