--- a/crates/daemon/src/net/change.rs
+++ b/crates/daemon/src/net/change.rs
@@ -1,5 +1,6 @@
-//! Changes of configuration, as far as they are not the sockets': the transaction's machine, what is in force,
-//! the history on disk, and the answers to control calls. The pooler puts a generation in force and tells here.
+//! Configuration changes, except for their effects on sockets: the transaction's state machine, the
+//! configuration in force, the history on disk, and the answers to control calls. The pooler applies a
+//! generation and reports the result.
 
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
@@ -17,97 +18,113 @@
 use crate::files;
 use crate::store::{Store, Writer};
 
-/// How far back health is known when a change comes (seconds); as long as a probation of the default length.
-const LOOK_BACK: f64 = 15.0;
+/// Length of the period before a change that its probation is compared with (seconds): the default probation
+/// length.
+const HEALTH_WINDOW: f64 = 15.0;
 
-/// What a daemon comes up on.
+/// The configuration that a daemon starts with.
 pub(crate) struct StartupConfig {
     pub path: PathBuf,
     pub effective: EffectiveConfig,
     start: StartupPlan,
     history: History,
     store: Option<Store>,
-    /// The digest of the file, where it can be used.
-    taken: Option<Digest>,
-    /// The view of a registry that was kept, in bytes.
-    kept: Option<Vec<u8>>,
+    /// Digest of the operator's file, if the file is usable.
+    accepted_digest: Option<Digest>,
+    /// Stored view of a registry, encoded.
+    stored_view: Option<Vec<u8>>,
 }
 
-/// Reads the operator's file and the history, and settles on what to come up on. What must be told loudly goes
-/// to `loud`. Where there is neither a usable file nor a history, that is a fault.
-pub(crate) fn open(
+/// Reads the operator's file and the history, and chooses the configuration to start with. Messages that the
+/// log must show as errors are added to `alerts`. Fails if neither the file is usable nor the history has a
+/// confirmed generation.
+pub(crate) fn load_startup_config(
     path: &Path,
     (state, lock): (Option<PathBuf>, Option<std::fs::File>),
     platform: &Config,
     now: f64,
-    loud: &mut Vec<String>,
+    alerts: &mut Vec<String>,
 ) -> Result<StartupConfig, String> {
     let read = files::read_document(path);
     let dir = state.or_else(|| read.as_ref().ok().and_then(|(_, document)| document.state.dir.clone()));
     let (mut store, history) = match &dir {
         None => (None, History::default()),
         Some(dir) => {
-            let (store, history, cut) = Store::open(dir, lock)?;
-            loud.extend(cut);
+            let (store, history, truncation) = Store::open(dir, lock)?;
+            alerts.extend(truncation);
             (Some(store), history)
         }
     };
     let confirmed = history.confirmed().map(|generation| generation.document.clone());
-    let fits = |document: Document| -> Result<Document, String> {
+    let validate = |document: Document| -> Result<Document, String> {
         let conflicts = |c: Vec<Conflict>| describe_conflicts(&c);
         EffectiveConfig::new(platform, document.clone()).map(|_| document).map_err(conflicts)
     };
-    // The file must be signed where the last confirmed one, or it itself, asks for that.
+    // The file must be signed if the last confirmed document requires that; without one, if the file itself
+    // does.
     let file = read.and_then(|(text, document)| {
         let policy = confirmed.as_ref().map_or(&document.change, |confirmed| &confirmed.change);
         files::check_signature(&text, policy).map_err(|fault| format!("{}: {fault}", path.display()))?;
-        fits(document).map_err(|fault| format!("{}: {fault}", path.display()))
+        validate(document).map_err(|fault| format!("{}: {fault}", path.display()))
     });
     if let (Err(fault), None) = (&file, &confirmed) {
         return Err(fault.clone());
     }
-    let taken = file.as_ref().ok().map(Document::digest);
+    let accepted_digest = file.as_ref().ok().map(Document::digest);
     let start = history.plan_startup(file, now);
-    loud.extend(start.warning.clone());
+    alerts.extend(start.warning.clone());
     let effective = EffectiveConfig::new(platform, (*start.generation.document).clone());
     let effective = effective.map_err(|c| {
-        format!("generation {} no longer fits: {}", start.generation.number, describe_conflicts(&c))
+        format!(
+            "generation {} conflicts with the platform's configuration: {}",
+            start.generation.number,
+            describe_conflicts(&c)
+        )
     })?;
     if let Some(store) = &mut store {
         store.record(&start.records)?;
     }
     let mut history = history;
     start.records.iter().for_each(|record| history.apply(record));
-    let kept = store.as_ref().and_then(Store::stored_view);
-    Ok(StartupConfig { kept, path: path.to_path_buf(), effective, start, history, store, taken })
+    let stored_view = store.as_ref().and_then(Store::stored_view);
+    Ok(StartupConfig {
+        stored_view,
+        path: path.to_path_buf(),
+        effective,
+        start,
+        history,
+        store,
+        accepted_digest,
+    })
 }
 
-/// Conflicts in words, a line each.
+/// Describes conflicts, one per line.
 pub(crate) fn describe_conflicts(conflicts: &[Conflict]) -> String {
     conflicts.iter().map(Conflict::to_string).collect::<Vec<_>>().join("\n")
 }
 
-/// All that changes have to do with.
+/// State of configuration changes.
 pub(crate) struct Changes {
     pub transaction: StateMachine,
     pub health: Health,
     pub roster: Roster,
-    /// Inputs that wait for the machine: what its actions bring about comes after them.
+    /// Queued inputs of the state machine. Inputs that result from its actions are appended, except that the
+    /// result of applying a generation goes first.
     pub inputs: VecDeque<Input>,
     pub effective: EffectiveConfig,
     pub platform: Config,
     pub path: PathBuf,
-    /// What the operator's file said when it was last taken: a SIGHUP for the platform's sake must not bring
-    /// back what a control call has replaced since.
+    /// Digest of the operator's file when it was last accepted: a SIGHUP that is meant for the platform's
+    /// configuration must not bring back a document that a control call has replaced since.
     pub accepted_digest: Option<Digest>,
-    /// The view of a registry that was kept, in bytes, until it is used.
+    /// Stored view of a registry, encoded, until it is used.
     pub stored_view: Option<Vec<u8>>,
     writer: Option<Writer>,
-    /// Since when the present generation is in force (Unix seconds).
+    /// When the current generation came into force (Unix seconds).
     pub in_force_since: f64,
 }
 
-/// A change that has been read and laid over the platform's word.
+/// Result of checking a document against the platform's configuration and the live state.
 pub(crate) struct CheckedChange {
     differences: Vec<Difference>,
     findings: Vec<Finding>,
@@ -115,35 +132,35 @@
 
 impl Changes {
     pub fn new(
-        opening: StartupConfig,
+        startup: StartupConfig,
         platform: Config,
         waker: impl FnOnce() -> std::io::Result<mio::Waker>,
         now: f64,
     ) -> std::io::Result<Changes> {
-        let StartupConfig { path, effective, start, history, store, taken, kept } = opening;
-        let most = effective.document.state.max_kb as usize * 1024;
-        let writer = store.map(|store| store.spawn(waker()?, most)).transpose()?;
+        let StartupConfig { path, effective, start, history, store, accepted_digest, stored_view } = startup;
+        let max_log_bytes = effective.document.state.max_kb as usize * 1024;
+        let writer = store.map(|store| store.spawn(waker()?, max_log_bytes)).transpose()?;
         Ok(Changes {
             transaction: StateMachine::new(history, start.generation),
-            health: Health::new(now, LOOK_BACK),
+            health: Health::new(now, HEALTH_WINDOW),
             roster: Roster::default(),
             inputs: VecDeque::new(),
             effective,
             platform,
             path,
-            accepted_digest: taken,
-            stored_view: kept,
+            accepted_digest,
+            stored_view,
             writer,
             in_force_since: now,
         })
     }
 
-    /// Has a step written; without a folder it is done at once.
+    /// Queues a step for writing to disk; without a state folder it counts as written at once.
     pub fn persist(&mut self, step: u64, record: &transaction::Record) {
         let result = match &mut self.writer {
             None => Ok(()),
             Some(writer) => match writer.append(step, record, self.transaction.history()) {
-                // Its end is told by the disk.
+                // `collect_writes` reports the result.
                 Ok(()) => return,
                 Err(fault) => Err(fault),
             },
@@ -151,31 +168,32 @@
         self.inputs.push_back(Input::Persisted { step, result });
     }
 
-    /// The lock of the history's folder, for a successor.
-    pub fn lock(&self) -> Option<&std::fs::File> {
+    /// Lock file of the history's folder, to be passed to a successor.
+    pub fn state_lock(&self) -> Option<&std::fs::File> {
         self.writer.as_ref().and_then(|writer| writer.lock.as_ref())
     }
 
-    /// A successor that may have written has failed: what is on disk is this daemon's again.
+    /// Rewrites the history on disk after a successor has failed, which may have written there.
     pub fn rewrite_history(&mut self) {
         if let Some(writer) = &mut self.writer {
             writer.rewrite_history(self.transaction.history());
         }
     }
 
-    /// Whether a registry's view can be kept now: there is a folder, and none is being written.
+    /// Returns true if a registry's view can be stored now: there is a state folder, and no view is being
+    /// written.
     pub fn can_store_view(&self) -> bool {
         self.writer.as_ref().is_some_and(|writer| !writer.is_storing_view())
     }
 
-    /// Has a registry's view kept.
+    /// Stores a registry's view, if there is a state folder.
     pub fn store_view(&mut self, bytes: Vec<u8>) {
         if let Some(writer) = &self.writer {
             writer.store_view(bytes);
         }
     }
 
-    /// Takes up what the disk has done; faults of the log as a whole.
+    /// Passes the results of written steps to the state machine. Returns the errors of other write jobs.
     pub fn collect_writes(&mut self) -> Vec<String> {
         let mut faults = Vec::new();
         while let Some((step, result)) = self.writer.as_mut().and_then(Writer::next_result) {
@@ -188,11 +206,11 @@
         faults
     }
 
-    /// Lays a document over the platform's word and looks at what it would do now.
+    /// Merges a document with the platform's configuration and checks the effects that it would have now.
     pub fn check_document(
         &self,
         document: Document,
-        view: &LiveState,
+        live_state: &LiveState,
     ) -> Result<CheckedChange, Vec<Finding>> {
         let effective = EffectiveConfig::new(&self.platform, document).map_err(|conflicts| {
             let finding =
@@ -200,10 +218,11 @@
             conflicts.iter().map(finding).collect::<Vec<_>>()
         })?;
         let differences = self.effective.differences(&effective);
-        let mut findings = check(&self.effective, &effective, &differences, view);
+        let mut findings = check(&self.effective, &effective, &differences, live_state);
         let registry = &effective.document.registry;
         if *registry != self.effective.document.registry {
-            // What only the files show: a change must not leave the list without its source.
+            // Errors that only reading the files reveals: a change must not leave the list without a usable
+            // source.
             let unusable = |what: String| Finding { code: "registry-files", severity: Severity::Error, what };
             let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
             findings.extend(files::registry_tls(registry, now.as_secs_f64()).err().map(unusable));
@@ -221,24 +240,27 @@
         Ok(CheckedChange { differences, findings })
     }
 
-    /// What a file would do.
-    pub fn plan(&self, document: Document, view: &LiveState) -> Response {
-        match self.check_document(document, view) {
-            Err(findings) => Response::new(Code::Refused, "does not fit").with_findings(&findings),
-            Ok(read) => {
-                let stands = transaction::is_refused(&read.findings, &[]);
-                let code = if stands { Code::Refused } else { Code::Ok };
+    /// Describes the changes that a document would make.
+    pub fn plan(&self, document: Document, live_state: &LiveState) -> Response {
+        match self.check_document(document, live_state) {
+            Err(findings) => Response::new(Code::Refused, "conflicts with the platform's configuration")
+                .with_findings(&findings),
+            Ok(checked) => {
+                let refused = transaction::is_refused(&checked.findings, &[]);
+                let code = if refused { Code::Refused } else { Code::Ok };
                 let message = format!(
                     "{} values would change; {}",
-                    read.differences.len(),
-                    if stands { "the check stands in the way" } else { "nothing stands in the way" }
+                    checked.differences.len(),
+                    if refused { "the check refuses the change" } else { "the check permits the change" }
                 );
-                Response::new(code, message).with_findings(&read.findings).with_changes(&read.differences)
+                Response::new(code, message)
+                    .with_findings(&checked.findings)
+                    .with_changes(&checked.differences)
             }
         }
     }
 
-    /// Puts a document before the machine.
+    /// Proposes a document to the transaction's state machine.
     pub fn propose(
         &mut self,
         caller: Option<u64>,
@@ -246,36 +268,36 @@
         note: String,
         confirm_within: Option<f64>,
         allow: Vec<String>,
-        view: &LiveState,
+        live_state: &LiveState,
     ) {
-        // By the policy in force: a change cannot loosen its own probation.
+        // The policy in force applies, not that of the document: a change cannot relax its own probation.
         let policy = &self.effective.document.change;
         let mode = match (confirm_within, policy.confirm) {
             (Some(within), _) => Mode::Manual(within),
             (None, Confirm::Manual) => Mode::Manual(policy.confirm_within_s),
             (None, Confirm::Auto) => Mode::Auto(policy.probation_s),
         };
-        let findings = match self.check_document(document.clone(), view) {
-            Ok(read) => read.findings,
+        let findings = match self.check_document(document.clone(), live_state) {
+            Ok(checked) => checked.findings,
             Err(findings) => findings,
         };
         let document = Arc::new(document);
         self.inputs.push_back(Input::Propose(Proposal { caller, document, note, mode, findings, allow }));
     }
 
-    /// Counts how a request ended.
+    /// Records the result of a request for the health comparison.
     pub fn record_request(
         &mut self,
         now: f64,
         (class, group): (u16, u32),
         repeat: bool,
-        bad: Option<RequestFailure>,
-        took: f64,
+        failure: Option<RequestFailure>,
+        elapsed: f64,
     ) {
-        self.health.record(now, class, group, repeat, bad, took);
+        self.health.record(now, class, group, repeat, failure, elapsed);
     }
 
-    /// What has become worse since the change on probation, if anything.
+    /// Describes a regression since the change on probation was applied; none without one.
     pub fn find_regression(&self, now: f64, name: impl Fn(u16) -> String) -> Option<String> {
         if !matches!(self.transaction.stage(), Stage::Probation(_)) {
             return None;
@@ -293,8 +315,13 @@
         }
     }
 
-    /// What is in force and under way.
-    pub fn status(&self, requests: usize, life: lifecycle::Stage, counters: &Counters) -> Response {
+    /// The status of the daemon: the generation in force, the change in progress, and counters.
+    pub fn status(
+        &self,
+        requests: usize,
+        lifecycle_stage: lifecycle::Stage,
+        counters: &Counters,
+    ) -> Response {
         let current = self.transaction.current();
         let (stage, until) = match self.transaction.stage() {
             Stage::Idle => ("idle", None),
@@ -314,7 +341,7 @@
             confirmed: self.transaction.base().number,
             stage: stage.into(),
             until,
-            life: life.name().into(),
+            life: lifecycle_stage.name().into(),
             pid: std::process::id(),
             served: counters.served,
             refused: counters.refused,
@@ -329,31 +356,39 @@
     }
 }
 
-/// What a caller is told of what became of its call.
-pub(crate) fn response(outcome: &Outcome) -> Response {
-    let about = |code, number: u64, message: String| Response {
+/// The answer to a control call for the outcome of a proposed change.
+pub(crate) fn outcome_response(outcome: &Outcome) -> Response {
+    let with_generation = |code, number: u64, message: String| Response {
         generation: Some(number),
         ..Response::new(code, message)
     };
     match outcome {
         Outcome::Refused(findings) => {
-            Response::new(Code::Refused, "the check stands in the way; nothing has changed")
+            Response::new(Code::Refused, "the check refuses the change; nothing has changed")
                 .with_findings(findings)
         }
-        Outcome::Busy(number) => {
-            about(Code::Busy, *number, format!("generation {number} is not done with; nothing has changed"))
-        }
+        Outcome::Busy(number) => with_generation(
+            Code::Busy,
+            *number,
+            format!("generation {number} is not done with; nothing has changed"),
+        ),
         Outcome::Unchanged(number) => {
-            about(Code::Unchanged, *number, format!("generation {number} says the same already"))
+            with_generation(Code::Unchanged, *number, format!("generation {number} says the same already"))
         }
         Outcome::Applied { number, until } => Response {
             until: Some(*until),
-            ..about(Code::Applied, *number, format!("generation {number} is in force, on probation"))
+            ..with_generation(
+                Code::Applied,
+                *number,
+                format!("generation {number} is in force, on probation"),
+            )
         },
-        Outcome::Confirmed(number) => about(Code::Confirmed, *number, format!("generation {number} stands")),
+        Outcome::Confirmed(number) => {
+            with_generation(Code::Confirmed, *number, format!("generation {number} is confirmed"))
+        }
         Outcome::RolledBack { number, to, why } => {
-            let message = format!("generation {number} was rolled back, {to} holds: {why}");
-            about(Code::RolledBack, *number, message)
+            let message = format!("generation {number} was rolled back to {to}: {why}");
+            with_generation(Code::RolledBack, *number, message)
         }
         Outcome::NotTaken(why) => Response::new(Code::NotTaken, format!("nothing has changed: {why}")),
         Outcome::Nothing => Response::new(Code::Nothing, "no change is on probation"),
--- a/crates/daemon/src/net/pooler.rs
+++ b/crates/daemon/src/net/pooler.rs
@@ -1,5 +1,5 @@
-//! Feeds what the connections tell to the [`Policy`] and carries out what it answers. Nothing is decided
-//! here but what the limits of the process force.
+//! Passes events of the connections to the [`Policy`] and carries out the actions that it returns. The only
+//! decisions made here are those that the resource limits of the process require.
 
 mod calls;
 mod configuration;
@@ -52,46 +52,49 @@
 use process_lifecycle::{PidFile, ProcessLifecycle};
 use sharing::SharingState;
 
-/// The exit code of a successor that has failed its first seconds and handed back.
+/// Exit code of a successor that has failed its trial and handed the clients back to its predecessor.
 const EXIT_HANDED_BACK: u8 = 5;
 
-/// The platform counts the longest deadline as no longer than this when it kills what was asked to end, waits so much more, and
-/// an answer needs some of that (seconds).
+/// The platform kills a process that was asked to end once the longest deadline of a class has passed, but
+/// counts at most this for the deadline (seconds).
 const MAX_DEADLINE: f64 = 3.0;
+/// The platform waits this much longer before it kills the process (seconds).
 const KILL_GRACE: f64 = 0.7;
+/// Part of `KILL_GRACE` that is reserved for sending the last answers (seconds).
 const KILL_MARGIN: f64 = 0.15;
 
-/// Whom a final answer is owed to.
+/// Recipient of a request's final answer.
 #[derive(Clone, Copy, Debug)]
 enum ReplyTarget {
     Client(Slot),
-    /// An ordinary client, whose session answers by itself once it is on a server.
+    /// An ordinary client. Once its session is attached to a server, the session answers by itself.
     Session(Slot),
 }
 
-/// A request that its client, or an attempt, has not done with yet.
+/// A request whose final answer is pending or that still has an attempt in flight.
 struct Request {
-    /// Whom its final answer is owed to; none once that is given or the client has left.
+    /// Recipient of the final answer; none once it has been given or the client has left.
     reply_target: Option<ReplyTarget>,
     statement: Rc<Statement>,
-    /// What was done and received for it: asked before anything more is done.
+    /// Record of what was sent and received for the request, which decides whether further actions are
+    /// permitted.
     history: History,
-    /// The attempts that are out, each until its end is handled: its number and its connection, if it has one.
-    /// More than one where the settings allow second copies; never more than `max_attempts`.
+    /// Attempts in flight, each until its end is handled: number, and server connection if it has one. More
+    /// than one only if the settings allow hedging; never more than `max_attempts`.
     attempts_in_flight: Vec<(usize, Option<Slot>)>,
-    /// What it counts under: the lasting number of its class, its group, whether it is a repeat, its tenant.
-    class: u16,
+    /// Stable id of the class.
+    class_id: u16,
     group: u32,
     repeat: bool,
     tenant: usize,
     arrived_at: f64,
     consistency: Consistency,
-    /// What it has to do with other instances.
+    /// State of the request's coordination with other instances.
     sharing: SharingState,
 }
 
 impl Request {
-    /// The connection of an attempt that is out.
+    /// Server connection of an attempt in flight.
     fn slot_of(&self, attempt: usize) -> Option<Slot> {
         self.attempts_in_flight.iter().find(|(number, _)| *number == attempt).and_then(|(_, slot)| *slot)
     }
@@ -102,61 +105,65 @@
     clients: Clients,
     servers: Servers,
     discovery: Discovery,
-    /// Ordinary clients, where the operator's file has an address for them.
+    /// Sessions of ordinary clients; none if the operator's file has no address for them.
     sessions: Option<Sessions>,
-    /// Follows the list in discovery's place, where the operator's file names a registry.
+    /// Follows the list instead of discovery, if the operator's file names a registry.
     registry: Option<Registry>,
-    /// Other instances, where the operator's file says how they reach this one, and the requests that wait for them.
+    /// Coordination with other instances; none if the operator's file does not configure it.
     coordination: Option<Coordination>,
+    /// Requests that wait for other instances.
     awaiting_peers: Vec<RequestId>,
-    /// When what the list's source has sent was last looked for (seconds).
+    /// When pending updates of the list were last read (Unix seconds).
     list_read_at: f64,
     seed: u64,
     name: String,
     signals: Signals,
     requests: HashMap<RequestId, Request>,
-    /// Which requests each platform client waits for.
+    /// Requests with a pending answer, by connection of a platform client.
     in_flight: InFlight,
-    /// The classes and tenants that new requests are of.
+    /// Classes and tenants of the configuration in force, for new requests.
     classes: Vec<ActiveClass>,
     tenants: Vec<(String, usize)>,
     numbers: Numbers,
     budget: Budget,
-    /// Changes through the operator's file; none where there is no such file.
+    /// State of configuration changes; none without an operator's file.
     changes: Option<Box<Changes>>,
     control: Option<ControlSocket>,
     log: logging::Handle,
-    /// Where clients are told to connect, and where they were told before a change that may still be undone.
+    /// Address for platform clients.
     listen: SocketAddr,
+    /// The address before a change that may still be rolled back.
     previous_listen: Option<SocketAddr>,
     zones: Vec<String>,
     probe_timeout: f64,
-    /// Where the configuration is read again from.
+    /// Path of the platform's configuration file, for reloads.
     path: PathBuf,
-    /// The longest time that a refusal may ask a client to stay away (seconds).
+    /// Maximum delay that a refusal may ask a client to wait before it tries again (seconds).
     retry_after: f64,
-    /// How long after the wish to end all that comes must have been answered, and when that is (seconds).
+    /// Time from the request to shut down until every request must have been answered (seconds).
     kill_after: f64,
+    /// When that time ends; infinite before the shutdown (Unix seconds).
     kill_at: f64,
     lifecycle: ProcessLifecycle,
-    /// Hand-overs to a successor, and from the daemon before this one.
+    /// Handover to a successor.
     successor: Option<SuccessorHandover>,
+    /// Handover from the predecessor, the daemon that this one replaces.
     predecessor: Option<PredecessorHandover>,
-    /// Whether this one has failed its first seconds as a successor.
+    /// True if this process has failed its trial as a successor.
     handed_back: bool,
 }
 
-/// The operator's side of a daemon.
+/// Options of a daemon that has an operator's file.
 pub(crate) struct OperatorOptions {
-    /// The operator's file.
+    /// Path of the operator's file.
     pub file: PathBuf,
-    /// The folder of the history, where the file's word for it is not to be relied on.
+    /// Folder of the history; overrides the one that the file names.
     pub state: Option<PathBuf>,
-    /// Whether to take over from the daemon that runs with this file.
+    /// True if this process is to take over from the daemon that runs with this file.
     pub take_over: bool,
 }
 
-/// Serves until told to end.
+/// Runs the pooler until it has shut down. Returns the exit code.
 pub(crate) fn serve(config: &Config, path: &Path, operator: Option<OperatorOptions>) -> io::Result<u8> {
     let mut poll = Poll::new()?;
     let reactor = Reactor::new(&poll)?;
@@ -181,24 +188,25 @@
     ) -> io::Result<Pooler> {
         let invalid = |fault: String| io::Error::new(io::ErrorKind::InvalidInput, fault);
         let now = context.reactor.now();
-        let mut loud = Vec::new();
+        let mut alerts = Vec::new();
         let mut inherited = match operator.as_ref().filter(|operator| operator.take_over) {
-            Some(operator) => Some(ask(operator, now).map_err(invalid)?),
+            Some(operator) => Some(request_handover(operator, now).map_err(invalid)?),
             None => None,
         };
         let lock = inherited.as_mut().and_then(InheritedState::take_state_lock);
-        let opening = operator
-            .map(|operator| change::open(&operator.file, (operator.state, lock), config, now, &mut loud));
-        let opening = opening.transpose().map_err(invalid)?;
-        let effective = match &opening {
-            Some(opening) => opening.effective.clone(),
-            // Nothing but the platform's word, which has been checked with it.
+        let startup = operator.map(|operator| {
+            change::load_startup_config(&operator.file, (operator.state, lock), config, now, &mut alerts)
+        });
+        let startup = startup.transpose().map_err(invalid)?;
+        let effective = match &startup {
+            Some(startup) => startup.effective.clone(),
+            // The platform's configuration alone.
             None => EffectiveConfig::new(config, Default::default())
                 .map_err(|conflicts| invalid(change::describe_conflicts(&conflicts)))?,
         };
         let log = logging::start(effective.document.log.level, effective.document.log.format);
-        for line in loud {
-            logging::error!(event = "config.loud", "{line}");
+        for alert in alerts {
+            logging::error!(event = "config.loud", "{alert}");
         }
         let mut numbers = Numbers::default();
         let NumberedSettings { settings, classes, tenants } =
@@ -207,43 +215,48 @@
         let retry_after = max_retry_after(&settings);
         let kill_after = kill_after(&settings);
         let policy = Policy::new(settings, config.seed).map_err(|fault| invalid(fault.to_string()))?;
-        // Before anything is bound: who holds it has the rest as well.
+        // The pid file is locked before any socket is bound: the process that holds it also has the sockets.
         let daemon = &effective.document.daemon;
-        let pid = daemon.pid_file.as_ref().map(|path| {
+        let pid_file = daemon.pid_file.as_ref().map(|path| {
             match inherited.as_mut().and_then(InheritedState::take_pid_file) {
                 Some(file) => Ok(PidFile::inherit(file, path)),
                 None => PidFile::take(path),
             }
         });
-        let pid = pid.transpose()?;
-        let terms = process_lifecycle::lifecycle_limits(opening.as_ref().map(|_| &effective.document.daemon));
+        let pid_file = pid_file.transpose()?;
+        let lifecycle_limits =
+            process_lifecycle::lifecycle_limits(startup.as_ref().map(|_| &effective.document.daemon));
         let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP, SIGUSR1])?;
         context.reactor.registry.register(&mut signals, Source::Signals.into(), Interest::READABLE)?;
-        // Most clients have one attempt out, so half the sockets are enough for the db machines' side. Where clients send
-        // commands ahead or second copies are allowed these may be short; then an attempt ends as never sent, which costs
-        // nothing but itself.
-        // Half the memory is for buffers, statements and values, whoever needs them at the time.
+        // Most clients have one attempt in flight, so that half the sockets are enough for server
+        // connections. They may be too few if clients pipeline requests or hedging is allowed; then an
+        // attempt ends as not sent, without other consequences. Half the memory is for buffers, statements
+        // and values, shared by all connections.
         let sockets = effective.sockets.saturating_sub(RESERVED_DESCRIPTORS + session_sockets(&effective));
-        let clients = sockets / 2;
-        if clients == 0 {
-            return Err(io::Error::new(io::ErrorKind::InvalidInput, "too few sockets"));
+        let max_clients = sockets / 2;
+        if max_clients == 0 {
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidInput,
+                "the limit of sockets leaves none for clients",
+            ));
         }
         let budget = Budget::new(effective.memory / 2);
         let control = &effective.document.control;
-        // A successor has these once it stands; until then the daemon before it does.
-        let own = inherited.is_none();
-        let successor = daemon.handover.as_ref().filter(|_| own).map(|path| {
+        // A successor binds these sockets when it completes the takeover; until then its predecessor owns
+        // them.
+        let is_successor = inherited.is_some();
+        let successor = daemon.handover.as_ref().filter(|_| !is_successor).map(|path| {
             let bound = OwnedListener::new(path).and_then(|bound| SuccessorHandover::new(bound, context));
             bound.map_err(|error| io::Error::new(error.kind(), format!("{}: {error}", path.display())))
         });
         let successor = successor.transpose()?;
-        let controls = control.socket.as_ref().filter(|_| own).map(|path| {
+        let control = control.socket.as_ref().filter(|_| !is_successor).map(|path| {
             ControlSocket::new(path, control.idle_s, context)
                 .map_err(|error| io::Error::new(error.kind(), format!("{}: {error}", path.display())))
         });
-        // All that can be asked of it is there once the log says that it listens.
-        let control = controls.transpose()?;
-        // Sockets that a service manager has bound come before any other: it says where it wants to be called.
+        // The control socket exists before the log line "listens on" is written.
+        let control = control.transpose()?;
+        // Sockets that a service manager has bound take precedence: the manager chooses the address.
         let mut activated = listenfd::ListenFd::from_env();
         let mut bind = |inherited: &mut Option<InheritedState>, pool: bool, address: SocketAddr| {
             if let Some(listener) = activated.take_tcp_listener(usize::from(pool))? {
@@ -257,10 +270,14 @@
         };
         let listener = bind(&mut inherited, false, effective.listen)?;
         let address = listener.local_addr()?;
-        logging::info!(event = "listening", "{} listens on {address}, for {clients} clients", config.name);
+        logging::info!(
+            event = "listening",
+            "{} listens on {address}, for {max_clients} clients",
+            config.name
+        );
         let registry = &context.reactor.registry;
         let waker = || Waker::new(registry, Source::Disk.into());
-        let changes = opening.map(|opening| Changes::new(opening, config.clone(), waker, now)).transpose()?;
+        let changes = startup.map(|startup| Changes::new(startup, config.clone(), waker, now)).transpose()?;
         let pool = &effective.document.pool;
         let sessions = pool.listen.map(|address| {
             let listener = bind(&mut inherited, true, address)?;
@@ -269,27 +286,29 @@
                 event = "pool.listening",
                 "ordinary clients connect to {address}, pooled by {mode}"
             );
-            let terms = (budget.clone(), connect_timeout, config.seed);
-            Sessions::new(listener, pool, effective.route_table(), terms, context)
+            let resources = (budget.clone(), connect_timeout, config.seed);
+            Sessions::new(listener, pool, effective.route_table(), resources, context)
         });
         let sessions = sessions.transpose()?;
         let coordination = Coordination::new(&effective, config, context).map_err(invalid)?;
-        let (fresh, begun) = ProcessLifecycle::new(terms, pid, config.seed, context);
-        let list = inherited.as_ref().and_then(InheritedState::list);
-        let (index, saved) = list
-            .filter(|(index, _)| *index >= config.saved_list.version)
+        let (lifecycle, lifecycle_actions) =
+            ProcessLifecycle::new(lifecycle_limits, pid_file, config.seed, context);
+        let inherited_list = inherited.as_ref().and_then(InheritedState::list);
+        let (list_version, listings) = inherited_list
+            .filter(|(version, _)| *version >= config.saved_list.version)
             .unwrap_or_else(|| (config.saved_list.version, config.saved_list.listings.clone()));
         let trial_s = effective.document.daemon.trial_s;
         let predecessor = inherited.map(|inherited| PredecessorHandover::new(inherited, trial_s, context));
-        let (predecessor, comes) =
-            predecessor.transpose()?.map_or((None, Vec::new()), |(from, does)| (Some(from), does));
+        let (predecessor, handover_actions) = predecessor
+            .transpose()?
+            .map_or((None, Vec::new()), |(predecessor, actions)| (Some(predecessor), actions));
         let pushed = config.list_source == ListSource::Pushed;
         let mut pooler = Pooler {
             policy,
             sessions,
-            clients: Clients::new(listener, clients, (budget.clone(), config.seed), context)?,
-            servers: Servers::new(sockets - clients, budget.clone(), keepalive, connect_timeout),
-            discovery: Discovery::new(effective.discovery, index, pushed),
+            clients: Clients::new(listener, max_clients, (budget.clone(), config.seed), context)?,
+            servers: Servers::new(sockets - max_clients, budget.clone(), keepalive, connect_timeout),
+            discovery: Discovery::new(effective.discovery, list_version, pushed),
             registry: None,
             coordination,
             awaiting_peers: Vec::new(),
@@ -314,20 +333,20 @@
             retry_after,
             kill_after,
             kill_at: f64::INFINITY,
-            lifecycle: fresh,
+            lifecycle,
             successor,
             predecessor,
             handed_back: false,
         };
-        pooler.carry_out_lifecycle(begun, context);
+        pooler.carry_out_lifecycle(lifecycle_actions, context);
         if pooler.predecessor.is_some() {
             pooler.set_paused(true, context);
         }
         pooler.advance_lifecycle(LifecycleInput::ListenerBound, context);
-        context.events.push_back(Event::ListReceived(ListKind::Saved, saved));
+        context.events.push_back(Event::ListReceived(ListKind::Saved, listings));
         pooler.handle_events(context);
         pooler.adopt_predecessor_state(context);
-        pooler.carry_out_handover(comes, context);
+        pooler.carry_out_handover(handover_actions, context);
         pooler.apply_overrides(&effective, context);
         pooler.select_list_source(&effective, context);
         pooler.follow_pushed_list(context);
@@ -335,7 +354,7 @@
         Ok(pooler)
     }
 
-    /// Takes event after event, each only when all that follows from the one before it is carried out.
+    /// Handles the queued events in order, each after all actions that result from the previous one.
     fn handle_events(&mut self, context: &mut Context) {
         while let Some(event) = context.events.pop_front() {
             match event {
@@ -345,7 +364,7 @@
                 Event::RequestReleased(client, id) => self.handle_release(client, &id, context),
                 Event::ClientLeft(client) => self.handle_client_left(client, context),
                 Event::CancelRequested(key) => {
-                    // One that has not been taken in yet, or is answered already, is none to cancel.
+                    // A request that has not been accepted yet, or is already answered, cannot be cancelled.
                     let client =
                         self.clients.find_by_key(key).filter(|client| self.in_flight.has_requests(*client));
                     if let Some(client) = client {
@@ -353,9 +372,9 @@
                         self.clients.finish_cancelled(client, context);
                     }
                 }
-                Event::TaskEnded(ended) => self.handle_task_result(*ended, context),
+                Event::TaskEnded(result) => self.handle_task_result(*result, context),
                 Event::ListReceived(kind, listings) => self.apply_list(kind, listings, context),
-                Event::ServerRequested(slot, wanted) => self.handle_server_request(slot, *wanted, context),
+                Event::ServerRequested(slot, request) => self.handle_server_request(slot, *request, context),
                 Event::SessionAttached(id) => {
                     if let Some(request) = self.requests.get_mut(&id) {
                         request.reply_target = None;
@@ -378,13 +397,13 @@
                         context,
                     );
                 }
-                Event::SessionDetached(parted) => self.handle_detachment(*parted, context),
+                Event::SessionDetached(detachment) => self.handle_detachment(*detachment, context),
                 Event::ControlCallReceived(caller, call) => self.handle_control_call(caller, *call, context),
             }
         }
     }
 
-    /// Follows a list that is pushed, unless the operator's file has one of its own or names a registry.
+    /// Follows a list that discovery pushes, unless the operator's file contains a list or names a registry.
     fn follow_pushed_list(&mut self, context: &mut Context) {
         let fixed = self.changes.as_ref().is_some_and(|changes| changes.roster.has_static_list());
         if !fixed && self.registry.is_none() {
@@ -392,7 +411,7 @@
         }
     }
 
-    /// Tells the policy and carries out its actions in their order.
+    /// Passes an event to the policy and carries out the resulting actions in order.
     fn notify_policy(&mut self, event: interface::Event, context: &mut Context) {
         let actions = self.decide(event, context);
         self.carry_out(actions, context);
@@ -417,14 +436,16 @@
                         continue;
                     }
                     context.counters.attempts_sent += 1;
-                    trace::sent(&id, number, &member, timeout);
+                    trace::attempt_sent(&id, number, &member, timeout);
                     self.record_attempt_target(&id, &member, number);
                     let Some(request) = self.requests.get_mut(&id) else { continue };
                     if let (Some(ReplyTarget::Session(slot)), Some(sessions)) =
                         (request.reply_target, &mut self.sessions)
                     {
                         request.attempts_in_flight.push((number, None));
-                        // Nothing is written for it before the session is on a connection, which ends this.
+                        // Nothing is sent for this attempt before the session is attached to a server
+                        // connection, and then the session answers by itself: for the permission checks the
+                        // attempt has never run.
                         request.history.end(number, Evidence::NeverRan);
                         sessions.assign_server(slot, &id, number, &member, timeout, context);
                         continue;
@@ -459,14 +480,14 @@
                 }
                 Action::CloseIdle { member } => self.servers.close_idle(&member),
                 Action::CancelUnsent { member } => self.servers.cancel_unsent(&member, context),
-                // With a list of the operator's own there may be no discovery at all.
+                // If the operator's file contains the list, there may be no discovery at all.
                 Action::Subscribe
                     if self.changes.as_ref().is_some_and(|changes| changes.roster.has_static_list()) => {}
-                // A registry is followed by itself, whether or not it is asked for.
+                // A registry is followed continuously, without a subscription by the policy.
                 Action::Subscribe if self.registry.is_some() => {}
                 Action::Subscribe => self.discovery.subscribe(context),
                 Action::Denied { id, denial } => guard::report_violation(&id, denial, context),
-                Action::Explain(explanation) => trace::given_up(&explanation, &self.numbers),
+                Action::Explain(explanation) => trace::request_given_up(&explanation, &self.numbers),
                 Action::Log(text) => logging::info!(event = "decided", "{text}"),
             }
         }
@@ -479,27 +500,28 @@
         context: &mut Context,
     ) {
         let id = RequestId::from(query.id);
-        let named = self.classes.iter().find(|class| class.name == query.class);
-        let invalid = match named {
+        let active_class = self.classes.iter().find(|class| class.name == query.class);
+        let invalid = match active_class {
             None => Some("unknown class"),
             Some(class) if class.effect == Effect::Keyed && !query.has_idempotency_key => {
                 Some("this class needs a key")
             }
-            // Two requests of one id could not be told apart, and the db machine would see a second copy.
+            // Two requests with the same id could not be told apart, and the member would take one for a
+            // repeat of the other.
             Some(_) if self.requests.contains_key(&id) => Some("this id is in use"),
             Some(_) => None,
         };
-        let (Some(&ActiveClass { number: class, stable_id: counted, consistency, .. }), None) =
-            (named, invalid)
+        let (Some(&ActiveClass { number: class, stable_id: class_id, consistency, .. }), None) =
+            (active_class, invalid)
         else {
             let answer = Answer::Invalid(invalid.unwrap_or_default());
             return self.clients.answer(client, command, answer, context);
         };
         context.counters.requests += 1;
         let now = context.reactor.now();
-        let sessions = matches!(consistency, Consistency::Write | Consistency::Session);
+        let uses_session = matches!(consistency, Consistency::Write | Consistency::Session);
         let tenant = self.tenants.iter().find(|(name, _)| *name == query.tenant).map(|(_, number)| *number);
-        // One that is not known has no number that the policy knows.
+        // An unknown tenant gets a number that the policy does not know.
         let tenant = tenant.unwrap_or(usize::MAX);
         let access = Access { group: query.group, key: query.session_key.clone(), consistency };
         let arrival = Arrival {
@@ -508,19 +530,19 @@
             group: query.group,
             time_left: query.timeout.min(self.kill_at - now),
             required_position: query.required_position,
-            session: query.session_key.filter(|_| sessions).map(Into::into),
+            session: query.session_key.filter(|_| uses_session).map(Into::into),
             tenant,
             predicted_work: None,
             repeat: query.repeat,
             session_position: None,
         };
-        let rules = self.policy.attempt_rules(class, now + arrival.time_left);
+        let attempt_rules = self.policy.attempt_rules(class, now + arrival.time_left);
         let request = Request {
             reply_target: Some(ReplyTarget::Client(client)),
             statement: Rc::new(query.statement),
-            history: History::new(rules),
+            history: History::new(attempt_rules),
             attempts_in_flight: Vec::new(),
-            class: counted,
+            class_id,
             group: query.group,
             repeat: query.repeat,
             tenant,
@@ -531,11 +553,11 @@
         self.requests.insert(id, request);
         match self.in_flight.insert((client, command), access, arrival, now) {
             Ok(arrival) => self.begin_request(arrival, consistency, context),
-            Err(until) => context.reactor.set_timer(until, TimerKind::InFlight(client)),
+            Err(expires_at) => context.reactor.set_timer(expires_at, TimerKind::InFlight(client)),
         }
     }
 
-    /// A request is to be carried out.
+    /// Starts a request, unless it first has to wait for other instances.
     fn begin_request(&mut self, arrival: Arrival, consistency: Consistency, context: &mut Context) {
         self.invalidate_writes_beside_predecessor(context);
         if let Some(arrival) = self.coordinate_arrival(arrival, consistency, context) {
@@ -543,7 +565,7 @@
         }
     }
 
-    /// A request need not wait for earlier ones of its connection any more.
+    /// Starts a request that no longer has to wait for earlier requests of its connection.
     fn handle_release(&mut self, client: Slot, id: &RequestId, context: &mut Context) {
         let Some(mut arrival) = self.in_flight.release(client, id) else { return };
         let Some(request) = self.requests.get(id) else { return };
@@ -552,36 +574,38 @@
         self.begin_request(arrival, consistency, context);
     }
 
-    /// Turns away what has waited for earlier requests of its connection for as long as it may: nothing of it was sent.
-    fn turn_away_expired(&mut self, client: Slot, context: &mut Context) {
+    /// Refuses requests that have waited for earlier requests of their connection for the maximum time. They
+    /// were not sent.
+    fn refuse_expired(&mut self, client: Slot, context: &mut Context) {
         for id in self.in_flight.expired(client, context.reactor.now()) {
             let backoff = self.lifecycle.jittered_backoff(self.retry_after);
-            trace::turned_away(&id, "it waited for earlier requests of its connection");
+            trace::refused_unsent(&id, "waited too long for earlier requests of its connection");
             self.answer(&id, Answer::Refused(backoff), context);
         }
     }
 
-    /// A session of an ordinary client wants a server: one request, whatever it does with it.
-    fn handle_server_request(&mut self, slot: Slot, wanted: RoutedServerRequest, context: &mut Context) {
-        let RoutedServerRequest { id, class, tenant, group } = wanted;
-        let Some(&ActiveClass { number, stable_id: counted, consistency, .. }) =
+    /// An ordinary client's session requests a server. This counts as one request, whatever the session sends
+    /// to the server.
+    fn handle_server_request(&mut self, slot: Slot, request: RoutedServerRequest, context: &mut Context) {
+        let RoutedServerRequest { id, class, tenant, group } = request;
+        let Some(&ActiveClass { number, stable_id: class_id, consistency, .. }) =
             self.classes.iter().find(|c| c.name == class)
         else {
             let answer = Answer::Invalid("unknown class");
             return self.sessions.iter_mut().for_each(|sessions| sessions.refuse(slot, &answer, context));
         };
         context.counters.requests += 1;
-        let sessions = matches!(consistency, Consistency::Write | Consistency::Session);
+        let uses_session = matches!(consistency, Consistency::Write | Consistency::Session);
         let known = self.tenants.iter().find(|(name, _)| *name == tenant).map(|(_, number)| *number);
         let tenant = known.unwrap_or(usize::MAX);
         let arrival = Arrival {
             id: id.clone(),
             class: number,
             group,
-            // Its class says how long it waits at most.
+            // The deadline of its class limits how long it waits.
             time_left: f64::MAX,
             required_position: None,
-            session: sessions.then(|| format!("session-{}", slot.number()).into()),
+            session: uses_session.then(|| format!("session-{}", slot.number()).into()),
             tenant,
             predicted_work: None,
             repeat: false,
@@ -592,7 +616,7 @@
             statement: Rc::new(Statement::new("".into(), 0..0)),
             history: History::new(self.policy.attempt_rules(number, f64::INFINITY)),
             attempts_in_flight: Vec::new(),
-            class: counted,
+            class_id,
             group,
             repeat: false,
             tenant,
@@ -605,25 +629,25 @@
         self.notify_policy(interface::Event::Arrival(arrival), context);
     }
 
-    /// A session is no longer on the server that it was given, or never came to be.
-    fn handle_detachment(&mut self, parted: Detachment, context: &mut Context) {
-        let Detachment { id, attempt, member, outcome, elapsed, primary } = parted;
+    /// A session has been detached from its server, or could not be attached to it.
+    fn handle_detachment(&mut self, detachment: Detachment, context: &mut Context) {
+        let Detachment { id, attempt, member, outcome, elapsed, primary } = detachment;
         count_outcome(&mut context.counters.attempt_outcomes, outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        // One that was withdrawn may be told of after the next was begun.
+        // The end of a withdrawn attempt may be reported after the next attempt was begun.
         request.attempts_in_flight.retain(|(number, _)| *number != attempt);
         let conclusion = Conclusion::AsReceived;
         request.history.end(attempt, Evidence::of(outcome, conclusion));
         let finished = request.reply_target.is_none();
         if finished {
             if let Some(changes) = &mut self.changes {
-                let bad = (outcome != Outcome::Ok).then_some(RequestFailure::Failed);
+                let failure = (outcome != Outcome::Ok).then_some(RequestFailure::Failed);
                 let now = context.reactor.now();
-                changes.record_request(now, (request.class, request.group), false, bad, elapsed);
+                changes.record_request(now, (request.class_id, request.group), false, failure, elapsed);
             }
         }
         let report = interface::Report::default();
-        let done = AttemptEnded {
+        let attempt_ended = AttemptEnded {
             id: id.clone(),
             member,
             attempt,
@@ -635,12 +659,12 @@
             primary,
             report,
         };
-        let actions = self.decide(interface::Event::AttemptEnded(done), context);
+        let actions = self.decide(interface::Event::AttemptEnded(attempt_ended), context);
         self.remove_if_finished(&id, context.reactor.now());
         self.carry_out(actions, context);
     }
 
-    /// A client has left: nobody waits for its answers any more, and its attempts are given up.
+    /// A client has left: its requests need no answers any more, and their attempts are cancelled.
     fn handle_client_left(&mut self, client: Slot, context: &mut Context) {
         for id in self.in_flight.take_all(client) {
             let Some(request) = self.requests.get_mut(&id) else { continue };
@@ -653,14 +677,14 @@
         }
     }
 
-    /// Gives a request its final answer, unless it has had one.
+    /// Sends the final answer of a request, unless it has been answered or its client has left.
     fn answer(&mut self, id: &RequestId, answer: Answer, context: &mut Context) {
         let answer = self.permitted_answer(id, answer, context);
         let Some(request) = self.requests.get_mut(id) else { return };
         request.history.close();
         if let Some(client) = request.reply_target.take() {
             if let Some(changes) = &mut self.changes {
-                let bad = match answer {
+                let failure = match answer {
                     Answer::Served(_) => None,
                     Answer::Refused(_) => Some(RequestFailure::Refused),
                     Answer::Failed | Answer::Invalid(_) => Some(RequestFailure::Failed),
@@ -668,9 +692,9 @@
                 let now = context.reactor.now();
                 changes.record_request(
                     now,
-                    (request.class, request.group),
+                    (request.class_id, request.group),
                     request.repeat,
-                    bad,
+                    failure,
                     now - request.arrived_at,
                 );
             }
@@ -690,15 +714,16 @@
         self.remove_if_finished(id, context.reactor.now());
     }
 
-    /// Gives up whatever is still out for a request that nobody waits for.
+    /// Cancels the attempts in flight of a request.
     fn cancel_attempts(&mut self, id: &RequestId, context: &mut Context) {
-        let out = self.requests.get(id).map(|request| request.attempts_in_flight.clone()).unwrap_or_default();
-        for (attempt, slot) in out {
+        let attempts =
+            self.requests.get(id).map(|request| request.attempts_in_flight.clone()).unwrap_or_default();
+        for (attempt, slot) in attempts {
             slot.into_iter().for_each(|slot| self.servers.cancel(slot, id, attempt, context));
         }
     }
 
-    /// Forgets a request that neither a client nor an attempt waits for.
+    /// Removes a request that has neither a pending reply nor an attempt in flight.
     fn remove_if_finished(&mut self, id: &RequestId, now: f64) {
         if self
             .requests
@@ -711,24 +736,25 @@
         }
     }
 
-    fn handle_task_result(&mut self, ended: TaskResult, context: &mut Context) {
-        let TaskResult { task, member, outcome, elapsed, position, primary, report, value } = ended;
+    fn handle_task_result(&mut self, result: TaskResult, context: &mut Context) {
+        let TaskResult { task, member, outcome, elapsed, position, primary, report, value } = result;
         let ServerTask::Attempt(id, attempt, _) = task else {
             count_outcome(&mut context.counters.probe_outcomes, outcome);
             return self.notify_policy(interface::Event::ProbeEnded { member, outcome, report }, context);
         };
-        let told = (position, primary);
-        let conclusion = self.assess_outcome(&id, (attempt, elapsed), outcome, told);
-        trace::ended(&id, (attempt, elapsed), &member, (outcome, conclusion), told);
+        let reported = (position, primary);
+        let conclusion = self.assess_outcome(&id, (attempt, elapsed), outcome, reported);
+        trace::attempt_ended(&id, (attempt, elapsed), &member, (outcome, conclusion), reported);
         count_outcome(&mut context.counters.attempt_outcomes, outcome);
         context.counters.too_old += u64::from(conclusion == Conclusion::TooOld);
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.history.end(attempt, Evidence::of(outcome, conclusion));
-        // Another copy may still be out: its end is owed to the decisions, which count what each machine holds.
+        // A hedged attempt may still be in flight: the policy needs its end as well, since it counts the
+        // attempts at each member.
         request.attempts_in_flight.retain(|(number, _)| *number != attempt);
         let served = outcome == Outcome::Ok && conclusion == Conclusion::AsReceived;
         let finished = served || request.reply_target.is_none();
-        let done = AttemptEnded {
+        let attempt_ended = AttemptEnded {
             id: id.clone(),
             member,
             attempt,
@@ -740,8 +766,8 @@
             primary,
             report,
         };
-        // What the answer tells of the machine is taken in before the client can act on the answer.
-        let actions = self.decide(interface::Event::AttemptEnded(done), context);
+        // The policy processes the member's state in the answer before the client can react to the answer.
+        let actions = self.decide(interface::Event::AttemptEnded(attempt_ended), context);
         if !served {
             self.remove_if_finished(&id, context.reactor.now());
         } else if let Some(value) = self.coordinate_answer(&id, position, value, context) {
@@ -750,8 +776,8 @@
         self.carry_out(actions, context);
     }
 
-    /// What a change would meet now.
-    fn change_view(&self) -> LiveState {
+    /// The live state that a configuration change is checked against.
+    fn live_state(&self) -> LiveState {
         let Some(changes) = &self.changes else { return LiveState::default() };
         let known: BTreeMap<&str, (f64, bool)> =
             self.policy.members().map(|(id, _, warmth, primary)| (&**id, (warmth, primary))).collect();
@@ -760,26 +786,26 @@
             let (name, group) = (listing.name.to_string(), listing.group);
             LiveMember { name, group, serving: listing.phase == Phase::Active, warmth, primary }
         });
-        let mut view = LiveState { members: members.collect(), ..LiveState::default() };
+        let mut state = LiveState { members: members.collect(), ..LiveState::default() };
         for ((class, group), count) in changes.health.traffic() {
-            *view
+            *state
                 .traffic
                 .entry((self.numbers.class_name_by_stable_id(class).to_string(), group))
                 .or_insert(0) += count;
         }
         let tenants: HashMap<usize, &String> = self.tenants.iter().map(|(name, n)| (*n, name)).collect();
         for request in self.requests.values() {
-            let class = self.numbers.class_name_by_stable_id(request.class).to_string();
-            *view.traffic.entry((class.clone(), request.group)).or_insert(0) += 1;
-            *view.classes_in_flight.entry(class).or_insert(0) += 1;
+            let class = self.numbers.class_name_by_stable_id(request.class_id).to_string();
+            *state.traffic.entry((class.clone(), request.group)).or_insert(0) += 1;
+            *state.classes_in_flight.entry(class).or_insert(0) += 1;
             if let Some(tenant) = tenants.get(&request.tenant) {
-                *view.tenants_in_flight.entry(tenant.to_string()).or_insert(0) += 1;
+                *state.tenants_in_flight.entry(tenant.to_string()).or_insert(0) += 1;
             }
         }
-        view.clients_busy = self.in_flight.client_count();
-        view.servers_busy = self.servers.busy_count();
-        view.memory_in_use = self.budget.used();
-        view
+        state.clients_busy = self.in_flight.client_count();
+        state.servers_busy = self.servers.busy_count();
+        state.memory_in_use = self.budget.used();
+        state
     }
 
     fn handle_signals(&mut self, context: &mut Context) {
@@ -806,7 +832,7 @@
                     self.registry.iter_mut().for_each(|registry| registry.deregister(context));
                     self.sessions.iter_mut().for_each(|sessions| sessions.end_sessions(false, context));
                 }
-                // What is owed is counted now: a third one ends it at once.
+                // Pending replies are counted now: a third signal ends the process at once.
                 self.on_lifecycle_timer(context);
                 self.advance_lifecycle(LifecycleInput::StopRequested, context);
             }
@@ -853,21 +879,21 @@
         self.check_lifecycle(context);
     }
 
-    fn on_timer(&mut self, due: TimerKind, context: &mut Context) {
+    fn on_timer(&mut self, kind: TimerKind, context: &mut Context) {
         self.refresh_list(context);
-        match due {
+        match kind {
             TimerKind::Policy(cookie) => self.notify_policy(interface::Event::Timer { cookie }, context),
             TimerKind::Accept => self.clients.accept(context),
             TimerKind::ClientSweep => self.clients.close_idle(context),
             TimerKind::Client(slot) => self.clients.on_timer(slot, context),
-            TimerKind::InFlight(client) => self.turn_away_expired(client, context),
+            TimerKind::InFlight(client) => self.refuse_expired(client, context),
             TimerKind::Server(slot) => self.servers.on_timer(slot, context),
             TimerKind::Discovery => self.discovery.on_timer(context),
             TimerKind::ControlConnection(slot) => {
                 self.control.iter_mut().for_each(|control| control.on_timer(slot, context))
             }
             TimerKind::Registry => {
-                // Kept first: what is due next is looked at with that done.
+                // The view is stored first, since the registry computes its next timer from that.
                 self.store_registry_view(context);
                 self.registry.iter_mut().for_each(|r| r.on_timer(context));
             }
@@ -891,7 +917,8 @@
     }
 }
 
-/// The longest time that a refusal may ask a client to stay away (seconds).
+/// Maximum delay that a refusal may ask a client to wait before it tries again (seconds); 0 without such
+/// delays.
 fn max_retry_after(settings: &interface::Settings) -> f64 {
     if settings.retry_after {
         settings.max_retry_after
@@ -900,21 +927,22 @@
     }
 }
 
-/// How long after the wish to end, on the platform, all that comes must have been answered (seconds): it kills no sooner than
-/// the longest deadline and `KILL_GRACE` after that. Guards what comes last, which would have its own time still.
+/// Time from the platform's request to shut down until every request must have been answered (seconds). The
+/// platform kills the process `KILL_GRACE` after the longest deadline. Guards requests that arrive late
+/// during the shutdown, whose own deadlines would end after that.
 fn kill_after(settings: &interface::Settings) -> f64 {
-    let longest = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-    longest.min(MAX_DEADLINE) + KILL_GRACE - KILL_MARGIN
+    let longest_deadline = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
+    longest_deadline.min(MAX_DEADLINE) + KILL_GRACE - KILL_MARGIN
 }
 
-/// Asks the daemon that runs with an operator's file for what it holds and knows.
-fn ask(operator: &OperatorOptions, now: f64) -> Result<InheritedState, String> {
+/// Requests descriptors and state from the daemon that runs with the operator's file.
+fn request_handover(operator: &OperatorOptions, now: f64) -> Result<InheritedState, String> {
     let (_, document) = files::read_document(&operator.file)?;
     let path = document.daemon.handover.ok_or("--take-over: the operator's file has no daemon.handover")?;
     InheritedState::request(&path, now)
 }
 
-/// Descriptors that ordinary clients and their servers may take.
+/// Number of descriptors reserved for ordinary clients and their server connections.
 fn session_sockets(effective: &EffectiveConfig) -> usize {
     let pool = &effective.document.pool;
     pool.listen.map_or(0, |_| (pool.clients + pool.servers) as usize + super::sessions::MAX_CANCELS + 1)
--- a/crates/daemon/src/net/pooler/configuration.rs
+++ b/crates/daemon/src/net/pooler/configuration.rs
@@ -1,9 +1,10 @@
-//! Changes of configuration: files read again, the steps of a transaction carried out, and its probation watched.
+//! Configuration changes: reloads the files, carries out the actions of the transaction, and checks its
+//! probation.
 
 use config::Config;
 use mio::net::TcpListener;
 use operator::EffectiveConfig;
-use transaction::{Action as Step, Input, Notice, RESERVED_DESCRIPTORS};
+use transaction::{Action, Input, Notice, RESERVED_DESCRIPTORS};
 
 use super::{max_retry_after, process_lifecycle, session_sockets, Pooler, SuccessorHandover};
 use crate::files;
@@ -14,9 +15,9 @@
 use crate::numbers::NumberedSettings;
 
 impl Pooler {
-    /// Reads the configuration again. Of the platform's only discovery's address is taken: the rest is what
-    /// requests in hand were taken in under, and holds from the next start. The operator's file goes through a
-    /// transaction. A file that cannot be used changes nothing.
+    /// Reloads the configuration. Of the platform's file only the address of discovery is applied: unfinished
+    /// requests depend on the rest, which takes effect at the next start. The operator's file goes through a
+    /// transaction. A file that is not usable changes nothing.
     pub(super) fn reload(&mut self, context: &mut Context) {
         match Config::load(&self.path) {
             Ok(config) => {
@@ -39,18 +40,18 @@
         }
         self.sessions.iter_mut().for_each(Sessions::reload_users);
         let Some(changes) = &self.changes else { return };
-        let read = files::read_document(&changes.path).and_then(|(text, document)| {
+        let document = files::read_document(&changes.path).and_then(|(text, document)| {
             files::check_signature(&text, &changes.effective.document.change).map(|()| document)
         });
-        match read {
+        match document {
             Ok(document) if changes.accepted_digest == Some(document.digest()) => {
-                logging::info!(
-                    event = "config.same",
-                    "the operator file is as it was when it was last taken"
-                );
+                logging::info!(event = "config.same", "operator file unchanged since it was last accepted");
             }
             Ok(_) if self.successor.as_ref().is_some_and(SuccessorHandover::is_busy) => {
-                logging::warn!(event = "config.kept", "operator file not taken: a successor takes over");
+                logging::warn!(
+                    event = "config.kept",
+                    "operator file not taken: a handover to a successor is in progress"
+                );
             }
             Ok(document) => self.propose(None, document, "SIGHUP".into(), None, Vec::new(), context),
             Err(fault) => {
@@ -65,65 +66,70 @@
         caller: Option<Slot>,
         document: operator::Document,
         note: String,
-        within: Option<f64>,
+        confirm_within: Option<f64>,
         allow: Vec<String>,
         context: &mut Context,
     ) {
-        let view = self.change_view();
+        let live_state = self.live_state();
         let Some(changes) = &mut self.changes else { return };
-        changes.propose(caller.map(Slot::number), document, note, within, allow, &view);
+        changes.propose(caller.map(Slot::number), document, note, confirm_within, allow, &live_state);
         self.advance_change(context);
     }
 
-    /// Lets the transaction take its steps.
+    /// Passes the queued inputs to the transaction and carries out its actions.
     pub(super) fn advance_change(&mut self, context: &mut Context) {
         while let Some(changes) = &mut self.changes {
             let Some(input) = changes.inputs.pop_front() else { return };
-            let mut steps = Vec::new();
-            changes.transaction.handle(context.reactor.now(), input, &mut steps);
-            for step in steps {
-                self.step(step, context);
+            let mut actions = Vec::new();
+            changes.transaction.handle(context.reactor.now(), input, &mut actions);
+            for action in actions {
+                self.carry_out_change_action(action, context);
             }
         }
     }
 
-    fn step(&mut self, step: Step, context: &mut Context) {
+    fn carry_out_change_action(&mut self, action: Action, context: &mut Context) {
         let now = context.reactor.now();
         let Some(changes) = &mut self.changes else { return };
-        match step {
-            Step::Persist { step, record } => changes.persist(step, &record),
-            Step::Apply(generation) => {
-                let begun = std::time::Instant::now();
+        match action {
+            Action::Persist { step, record } => changes.persist(step, &record),
+            Action::Apply(generation) => {
+                let started_at = std::time::Instant::now();
                 let number = generation.number;
-                let result = self.put(&generation.document, context);
-                let took = begun.elapsed().as_micros() as u64;
-                logging::debug!(event = "config.put", generation = number, took_us = took, "put in force");
+                let result = self.apply_document(&generation.document, context);
+                let elapsed_us = started_at.elapsed().as_micros() as u64;
+                logging::debug!(
+                    event = "config.put",
+                    generation = number,
+                    took_us = elapsed_us,
+                    "generation applied"
+                );
                 let Some(changes) = &mut self.changes else { return };
                 changes.in_force_since = now;
                 if result.is_ok() && generation.note == "SIGHUP" {
                     changes.accepted_digest = Some(generation.digest);
                 }
-                // Before anything else that waits: it is in force now.
+                // Goes before the other queued inputs: the generation is in force now.
                 changes.inputs.push_front(Input::Applied { number, result });
             }
-            Step::Watch => changes.health.begin_comparison(now),
-            Step::EndWatch => {
+            Action::Watch => changes.health.begin_comparison(now),
+            Action::EndWatch => {
                 changes.health.end_comparison();
                 self.previous_listen = None;
                 self.clients.close_previous_listener(context);
             }
-            Step::Timer(at) => context.reactor.set_timer(at, TimerKind::ConfigChange),
-            Step::Reply(caller, outcome) => {
+            Action::Timer(at) => context.reactor.set_timer(at, TimerKind::ConfigChange),
+            Action::Reply(caller, outcome) => {
                 if let Some(control) = &mut self.control {
-                    control.answer(Slot::from_number(caller), &change::response(&outcome), context);
+                    control.answer(Slot::from_number(caller), &change::outcome_response(&outcome), context);
                 }
             }
-            Step::Notice(notice) => noticed(&notice),
+            Action::Notice(notice) => log_notice(&notice),
         }
     }
 
-    /// Puts a document in force, all of it or nothing. What can fail comes first; from there on nothing can.
-    fn put(&mut self, document: &operator::Document, context: &mut Context) -> Result<(), String> {
+    /// Applies a document completely or not at all: everything that can fail comes first.
+    fn apply_document(&mut self, document: &operator::Document, context: &mut Context) -> Result<(), String> {
         let Some(changes) = &self.changes else { return Ok(()) };
         let effective = EffectiveConfig::new(&changes.platform, document.clone())
             .map_err(|conflicts| change::describe_conflicts(&conflicts))?;
@@ -139,7 +145,7 @@
         self.policy.reconfigure(settings).map_err(|fault| fault.to_string())?;
         (self.numbers, self.classes, self.tenants) = (numbers, classes, tenants);
         if let Some(listener) = listener {
-            // Only a lack of memory in the kernel could fail here; then the old address alone takes in.
+            // This fails only if the kernel lacks memory; then clients can connect to the old address only.
             match self.clients.listen_on(listener, context) {
                 Ok(()) => self.previous_listen = Some(std::mem::replace(&mut self.listen, effective.listen)),
                 Err(error) => logging::error!(event = "listen.failed", "{}: {error}", effective.listen),
@@ -167,7 +173,7 @@
             .for_each(|sessions| sessions.reconfigure(pool, effective.route_table(), now));
         self.select_list_source(&effective, context);
         self.apply_overrides(&effective, context);
-        // A list of the operator's own may have been taken out.
+        // The document may no longer contain a list of its own.
         self.follow_pushed_list(context);
         if let Some(changes) = &mut self.changes {
             changes.effective = effective;
@@ -175,7 +181,7 @@
         Ok(())
     }
 
-    /// The disk has done something.
+    /// Handles the results of writes to disk.
     pub(super) fn collect_writes(&mut self, context: &mut Context) {
         let Some(changes) = &mut self.changes else { return };
         for fault in changes.collect_writes() {
@@ -184,24 +190,27 @@
         self.advance_change(context);
     }
 
-    /// Looks after a change on probation.
+    /// Checks the health of a change on probation and advances the transaction.
     pub(super) fn check_probation(&mut self, context: &mut Context) {
         let (now, numbers) = (context.reactor.now(), &self.numbers);
         let Some(changes) = &mut self.changes else { return };
-        let worse = changes.find_regression(now, |class| numbers.class_name_by_stable_id(class).to_string());
-        changes.inputs.push_back(Input::Time(worse));
+        let regression =
+            changes.find_regression(now, |class| numbers.class_name_by_stable_id(class).to_string());
+        changes.inputs.push_back(Input::Time(regression));
         self.advance_change(context);
     }
 }
 
-/// Tells the log how a change goes.
-fn noticed(notice: &Notice) {
+/// Logs the progress of a change.
+fn log_notice(notice: &Notice) {
     match notice {
         Notice::Refused(codes) => {
             let codes = codes.join(", ");
-            logging::warn!(event = "config.refused", codes, "a change is refused; nothing has changed");
+            logging::warn!(event = "config.refused", codes, "change refused; nothing has changed");
+        }
+        Notice::Staged(number) => {
+            logging::debug!(event = "config.staged", generation = number, "written to the history")
         }
-        Notice::Staged(number) => logging::debug!(event = "config.staged", generation = number, "on record"),
         Notice::Applied(number) => {
             logging::info!(
                 event = "config.applied",
@@ -210,7 +219,11 @@
             );
         }
         Notice::Confirmed(number) => {
-            logging::info!(event = "config.confirmed", generation = number, "generation {number} stands");
+            logging::info!(
+                event = "config.confirmed",
+                generation = number,
+                "generation {number} is confirmed"
+            );
         }
         Notice::RolledBack(number, to, why) => {
             logging::warn!(
@@ -224,7 +237,7 @@
             logging::error!(
                 event = "config.not_taken",
                 generation = number,
-                "generation {number} is not taken: {why}"
+                "generation {number} was not applied: {why}"
             );
         }
     }
--- a/crates/daemon/src/net/pooler/guard.rs
+++ b/crates/daemon/src/net/pooler/guard.rs
@@ -1,6 +1,7 @@
-//! Asks [`routing::permission`] once more at the sockets' edge, with what was done and received here and what has arrived by
-//! now: before an attempt is begun and before a refusal is told. Nothing that is denied is done. What the decisions should not have
-//! come to is counted as a violation, what only has become so meanwhile as withheld.
+//! Checks actions against [`routing::permission`] once more before they take effect, with everything sent and
+//! received up to now: before an attempt is sent and before a refusal is given to a client. A denied action
+//! is not carried out. It is counted as a violation if the policy should not have decided on it, and as
+//! withheld if the conditions have changed since the decision.
 
 use exchange::Answer;
 use routing::interface::{MemberId, Outcome, Report, RequestId};
@@ -9,23 +10,30 @@
 use super::{Pooler, ReplyTarget};
 use crate::net::{Context, Event, ServerTask, TaskResult};
 
-/// What the list's source has sent is looked for at least so often while there is anything to do (seconds). After the process was
-/// held up its news may lie behind any number of requests, and what they tell counts as known since they arrived.
-const LIST_FRESH: f64 = 0.01;
-/// A client that was heard of so lately is taken to be there still (seconds).
-const CLIENT_FRESH: f64 = 0.02;
+/// Minimum interval between two reads of pending list updates while events are handled (seconds). After the
+/// process was delayed, such updates may be queued behind any number of requests, but count as known from
+/// their arrival on.
+const LIST_REFRESH_INTERVAL: f64 = 0.01;
+/// A client is assumed to be connected for this time after its last activity (seconds).
+const CLIENT_ACTIVITY_GRACE: f64 = 0.02;
 
-/// The decisions came to something that may not be done.
+/// Logs and counts a violation: the policy decided on an action that is not permitted.
 pub(super) fn report_violation(id: &RequestId, denial: Denial, context: &mut Context) {
     context.counters.violations.count(denial);
-    logging::error!(event = "rule.violation", id = &**id, denial = denial.name(), "not done: a fault");
+    logging::error!(
+        event = "rule.violation",
+        id = &**id,
+        denial = denial.name(),
+        "action not permitted and not carried out: a fault of the policy"
+    );
 }
 
 impl Pooler {
-    /// Takes in what the list's source has sent by now, unless that was just done: nothing is begun on an older list.
+    /// Reads pending updates of the list, unless that was done within the last `LIST_REFRESH_INTERVAL`, so
+    /// that no attempt is sent by an older list.
     pub(super) fn refresh_list(&mut self, context: &mut Context) {
         let now = context.reactor.now();
-        if now - self.list_read_at < LIST_FRESH {
+        if now - self.list_read_at < LIST_REFRESH_INTERVAL {
             return;
         }
         self.list_read_at = now;
@@ -34,20 +42,22 @@
         self.handle_events(context);
     }
 
-    /// Whether an attempt of a request may be begun now.
+    /// Checks whether an attempt of a request may be sent now.
     pub(super) fn may_begin(&mut self, id: &RequestId, context: &Context) -> Result<(), Denial> {
         let now = context.reactor.now();
         let Some(request) = self.requests.get(id) else { return Err(Denial::Answered) };
         request.history.may_begin(now)?;
         match request.reply_target {
-            Some(ReplyTarget::Client(client)) if self.clients.has_left(client, now - CLIENT_FRESH) => {
+            Some(ReplyTarget::Client(client))
+                if self.clients.has_left(client, now - CLIENT_ACTIVITY_GRACE) =>
+            {
                 Err(Denial::ClientLeft)
             }
             _ => Ok(()),
         }
     }
 
-    /// An attempt is not begun: it ends as never sent.
+    /// Ends an attempt that is not permitted, with the outcome `NotSent`.
     pub(super) fn end_unsent_attempt(
         &mut self,
         id: RequestId,
@@ -57,7 +67,8 @@
         context: &mut Context,
     ) {
         let Some(request) = self.requests.get(&id) else { return };
-        // Time passes between a decision and this; whether the client is there is seen here alone.
+        // These conditions can change after the decision, and only this check sees whether the client is
+        // still connected.
         match denial {
             Denial::OutOfTime | Denial::DedupWindowOver | Denial::ClientLeft => {
                 context.counters.withheld.count(denial);
@@ -80,7 +91,8 @@
         })));
     }
 
-    /// The final answer that may be told: a refusal only where it is certain that another try is harmless.
+    /// Replaces a refusal that is not permitted with a failure: a request may be refused only if repeating it
+    /// is harmless.
     pub(super) fn permitted_answer(&self, id: &RequestId, answer: Answer, context: &mut Context) -> Answer {
         let Some(request) = self.requests.get(id) else { return answer };
         match (&answer, request.history.may_refuse()) {
--- a/crates/daemon/src/net/pooler/in_flight.rs
+++ b/crates/daemon/src/net/pooler/in_flight.rs
@@ -1,5 +1,5 @@
-//! The requests of platform clients that have no final answer yet, by connection and in the order of their commands; which of
-//! them wait for an earlier one of the same connection.
+//! Unanswered requests of platform clients, by connection and in the order of their commands, and which of
+//! them have to wait for an earlier request of the same connection.
 
 use std::collections::HashMap;
 
@@ -8,22 +8,24 @@
 use crate::net::clients::CommandNumber;
 use crate::net::event_loop::Slot;
 
-/// Share of a request's time for which it waits for earlier ones of its connection. What is left is for the decisions, which hold
-/// a request for a part of its time themselves.
+/// A request waits for earlier requests of its connection for at most this share of its remaining time. The
+/// rest is left to the policy, which may hold a request for a part of its time as well.
 const WAIT_SHARE: f64 = 0.25;
 
-/// What decides whether two requests of one connection may be carried out side by side.
+/// The data that a request accesses, and how. Determines whether two requests of a connection may run
+/// concurrently.
 #[derive(Clone, Debug)]
 pub(super) struct Access {
     pub group: u32,
-    /// The row that the request names; without one it may be any row of its group.
+    /// Key of the row that the request names; without a key it may access any row of its group.
     pub key: Option<String>,
     pub consistency: Consistency,
 }
 
 impl Access {
-    /// Whether a later request of the same connection has to wait until this one has its answer. A read that promises to see what
-    /// its client has written waits for writes of its row; a write waits for all that concerns its row.
+    /// Returns true if a later request of the same connection has to wait until this one is answered. A read
+    /// that must see its client's writes waits for writes of its row; a write waits for all requests for its
+    /// row.
     fn precedes(&self, later: &Access) -> bool {
         let same_row = self.key.is_none() || later.key.is_none() || self.key == later.key;
         let ordered = match later.consistency {
@@ -35,11 +37,11 @@
     }
 }
 
-/// A request that waits for earlier ones of its connection.
+/// A request that waits for earlier requests of its connection.
 struct Waiting {
     arrival: Arrival,
-    /// When it is turned away if it still waits (seconds).
-    until: f64,
+    /// When the request is refused if it still waits (Unix seconds).
+    expires_at: f64,
 }
 
 struct Entry {
@@ -49,25 +51,25 @@
     waiting: Option<Box<Waiting>>,
 }
 
-/// The requests without a final answer, by connection. A connection has as many at the most as commands without a reply.
+/// Unanswered requests by connection. A connection has at most as many as it has commands without a reply.
 #[derive(Default)]
 pub(super) struct InFlight {
     by_client: HashMap<Slot, Vec<Entry>>,
 }
 
 impl InFlight {
-    /// Connections with requests.
+    /// Number of connections with unanswered requests.
     pub fn client_count(&self) -> usize {
         self.by_client.len()
     }
 
-    /// Whether a connection has requests.
+    /// Returns true if a connection has unanswered requests.
     pub fn has_requests(&self, client: Slot) -> bool {
         self.by_client.contains_key(&client)
     }
 
-    /// A request has come. Hands it back where it may be carried out at once; else tells when it is to be looked at again
-    /// ([`InFlight::expired`]).
+    /// Adds a request. Returns its arrival if it may be carried out at once, otherwise the time at which it
+    /// expires ([`InFlight::expired`]).
     pub fn insert(
         &mut self,
         (client, command): (Slot, CommandNumber),
@@ -82,13 +84,13 @@
             entries.push(Entry { command, id, access, waiting: None });
             return Ok(arrival);
         }
-        let until = now + arrival.time_left * WAIT_SHARE;
-        let waiting = Some(Box::new(Waiting { arrival, until }));
+        let expires_at = now + arrival.time_left * WAIT_SHARE;
+        let waiting = Some(Box::new(Waiting { arrival, expires_at }));
         entries.push(Entry { command, id, access, waiting });
-        Err(until)
+        Err(expires_at)
     }
 
-    /// A request has its final answer. Tells its command, and the requests that need not wait any more.
+    /// Removes a request that is answered. Returns its command, and the requests that no longer have to wait.
     pub fn finish(&mut self, client: Slot, id: &RequestId) -> Option<(CommandNumber, Vec<RequestId>)> {
         let entries = self.by_client.get_mut(&client)?;
         let index = entries.iter().position(|entry| entry.id == *id)?;
@@ -100,34 +102,35 @@
         Some((command, released))
     }
 
-    /// Takes the arrival of a request that need not wait any more.
+    /// Takes the arrival of a request that no longer has to wait.
     pub fn release(&mut self, client: Slot, id: &RequestId) -> Option<Arrival> {
         let entries = self.by_client.get_mut(&client)?;
         let entry = entries.iter_mut().find(|entry| entry.id == *id)?;
         entry.waiting.take().map(|waiting| waiting.arrival)
     }
 
-    /// The requests of a connection that have waited for as long as they may.
+    /// Waiting requests of a connection whose time has expired.
     pub fn expired(&self, client: Slot, now: f64) -> Vec<RequestId> {
         let entries = self.by_client.get(&client).map(Vec::as_slice).unwrap_or_default();
-        let expired = entries.iter().filter(|entry| entry.waiting.as_ref().is_some_and(|w| now >= w.until));
+        let expired =
+            entries.iter().filter(|entry| entry.waiting.as_ref().is_some_and(|w| now >= w.expires_at));
         expired.map(|entry| entry.id.clone()).collect()
     }
 
-    /// Takes all requests of a connection, the oldest first.
+    /// Removes all requests of a connection and returns their ids, oldest first.
     pub fn take_all(&mut self, client: Slot) -> Vec<RequestId> {
         let entries = self.by_client.remove(&client).unwrap_or_default();
         entries.into_iter().map(|entry| entry.id).collect()
     }
 }
 
-/// Of the requests of a connection, those that wait and that no earlier one precedes.
+/// The waiting requests of a connection that no longer have to wait for an earlier one.
 fn released(entries: &[Entry]) -> Vec<RequestId> {
-    let free = |(index, entry): &(usize, &Entry)| {
+    let is_free = |(index, entry): &(usize, &Entry)| {
         entry.waiting.is_some()
             && !entries[..*index].iter().any(|earlier| earlier.access.precedes(&entry.access))
     };
-    entries.iter().enumerate().filter(free).map(|(_, entry)| entry.id.clone()).collect()
+    entries.iter().enumerate().filter(is_free).map(|(_, entry)| entry.id.clone()).collect()
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/net/pooler/in_flight/tests.rs
+++ b/crates/daemon/src/net/pooler/in_flight/tests.rs
@@ -22,22 +22,22 @@
     }
 }
 
-/// Requests of one connection, each with what it does; the ids are their places.
+/// Inserts requests of one connection; the ids are their indices. Returns for each whether it has to wait.
 fn in_flight(requests: &[Access]) -> (InFlight, Slot, Vec<bool>) {
     let (mut in_flight, client) = (InFlight::default(), Slot::from_number(7));
-    let mut waits = Vec::new();
-    for (place, access) in requests.iter().enumerate() {
-        let command = CommandNumber::from(place as u64);
-        let result = in_flight.insert((client, command), access.clone(), arrival(&place.to_string()), NOW);
-        waits.push(result.is_err());
+    let mut must_wait = Vec::new();
+    for (index, access) in requests.iter().enumerate() {
+        let command = CommandNumber::from(index as u64);
+        let result = in_flight.insert((client, command), access.clone(), arrival(&index.to_string()), NOW);
+        must_wait.push(result.is_err());
     }
-    (in_flight, client, waits)
+    (in_flight, client, must_wait)
 }
 
 fn released(in_flight: &mut InFlight, client: Slot, id: &str) -> Vec<String> {
-    let (_, released) = in_flight.finish(client, &id.into()).expect("it is in flight");
-    let taken = released.into_iter().filter(|id| in_flight.release(client, id).is_some());
-    taken.map(|id| id.to_string()).collect()
+    let (_, released) = in_flight.finish(client, &id.into()).expect("the request is in flight");
+    let arrivals = released.into_iter().filter(|id| in_flight.release(client, id).is_some());
+    arrivals.map(|id| id.to_string()).collect()
 }
 
 #[rstest]
@@ -46,20 +46,23 @@
 #[case::write(Consistency::Write, true)]
 #[case::bounded(Consistency::Bounded(3.0), false)]
 #[case::any(Consistency::Any, false)]
-fn what_must_see_a_write_of_its_row_waits_for_it(#[case] later: Consistency, #[case] waits: bool) {
+fn reads_bound_to_own_writes_and_writes_wait_for_earlier_write_of_same_row(
+    #[case] later: Consistency,
+    #[case] must_wait: bool,
+) {
     let write = access(Consistency::Write, Some("a"));
-    assert_eq!(in_flight(&[write.clone(), access(later, Some("a"))]).2, [false, waits]);
+    assert_eq!(in_flight(&[write.clone(), access(later, Some("a"))]).2, [false, must_wait]);
     assert_eq!(in_flight(&[write.clone(), access(later, Some("b"))]).2, [false, false]);
-    assert_eq!(in_flight(&[write.clone(), access(later, None)]).2, [false, waits]);
+    assert_eq!(in_flight(&[write.clone(), access(later, None)]).2, [false, must_wait]);
     let elsewhere = Access { group: 3, ..access(later, Some("a")) };
     assert_eq!(in_flight(&[write, elsewhere]).2, [false, false]);
 }
 
 #[test]
-fn what_waits_is_released_by_the_last_that_it_waits_for() {
+fn waiting_request_is_released_by_last_answer_that_it_waits_for() {
     let (write, read) = (access(Consistency::Write, Some("a")), access(Consistency::Session, Some("a")));
-    let (mut in_flight, client, waits) = in_flight(&[read.clone(), read.clone(), write, read]);
-    assert_eq!(waits, [false, false, true, true]);
+    let (mut in_flight, client, must_wait) = in_flight(&[read.clone(), read.clone(), write, read]);
+    assert_eq!(must_wait, [false, false, true, true]);
     assert_eq!(released(&mut in_flight, client, "1"), [""; 0]);
     assert_eq!(released(&mut in_flight, client, "0"), ["2"]);
     assert_eq!(released(&mut in_flight, client, "2"), ["3"]);
@@ -68,14 +71,14 @@
 }
 
 #[test]
-fn what_has_waited_for_long_expires_once() {
+fn waiting_requests_expire_unless_released() {
     let write = access(Consistency::Write, Some("a"));
     let (mut in_flight, client, _) = in_flight(&[write.clone(), write.clone(), write]);
-    let until = NOW + 2.0 * WAIT_SHARE;
-    assert!(in_flight.expired(client, until - 0.001).is_empty());
-    assert_eq!(in_flight.expired(client, until).len(), 2);
+    let expires_at = NOW + 2.0 * WAIT_SHARE;
+    assert!(in_flight.expired(client, expires_at - 0.001).is_empty());
+    assert_eq!(in_flight.expired(client, expires_at).len(), 2);
     assert_eq!(released(&mut in_flight, client, "0"), ["1"]);
-    assert_eq!(in_flight.expired(client, until).len(), 1, "one that was released has begun");
+    assert_eq!(in_flight.expired(client, expires_at).len(), 1, "a released request no longer expires");
     assert_eq!(in_flight.take_all(client).len(), 2);
-    assert!(in_flight.expired(client, until).is_empty());
+    assert!(in_flight.expired(client, expires_at).is_empty());
 }
--- a/crates/daemon/src/net/pooler/process_lifecycle.rs
+++ b/crates/daemon/src/net/pooler/process_lifecycle.rs
@@ -1,5 +1,5 @@
-//! The daemon's life on its sockets: carries out what [`lifecycle::StateMachine`] says, tells a service manager, holds the
-//! pid file.
+//! Lifecycle of the process: carries out the actions of [`lifecycle::StateMachine`], notifies the service
+//! manager, and owns the pid file.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, Write};
@@ -16,65 +16,69 @@
 use crate::net::sessions::Sessions;
 use crate::net::Context;
 
-/// Most requests that the log names of those that are owed an answer at the end.
-const MOST_NAMED: usize = 20;
+/// Maximum number of unanswered requests whose ids are logged at the exit.
+const MAX_NAMED_REQUESTS: usize = 20;
 
-/// The service manager's socket, where there is one.
-struct Manager(UnixDatagram);
+/// Notification socket of the service manager.
+struct ServiceManager(UnixDatagram);
 
-impl Manager {
-    /// Of the variable `NOTIFY_SOCKET`: a path, or a name behind `@` in the abstract space.
-    fn of(name: &str) -> io::Result<Manager> {
+impl ServiceManager {
+    /// Connects to the address in `NOTIFY_SOCKET`: a path, or `@` and a name in the abstract namespace.
+    fn connect(name: &str) -> io::Result<ServiceManager> {
         let socket = UnixDatagram::unbound()?;
         match name.strip_prefix('@') {
             Some(name) => socket.connect_addr(&SocketAddr::from_abstract_name(name)?)?,
             None => socket.connect(name)?,
         }
         socket.set_nonblocking(true)?;
-        Ok(Manager(socket))
+        Ok(ServiceManager(socket))
     }
 }
 
-/// The file with the process's number, locked for as long as it runs: two daemons cannot hold one.
+/// The file that contains the process id. It is locked while the process runs, so that two daemons cannot
+/// share one.
 pub(super) struct PidFile {
     file: File,
     path: PathBuf,
 }
 
 impl PidFile {
-    /// Takes the file; an old one that nobody holds is taken over.
+    /// Creates or reuses the file, locks it and writes the process id. Fails if another process has locked
+    /// it.
     pub fn take(path: &Path) -> io::Result<PidFile> {
-        let named = |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", path.display()));
+        let with_path =
+            |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", path.display()));
         let mut file = OpenOptions::new()
             .read(true)
             .write(true)
             .create(true)
             .truncate(false)
             .open(path)
-            .map_err(named)?;
+            .map_err(with_path)?;
         match file.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
                 let mut pid = String::new();
                 let _ = Read::by_ref(&mut file).take(32).read_to_string(&mut pid);
-                let what = format!("process {} runs with it", pid.trim());
-                return Err(named(io::Error::new(io::ErrorKind::AddrInUse, what)));
+                let text = format!("process {} runs with it", pid.trim());
+                return Err(with_path(io::Error::new(io::ErrorKind::AddrInUse, text)));
             }
-            Err(TryLockError::Error(error)) => return Err(named(error)),
+            Err(TryLockError::Error(error)) => return Err(with_path(error)),
         }
-        let mut pid = PidFile { file, path: path.to_path_buf() };
-        pid.write().map_err(named)?;
-        Ok(pid)
+        let mut pid_file = PidFile { file, path: path.to_path_buf() };
+        pid_file.write().map_err(with_path)?;
+        Ok(pid_file)
     }
 
-    /// The file of the daemon before this one, which holds it still; this process's once it is written.
+    /// Wraps the locked file of the predecessor. It belongs to this process once [`PidFile::write`] has been
+    /// called.
     pub fn inherit(file: File, path: &Path) -> PidFile {
         PidFile { file, path: path.to_path_buf() }
     }
 
-    /// Puts this process's number into it.
+    /// Writes the id of this process.
     fn write(&mut self) -> io::Result<()> {
-        // Cut off last: at no time is there nothing in it.
+        // The file is truncated last, so that it is never empty.
         let text = format!("{}\n", std::process::id());
         self.file.rewind()?;
         self.file.write_all(text.as_bytes())?;
@@ -84,7 +88,8 @@
 
 impl Drop for PidFile {
     fn drop(&mut self) {
-        // Removed while it is held: who takes it next makes a new one. A successor's is left.
+        // The file is removed while it is locked, so that the next process creates a new one. A file that a
+        // successor has written remains.
         let own =
             std::fs::read_to_string(&self.path).is_ok_and(|pid| pid.trim() == std::process::id().to_string());
         if own {
@@ -93,81 +98,90 @@
     }
 }
 
-/// The machine, and whom it speaks to.
+/// The lifecycle's state machine, with the service manager and the pid file.
 pub(super) struct ProcessLifecycle {
-    machine: StateMachine,
-    manager: Option<Manager>,
-    pid: Option<PidFile>,
+    state_machine: StateMachine,
+    manager: Option<ServiceManager>,
+    pid_file: Option<PidFile>,
     rng: fastrand::Rng,
 }
 
-/// The time limits that an operator's file sets; the platform's where there is none.
+/// Time limits from the operator's file; the platform's without such a file.
 pub(super) fn lifecycle_limits(daemon: Option<&operator::Daemon>) -> Limits {
     let env = |name: &str| std::env::var(name).ok();
-    let watchdog = notify::watchdog_interval(
+    let watchdog_interval = notify::watchdog_interval(
         env("WATCHDOG_USEC").as_deref(),
         env("WATCHDOG_PID").as_deref(),
         std::process::id(),
     );
-    let terms = Limits { watchdog_interval: watchdog, ..Limits::default() };
-    daemon.map_or(terms, |daemon| Limits {
+    let limits = Limits { watchdog_interval, ..Limits::default() };
+    daemon.map_or(limits, |daemon| Limits {
         accept_grace: daemon.last_call_s,
         drain_timeout: daemon.drain_for_s,
         refuse_waiting: true,
-        ..terms
+        ..limits
     })
 }
 
 impl ProcessLifecycle {
-    /// A life that begins.
+    /// Starts the lifecycle. Returns the first actions as well.
     pub fn new(
-        terms: Limits,
-        pid: Option<PidFile>,
+        limits: Limits,
+        pid_file: Option<PidFile>,
         seed: u64,
         context: &mut Context,
     ) -> (ProcessLifecycle, Vec<Action>) {
         let mut actions = Vec::new();
-        let machine = StateMachine::new(terms, context.reactor.now(), &mut actions);
+        let state_machine = StateMachine::new(limits, context.reactor.now(), &mut actions);
         let manager = std::env::var("NOTIFY_SOCKET").ok().filter(|name| !name.is_empty()).and_then(|name| {
-            let manager = Manager::of(&name);
+            let manager = ServiceManager::connect(&name);
             manager
                 .map_err(|error| {
                     logging::warn!(event = "notify.lost", "NOTIFY_SOCKET: {name}: {error}");
                 })
                 .ok()
         });
-        (ProcessLifecycle { machine, manager, pid, rng: fastrand::Rng::with_seed(seed ^ 0x11fe) }, actions)
+        (
+            ProcessLifecycle {
+                state_machine,
+                manager,
+                pid_file,
+                rng: fastrand::Rng::with_seed(seed ^ 0x11fe),
+            },
+            actions,
+        )
     }
 
     pub fn stage(&self) -> Stage {
-        self.machine.stage()
+        self.state_machine.stage()
     }
 
-    /// A time for someone to stay away: not the same for all (seconds, up to `most`).
-    pub fn jittered_backoff(&mut self, most: f64) -> f64 {
-        most * (0.5 + 0.5 * self.rng.f64())
+    /// A delay with jitter, from half of `max` to `max` (seconds), so that clients do not return at the same
+    /// time.
+    pub fn jittered_backoff(&mut self, max: f64) -> f64 {
+        max * (0.5 + 0.5 * self.rng.f64())
     }
 
-    pub fn set_limits(&mut self, terms: Limits) {
-        self.machine.set_limits(terms);
+    pub fn set_limits(&mut self, limits: Limits) {
+        self.state_machine.set_limits(limits);
     }
 
-    /// The pid file's descriptor, for a successor.
-    pub fn pid(&self) -> Option<&File> {
-        self.pid.as_ref().map(|pid| &pid.file)
+    /// The pid file, to be passed to a successor.
+    pub fn pid_file(&self) -> Option<&File> {
+        self.pid_file.as_ref().map(|pid_file| &pid_file.file)
     }
 
-    /// This process is the daemon in another's place.
+    /// Writes the pid file and notifies the service manager that this process has replaced its predecessor.
     pub fn announce_takeover(&mut self) {
-        if let Some(Err(error)) = self.pid.as_mut().map(PidFile::write) {
+        if let Some(Err(error)) = self.pid_file.as_mut().map(PidFile::write) {
             logging::error!(event = "pid.unwritten", "{error}");
         }
-        self.tell(&format!("MAINPID={}\n{}", std::process::id(), notify::READY));
+        self.notify_manager(&format!("MAINPID={}\n{}", std::process::id(), notify::READY));
     }
 
-    fn tell(&self, text: &str) {
-        if let Some(Manager(socket)) = &self.manager {
-            // A manager that does not read is its own trouble: the loop does not wait for it.
+    fn notify_manager(&self, text: &str) {
+        if let Some(ServiceManager(socket)) = &self.manager {
+            // The socket does not block: the event loop must not wait for a manager that does not read.
             if let Err(error) = socket.send(text.as_bytes()) {
                 logging::debug!(event = "notify.lost", "service manager: {error}");
             }
@@ -175,59 +189,64 @@
     }
 }
 
-/// The monotonic clock (microseconds), as service managers read it.
+/// The monotonic clock (microseconds), as service managers expect it.
 pub(super) fn monotonic_us() -> u64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000
 }
 
 impl Pooler {
-    /// What is owed now.
+    /// Counts the pending replies and the open connections.
     pub(super) fn pending_replies(&self) -> Pending {
-        let mut owed = Pending::default();
+        let mut pending = Pending::default();
         for request in self.requests.values().filter(|request| request.reply_target.is_some()) {
-            *if !request.attempts_in_flight.is_empty() { &mut owed.in_flight } else { &mut owed.waiting } +=
-                1;
+            *if !request.attempts_in_flight.is_empty() {
+                &mut pending.in_flight
+            } else {
+                &mut pending.waiting
+            } += 1;
         }
-        owed.clients = self.clients.len() + self.sessions.as_ref().map_or(0, Sessions::len);
-        owed
+        pending.clients = self.clients.len() + self.sessions.as_ref().map_or(0, Sessions::len);
+        pending
     }
 
-    /// The life goes on by what has happened.
+    /// Passes an input to the lifecycle's state machine and carries out its actions.
     pub(super) fn advance_lifecycle(&mut self, input: Input, context: &mut Context) {
         let mut actions = Vec::new();
-        self.lifecycle.machine.handle(context.reactor.now(), input, &mut actions);
+        self.lifecycle.state_machine.handle(context.reactor.now(), input, &mut actions);
         self.carry_out_lifecycle(actions, context);
     }
 
     pub(super) fn carry_out_lifecycle(&mut self, actions: Vec<Action>, context: &mut Context) {
         for action in actions {
             match action {
-                Action::Notify(text) => self.lifecycle.tell(&text),
+                Action::Notify(text) => self.lifecycle.notify_manager(&text),
                 Action::Timer(at) => context.reactor.set_timer(at, TimerKind::Lifecycle),
-                Action::RefuseWaiting => self.send_away(context),
+                Action::RefuseWaiting => self.refuse_waiting(context),
                 Action::StopAccepting => {
                     self.sessions.iter_mut().for_each(|sessions| sessions.end_sessions(false, context));
                     self.clients.close(context);
                 }
-                Action::AnswerPending => self.cut(context),
+                Action::AnswerPending => self.answer_pending(context),
                 Action::ReadConfig => self.reload(context),
                 Action::ReloadRejected(why) => {
                     context.counters.reloads_failed += 1;
                     logging::warn!(event = "config.kept", "not read again: {why}");
                 }
                 Action::Exit(code) => {
-                    let left = self.requests.iter().filter(|(_, request)| request.reply_target.is_some());
-                    let left: Vec<String> = left.map(|(id, _)| id.to_string()).take(MOST_NAMED).collect();
+                    let unanswered =
+                        self.requests.iter().filter(|(_, request)| request.reply_target.is_some());
+                    let unanswered: Vec<String> =
+                        unanswered.map(|(id, _)| id.to_string()).take(MAX_NAMED_REQUESTS).collect();
                     if code != lifecycle::EXIT_CLEAN {
-                        let (owed, first) = (self.pending_replies(), left.join(" "));
+                        let (pending, first) = (self.pending_replies(), unanswered.join(" "));
                         logging::error!(
                             event = "ending.owed",
-                            waiting = owed.waiting,
-                            out = owed.in_flight,
-                            clients = owed.clients,
+                            waiting = pending.waiting,
+                            out = pending.in_flight,
+                            clients = pending.clients,
                             first,
-                            "ends with answers owed"
+                            "exits with pending replies"
                         );
                     }
                 }
@@ -235,43 +254,43 @@
         }
     }
 
-    /// Looks whether the life has come further by what has been carried out.
+    /// Advances the lifecycle if the events handled so far have completed its current stage.
     pub(super) fn check_lifecycle(&mut self, context: &mut Context) {
         if self.predecessor.is_some() && self.lifecycle.stage() == Stage::Ready {
             self.handle_predecessor_input(handover::SuccessorEvent::ReadyToServe, context);
         }
         match self.lifecycle.stage() {
             Stage::Reloading => {
-                let settled = self.changes.as_ref().is_none_or(|changes| {
+                let finished = self.changes.as_ref().is_none_or(|changes| {
                     use transaction::Stage as At;
                     matches!(changes.transaction.stage(), At::Idle | At::Probation(_))
                 });
-                if settled {
+                if finished {
                     self.advance_lifecycle(Input::ReloadFinished, context);
                 }
             }
             Stage::Closing | Stage::Cutting => {
-                let owed = self.pending_replies();
-                if owed.is_empty() {
-                    self.advance_lifecycle(Input::Tick(owed), context);
+                let pending = self.pending_replies();
+                if pending.is_empty() {
+                    self.advance_lifecycle(Input::Tick(pending), context);
                 }
             }
             _ => {}
         }
     }
 
-    /// Time passes.
+    /// Handles a timer of the lifecycle.
     pub(super) fn on_lifecycle_timer(&mut self, context: &mut Context) {
         if self.lifecycle.stage() == Stage::Closing {
-            // Sessions that have come to rest since the last look.
+            // Closes sessions that have become idle since the last timer.
             self.sessions.iter_mut().for_each(|sessions| sessions.end_sessions(false, context));
         }
-        let owed = self.pending_replies();
-        self.advance_lifecycle(Input::Tick(owed), context);
+        let pending = self.pending_replies();
+        self.advance_lifecycle(Input::Tick(pending), context);
     }
 
-    /// Those that wait for a server are told when to come back: not all at once.
-    fn send_away(&mut self, context: &mut Context) {
+    /// Refuses the requests that have no attempt in flight, with a jittered backoff.
+    fn refuse_waiting(&mut self, context: &mut Context) {
         let waiting = self.requests.iter().filter(|(_, request)| {
             request.reply_target.is_some()
                 && request.attempts_in_flight.is_empty()
@@ -282,33 +301,39 @@
             logging::info!(
                 event = "ending.sent_away",
                 requests = waiting.len(),
-                "sent away: the pooler ends"
+                "waiting requests refused: the pooler shuts down"
             );
         }
         for id in waiting {
             let backoff = self.lifecycle.jittered_backoff(self.retry_after);
-            // One that waits for its repeat may have run: to say that another try is harmless would be wrong.
-            let harmless = self.policy.may_refuse(&id);
-            self.answer(&id, if harmless { Answer::Refused(backoff) } else { Answer::Failed }, context);
+            // A request that waits for its next attempt may have run already. A refusal would wrongly permit
+            // a repeat.
+            let may_refuse = self.policy.may_refuse(&id);
+            self.answer(&id, if may_refuse { Answer::Refused(backoff) } else { Answer::Failed }, context);
             self.notify_policy(interface::Event::ClientLeft { id }, context);
         }
     }
 
-    /// Time is up: whoever is owed an answer gets what is known.
-    fn cut(&mut self, context: &mut Context) {
-        self.send_away(context);
-        let out = self.requests.iter().filter(|(_, request)| request.reply_target.is_some());
-        let out: Vec<RequestId> = out.map(|(id, _)| id.clone()).collect();
-        if !out.is_empty() {
-            logging::warn!(event = "ending.cut", requests = out.len(), "cut off: the time to drain is over");
+    /// Answers all pending requests at the end of the drain timeout, and cancels their attempts.
+    fn answer_pending(&mut self, context: &mut Context) {
+        self.refuse_waiting(context);
+        let unanswered = self.requests.iter().filter(|(_, request)| request.reply_target.is_some());
+        let unanswered: Vec<RequestId> = unanswered.map(|(id, _)| id.clone()).collect();
+        if !unanswered.is_empty() {
+            logging::warn!(
+                event = "ending.cut",
+                requests = unanswered.len(),
+                "pending requests ended: the drain timeout has passed"
+            );
         }
-        for id in out {
-            let session = self
+        for id in unanswered {
+            let is_session = self
                 .requests
                 .get(&id)
                 .is_some_and(|r| matches!(r.reply_target, Some(ReplyTarget::Session(_))));
-            // It has reached a server: whether it ran there is not known.
-            self.answer(&id, if session { Answer::Refused(0.0) } else { Answer::Failed }, context);
+            // A platform client's request may have run at a member, so it fails. A session that still waits
+            // for its answer is not attached to a server: nothing of it was sent.
+            self.answer(&id, if is_session { Answer::Refused(0.0) } else { Answer::Failed }, context);
             self.notify_policy(interface::Event::ClientLeft { id: id.clone() }, context);
             self.cancel_attempts(&id, context);
         }
--- a/crates/daemon/src/net/pooler/sharing.rs
+++ b/crates/daemon/src/net/pooler/sharing.rs
@@ -1,5 +1,6 @@
-//! Where instances talk: writes of sessions wait until enough others know of them, reads of sessions need what all of them
-//! have written, and what others say of members reaches the decisions.
+//! Coordination with other instances: a session's writes wait until enough instances know of them, a
+//! session's reads must see what the session has written through any instance, and peers' reports about
+//! members are passed to the policy.
 
 use exchange::Answer;
 use routing::interface::{self, Arrival, Conclusion, Consistency, MemberId, Outcome, RequestId};
@@ -10,30 +11,30 @@
 use crate::net::event_loop::TimerKind;
 use crate::net::Context;
 
-/// What a request has to do with other instances.
+/// State of a request's coordination with other instances.
 #[derive(Default)]
 pub(super) struct SharingState {
-    /// A write of a session, that others know to be under way.
+    /// Ticket of a session's write that was announced to other instances.
     ticket: Option<WriteTicket>,
-    /// It waits for leave to be sent, until then (seconds).
-    held: Option<Box<(Arrival, f64)>>,
-    /// It has been served, and waits for leave to be answered.
-    answer: Option<Vec<u8>>,
-    /// The position that its answer must have seen.
-    floor: Option<f64>,
-    /// Attempts that went to members not known to have come so far: their answers are looked at.
-    unsure: Vec<usize>,
+    /// Arrival of a write that may not be sent yet, and when it is refused if it still waits (Unix seconds).
+    held_arrival: Option<Box<(Arrival, f64)>>,
+    /// Result of a write that was served but may not be answered yet.
+    held_answer: Option<Vec<u8>>,
+    /// Position that the member that answers must have reached.
+    required_position: Option<f64>,
+    /// Attempts at members that were not known to have reached that position: their answers are checked.
+    uncertain_attempts: Vec<usize>,
 }
 
 impl SharingState {
-    /// Whether it has been served and is only waited for.
+    /// Returns true if the request has been served and its answer is being held.
     pub fn is_served(&self) -> bool {
-        self.answer.is_some()
+        self.held_answer.is_some()
     }
 }
 
 impl Pooler {
-    /// A request of a session has come. Hands the arrival back where it goes on at once.
+    /// Handles a request that has arrived. Returns the arrival if the request may proceed at once.
     pub(super) fn coordinate_arrival(
         &mut self,
         mut arrival: Arrival,
@@ -44,42 +45,42 @@
         let (Some(coordination), Some(session)) = (&mut self.coordination, arrival.session.clone()) else {
             return Some(arrival);
         };
-        let shared = &mut self.requests.get_mut(&arrival.id)?.sharing;
+        let sharing = &mut self.requests.get_mut(&arrival.id)?.sharing;
         if consistency == Consistency::Session {
-            let floor = coordination.required_position(now, &session);
-            (arrival.session_position, shared.floor) = (Some(floor), Some(floor));
+            let position = coordination.required_position(now, &session);
+            (arrival.session_position, sharing.required_position) = (Some(position), Some(position));
             return Some(arrival);
         }
-        let Some(ticket) = coordination.begin_write(now, &session, arrival.time_left.min(LONGEST_WRITE))
+        let Some(ticket) = coordination.begin_write(now, &session, arrival.time_left.min(MAX_WRITE_TIME))
         else {
-            self.turn_away(&arrival.id, context);
+            self.refuse_unsent(&arrival.id, context);
             return None;
         };
-        shared.ticket = Some(ticket);
+        sharing.ticket = Some(ticket);
         if coordination.may_send(now, ticket) {
             return Some(arrival);
         }
-        let until = now + coordination.max_write_hold().min(arrival.time_left * HOLD_SHARE);
-        context.reactor.set_timer(until, TimerKind::Peers);
+        let refuse_at = now + coordination.max_write_hold().min(arrival.time_left * HOLD_SHARE);
+        context.reactor.set_timer(refuse_at, TimerKind::Peers);
         self.awaiting_peers.push(arrival.id.clone());
-        shared.held = Some(Box::new((arrival, until)));
+        sharing.held_arrival = Some(Box::new((arrival, refuse_at)));
         self.advance_sharing(context);
         None
     }
 
-    /// An attempt of a request goes to a member.
+    /// Records an attempt that is sent to a member not known to have reached the required position.
     pub(super) fn record_attempt_target(&mut self, id: &RequestId, member: &MemberId, attempt: usize) {
         if self.coordination.is_none() {
             return;
         }
-        let Some(shared) = self.requests.get_mut(id).map(|request| &mut request.sharing) else { return };
-        if shared.floor.is_some_and(|floor| !self.policy.has_reached(member, floor)) {
-            shared.unsure.push(attempt);
+        let Some(sharing) = self.requests.get_mut(id).map(|request| &mut request.sharing) else { return };
+        if sharing.required_position.is_some_and(|required| !self.policy.has_reached(member, required)) {
+            sharing.uncertain_attempts.push(attempt);
         }
     }
 
-    /// What is concluded from the outcome of an attempt, held against what its answer must have seen by what this instance knows,
-    /// and by what others have told.
+    /// Assesses the outcome of an attempt: whether its answer satisfies the request's freshness bound, by the
+    /// state of this instance and by the reports of its peers.
     pub(super) fn assess_outcome(
         &self,
         id: &RequestId,
@@ -87,21 +88,24 @@
         outcome: Outcome,
         (position, primary): (Option<f64>, Option<bool>),
     ) -> Conclusion {
-        let own = self.policy.assess_answer(id, (attempt, elapsed), outcome, (position, primary));
-        if self.coordination.is_none() || own == Conclusion::TooOld {
-            return own;
+        let conclusion = self.policy.assess_answer(id, (attempt, elapsed), outcome, (position, primary));
+        if self.coordination.is_none() || conclusion == Conclusion::TooOld {
+            return conclusion;
         }
-        let Some(shared) = self.requests.get(id).map(|request| &request.sharing) else { return own };
-        let Some(floor) = shared.floor.filter(|_| outcome == Outcome::Ok) else { return own };
-        // One that says itself that it is no primary has not seen what only that one has.
-        let deposed = floor == f64::INFINITY && primary == Some(false);
-        if deposed || shared.unsure.contains(&attempt) {
-            return Policy::assess_freshness(primary, position, floor, elapsed);
+        let Some(sharing) = self.requests.get(id).map(|request| &request.sharing) else { return conclusion };
+        let Some(required) = sharing.required_position.filter(|_| outcome == Outcome::Ok) else {
+            return conclusion;
+        };
+        // An infinite position can be read at the primary only, and this member reports that it is not the
+        // primary.
+        let deposed = required == f64::INFINITY && primary == Some(false);
+        if deposed || sharing.uncertain_attempts.contains(&attempt) {
+            return Policy::assess_freshness(primary, position, required, elapsed);
         }
-        own
+        conclusion
     }
 
-    /// A request has been served. Hands the value back where it may be answered at once.
+    /// Handles a request that has been served. Returns the value if the request may be answered at once.
     pub(super) fn coordinate_answer(
         &mut self,
         id: &RequestId,
@@ -111,76 +115,79 @@
     ) -> Option<Vec<u8>> {
         let now = context.reactor.now();
         let Some(coordination) = &mut self.coordination else { return Some(value) };
-        let shared = &mut self.requests.get_mut(id)?.sharing;
-        let Some(ticket) = shared.ticket else { return Some(value) };
-        // As the decisions remember it: an answer that does not tell the commit leaves no doubt that it was before now.
+        let sharing = &mut self.requests.get_mut(id)?.sharing;
+        let Some(ticket) = sharing.ticket else { return Some(value) };
+        // Consistent with the policy: if the answer contains no commit position, the commit happened at the
+        // latest now.
         let commit = position.filter(|position| *position <= now).unwrap_or(now);
         coordination.record_commit(now, ticket, commit);
         if coordination.may_answer(now, ticket) {
             return Some(value);
         }
-        let until = coordination.answer_deadline(ticket);
-        if until.is_finite() {
-            context.reactor.set_timer(until, TimerKind::Peers);
+        let deadline = coordination.answer_deadline(ticket);
+        if deadline.is_finite() {
+            context.reactor.set_timer(deadline, TimerKind::Peers);
         }
-        shared.answer = Some(value);
+        sharing.held_answer = Some(value);
         self.awaiting_peers.push(id.clone());
         None
     }
 
-    /// A request is done with.
-    pub(super) fn release_write_ticket(&mut self, shared: &SharingState, now: f64) {
-        if let (Some(coordination), Some(ticket)) = (&mut self.coordination, shared.ticket) {
+    /// Releases the write ticket of a request that has ended.
+    pub(super) fn release_write_ticket(&mut self, sharing: &SharingState, now: f64) {
+        if let (Some(coordination), Some(ticket)) = (&mut self.coordination, sharing.ticket) {
             coordination.end_write(now, ticket);
         }
     }
 
-    /// Looks whether what waits for others may go on, hears and tells what there is, and sends it.
+    /// Exchanges observations with peers if that is due, re-evaluates the requests that wait for other
+    /// instances, and sends pending messages to peers.
     pub(super) fn advance_sharing(&mut self, context: &mut Context) {
         let now = context.reactor.now();
         let Some(coordination) = &mut self.coordination else { return };
         if let Some(peers) = coordination.peers() {
-            let beats = peers.take_report_due(now);
-            if beats || peers.node.take_changed() {
-                self.exchange(beats, context);
+            let report_due = peers.take_report_due(now);
+            if report_due || peers.node.take_changed() {
+                self.exchange_observations(report_due, context);
             }
         }
         for id in std::mem::take(&mut self.awaiting_peers) {
-            self.goes_on(id, context);
+            self.reevaluate_waiting(id, context);
         }
         self.coordination.iter_mut().for_each(|coordination| coordination.send_pending(context));
     }
 
-    fn goes_on(&mut self, id: RequestId, context: &mut Context) {
+    /// Sends, answers or refuses a request that waits for other instances, or lets it wait further.
+    fn reevaluate_waiting(&mut self, id: RequestId, context: &mut Context) {
         let now = context.reactor.now();
         let Some(coordination) = &mut self.coordination else { return };
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(ticket) = request.sharing.ticket else { return };
-        if request.sharing.held.is_some() {
+        if request.sharing.held_arrival.is_some() {
             if request.reply_target.is_none() {
-                request.sharing.held = None;
+                request.sharing.held_arrival = None;
                 return self.remove_if_finished(&id, now);
             }
             if coordination.may_send(now, ticket) {
-                if let Some(held) = request.sharing.held.take() {
-                    let (mut arrival, _) = *held;
+                if let Some(held_arrival) = request.sharing.held_arrival.take() {
+                    let (mut arrival, _) = *held_arrival;
                     arrival.time_left -= now - request.arrived_at;
                     return self.notify_policy(interface::Event::Arrival(arrival), context);
                 }
             }
-            let over = request.sharing.held.as_ref().is_some_and(|held| now >= held.1);
-            if over || coordination.cannot_be_sent(now, ticket) {
-                request.sharing.held = None;
-                return self.turn_away(&id, context);
+            let expired = request.sharing.held_arrival.as_ref().is_some_and(|held| now >= held.1);
+            if expired || coordination.cannot_be_sent(now, ticket) {
+                request.sharing.held_arrival = None;
+                return self.refuse_unsent(&id, context);
             }
-        } else if request.sharing.answer.is_some() {
+        } else if request.sharing.held_answer.is_some() {
             if coordination.may_answer(now, ticket) {
-                if let Some(value) = request.sharing.answer.take() {
+                if let Some(value) = request.sharing.held_answer.take() {
                     return self.answer(&id, Answer::Served(value), context);
                 }
             }
             if now >= coordination.answer_deadline(ticket) {
-                request.sharing.answer = None;
+                request.sharing.held_answer = None;
                 return self.answer(&id, Answer::Failed, context);
             }
         } else {
@@ -190,19 +197,20 @@
     }
 
     /// Refuses a write that has not been sent.
-    fn turn_away(&mut self, id: &RequestId, context: &mut Context) {
-        super::trace::turned_away(id, "others cannot know of the write in time");
+    fn refuse_unsent(&mut self, id: &RequestId, context: &mut Context) {
+        super::trace::refused_unsent(id, "the write could not be announced to other instances in time");
         let backoff = self.lifecycle.jittered_backoff(self.retry_after);
         self.answer(id, Answer::Refused(backoff), context);
     }
 
-    /// Tells the others how members look, and takes in what they say.
-    fn exchange(&mut self, tells: bool, context: &mut Context) {
+    /// Reports this instance's observations of members to its peers if `report` is true, and passes the
+    /// peers' reports to the policy.
+    fn exchange_observations(&mut self, report: bool, context: &mut Context) {
         let now = context.reactor.now();
-        let found = self.policy.observations();
+        let observations = self.policy.observations();
         let Some(peers) = self.coordination.as_mut().and_then(Coordination::peers) else { return };
-        if tells {
-            peers.report_observations(now, &found);
+        if report {
+            peers.report_observations(now, &observations);
             let generation = self.changes.as_ref().map_or(0, |c| c.transaction.current().number);
             peers.node.report_versions(
                 now,
@@ -211,24 +219,25 @@
                 env!("CARGO_PKG_VERSION"),
             );
         }
-        let (heard, instances) = (peers.peer_reports(now, &found), peers.node.reachable_instances() as u32);
+        let reports = peers.peer_reports(now, &observations);
+        let instances = peers.node.reachable_instances() as u32;
         let mut actions = Vec::new();
-        self.policy.apply_peer_reports(now, &heard, instances, &mut actions);
+        self.policy.apply_peer_reports(now, &reports, instances, &mut actions);
         self.carry_out(actions, context);
     }
 
-    /// The list tells something of members.
+    /// Reports an update of the list to peers.
     pub(super) fn share_list(&mut self, listings: &[listing::Listing], context: &mut Context) {
         let now = context.reactor.now();
         let version = self.discovery.list_version();
-        let source = source_of(self.registry.is_some(), self.discovery.address());
+        let source = list_source_id(self.registry.is_some(), self.discovery.address());
         if let Some(peers) = self.coordination.as_mut().and_then(Coordination::peers) {
             let members = listings.iter().map(|listing| (&*listing.name, listing.started_at, listing.phase));
             peers.report_list(now, (source, version), members);
         }
     }
 
-    /// This instance ends.
+    /// Announces the shutdown of this instance to its peers.
     pub(super) fn announce_shutdown(&mut self, context: &Context) {
         if let Some(coordination) = &mut self.coordination {
             coordination.announce_shutdown(|| context.reactor.now());
@@ -236,13 +245,16 @@
     }
 }
 
-/// Share of a request's time for which it waits for leave to be sent, as the decisions hold one that has reached nobody.
+/// A write waits for permission to be sent for at most this share of its remaining time. The policy likewise
+/// holds unsent requests for a share of their time.
 const HOLD_SHARE: f64 = 0.4;
-/// Longer than any write may take (seconds): guards the arithmetic against a request without a time of its own.
-const LONGEST_WRITE: f64 = 86_400.0;
+/// Upper bound for the time of a write (seconds). Guards the arithmetic against requests without a time
+/// limit.
+const MAX_WRITE_TIME: f64 = 86_400.0;
 
-/// Names a list among instances: versions of one say nothing of another's.
-fn source_of(registry: bool, discovery: std::net::SocketAddr) -> u64 {
+/// Identifies the source of a list among instances: versions of lists from different sources cannot be
+/// compared.
+fn list_source_id(registry: bool, discovery: std::net::SocketAddr) -> u64 {
     use std::hash::{Hash, Hasher};
     let mut hasher = std::collections::hash_map::DefaultHasher::new();
     (registry, discovery).hash(&mut hasher);
--- a/crates/daemon/src/net/pooler/sources.rs
+++ b/crates/daemon/src/net/pooler/sources.rs
@@ -1,4 +1,5 @@
-//! The list of members: where it is followed, what of it is kept on disk, and the operator's intents laid over it.
+//! The list of members: selects its source, stores a registry's view on disk, and applies the operator's
+//! overrides.
 
 use listing::Listing;
 use operator::{EffectiveConfig, Override};
@@ -9,8 +10,8 @@
 use crate::net::Context;
 
 impl Pooler {
-    /// The list tells something. It is a fact: with an operator's file his intents are laid over it, and no
-    /// change that is under way holds it back.
+    /// Handles an update of the list. The operator's overrides, if any, are applied to it. A configuration
+    /// change in progress does not delay it.
     pub(super) fn apply_list(&mut self, kind: ListKind, listings: Vec<Listing>, context: &mut Context) {
         match &mut self.changes {
             None => self.apply_members(kind, listings, context),
@@ -22,6 +23,7 @@
         }
     }
 
+    /// Passes members with overrides applied to the connections, the policy and the peers.
     pub(super) fn apply_members(&mut self, kind: ListKind, listings: Vec<Listing>, context: &mut Context) {
         context.counters.lists += u64::from(kind.carries_entries());
         context.counters.lists_failed += u64::from(!kind.carries_entries());
@@ -35,30 +37,30 @@
             self.sessions.iter_mut().for_each(|sessions| sessions.apply_list(kind, &listings, context));
             self.share_list(&listings, context);
         }
-        let any = listings.iter().any(|listing| listing.phase == Phase::Active);
-        let entries = listings.into_iter().map(|listing| self.entry(listing)).collect();
+        let any_active = listings.iter().any(|listing| listing.phase == Phase::Active);
+        let entries = listings.into_iter().map(|listing| self.policy_entry(listing)).collect();
         self.notify_policy(interface::Event::Members { kind, entries }, context);
-        if any {
+        if any_active {
             self.clients.start_serving(context);
             self.advance_lifecycle(LifecycleInput::ListReceived, context);
         }
     }
 
-    fn entry(&self, listing: Listing) -> Entry {
-        let Listing { name, zone, group, phase, started_at: since, .. } = listing;
-        let known = self.zones.iter().position(|known| *known == zone);
-        // A zone that the settings do not name is at least not the own one.
-        let zone = known.unwrap_or(self.zones.len());
-        Entry { member: name, zone: zone as u32, group, phase, started_at: since, primary: false }
+    fn policy_entry(&self, listing: Listing) -> Entry {
+        let Listing { name, zone, group, phase, started_at, .. } = listing;
+        let index = self.zones.iter().position(|known| *known == zone);
+        // A zone that the settings do not name cannot be the pooler's own one.
+        let zone = index.unwrap_or(self.zones.len());
+        Entry { member: name, zone: zone as u32, group, phase, started_at, primary: false }
     }
 
-    /// Follows the list where the operator's file says. Until another source has told a whole list, the one of
-    /// now holds, with all that it says of drains.
+    /// Follows the list at the source that the operator's file configures. Until a new source has sent a full
+    /// list, the current list remains in force, including its draining members.
     pub(super) fn select_list_source(&mut self, effective: &EffectiveConfig, context: &mut Context) {
         let settings = &effective.document.registry;
         if settings.endpoints.is_empty() {
             if self.registry.take().is_some() {
-                logging::info!(event = "list.source", "the list is discovery's again");
+                logging::info!(event = "list.source", "following the list of discovery again");
                 self.discovery.set_address(effective.discovery, context);
                 self.discovery.resubscribe(context);
             }
@@ -70,40 +72,42 @@
         let known = match self.registry.take() {
             Some(registry) => registry.into_known(settings),
             None => {
-                let standing = self.changes.iter().flat_map(|changes| changes.roster.listed());
-                let standing = standing.map(|listing| listing.name.clone()).collect();
-                let kept = self.changes.as_mut().and_then(|changes| changes.stored_view.take());
-                let view =
-                    kept.map_or_else(registry::View::default, |kept| from_disk(&settings.prefix, &kept));
-                KnownState { view, provisional: standing, ..KnownState::default() }
+                let listed = self.changes.iter().flat_map(|changes| changes.roster.listed());
+                let provisional = listed.map(|listing| listing.name.clone()).collect();
+                let stored = self.changes.as_mut().and_then(|changes| changes.stored_view.take());
+                let view = stored.map_or_else(registry::View::default, |bytes| {
+                    decode_stored_view(&settings.prefix, &bytes)
+                });
+                KnownState { view, provisional, ..KnownState::default() }
             }
         };
         self.discovery.stop(context);
         let now = context.reactor.now();
-        let who = PoolerIdentity { name: &self.name, listen: effective.listen, seed: self.seed };
-        let mut registry = Registry::new(settings, &who, known, self.budget.clone(), now);
+        let identity = PoolerIdentity { name: &self.name, listen: effective.listen, seed: self.seed };
+        let mut registry = Registry::new(settings, &identity, known, self.budget.clone(), now);
         logging::info!(
             event = "list.source",
-            "the list is that of the registry at {:?}",
+            "following the list of the registry at {:?}",
             registry.addresses()
         );
         registry.start(context);
         self.registry = Some(registry);
     }
 
-    /// Lays the operator's intents over the list.
+    /// Applies the operator's overrides to the current list.
     pub(super) fn apply_overrides(&mut self, effective: &EffectiveConfig, context: &mut Context) {
         let Some(changes) = &mut self.changes else { return };
         if let Some((kind, listings)) = changes.roster.apply_intents(effective) {
             self.apply_members(kind, listings, context);
         }
-        let excluded = effective.document.overrides.iter().filter(|(_, wish)| **wish == Override::Exclude);
+        let excluded =
+            effective.document.overrides.iter().filter(|(_, choice)| **choice == Override::Exclude);
         for (name, _) in excluded {
             self.servers.close_idle(&name.as_str().into());
         }
     }
 
-    /// Has the registry's view kept on disk, where it is time for that.
+    /// Stores the registry's view on disk if that is due.
     pub(super) fn store_registry_view(&mut self, context: &mut Context) {
         let (Some(registry), Some(changes)) = (&mut self.registry, &mut self.changes) else { return };
         if let Some(bytes) = registry.take_view_to_store(context.reactor.now(), changes.can_store_view()) {
@@ -112,16 +116,21 @@
     }
 }
 
-/// The view that was kept on disk; none where it is not one of these keys.
-fn from_disk(prefix: &str, bytes: &[u8]) -> registry::View {
+/// Decodes the stored view; an empty view if the bytes are invalid or belong to another key prefix.
+fn decode_stored_view(prefix: &str, bytes: &[u8]) -> registry::View {
     match registry::snapshot::decode(prefix, bytes) {
         Ok(view) => {
             let (revision, keys) = (view.revision, view.len());
-            logging::info!(event = "registry.kept", revision, keys, "goes on from the view kept on disk");
+            logging::info!(
+                event = "registry.kept",
+                revision,
+                keys,
+                "continuing from the view stored on disk"
+            );
             view
         }
         Err(fault) => {
-            logging::warn!(event = "registry.kept", "the view kept on disk is not used: {fault}");
+            logging::warn!(event = "registry.kept", "the view stored on disk is not used: {fault}");
             registry::View::default()
         }
     }
--- a/crates/daemon/src/net/pooler/trace.rs
+++ b/crates/daemon/src/net/pooler/trace.rs
@@ -1,5 +1,6 @@
-//! What the log tells of single requests: where each attempt went, what came of it, and why a request was given up. Lines of
-//! attempts are for the level "debug"; a request that is not served is told of at "info", with its attempts.
+//! Log lines about single requests: the member and result of each attempt, and why a request was not served.
+//! Attempts are logged at the level "debug"; a request that was not served is logged at "info", with its
+//! attempts.
 
 use routing::interface::{AttemptSummary, Conclusion, Explanation, MemberId, Outcome, RequestId};
 
@@ -7,14 +8,14 @@
 
 const MILLIS: f64 = 1000.0;
 
-/// An attempt is begun.
-pub(super) fn sent(id: &RequestId, attempt: usize, member: &MemberId, timeout: f64) {
+/// Logs that an attempt is sent to a member.
+pub(super) fn attempt_sent(id: &RequestId, attempt: usize, member: &MemberId, timeout: f64) {
     let timeout_ms = timeout * MILLIS;
     logging::debug!(event = "attempt.sent", id = &**id, attempt, member = &**member, timeout_ms);
 }
 
-/// An attempt has ended: what was received, and what is concluded from it.
-pub(super) fn ended(
+/// Logs the end of an attempt: the outcome received, and the conclusion about its freshness.
+pub(super) fn attempt_ended(
     id: &RequestId,
     (attempt, elapsed): (usize, f64),
     member: &MemberId,
@@ -34,25 +35,25 @@
     );
 }
 
-/// A request is refused of which nothing has been sent.
-pub(super) fn turned_away(id: &RequestId, reason: &str) {
-    logging::info!(event = "request.turned_away", id = &**id, reason, "nothing of it was sent");
+/// Logs that a request is refused before any attempt was sent.
+pub(super) fn refused_unsent(id: &RequestId, reason: &str) {
+    logging::info!(event = "request.turned_away", id = &**id, reason, "refused before any attempt was sent");
 }
 
-/// A request has been given up: refused or failed.
-pub(super) fn given_up(explanation: &Explanation, numbers: &Numbers) {
+/// Logs that the policy has refused or failed a request, with the reason.
+pub(super) fn request_given_up(explanation: &Explanation, numbers: &Numbers) {
     let Explanation { id, class, waited, reason, attempts } = explanation;
-    let attempts: Vec<String> = attempts.iter().map(words).collect();
+    let attempts: Vec<String> = attempts.iter().map(describe_attempt).collect();
     let (class, waited_ms, attempts) = (numbers.class_name(*class), waited * MILLIS, attempts.join("; "));
     logging::info!(event = "request.given_up", id = &**id, reason = ?reason, class, waited_ms, attempts);
 }
 
-/// An attempt in a line of the log.
-fn words(attempt: &AttemptSummary) -> String {
-    let ended = match attempt.ended {
-        None => "out".into(),
+/// Describes an attempt for a log line.
+fn describe_attempt(attempt: &AttemptSummary) -> String {
+    let outcome = match attempt.ended {
+        None => "in flight".into(),
         Some((outcome, Conclusion::AsReceived)) => outcome.log_name().into(),
         Some((outcome, Conclusion::TooOld)) => format!("{}, too old", outcome.log_name()),
     };
-    format!("{} {ended}, sent {:.0} ms ago", attempt.member, attempt.age * MILLIS)
+    format!("{} {outcome}, sent {:.0} ms ago", attempt.member, attempt.age * MILLIS)
 }
