--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,4 +1,4 @@
-//! The control socket's messages: one JSON object a line in each direction, one call at a time. No I/O.
+//! Messages of the control socket: one JSON object per line in each direction, one call at a time. No I/O.
 #![warn(missing_docs)]
 
 use operator::schema::Activation;
@@ -6,13 +6,14 @@
 use serde::{Deserialize, Serialize};
 use transaction::{Entry, Finding, Severity};
 
-/// The version of these messages; a call of another is turned down.
+/// The version of these messages; calls of other versions are rejected.
 pub const VERSION: u32 = 1;
-/// Longest line (bytes): an operator's file of the longest that is read, as JSON, with what goes with it.
+/// Longest line (bytes): an operator's file of the maximum size as a JSON string, and the other fields of the
+/// call.
 pub const MAX_LINE_BYTES: usize = operator::MAX_FILE_BYTES + operator::MAX_FILE_BYTES / 4;
-/// Most differences that an answer lists; the rest are counted.
+/// Most differences that a response lists; the rest are counted.
 pub const MAX_CHANGES: usize = 200;
-/// Most sessions that an answer lists; the rest are counted.
+/// Most sessions that a response lists; the rest are counted.
 pub const MAX_SESSIONS: usize = 1_000;
 
 /// A call.
@@ -20,112 +21,112 @@
 pub struct Request {
     /// [`VERSION`].
     pub v: u32,
-    /// What is asked.
+    /// The call itself.
     #[serde(flatten)]
     pub call: Call,
 }
 
-/// What can be asked.
+/// The calls that a pooler accepts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case")]
 pub enum Call {
-    /// What a file would change, and what stands in its way; nothing is changed.
+    /// What a file would change, and findings that prevent it; changes nothing.
     Plan {
         /// The file's text.
         text: String,
     },
-    /// Take a file.
+    /// Apply a file.
     Apply {
         /// The file's text.
         text: String,
-        /// What its author says of it.
+        /// The operator's comment on the change.
         #[serde(default)]
         note: String,
-        /// Needs the operator's confirmation within so long (seconds).
+        /// Time within which the operator must confirm the change (seconds).
         #[serde(default)]
         confirm_within_s: Option<f64>,
-        /// Guarded findings that may stand, by code.
+        /// Codes of guarded findings to be allowed.
         #[serde(default)]
         allow: Vec<String>,
     },
-    /// The change on probation shall stand.
+    /// Confirm the change on probation.
     Confirm {
-        /// Only where it is this one.
+        /// Only if the change on probation is this generation.
         #[serde(default)]
         generation: Option<u64>,
     },
-    /// Undo the change on probation, or go back to an earlier generation by a change of its own.
+    /// Undo the change on probation, or return to an earlier generation by a new change.
     Rollback {
-        /// The generation; the one before the last where not given.
+        /// The generation to return to; by default the one before the latest.
         #[serde(default)]
         to: Option<u64>,
-        /// Guarded findings that may stand, by code.
+        /// Codes of guarded findings to be allowed.
         #[serde(default)]
         allow: Vec<String>,
     },
-    /// What is in force.
+    /// The configuration in force and the state of the pooler.
     Status {},
-    /// What has been.
+    /// The history of changes.
     History {},
     /// The document in force, as a file.
     Show {},
     /// The sessions of ordinary clients.
     Sessions {},
-    /// Other instances.
+    /// Queries about other instances.
     Peers {
-        /// What is asked of them.
+        /// The query.
         what: PeersQuery,
     },
 }
 
-/// What can be asked of other instances.
+/// Queries about other instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeersQuery {
-    /// Who is there, and how far behind each is.
+    /// The instances that are present, and how far behind each is.
     Status,
-    /// How members look to all.
+    /// The state of members as each instance reports it.
     Members,
-    /// What each instance has stated, as sums to be held against another's.
+    /// What each instance has reported, as checksums for comparison with another instance.
     Digests,
-    /// What is known of a member, and why it is believed.
+    /// What is known of a member, with the evidence.
     Member(String),
-    /// What is known of a session's writes, and why its reads go where they go.
+    /// What is known of a session's writes, and why its reads are routed as they are.
     Session(String),
-    /// An instance, or a seed by its address, is over and does not come back.
+    /// Declares that an instance, or a seed given by its address, has ended for good.
     Forget(String),
 }
 
-/// How a call ended.
+/// Result of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
-    /// Done, or told.
+    /// Done; the response holds what was requested.
     Ok,
-    /// In force, on probation.
+    /// The change is in force, on probation.
     Applied,
-    /// It stands.
+    /// The change is confirmed.
     Confirmed,
-    /// It says what is in force already.
+    /// The file equals the configuration in force.
     Unchanged,
-    /// The check stands in the way.
+    /// Findings of the check prevent the change.
     Refused,
-    /// Another change is not done with.
+    /// Another change is in progress.
     Busy,
-    /// Undone.
+    /// The change was undone.
     RolledBack,
-    /// It could not be taken: nothing has changed.
+    /// The change could not be applied; nothing has changed.
     NotTaken,
     /// There is nothing to confirm or to undo.
     Nothing,
-    /// The file cannot be read, or its signature is not taken.
+    /// The file cannot be parsed, or its signature is not accepted.
     Unreadable,
-    /// The call is not of the agreed form.
+    /// The call is malformed or of another version.
     Malformed,
 }
 
 impl Code {
-    /// The exit code of a command that ends so: 0 done, 1 refused, 2 usage or unreadable, 3 rolled back.
+    /// The exit code of a command with this result: 0 done, 1 refused, 2 usage or unreadable, 3 rolled back.
     pub fn exit_code(self) -> u8 {
         match self {
             Code::Ok | Code::Applied | Code::Confirmed | Code::Unchanged => 0,
@@ -136,7 +137,7 @@
     }
 }
 
-/// A finding, as it is told.
+/// A finding of the check, as in responses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub struct Found {
@@ -153,13 +154,13 @@
 }
 
 impl Found {
-    /// Whether it stands in the way unless it is allowed by name.
+    /// Whether the finding prevents the change unless it is allowed by its code.
     pub fn is_guarded(&self) -> bool {
         self.severity == Severity::Guarded.to_string()
     }
 }
 
-/// A difference, as it is told.
+/// A difference, as in responses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub struct Change {
@@ -171,14 +172,14 @@
 
 impl From<&Difference> for Change {
     fn from(difference: &Difference) -> Change {
-        let Difference { key, from, to, activation: when } = difference.clone();
-        Change { key, from, to, needs_restart: when == Activation::Restart }
+        let Difference { key, from, to, activation } = difference.clone();
+        Change { key, from, to, needs_restart: activation == Activation::Restart }
     }
 }
 
-/// What is in force, and what is under way.
+/// The configuration in force, the change in progress and the state of the pooler.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[allow(missing_docs)] // Named for what they hold; times are Unix seconds.
+#[allow(missing_docs)] // Fields are named for their content; times are Unix seconds.
 pub struct Status {
     pub name: String,
     pub version: String,
@@ -192,12 +193,12 @@
     /// The end of the probation.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub until: Option<f64>,
-    /// Where the daemon is in its life: `starting`, `ready`, `reloading`, `draining`, `closing` or `cutting`.
+    /// Lifecycle stage of the pooler: `starting`, `ready`, `reloading`, `draining`, `closing` or `cutting`.
     #[serde(default)]
     pub life: String,
     #[serde(default)]
     pub pid: u32,
-    /// Final answers since its start.
+    /// Requests answered, refused and failed since the start of the pooler.
     #[serde(default)]
     pub served: u64,
     #[serde(default)]
@@ -207,7 +208,7 @@
     pub members: usize,
     pub requests: usize,
     pub overrides: usize,
-    /// Whether steps are kept on disk.
+    /// Whether the steps of a change are persisted on disk.
     pub lasting: bool,
     /// How the last change ended.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -224,12 +225,12 @@
     pub from: String,
     /// `login`, `idle`, `waiting`, `busy`, `transaction` or `ending`.
     pub state: String,
-    /// For how long it has been so (seconds).
+    /// Time in this state (seconds).
     pub lasts_s: f64,
-    /// The member that it is on.
+    /// The member to which the session is connected.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub member: Option<String>,
-    /// What binds it to its server connection.
+    /// What binds the session to its server connection.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub bound_by: Vec<String>,
 }
@@ -237,44 +238,44 @@
 /// The sessions of ordinary clients.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sessions {
-    /// Those that have lasted longest in their state come first.
+    /// The listed sessions; those longest in their state come first.
     pub list: Vec<Session>,
-    /// How many more there are than listed.
+    /// Number of sessions that are not listed.
     pub more: usize,
-    /// Server connections, and sessions that wait for one.
+    /// Number of server connections.
     pub servers: usize,
-    /// See above.
+    /// Number of sessions waiting for a server connection.
     pub waiting: usize,
 }
 
-/// An answer.
+/// The response to a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Response {
     /// [`VERSION`].
     pub v: u32,
-    /// How the call ended.
+    /// The result of the call.
     pub code: Code,
-    /// The same in words.
+    /// The result as text.
     pub message: String,
-    /// The generation that it is about.
+    /// The generation that the call concerns.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub generation: Option<u64>,
-    /// The end of its probation (Unix seconds).
+    /// The end of the generation's probation (Unix seconds).
     #[serde(skip_serializing_if = "Option::is_none")]
     pub until: Option<f64>,
-    /// What the check has found.
+    /// Findings of the check.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub findings: Vec<Found>,
-    /// What would change, or has.
+    /// Differences that the change would make or has made.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub changes: Vec<Change>,
-    /// How many more differences there are than listed.
+    /// Number of differences that are not listed.
     #[serde(default)]
     pub more_changes: usize,
-    /// What is in force.
+    /// The status.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub status: Option<Status>,
-    /// What has been, the newest last.
+    /// The history, the newest entry last.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub history: Option<Vec<Entry>>,
     /// A document.
@@ -283,13 +284,13 @@
     /// The sessions of ordinary clients.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub sessions: Option<Sessions>,
-    /// What is known of other instances.
+    /// The answer to a query about other instances.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peers: Option<serde_json::Value>,
 }
 
 impl Response {
-    /// An answer that says no more than this.
+    /// A response with only a code and a message.
     pub fn new(code: Code, message: impl Into<String>) -> Response {
         Response {
             v: VERSION,
@@ -308,20 +309,20 @@
         }
     }
 
-    /// The same with what has been found.
+    /// Adds the findings of a check.
     pub fn with_findings(mut self, findings: &[Finding]) -> Response {
         self.findings = findings.iter().map(Found::from).collect();
         self
     }
 
-    /// The same with what differs, as far as the bound admits.
+    /// Adds differences, at most [`MAX_CHANGES`]; the rest are counted.
     pub fn with_changes(mut self, differences: &[Difference]) -> Response {
         self.changes = differences.iter().take(MAX_CHANGES).map(Change::from).collect();
         self.more_changes = differences.len() - self.changes.len();
         self
     }
 
-    /// Its line.
+    /// The response as a line.
     pub fn to_line(&self) -> Vec<u8> {
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
@@ -330,19 +331,19 @@
 }
 
 impl Request {
-    /// A call of this version.
+    /// A request of this version.
     pub fn new(call: Call) -> Request {
         Request { v: VERSION, call }
     }
 
-    /// Its line.
+    /// The request as a line.
     pub fn to_line(&self) -> Vec<u8> {
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
         line
     }
 
-    /// Reads a line; what is wrong with it where it is no call of this version.
+    /// Parses a line; the error describes why it is not a call of this version.
     pub fn parse(line: &[u8]) -> Result<Request, String> {
         let request: Request =
             serde_json::from_slice(line).map_err(|error| format!("not a call: {error}"))?;
--- a/crates/control/tests/messages.rs
+++ b/crates/control/tests/messages.rs
@@ -1,10 +1,10 @@
-//! The messages: both ways, and what is none of them.
+//! Encoding and decoding of requests and responses, and rejection of malformed lines.
 
 use buffer::{Lines, TooLong};
 use control::{Call, Code, Request, Response, MAX_LINE_BYTES};
 
 #[test]
-fn a_call_reads_back_as_it_was_written() {
+fn requests_round_trip_through_their_line() {
     let apply = Call::Apply {
         text: "a = \"\n\"".into(),
         note: "why".into(),
@@ -22,35 +22,35 @@
 }
 
 #[test]
-fn what_is_no_call_is_told() {
-    for (line, words) in [
+fn malformed_requests_are_rejected_with_the_reason() {
+    for (line, expected) in [
         (&b"garbage"[..], "not a call"),
         (br#"{"v":2,"do":"status"}"#, "version 2; accepted: 1"),
         (br#"{"v":1,"do":"explode"}"#, "unknown variant"),
         (br#"{"do":"status"}"#, "missing field"),
         (b"\xff", "not a call"),
     ] {
-        let told = Request::parse(line).unwrap_err();
-        assert!(told.contains(words), "{told}");
+        let error = Request::parse(line).unwrap_err();
+        assert!(error.contains(expected), "{error}");
     }
     let deep = format!("{}{}", "[".repeat(100_000), "]".repeat(100_000));
     assert!(Request::parse(deep.as_bytes()).is_err());
 }
 
 #[test]
-fn lines_are_cut_wherever_the_bytes_come_apart() {
+fn lines_are_split_wherever_reads_are_fragmented() {
     let (status, show) = (Request::new(Call::Status {}).to_line(), Request::new(Call::Show {}).to_line());
     let bytes = [status.clone(), show.clone()].concat();
-    for at in 0..bytes.len() {
+    for split in 0..bytes.len() {
         let mut lines = Lines::new(MAX_LINE_BYTES);
-        let mut taken = Vec::new();
-        for piece in [&bytes[..at], &bytes[at..]] {
-            lines.push(piece).unwrap();
+        let mut lines_read = Vec::new();
+        for chunk in [&bytes[..split], &bytes[split..]] {
+            lines.push(chunk).unwrap();
             while let Some(line) = lines.take() {
-                taken.push(line);
+                lines_read.push(line);
             }
         }
-        assert_eq!(taken, [&status[..status.len() - 1], &show[..show.len() - 1]]);
+        assert_eq!(lines_read, [&status[..status.len() - 1], &show[..show.len() - 1]]);
         assert_eq!(lines.buffered_bytes(), 0);
     }
     let mut lines = Lines::new(MAX_LINE_BYTES);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn every_end_has_its_exit_code() {
+fn codes_map_to_exit_codes() {
     for (code, exit) in [(Code::Ok, 0), (Code::Refused, 1), (Code::Unreadable, 2), (Code::RolledBack, 3)] {
         assert_eq!(Response::new(code, "").code.exit_code(), exit);
     }
