--- a/crates/registry/src/lease.rs
+++ b/crates/registry/src/lease.rs
@@ -1,220 +1,229 @@
-//! Keeps a key of the pooler's own in the registry under a lease: it is there while the pooler lives, and gone a
-//! lease's length after its last word.
+//! Keeps a key of the pooler in the registry under a lease: the key exists while the pooler runs, and
+//! disappears one lease TTL after the pooler's last keep-alive.
 
 use crate::endpoints::Endpoints;
 use crate::wire::{LeaseGrant, Refusal};
 
-/// Parts of a lease's length after which it is kept alive anew: a lost call or two do not end it.
-const PARTS: f64 = 3.0;
+/// Keep-alive calls per lease TTL: the lease survives one or two lost calls.
+const KEEP_ALIVES_PER_TTL: f64 = 3.0;
 
-/// What is asked of the registry.
+/// Calls to the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseRequest {
-    /// A lease.
+    /// Grant a lease.
     Grant,
-    /// The key, under this lease.
+    /// Put the key under this lease.
     Put(u64),
-    /// That this lease go on.
+    /// Keep this lease alive.
     KeepAlive(u64),
-    /// That this lease end, and the key with it.
+    /// Revoke this lease, which deletes the key.
     Revoke(u64),
 }
 
-/// How a call goes, as the driver tells it, by the call's number.
+/// Events that the driver reports; calls are identified by their number.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time has passed.
     Time,
-    /// A call's answer; those to a put and a revocation say no more than that it was done.
+    /// The response to a call; empty for a put and a revocation.
     Answer(u64, Result<LeaseGrant, Refusal>),
-    /// The connection of a call has ended, or was never made.
+    /// The connection of a call was closed, or could not be opened.
     Disconnected(u64),
-    /// The pooler ends: the key is to go.
+    /// The pooler shuts down: the key must be deleted.
     Leave,
 }
 
-/// What the driver is to do.
+/// What the driver must do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask an endpoint; tell its end under this number.
+    /// Call an endpoint and report the result under this number.
     Call(u64, usize, LeaseRequest),
-    /// End the call of this number.
+    /// Cancel the call of this number.
     Close(u64),
-    /// The key stands in the registry from now on.
+    /// The key is in the registry from now on.
     Registered,
-    /// It may stand there no longer.
+    /// The key may no longer be in the registry; holds the reason.
     Lost(String),
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Stage {
-    Resting(f64),
-    Calling { call: u64, since: f64, ask: LeaseRequest },
+    Waiting(f64),
+    Calling { call: u64, since: f64, request: LeaseRequest },
     Ended,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct GrantedLease {
     id: u64,
-    /// Ends then, unless kept alive; counted from before the registry was asked.
+    /// When the lease ends unless kept alive; counted from before the request for it was sent.
     until: f64,
-    /// Whether the key was put under it.
+    /// Whether the key was put under the lease.
     put: bool,
 }
 
-/// The lease of one key.
+/// Maintains the lease of one key.
 pub struct Lease {
     endpoints: Endpoints,
-    /// The lease's length, and how long a call may take (seconds).
-    length: f64,
-    patience: f64,
+    /// The lease's TTL and the time limit of a call (seconds).
+    ttl: f64,
+    call_timeout: f64,
     stage: Stage,
-    held: Option<Held>,
-    calls: u64,
+    lease: Option<GrantedLease>,
+    last_call: u64,
     leaving: bool,
-    /// Whether the driver was told that the key stands.
-    told: bool,
+    /// Whether `Registered` was reported to the driver.
+    registered: bool,
 }
 
 impl Lease {
-    /// A lease of a length, at endpoints that are not yet called; both times in seconds.
-    pub fn new(endpoints: Endpoints, length: f64, patience: f64) -> Lease {
-        let stage = Stage::Resting(f64::NEG_INFINITY);
-        Lease { endpoints, length, patience, stage, held: None, calls: 0, leaving: false, told: false }
+    /// A lease with the given TTL at endpoints that have not been called yet; both times in seconds.
+    pub fn new(endpoints: Endpoints, ttl: f64, call_timeout: f64) -> Lease {
+        let stage = Stage::Waiting(f64::NEG_INFINITY);
+        Lease {
+            endpoints,
+            ttl,
+            call_timeout,
+            stage,
+            lease: None,
+            last_call: 0,
+            leaving: false,
+            registered: false,
+        }
     }
 
-    /// When time must be told next; never once it has ended.
+    /// When [`Input::Time`] is due next; never after the end.
     pub fn next_due(&self) -> f64 {
         match self.stage {
-            Stage::Resting(until) => until,
-            Stage::Calling { since, .. } => since + self.patience,
+            Stage::Waiting(until) => until,
+            Stage::Calling { since, .. } => since + self.call_timeout,
             Stage::Ended => f64::INFINITY,
         }
     }
 
-    /// Takes one input at the time `now` and appends what is to be done.
+    /// Handles one input at the time `now` and appends the actions to `out`.
     pub fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Action>) {
         match (input, self.stage) {
             (_, Stage::Ended) => {}
             (Input::Leave, _) => {
                 self.leaving = true;
-                self.close(out);
-                self.stage = Stage::Resting(now);
-                self.begin(now, out);
+                self.close_call(out);
+                self.stage = Stage::Waiting(now);
+                self.start_call(now, out);
             }
-            (Input::Time, Stage::Resting(until)) if now >= until => self.begin(now, out),
-            (Input::Time, Stage::Calling { since, .. }) if now >= since + self.patience => {
-                self.failed(now, "no answer in time", out)
+            (Input::Time, Stage::Waiting(until)) if now >= until => self.start_call(now, out),
+            (Input::Time, Stage::Calling { since, .. }) if now >= since + self.call_timeout => {
+                self.call_failed(now, "no answer in time", out)
             }
             (Input::Disconnected(number), Stage::Calling { call, .. }) if number == call => {
-                self.failed(now, "the connection ended", out)
+                self.call_failed(now, "connection closed", out)
             }
-            (Input::Answer(number, answer), Stage::Calling { call, since, ask }) if number == call => {
+            (Input::Answer(number, answer), Stage::Calling { call, since, request }) if number == call => {
                 match answer {
-                    Ok(granted) => self.answered(now, since, ask, granted, out),
-                    Err(Refusal::Other(what)) => self.refused(now, ask, &what, out),
-                    Err(_) => self.failed(now, "turned down", out),
+                    Ok(granted) => self.handle_response(now, since, request, granted, out),
+                    Err(Refusal::Other(what)) => self.handle_refusal(now, request, &what, out),
+                    Err(_) => self.call_failed(now, "rejected by the registry", out),
                 }
             }
             _ => {}
         }
     }
 
-    fn close(&self, out: &mut Vec<Action>) {
+    fn close_call(&self, out: &mut Vec<Action>) {
         if let Stage::Calling { call, .. } = self.stage {
             out.push(Action::Close(call));
         }
     }
 
-    /// Asks for what comes next.
-    fn begin(&mut self, now: f64, out: &mut Vec<Action>) {
-        if self.held.is_some_and(|held| now >= held.until) {
-            self.gone("it ran out before it could be kept alive", out);
+    /// Starts the next call.
+    fn start_call(&mut self, now: f64, out: &mut Vec<Action>) {
+        if self.lease.is_some_and(|lease| now >= lease.until) {
+            self.lease_lost("the lease expired before it could be kept alive", out);
         }
-        let ask = match self.held {
+        let request = match self.lease {
             None if self.leaving => {
                 self.stage = Stage::Ended;
                 return;
             }
             None => LeaseRequest::Grant,
-            Some(held) if self.leaving => LeaseRequest::Revoke(held.id),
-            Some(Held { id, put: false, .. }) => LeaseRequest::Put(id),
-            Some(held) => LeaseRequest::KeepAlive(held.id),
+            Some(lease) if self.leaving => LeaseRequest::Revoke(lease.id),
+            Some(GrantedLease { id, put: false, .. }) => LeaseRequest::Put(id),
+            Some(lease) => LeaseRequest::KeepAlive(lease.id),
         };
-        self.calls += 1;
-        self.stage = Stage::Calling { call: self.calls, since: now, ask };
-        out.push(Action::Call(self.calls, self.endpoints.current(), ask));
+        self.last_call += 1;
+        self.stage = Stage::Calling { call: self.last_call, since: now, request };
+        out.push(Action::Call(self.last_call, self.endpoints.current(), request));
     }
 
-    fn answered(
+    fn handle_response(
         &mut self,
         now: f64,
         since: f64,
-        ask: LeaseRequest,
+        request: LeaseRequest,
         granted: LeaseGrant,
         out: &mut Vec<Action>,
     ) {
         self.endpoints.record_success();
-        // Counted from when it was asked for: the registry counts from later.
-        let until = since + granted.length as f64;
-        match (ask, &mut self.held) {
-            (LeaseRequest::Grant, held) if granted.id != 0 && granted.length > 0 => {
-                *held = Some(Held { id: granted.id, until, put: false });
-                self.begin(now, out);
+        // Counted from the start of the call: the registry's TTL begins later, when it handles the call.
+        let until = since + granted.ttl as f64;
+        match (request, &mut self.lease) {
+            (LeaseRequest::Grant, lease) if granted.id != 0 && granted.ttl > 0 => {
+                *lease = Some(GrantedLease { id: granted.id, until, put: false });
+                self.start_call(now, out);
             }
-            (LeaseRequest::Put(_), Some(held)) => {
-                held.put = true;
-                if !std::mem::replace(&mut self.told, true) {
+            (LeaseRequest::Put(_), Some(lease)) => {
+                lease.put = true;
+                if !std::mem::replace(&mut self.registered, true) {
                     out.push(Action::Registered);
                 }
-                self.stage = Stage::Resting(since + self.length / PARTS);
+                self.stage = Stage::Waiting(since + self.ttl / KEEP_ALIVES_PER_TTL);
             }
-            (LeaseRequest::KeepAlive(_), Some(held)) if granted.length > 0 => {
-                held.until = until;
-                self.stage = Stage::Resting(since + granted.length as f64 / PARTS);
+            (LeaseRequest::KeepAlive(_), Some(lease)) if granted.ttl > 0 => {
+                lease.until = until;
+                self.stage = Stage::Waiting(since + granted.ttl as f64 / KEEP_ALIVES_PER_TTL);
             }
             (LeaseRequest::KeepAlive(_), _) => {
-                self.gone("the registry has ended it", out);
-                self.stage = Stage::Resting(self.endpoints.next_call_at(now));
+                self.lease_lost("the registry has ended the lease", out);
+                self.stage = Stage::Waiting(self.endpoints.next_call_at(now));
             }
-            (LeaseRequest::Revoke(_), held) => {
-                *held = None;
+            (LeaseRequest::Revoke(_), lease) => {
+                *lease = None;
                 self.stage = Stage::Ended;
             }
-            _ => self.failed(now, "an answer without a lease", out),
+            _ => self.call_failed(now, "response without a lease", out),
         }
     }
 
-    /// The registry says no: a lease that it does not know (any more) is no lease.
-    fn refused(&mut self, now: f64, ask: LeaseRequest, what: &str, out: &mut Vec<Action>) {
-        match ask {
+    /// Handles a refusal: a lease that the registry does not know has ended.
+    fn handle_refusal(&mut self, now: f64, request: LeaseRequest, what: &str, out: &mut Vec<Action>) {
+        match request {
             LeaseRequest::Put(_) | LeaseRequest::KeepAlive(_) if what.contains("lease not found") => {
-                self.gone("the registry does not know it", out);
-                self.stage = Stage::Resting(self.endpoints.next_call_at(now));
+                self.lease_lost("the registry does not know the lease", out);
+                self.stage = Stage::Waiting(self.endpoints.next_call_at(now));
             }
             LeaseRequest::Revoke(_) => self.stage = Stage::Ended,
-            _ => self.failed(now, what, out),
+            _ => self.call_failed(now, what, out),
         }
     }
 
-    fn gone(&mut self, why: &str, out: &mut Vec<Action>) {
-        self.held = None;
-        if std::mem::take(&mut self.told) {
-            out.push(Action::Lost(why.to_string()));
+    fn lease_lost(&mut self, reason: &str, out: &mut Vec<Action>) {
+        self.lease = None;
+        if std::mem::take(&mut self.registered) {
+            out.push(Action::Lost(reason.to_string()));
         }
     }
 
-    fn failed(&mut self, now: f64, why: &str, out: &mut Vec<Action>) {
-        self.close(out);
+    fn call_failed(&mut self, now: f64, reason: &str, out: &mut Vec<Action>) {
+        self.close_call(out);
         if self.leaving {
-            // One try: the lease ends by itself.
+            // Only one attempt: the lease expires by itself.
             self.stage = Stage::Ended;
             return;
         }
-        if self.held.is_some_and(|held| now >= held.until) {
-            self.gone(why, out);
+        if self.lease.is_some_and(|lease| now >= lease.until) {
+            self.lease_lost(reason, out);
         }
         self.endpoints.record_failure(now);
-        self.stage = Stage::Resting(self.endpoints.next_call_at(now));
+        self.stage = Stage::Waiting(self.endpoints.next_call_at(now));
     }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,9 +1,10 @@
-//! The member list followed in a key-value registry that speaks etcd v3's JSON form. No I/O: a driver carries out
-//! calls and tells how they end.
+//! Follows the member list in a key-value registry that speaks etcd v3's JSON form. No I/O: a driver carries
+//! out calls and reports how they end.
 //!
-//! [`wire`] is the form of calls and answers, [`RegistrySync`] keeps a view of all keys under a prefix that equals the
-//! registry's at some revision and never steps back, [`Endpoints`] says whom to call and when, [`schema`] makes
-//! members of keys and values, [`snapshot`] bytes of a view, and [`lease::Lease`] keeps a key of the pooler's own there.
+//! [`wire`] encodes calls and decodes responses. [`RegistrySync`] keeps a view of all keys under a prefix
+//! that equals the registry's at some revision and never goes back. [`Endpoints`] selects the endpoint and
+//! the time of the next call. [`schema`] converts keys and values to members. [`snapshot`] serializes a view.
+//! [`lease::Lease`] keeps a key of the pooler itself in the registry.
 #![warn(missing_docs)]
 
 mod endpoints;
--- a/crates/registry/src/schema.rs
+++ b/crates/registry/src/schema.rs
@@ -1,5 +1,5 @@
-//! Members and drains as keys and values. A member stands under `PREFIX/members/NAME`, an operator's drain of it
-//! under `PREFIX/drains/NAME`; what the drain's value says is for people.
+//! Members and drains as keys and values. A member's key is `PREFIX/members/NAME`, an operator's drain of it
+//! `PREFIX/drains/NAME`; the value of a drain is only for people.
 //!
 //! ```json
 //! {"v":1,"address":"10.1.0.18:5432","zone":"a","group":3,"status":"SERVING","since_ms":0}
@@ -14,12 +14,12 @@
 
 use crate::sync::View;
 
-/// The version of the values that are understood.
+/// The supported version of the values.
 pub const VERSION: u32 = 1;
-/// Longest value that is read (bytes); a member's line has some hundred.
+/// Longest value that is parsed (bytes); a member's value has some hundred.
 pub const MAX_VALUE_BYTES: usize = 4 * 1024;
-/// Most members whose values could not be understood that are told apart.
-const MOST_POISONED: usize = 1_000;
+/// Most malformed members that are stored with their errors.
+const MAX_MALFORMED: usize = 1_000;
 
 #[derive(Deserialize)]
 struct Value {
@@ -43,7 +43,7 @@
     Draining,
 }
 
-/// Reads a member's value; what is wrong with it where it is none.
+/// Parses a member's value; the error describes what is wrong with it.
 pub fn parse_member(name: &str, value: &[u8]) -> Result<Listing, String> {
     if value.len() > MAX_VALUE_BYTES {
         return Err(format!("{} bytes; at most {MAX_VALUE_BYTES} are read", value.len()));
@@ -62,21 +62,20 @@
     })
 }
 
-/// The members that a view holds, each as it was last understood.
+/// The members of a view, each with its last valid value.
 #[derive(Default)]
 pub struct Members {
-    /// With the operators' drains laid over what the members' own values say.
-    understood: BTreeMap<String, Listing>,
-    /// What the members' own values say.
-    read: BTreeMap<String, Listing>,
-    /// What could not be understood, and why.
-    poisoned: BTreeMap<String, String>,
+    /// The parsed members with the operators' drains applied.
+    effective: BTreeMap<String, Listing>,
+    /// The parsed values of the members.
+    parsed: BTreeMap<String, Listing>,
+    /// Malformed members, each with its error.
+    malformed: BTreeMap<String, String>,
 }
 
 impl Members {
-    /// Takes in a view under a prefix, or only these keys of it. What has changed for the list: members that are
-    /// new, changed or gone. A value that cannot be understood costs that change alone: its member stays as it
-    /// was.
+    /// Applies a view under a prefix, or only the given keys of it. Returns the members that are new, changed
+    /// or removed. If a value is malformed, its member keeps its last valid value.
     pub fn update(&mut self, prefix: &str, view: &View, keys: Option<&[Vec<u8>]>) -> Vec<Listing> {
         let (members, drains) = (format!("{prefix}/members/"), format!("{prefix}/drains/"));
         let name = |key: &[u8]| {
@@ -88,51 +87,55 @@
             Some(keys) => keys.iter().filter_map(|key| name(key)).collect(),
             None => {
                 let now = view.with_prefix(members.as_bytes()).filter_map(|(key, _)| name(key));
-                now.chain(self.understood.keys().cloned()).collect()
+                now.chain(self.effective.keys().cloned()).collect()
             }
         };
-        names.iter().filter_map(|name| self.one(name, &members, &drains, view)).collect()
+        names.iter().filter_map(|name| self.update_member(name, &members, &drains, view)).collect()
     }
 
-    /// Takes in what a view says of one member; what has changed for the list, if anything.
-    fn one(&mut self, name: &str, members: &str, drains: &str, view: &View) -> Option<Listing> {
-        let known = self.understood.get(name);
+    /// Updates one member from a view; returns it if it has changed.
+    fn update_member(&mut self, name: &str, members: &str, drains: &str, view: &View) -> Option<Listing> {
+        let known = self.effective.get(name);
         let Some(entry) = view.get(format!("{members}{name}").as_bytes()) else {
-            self.poisoned.remove(name);
-            self.read.remove(name);
-            return self.understood.remove(name).map(|listing| Listing { phase: Phase::Left, ..listing });
+            self.malformed.remove(name);
+            self.parsed.remove(name);
+            return self.effective.remove(name).map(|listing| Listing { phase: Phase::Left, ..listing });
         };
-        let sound = (1..=64).contains(&name.len());
-        let read = if sound { parse_member(name, &entry.value) } else { Err("not a member's name".into()) };
-        let mut listing = match read {
+        let valid_name = (1..=64).contains(&name.len());
+        let parsed = if valid_name {
+            parse_member(name, &entry.value)
+        } else {
+            Err("member name is not 1 to 64 bytes long".into())
+        };
+        let mut listing = match parsed {
             Ok(listing) => {
-                self.poisoned.remove(name);
+                self.malformed.remove(name);
                 listing
             }
-            Err(fault) => {
-                if self.poisoned.len() < MOST_POISONED {
-                    self.poisoned.insert(name.chars().take(64).collect(), fault);
+            Err(error) => {
+                if self.malformed.len() < MAX_MALFORMED {
+                    self.malformed.insert(name.chars().take(64).collect(), error);
                 }
-                // As it was; a drain of the operator's is looked at all the same.
-                self.read.get(name).cloned()?
+                // The last valid value stays; the operator's drain is applied nevertheless.
+                self.parsed.get(name).cloned()?
             }
         };
-        self.read.insert(name.to_string(), listing.clone());
+        self.parsed.insert(name.to_string(), listing.clone());
         if view.get(format!("{drains}{name}").as_bytes()).is_some() {
             listing.phase = Phase::Leaving;
         }
         let changed = known != Some(&listing);
-        self.understood.insert(name.to_string(), listing.clone());
+        self.effective.insert(name.to_string(), listing.clone());
         changed.then_some(listing)
     }
 
-    /// All members, as they were last understood.
+    /// All members, each with its last valid value.
     pub fn all(&self) -> impl Iterator<Item = &Listing> {
-        self.understood.values()
+        self.effective.values()
     }
 
-    /// What could not be understood, by name, and why.
+    /// The malformed members by name, each with its error.
     pub fn malformed(&self) -> impl Iterator<Item = (&str, &str)> {
-        self.poisoned.iter().map(|(name, why)| (name.as_str(), why.as_str()))
+        self.malformed.iter().map(|(name, error)| (name.as_str(), error.as_str()))
     }
 }
--- a/crates/registry/src/snapshot.rs
+++ b/crates/registry/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! A view as bytes, to be kept on disk: a later process goes on from it without reading the whole list.
+//! Serializes a view to be stored on disk, so that a later process can continue from it without reading the
+//! full list.
 //!
 //! ```text
 //! "dewferry view 1\n"  cluster u64  revision u64  prefix: length u32, bytes  keys u32
@@ -10,18 +11,18 @@
 
 use crate::sync::{Entry, View, MAX_BYTES, MAX_KEYS};
 
-const HEAD: &[u8] = b"dewferry view 1\n";
-/// Longest snapshot there can be (bytes).
+const HEADER: &[u8] = b"dewferry view 1\n";
+/// Longest snapshot (bytes).
 pub const MAX_SNAPSHOT_BYTES: usize = MAX_BYTES + MAX_KEYS * 32;
 
-/// Why bytes are no view.
+/// Why bytes are not a usable snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// Not of this form, or of another version of it.
+    /// Not a snapshot, or of an unsupported version.
     Format,
-    /// Cut off, or changed since.
+    /// Truncated or altered.
     Damaged,
-    /// Of another prefix.
+    /// Of another key prefix.
     WrongPrefix,
 }
 
@@ -29,17 +30,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             SnapshotError::Format => "not a snapshot of this version",
-            SnapshotError::Damaged => "damaged or cut off",
-            SnapshotError::WrongPrefix => "of another prefix",
+            SnapshotError::Damaged => "damaged or truncated",
+            SnapshotError::WrongPrefix => "snapshot of another key prefix",
         })
     }
 }
 
 impl std::error::Error for SnapshotError {}
 
-/// The bytes of a view of the keys under a prefix.
+/// Serializes a view of the keys under a prefix.
 pub fn encode(prefix: &str, view: &View) -> Vec<u8> {
-    let mut bytes = HEAD.to_vec();
+    let mut bytes = HEADER.to_vec();
     let text = |bytes: &mut Vec<u8>, text: &[u8]| {
         bytes.extend((text.len() as u32).to_le_bytes());
         bytes.extend(text);
@@ -53,30 +54,30 @@
         text(&mut bytes, key);
         text(&mut bytes, &entry.value);
     }
-    let check = crc32fast::hash(&bytes);
-    bytes.extend(check.to_le_bytes());
+    let checksum = crc32fast::hash(&bytes);
+    bytes.extend(checksum.to_le_bytes());
     bytes
 }
 
-/// The view of bytes, where it is one of this prefix.
+/// Deserializes a view; its prefix must equal `prefix`.
 pub fn decode(prefix: &str, bytes: &[u8]) -> Result<View, SnapshotError> {
-    let rest = bytes.strip_prefix(HEAD).ok_or(SnapshotError::Format)?;
-    let (_, check) = bytes.split_last_chunk::<4>().ok_or(SnapshotError::Damaged)?;
-    if crc32fast::hash(&bytes[..bytes.len() - 4]) != u32::from_le_bytes(*check) {
+    let rest = bytes.strip_prefix(HEADER).ok_or(SnapshotError::Format)?;
+    let (_, checksum) = bytes.split_last_chunk::<4>().ok_or(SnapshotError::Damaged)?;
+    if crc32fast::hash(&bytes[..bytes.len() - 4]) != u32::from_le_bytes(*checksum) {
         return Err(SnapshotError::Damaged);
     }
     let mut from = Reader(&rest[..rest.len().saturating_sub(4)]);
     let read = |from: &mut Reader| -> Option<(bool, View)> {
-        let (cluster, revision) = (from.long()?, from.long()?);
-        let same = from.text()? == prefix.as_bytes();
-        let count = from.short()?;
+        let (cluster, revision) = (from.read_u64()?, from.read_u64()?);
+        let prefix_matches = from.read_bytes()? == prefix.as_bytes();
+        let count = from.read_u32()?;
         let mut keys = Vec::new();
         for _ in 0..count {
-            let revision = from.long()?;
-            let (key, value) = (from.text()?.to_vec(), from.text()?.to_vec());
+            let revision = from.read_u64()?;
+            let (key, value) = (from.read_bytes()?.to_vec(), from.read_bytes()?.to_vec());
             keys.push((key, Entry { revision, value }));
         }
-        Some((same, View::restore(cluster, revision, keys)))
+        Some((prefix_matches, View::restore(cluster, revision, keys)))
     };
     match read(&mut from) {
         Some((true, view)) if from.0.is_empty() && view.len() <= MAX_KEYS => Ok(view),
@@ -88,24 +89,24 @@
 struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
-    fn chunk<const N: usize>(&mut self) -> Option<[u8; N]> {
-        let (chunk, rest) = self.0.split_first_chunk()?;
+    fn read_array<const N: usize>(&mut self) -> Option<[u8; N]> {
+        let (array, rest) = self.0.split_first_chunk()?;
         self.0 = rest;
-        Some(*chunk)
+        Some(*array)
     }
 
-    fn long(&mut self) -> Option<u64> {
-        self.chunk().map(u64::from_le_bytes)
+    fn read_u64(&mut self) -> Option<u64> {
+        self.read_array().map(u64::from_le_bytes)
     }
 
-    fn short(&mut self) -> Option<u32> {
-        self.chunk().map(u32::from_le_bytes)
+    fn read_u32(&mut self) -> Option<u32> {
+        self.read_array().map(u32::from_le_bytes)
     }
 
-    fn text(&mut self) -> Option<&'a [u8]> {
-        let length = self.short()? as usize;
-        let (text, rest) = self.0.split_at_checked(length)?;
+    fn read_bytes(&mut self) -> Option<&'a [u8]> {
+        let length = self.read_u32()? as usize;
+        let (bytes, rest) = self.0.split_at_checked(length)?;
         self.0 = rest;
-        Some(text)
+        Some(bytes)
     }
 }
--- a/crates/registry/src/sync.rs
+++ b/crates/registry/src/sync.rs
@@ -1,5 +1,5 @@
-//! Keeps a view of all keys under a prefix that equals the registry's at some revision. Changes are applied once,
-//! in order, and all of a revision together; the view never steps back.
+//! Keeps a view of all keys under a prefix that equals the registry's at some revision. Changes are applied
+//! once and in order, all changes of a revision together; the view never goes back to an earlier revision.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -7,35 +7,35 @@
 use crate::endpoints::Endpoints;
 use crate::wire::{needs_new_token, prefix_end, Change, Kind, Page, Range, Refusal, Revision, WatchMessage};
 
-/// Keys asked for in one page.
-const PAGE: u64 = 1_000;
-/// Most keys, and most bytes of keys and values, that a view may hold. Guards the memory of the process.
+/// Keys requested per page.
+const PAGE_KEYS: u64 = 1_000;
+/// Most keys, and most bytes of keys and values, in a view. Limits the memory of the process.
 pub(crate) const MAX_KEYS: usize = 100_000;
 pub(crate) const MAX_BYTES: usize = 64 * 1024 * 1024;
-/// Most changes of a message in fragments that are held until it is whole.
-const MOST_HELD: usize = 200_000;
+/// Most changes of a fragmented watch message that are buffered until it is complete.
+const MAX_PENDING_CHANGES: usize = 200_000;
 
 /// One key of a view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The revision that wrote it.
+    /// The revision that wrote the key.
     pub revision: Revision,
-    /// What it holds.
+    /// The value.
     pub value: Vec<u8>,
 }
 
-/// All keys, as they were at a revision.
+/// All keys, as of one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// Which registry it is of; 0 before the first view.
+    /// The cluster id of the registry; 0 before the first view.
     pub cluster: u64,
-    /// As of this revision.
+    /// The revision of the view.
     pub revision: Revision,
     keys: BTreeMap<Vec<u8>, Entry>,
 }
 
 impl View {
-    /// A view that was kept.
+    /// A view restored from storage.
     pub fn restore(
         cluster: u64,
         revision: Revision,
@@ -49,19 +49,19 @@
         self.keys.get(key)
     }
 
-    /// All keys that begin with a prefix, in their order.
+    /// All keys that begin with a prefix, in order.
     pub fn with_prefix(&self, prefix: &[u8]) -> impl Iterator<Item = (&Vec<u8>, &Entry)> {
         let end = prefix_end(prefix);
         let end = if end == [0] { Bound::Unbounded } else { Bound::Excluded(end) };
         self.keys.range::<Vec<u8>, _>((Bound::Included(prefix.to_vec()), end))
     }
 
-    /// How many keys there are.
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
@@ -75,23 +75,25 @@
     }
 }
 
-/// When a list that has all but vanished, or a registry that is another or stands further back than it did, is
-/// believed.
+/// Settings, among them when a suspicious view is accepted: one that lacks many keys, comes from another
+/// cluster, or is older than the present view.
 #[derive(Clone, Copy, Debug)]
 pub struct SyncConfig {
-    /// Share of the keys that may go in one step without being asked about again.
+    /// Share of the keys that may be removed in one step without confirmation.
     pub max_removed_share: f64,
-    /// A view of fewer keys than this may lose them all.
+    /// A view of fewer keys than this may lose all of them without confirmation.
     pub min_keys: usize,
-    /// Believed once it is still so after this long (seconds), from another endpoint where there is one.
+    /// A suspicious view is accepted if another one, read after this time (seconds) and from another endpoint
+    /// if there is one, confirms it.
     pub confirm_after: f64,
-    /// A watch that says nothing for so long is dead (seconds): the registry tells of its progress meanwhile.
+    /// A watch without a message for this long has failed (seconds); the registry sends progress
+    /// notifications.
     pub watch_timeout: f64,
-    /// A call that is not answered within this has failed (seconds).
+    /// Time limit of a call (seconds).
     pub call_timeout: f64,
-    /// Reads that an endpoint answers from what it has.
+    /// Use serializable reads, which an endpoint answers from its own state.
     pub serializable: bool,
-    /// Whether a token is needed for all else.
+    /// Whether calls require a token from a login.
     pub login: bool,
 }
 
@@ -109,76 +111,76 @@
     }
 }
 
-/// How a call or a watch goes, as the driver tells it. Each carries the number of the call that it belongs to;
-/// what belongs to an earlier one is not looked at.
+/// Events that the driver reports. Each carries the number of the call that it belongs to; events of earlier
+/// calls are ignored.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Begin, or go on after a change of endpoints.
+    /// Start, or continue after a change of endpoints.
     Start,
-    /// The answer to a range.
+    /// The response to a range read.
     Page(u64, Result<Page, Refusal>),
-    /// The answer to a login.
+    /// The response to a login.
     Token(u64, Result<String, Refusal>),
-    /// This token was turned down, for a call that is not of this machine.
+    /// The registry rejected this token in a call made outside this state machine.
     TokenRejected(String),
     /// A message of a watch.
     WatchMessage(u64, Result<WatchMessage, Refusal>),
-    /// The connection of a call or a watch has ended, or was never made.
+    /// The connection of a call or a watch was closed, or could not be opened.
     Disconnected(u64),
     /// Time has passed.
     Time,
 }
 
-/// What the driver is to do.
+/// What the driver must do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Call an endpoint for a range; tell its end under this number.
+    /// Read a range at an endpoint; report the result under this number.
     Read(u64, usize, Range),
-    /// Ask an endpoint for a token; tell its end under this number.
+    /// Request a token at an endpoint; report the result under this number.
     Login(u64, usize),
-    /// Watch at an endpoint, from a revision on; tell its messages under this number.
+    /// Watch at an endpoint, starting with a revision; report its messages under this number.
     Watch(u64, usize, Revision),
-    /// End whatever this number belongs to.
+    /// Cancel the call or watch of this number.
     Close(u64),
-    /// The view has changed: these keys of it, or it as a whole.
+    /// The view has changed: these keys, or the whole view if none are given.
     Changed(Option<Vec<Vec<u8>>>),
-    /// Tell the log.
+    /// Log this notice.
     Notice(Notice),
 }
 
-/// What the log is told.
+/// Notices for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// The registry cannot be followed; the last view holds.
+    /// The registry cannot be followed; the last view stays in force. Holds the reason.
     Lost(String),
-    /// It is followed, as of a revision.
+    /// The registry is followed, as of this revision.
     Following(Revision),
-    /// What was to be followed has been compacted away: a whole view is read.
+    /// The next revision to be followed has been compacted away; a full view is read.
     Compacted(Revision),
-    /// An endpoint stands further back than what has been seen: nothing of it is taken.
+    /// An endpoint is at an earlier revision than the view; its data is not used.
     Stale(Revision),
-    /// So many of so many keys would go at once: asked again before it is believed.
+    /// So many of so many keys would be removed at once; confirmation is required.
     Doubted(usize, usize),
 }
 
-/// What is asked for at present.
+/// The current call.
 #[derive(Clone, Debug)]
 enum Stage {
-    /// Nothing, until then.
-    Resting(f64),
-    /// A token, since then.
-    Entering { call: u64, since: f64 },
-    /// A whole view, page by page.
-    Reading { call: u64, since: f64, view: View, bytes: usize },
-    /// Changes; heard of last at that time, with those of a message that is not whole.
-    Watching { call: u64, heard: f64, created: bool, held: Vec<Change> },
+    /// None; the next call may be made at this time.
+    Waiting(f64),
+    /// A login, started at `since`.
+    LoggingIn { call: u64, since: f64 },
+    /// A read of a full view, page by page.
+    ReadingView { call: u64, since: f64, view: View, bytes: usize },
+    /// A watch: the time of its last message, and the changes of a message that is not complete yet.
+    Watching { call: u64, last_message_at: f64, created: bool, pending_changes: Vec<Change> },
 }
 
-/// A view that is not believed yet.
+/// A suspicious view that awaits confirmation.
 #[derive(Clone, Debug)]
-struct Doubt {
+struct UnconfirmedView {
     cluster: u64,
-    /// The keys it has.
+    /// Number of keys in it.
     keys: usize,
     revision: Revision,
     since: f64,
@@ -188,192 +190,206 @@
 pub struct RegistrySync {
     prefix: Vec<u8>,
     endpoints: Endpoints,
-    guard: SyncConfig,
+    config: SyncConfig,
     view: View,
     stage: Stage,
-    calls: u64,
-    doubt: Option<Doubt>,
-    /// Whether the next try reads a whole view, since the one held cannot be gone on from.
-    afresh: bool,
+    last_call: u64,
+    unconfirmed: Option<UnconfirmedView>,
+    /// Whether the next call must read a full view, since the present one cannot be continued.
+    needs_full_read: bool,
     following: bool,
     token: Option<String>,
-    /// Whether the token has been taken for a call: one that never was is not worth asking for again at once.
-    proven: bool,
+    /// Whether a call has succeeded with the token. If not, a rejected token is not replaced immediately.
+    token_accepted: bool,
 }
 
 impl RegistrySync {
-    /// Follows the keys under a prefix, from a view that was kept, or from none.
-    pub fn new(prefix: Vec<u8>, endpoints: Endpoints, guard: SyncConfig, view: View) -> RegistrySync {
-        let afresh = view.revision == 0;
-        let stage = Stage::Resting(f64::NEG_INFINITY);
+    /// Follows the keys under a prefix, starting from a stored view or an empty one.
+    pub fn new(prefix: Vec<u8>, endpoints: Endpoints, config: SyncConfig, view: View) -> RegistrySync {
+        let needs_full_read = view.revision == 0;
+        let stage = Stage::Waiting(f64::NEG_INFINITY);
         RegistrySync {
             prefix,
             endpoints,
-            guard,
+            config,
             view,
             stage,
-            calls: 0,
-            doubt: None,
-            afresh,
+            last_call: 0,
+            unconfirmed: None,
+            needs_full_read,
             following: false,
             token: None,
-            proven: false,
+            token_accepted: false,
         }
     }
 
-    /// The view. Holds whatever the registry does.
+    /// The view. It stays available whatever happens to the registry.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Whether the registry is followed at present.
+    /// Whether the registry is being followed.
     pub fn is_following(&self) -> bool {
         self.following
     }
 
-    /// The token that calls go with; none before one was given, or where none is needed.
+    /// The token for calls; none before the first login, or if no login is needed.
     pub fn token(&self) -> Option<&str> {
         self.token.as_deref()
     }
 
-    /// When time must be told next.
+    /// When [`Input::Time`] is due next.
     pub fn next_due(&self) -> f64 {
         match &self.stage {
-            Stage::Resting(until) => *until,
-            Stage::Entering { since, .. } | Stage::Reading { since, .. } => since + self.guard.call_timeout,
-            Stage::Watching { heard, created: false, .. } => heard + self.guard.call_timeout,
-            Stage::Watching { heard, .. } => heard + self.guard.watch_timeout,
+            Stage::Waiting(until) => *until,
+            Stage::LoggingIn { since, .. } | Stage::ReadingView { since, .. } => {
+                since + self.config.call_timeout
+            }
+            Stage::Watching { last_message_at, created: false, .. } => {
+                last_message_at + self.config.call_timeout
+            }
+            Stage::Watching { last_message_at, .. } => last_message_at + self.config.watch_timeout,
         }
     }
 
-    /// Takes one input at the time `now` and appends what is to be done.
+    /// Handles one input at the time `now` and appends the actions to `out`.
     pub fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Action>) {
         match input {
-            Input::Start => self.begin(now, out),
-            Input::Page(number, page) if self.is(number) => match page {
-                Ok(page) => self.page(now, page, out),
-                Err(refusal) => self.refused(now, refusal, out),
+            Input::Start => self.start_call(now, out),
+            Input::Page(number, page) if self.is_current_call(number) => match page {
+                Ok(page) => self.handle_page(now, page, out),
+                Err(refusal) => self.handle_refusal(now, refusal, out),
             },
-            Input::Token(number, token) if self.is(number) => match token {
+            Input::Token(number, token) if self.is_current_call(number) => match token {
                 Ok(token) => {
-                    (self.token, self.proven) = (Some(token), false);
-                    self.begin(now, out);
+                    (self.token, self.token_accepted) = (Some(token), false);
+                    self.start_call(now, out);
                 }
-                Err(refusal) => self.refused(now, refusal, out),
+                Err(refusal) => self.handle_refusal(now, refusal, out),
             },
-            Input::TokenRejected(token) if self.token.as_ref() == Some(&token) => self.denied(now, out),
-            Input::WatchMessage(number, told) if self.is(number) => match told {
-                Ok(told) => self.told(now, told, out),
-                Err(refusal) => self.refused(now, refusal, out),
+            Input::TokenRejected(token) if self.token.as_ref() == Some(&token) => {
+                self.handle_token_rejection(now, out)
+            }
+            Input::WatchMessage(number, result) if self.is_current_call(number) => match result {
+                Ok(message) => self.handle_watch_message(now, message, out),
+                Err(refusal) => self.handle_refusal(now, refusal, out),
             },
-            Input::Disconnected(number) if self.is(number) => {
-                self.failed(now, "the connection ended".into(), out)
+            Input::Disconnected(number) if self.is_current_call(number) => {
+                self.call_failed(now, "connection closed".into(), out)
             }
             Input::Time if now >= self.next_due() => match self.stage {
-                Stage::Resting(_) => self.begin(now, out),
-                _ => self.failed(now, "no answer in time".into(), out),
+                Stage::Waiting(_) => self.start_call(now, out),
+                _ => self.call_failed(now, "no answer in time".into(), out),
             },
             _ => {}
         }
     }
 
-    /// Whether a number is that of what is asked for at present.
-    fn is(&self, number: u64) -> bool {
+    /// Whether `number` is that of the current call.
+    fn is_current_call(&self, number: u64) -> bool {
         match &self.stage {
-            Stage::Resting(_) => false,
-            Stage::Entering { call, .. } | Stage::Reading { call, .. } | Stage::Watching { call, .. } => {
-                *call == number
-            }
+            Stage::Waiting(_) => false,
+            Stage::LoggingIn { call, .. }
+            | Stage::ReadingView { call, .. }
+            | Stage::Watching { call, .. } => *call == number,
         }
     }
 
-    /// Asks for what is missing, once it may.
-    fn begin(&mut self, now: f64, out: &mut Vec<Action>) {
-        if let Stage::Resting(until) = self.stage {
+    /// Starts the call that is needed next, unless it is too early.
+    fn start_call(&mut self, now: f64, out: &mut Vec<Action>) {
+        if let Stage::Waiting(until) = self.stage {
             if now < until {
                 return;
             }
         }
-        self.close(out);
-        self.calls += 1;
-        if self.guard.login && self.token.is_none() {
-            self.stage = Stage::Entering { call: self.calls, since: now };
-            out.push(Action::Login(self.calls, self.endpoints.current()));
-        } else if self.afresh || self.doubt.is_some() {
-            self.stage = Stage::Reading { call: self.calls, since: now, view: View::default(), bytes: 0 };
+        self.close_call(out);
+        self.last_call += 1;
+        if self.config.login && self.token.is_none() {
+            self.stage = Stage::LoggingIn { call: self.last_call, since: now };
+            out.push(Action::Login(self.last_call, self.endpoints.current()));
+        } else if self.needs_full_read || self.unconfirmed.is_some() {
+            self.stage =
+                Stage::ReadingView { call: self.last_call, since: now, view: View::default(), bytes: 0 };
             let range = self.range(self.prefix.clone(), 0);
-            out.push(Action::Read(self.calls, self.endpoints.current(), range));
+            out.push(Action::Read(self.last_call, self.endpoints.current(), range));
         } else {
-            self.stage = Stage::Watching { call: self.calls, heard: now, created: false, held: Vec::new() };
-            out.push(Action::Watch(self.calls, self.endpoints.current(), self.view.revision + 1));
+            self.stage = Stage::Watching {
+                call: self.last_call,
+                last_message_at: now,
+                created: false,
+                pending_changes: Vec::new(),
+            };
+            out.push(Action::Watch(self.last_call, self.endpoints.current(), self.view.revision + 1));
         }
     }
 
     fn range(&self, from: Vec<u8>, revision: Revision) -> Range {
-        // Doubts are not settled by what an endpoint has by itself.
-        let serializable = self.guard.serializable && self.doubt.is_none();
-        Range { from, to: prefix_end(&self.prefix), revision, limit: PAGE, serializable }
+        // A suspicious view is not confirmed by a serializable read, which may come from a lagging endpoint.
+        let serializable = self.config.serializable && self.unconfirmed.is_none();
+        Range { from, to: prefix_end(&self.prefix), revision, limit: PAGE_KEYS, serializable }
     }
 
-    fn close(&mut self, out: &mut Vec<Action>) {
-        if let Stage::Entering { call, .. } | Stage::Reading { call, .. } | Stage::Watching { call, .. } =
-            &self.stage
+    fn close_call(&mut self, out: &mut Vec<Action>) {
+        if let Stage::LoggingIn { call, .. }
+        | Stage::ReadingView { call, .. }
+        | Stage::Watching { call, .. } = &self.stage
         {
             out.push(Action::Close(*call));
         }
     }
 
-    fn rest(&mut self, until: f64, out: &mut Vec<Action>) {
-        self.close(out);
-        self.stage = Stage::Resting(until);
+    fn wait_until(&mut self, until: f64, out: &mut Vec<Action>) {
+        self.close_call(out);
+        self.stage = Stage::Waiting(until);
     }
 
-    fn failed(&mut self, now: f64, why: String, out: &mut Vec<Action>) {
+    fn call_failed(&mut self, now: f64, reason: String, out: &mut Vec<Action>) {
         if std::mem::take(&mut self.following) || self.view.revision == 0 {
-            out.push(Action::Notice(Notice::Lost(why)));
+            out.push(Action::Notice(Notice::Lost(reason)));
         }
         self.endpoints.record_failure(now);
         let until = self.endpoints.next_call_at(now);
-        self.rest(until, out);
+        self.wait_until(until, out);
     }
 
-    fn refused(&mut self, now: f64, refusal: Refusal, out: &mut Vec<Action>) {
+    fn handle_refusal(&mut self, now: f64, refusal: Refusal, out: &mut Vec<Action>) {
         match refusal {
-            Refusal::Compacted => self.compacted(now, self.view.revision + 1, out),
-            Refusal::Unauthenticated => self.denied(now, out),
-            Refusal::Other(what) => self.failed(now, format!("turned down: {what}"), out),
-            Refusal::Malformed(what) => self.failed(now, format!("not of the agreed form: {what}"), out),
+            Refusal::Compacted => self.handle_compaction(now, self.view.revision + 1, out),
+            Refusal::Unauthenticated => self.handle_token_rejection(now, out),
+            Refusal::Other(what) => self.call_failed(now, format!("rejected by the registry: {what}"), out),
+            Refusal::Malformed(what) => self.call_failed(now, format!("not of the agreed form: {what}"), out),
         }
     }
 
-    /// The token has run out: another is asked for, and what was under way goes on from where it was.
-    fn denied(&mut self, now: f64, out: &mut Vec<Action>) {
+    /// The token was rejected: requests another one, after which the interrupted work continues where it was.
+    fn handle_token_rejection(&mut self, now: f64, out: &mut Vec<Action>) {
         self.token = None;
-        if !self.guard.login || !std::mem::take(&mut self.proven) {
-            return self.failed(now, "no valid token".into(), out);
+        if !self.config.login || !std::mem::take(&mut self.token_accepted) {
+            return self.call_failed(now, "no valid token".into(), out);
         }
         let until = self.endpoints.next_call_at(now);
-        self.rest(until, out);
-        self.begin(now, out);
+        self.wait_until(until, out);
+        self.start_call(now, out);
     }
 
-    /// What was asked for is gone: only a whole view shows what has been deleted meanwhile.
-    fn compacted(&mut self, now: f64, revision: Revision, out: &mut Vec<Action>) {
+    /// The revisions to be followed have been compacted away: only a full view shows which keys were deleted
+    /// meanwhile.
+    fn handle_compaction(&mut self, now: f64, revision: Revision, out: &mut Vec<Action>) {
         out.push(Action::Notice(Notice::Compacted(revision)));
-        self.afresh = true;
+        self.needs_full_read = true;
         let until = self.endpoints.next_call_at(now);
-        self.rest(until, out);
-        self.begin(now, out);
+        self.wait_until(until, out);
+        self.start_call(now, out);
     }
 
-    fn page(&mut self, now: f64, page: Page, out: &mut Vec<Action>) {
-        let Stage::Reading { view, bytes, since, call } = &mut self.stage else { return };
-        self.proven = true;
+    fn handle_page(&mut self, now: f64, page: Page, out: &mut Vec<Action>) {
+        let Stage::ReadingView { view, bytes, since, call } = &mut self.stage else { return };
+        self.token_accepted = true;
         let first = view.revision == 0;
         if first {
             (view.cluster, view.revision) = (page.header.cluster_id, page.header.revision);
         } else if view.cluster != page.header.cluster_id {
-            return self.failed(now, "another registry answered within a view".into(), out);
+            return self.call_failed(now, "the pages of one view have different cluster ids".into(), out);
         }
         let (revision, last) = (view.revision, page.kvs.last().map(|kv| kv.key.clone()));
         *bytes += page.kvs.iter().map(|kv| kv.key.len() + kv.value.len()).sum::<usize>();
@@ -381,168 +397,188 @@
             view.keys.insert(kv.key, Entry { revision: kv.mod_revision, value: kv.value });
         }
         if view.len() > MAX_KEYS || *bytes > MAX_BYTES {
-            return self.failed(now, format!("over {MAX_KEYS} keys or {MAX_BYTES} bytes"), out);
+            return self.call_failed(
+                now,
+                format!("the list has more than {MAX_KEYS} keys or {MAX_BYTES} bytes"),
+                out,
+            );
         }
         if revision == 0 {
-            return self.failed(now, "an answer without a revision".into(), out);
+            return self.call_failed(now, "response without a revision".into(), out);
         }
         match last.filter(|_| page.more) {
             Some(mut key) => {
-                // The next key there can be.
+                // The smallest key that is greater.
                 key.push(0);
-                self.calls += 1;
-                (*call, *since) = (self.calls, now);
+                self.last_call += 1;
+                (*call, *since) = (self.last_call, now);
                 let range = self.range(key, revision);
-                out.push(Action::Read(self.calls, self.endpoints.current(), range));
+                out.push(Action::Read(self.last_call, self.endpoints.current(), range));
             }
             None => {
                 let view = std::mem::take(view);
-                self.whole(now, view, out);
+                self.handle_full_view(now, view, out);
             }
         }
     }
 
-    /// A whole view has been read.
-    fn whole(&mut self, now: f64, view: View, out: &mut Vec<Action>) {
-        let same = view.cluster == self.view.cluster || self.view.revision == 0;
-        let back = view.revision < self.view.revision;
-        let gone = self.view.keys.keys().filter(|key| !view.keys.contains_key(*key)).count();
-        if same && back && self.guard.serializable && self.doubt.is_none() {
-            // One endpoint may simply lag; another is asked, in a way that no endpoint answers by itself.
+    /// Handles a full view.
+    fn handle_full_view(&mut self, now: f64, view: View, out: &mut Vec<Action>) {
+        let same_cluster = view.cluster == self.view.cluster || self.view.revision == 0;
+        let older = view.revision < self.view.revision;
+        let removed = self.view.keys.keys().filter(|key| !view.keys.contains_key(*key)).count();
+        if same_cluster && older && self.config.serializable && self.unconfirmed.is_none() {
+            // The endpoint may only lag; another one is asked, without a serializable read.
             out.push(Action::Notice(Notice::Stale(view.revision)));
         }
-        if !same || back || self.doubtful(gone) {
-            return self.weigh(now, view, gone, out);
+        if !same_cluster || older || self.removes_too_many(removed) {
+            return self.confirm_or_defer(now, view, removed, out);
         }
         self.adopt(now, view, out);
     }
 
-    /// Whether so many keys at once are too many to believe it at first.
-    fn doubtful(&self, gone: usize) -> bool {
-        self.view.len() >= self.guard.min_keys
-            && gone as f64 > self.guard.max_removed_share * self.view.len() as f64
+    /// Whether the removal of so many keys at once requires confirmation.
+    fn removes_too_many(&self, removed: usize) -> bool {
+        self.view.len() >= self.config.min_keys
+            && removed as f64 > self.config.max_removed_share * self.view.len() as f64
     }
 
-    /// Believes a view that is hard to believe only once it is still so after a while.
-    fn weigh(&mut self, now: f64, view: View, gone: usize, out: &mut Vec<Action>) {
-        let found = Doubt { cluster: view.cluster, keys: view.len(), revision: view.revision, since: now };
-        let confirmed = self.doubt.as_ref().filter(|doubt| {
-            doubt.cluster == found.cluster
-                && found.revision >= doubt.revision
-                && found.keys <= doubt.keys.max(1) * 2
+    /// Accepts a suspicious view if it confirms one that was read at least `confirm_after` earlier: it has the
+    /// same cluster, the same or a later revision, and at most twice as many keys. Otherwise schedules another
+    /// read.
+    fn confirm_or_defer(&mut self, now: f64, view: View, removed: usize, out: &mut Vec<Action>) {
+        let candidate =
+            UnconfirmedView { cluster: view.cluster, keys: view.len(), revision: view.revision, since: now };
+        let confirmed = self.unconfirmed.as_ref().filter(|unconfirmed| {
+            unconfirmed.cluster == candidate.cluster
+                && candidate.revision >= unconfirmed.revision
+                && candidate.keys <= unconfirmed.keys.max(1) * 2
         });
-        match confirmed.map(|doubt| doubt.since) {
-            Some(since) if now >= since + self.guard.confirm_after => return self.adopt(now, view, out),
+        match confirmed.map(|unconfirmed| unconfirmed.since) {
+            Some(since) if now >= since + self.config.confirm_after => return self.adopt(now, view, out),
             Some(_) => {}
             None => {
-                out.push(Action::Notice(Notice::Doubted(gone, self.view.len())));
-                self.doubt = Some(found);
+                out.push(Action::Notice(Notice::Doubted(removed, self.view.len())));
+                self.unconfirmed = Some(candidate);
             }
         }
         self.endpoints.use_next();
-        let since = self.doubt.as_ref().map_or(now, |doubt| doubt.since);
+        let since = self.unconfirmed.as_ref().map_or(now, |unconfirmed| unconfirmed.since);
         let until = self
             .endpoints
             .next_call_at(now)
-            .max(now + self.guard.confirm_after / 4.0)
-            .max((since + self.guard.confirm_after).min(now + self.guard.confirm_after));
-        self.rest(until, out);
+            .max(now + self.config.confirm_after / 4.0)
+            .max((since + self.config.confirm_after).min(now + self.config.confirm_after));
+        self.wait_until(until, out);
     }
 
-    /// The view holds from now on, and is followed.
+    /// Replaces the view and starts to follow the registry from it.
     fn adopt(&mut self, now: f64, view: View, out: &mut Vec<Action>) {
-        (self.doubt, self.afresh) = (None, false);
+        (self.unconfirmed, self.needs_full_read) = (None, false);
         let changed = self.view.keys != view.keys || self.view.revision == 0;
         self.view = view;
         self.endpoints.record_success();
         if changed {
             out.push(Action::Changed(None));
         }
-        self.stage = Stage::Resting(now);
-        self.begin(now, out);
+        self.stage = Stage::Waiting(now);
+        self.start_call(now, out);
     }
 
-    fn told(&mut self, now: f64, told: WatchMessage, out: &mut Vec<Action>) {
-        let Stage::Watching { heard, created, held, .. } = &mut self.stage else { return };
-        *heard = now;
-        if told.header.cluster_id != 0
+    fn handle_watch_message(&mut self, now: f64, message: WatchMessage, out: &mut Vec<Action>) {
+        let Stage::Watching { last_message_at, created, pending_changes, .. } = &mut self.stage else {
+            return;
+        };
+        *last_message_at = now;
+        if message.header.cluster_id != 0
             && self.view.cluster != 0
-            && told.header.cluster_id != self.view.cluster
+            && message.header.cluster_id != self.view.cluster
         {
-            self.afresh = true;
-            return self.failed(now, "another registry answers".into(), out);
-        }
-        if told.compact_revision > self.view.revision {
-            return self.compacted(now, told.compact_revision, out);
+            self.needs_full_read = true;
+            return self.call_failed(now, "the registry has another cluster id than the view".into(), out);
         }
-        if told.canceled && needs_new_token(&told.cancel_reason) {
-            return self.denied(now, out);
+        if message.compact_revision > self.view.revision {
+            return self.handle_compaction(now, message.compact_revision, out);
         }
-        if told.canceled {
-            return self.failed(now, format!("the watch was ended: {}", told.cancel_reason), out);
+        if message.canceled && needs_new_token(&message.cancel_reason) {
+            return self.handle_token_rejection(now, out);
         }
-        self.proven = true;
-        if told.created && !std::mem::replace(created, true) && told.header.revision < self.view.revision {
-            // It stands further back than what has been seen, and would tell again what is known: it lags, or
-            // was restored from a copy. A whole view tells which.
-            out.push(Action::Notice(Notice::Stale(told.header.revision)));
-            self.afresh = true;
-            return self.failed(now, "an endpoint that lags".into(), out);
+        if message.canceled {
+            return self.call_failed(now, format!("watch cancelled: {}", message.cancel_reason), out);
         }
-        if held.len() + told.events.len() > MOST_HELD {
-            self.afresh = true;
-            return self.failed(now, format!("over {MOST_HELD} changes in one message"), out);
-        }
-        held.extend(told.events);
-        if told.fragment {
+        self.token_accepted = true;
+        if message.created
+            && !std::mem::replace(created, true)
+            && message.header.revision < self.view.revision
+        {
+            // The endpoint is at an earlier revision than the view and would repeat known changes: it lags,
+            // or was restored from a backup. A full view shows which.
+            out.push(Action::Notice(Notice::Stale(message.header.revision)));
+            self.needs_full_read = true;
+            return self.call_failed(now, "the endpoint is at an earlier revision than the view".into(), out);
+        }
+        if pending_changes.len() + message.events.len() > MAX_PENDING_CHANGES {
+            self.needs_full_read = true;
+            return self.call_failed(
+                now,
+                format!("more than {MAX_PENDING_CHANGES} changes in one watch message"),
+                out,
+            );
+        }
+        pending_changes.extend(message.events);
+        if message.fragment {
             return;
         }
-        let changes = std::mem::take(held);
-        // Word of progress without changes: all up to there has been told, and need not be asked for again.
-        let progress = (changes.is_empty() && !told.created).then_some(told.header.revision);
+        let changes = std::mem::take(pending_changes);
+        // A progress notification: all changes up to its revision have been received.
+        let progress = (changes.is_empty() && !message.created).then_some(message.header.revision);
         if !std::mem::replace(&mut self.following, true) {
-            out.push(Action::Notice(Notice::Following(told.header.revision)));
+            out.push(Action::Notice(Notice::Following(message.header.revision)));
         }
         self.endpoints.record_success();
         self.apply(now, changes, out);
         self.view.revision = self.view.revision.max(progress.unwrap_or(0));
     }
 
-    /// Applies changes, each revision as a whole; those that are known already are passed over.
+    /// Applies changes, each revision at once; changes that are already in the view are skipped.
     fn apply(&mut self, now: f64, changes: Vec<Change>, out: &mut Vec<Action>) {
         let known = self.view.revision;
-        let fresh: Vec<Change> =
+        let new_changes: Vec<Change> =
             changes.into_iter().filter(|change| change.kv.mod_revision > known).collect();
-        if fresh.is_empty() {
+        if new_changes.is_empty() {
             return;
         }
-        if fresh.windows(2).any(|pair| pair[0].kv.mod_revision > pair[1].kv.mod_revision) {
-            self.afresh = true;
-            return self.failed(now, "changes out of order".into(), out);
+        if new_changes.windows(2).any(|pair| pair[0].kv.mod_revision > pair[1].kv.mod_revision) {
+            self.needs_full_read = true;
+            return self.call_failed(now, "watch events out of revision order".into(), out);
         }
-        // What goes within one revision is one decision of somebody's: where it would empty the list, it is asked
-        // about again. What goes one by one is taken at once.
+        // The changes of one revision are one transaction: if it would remove too many keys, confirmation is
+        // required. Separate removals are applied immediately.
         let (mut from, mut keys) = (0, Vec::new());
-        while from < fresh.len() {
-            let revision = fresh[from].kv.mod_revision;
-            let to = from + fresh[from..].iter().take_while(|c| c.kv.mod_revision == revision).count();
-            let gone = fresh[from..to]
+        while from < new_changes.len() {
+            let revision = new_changes[from].kv.mod_revision;
+            let to = from + new_changes[from..].iter().take_while(|c| c.kv.mod_revision == revision).count();
+            let removed = new_changes[from..to]
                 .iter()
                 .filter(|c| c.kind == Kind::Delete && self.view.get(&c.kv.key).is_some());
-            let gone = gone.count();
-            if gone > 1 && self.doubtful(gone) {
-                let found =
-                    Doubt { cluster: self.view.cluster, keys: self.view.len() - gone, revision, since: now };
-                out.push(Action::Notice(Notice::Doubted(gone, self.view.len())));
-                self.doubt = Some(found);
+            let removed = removed.count();
+            if removed > 1 && self.removes_too_many(removed) {
+                let candidate = UnconfirmedView {
+                    cluster: self.view.cluster,
+                    keys: self.view.len() - removed,
+                    revision,
+                    since: now,
+                };
+                out.push(Action::Notice(Notice::Doubted(removed, self.view.len())));
+                self.unconfirmed = Some(candidate);
                 self.endpoints.use_next();
-                let until = self.endpoints.next_call_at(now).max(now + self.guard.confirm_after);
+                let until = self.endpoints.next_call_at(now).max(now + self.config.confirm_after);
                 if from > 0 {
                     out.push(Action::Changed(Some(keys)));
                 }
-                return self.rest(until, out);
+                return self.wait_until(until, out);
             }
-            for change in &fresh[from..to] {
+            for change in &new_changes[from..to] {
                 keys.push(change.kv.key.clone());
                 self.view.apply(change.clone());
             }
@@ -551,8 +587,8 @@
         }
         out.push(Action::Changed(Some(keys)));
         if self.view.len() > MAX_KEYS {
-            self.afresh = true;
-            self.failed(now, format!("over {MAX_KEYS} keys"), out);
+            self.needs_full_read = true;
+            self.call_failed(now, format!("the list has more than {MAX_KEYS} keys"), out);
         }
     }
 }
--- a/crates/registry/src/wire.rs
+++ b/crates/registry/src/wire.rs
@@ -1,42 +1,43 @@
-//! The form of etcd v3's JSON gateway: keys and values in base64, 64-bit numbers as decimal strings, fields of
-//! value zero left out.
+//! The JSON form of etcd v3's gateway: keys and values in base64, 64-bit numbers as decimal strings, fields
+//! of value zero omitted.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use serde::{Deserialize, Deserializer, Serialize};
 
-/// Where a range is read.
+/// Path for range reads.
 pub const RANGE: &str = "/v3/kv/range";
-/// Where a transaction is made.
+/// Path for transactions.
 pub const TXN: &str = "/v3/kv/txn";
-/// Where a watch is made.
+/// Path for watches.
 pub const WATCH: &str = "/v3/watch";
-/// Where a key is put under a lease.
+/// Path for puts.
 pub const PUT: &str = "/v3/kv/put";
-/// Where a lease is asked for, kept alive and ended.
+/// Path for lease grants.
 pub const GRANT: &str = "/v3/lease/grant";
-/// See [`GRANT`].
+/// Path for lease keep-alives.
 pub const KEEP_ALIVE: &str = "/v3/lease/keepalive";
-/// See [`GRANT`].
+/// Path for lease revocations.
 pub const REVOKE: &str = "/v3/lease/revoke";
-/// Where a token is asked for.
+/// Path for token requests.
 pub const AUTHENTICATE: &str = "/v3/auth/authenticate";
-/// Code of an error that says that a revision has been compacted away (`OUT_OF_RANGE`).
+/// Error code for a revision that has been compacted away (`OUT_OF_RANGE`).
 const OUT_OF_RANGE: i64 = 11;
-/// Code of an error that says that a token is not valid (`UNAUTHENTICATED`).
+/// Error code for an invalid token (`UNAUTHENTICATED`).
 const UNAUTHENTICATED: i64 = 16;
 
-/// Words of errors that a new token sets right, whatever their code: the registry gives some of them with a code
-/// that says only that the call was wrong, and a watch is ended with words alone.
-const TOKEN_WORDS: [&str; 3] = ["invalid auth token", "revision of auth store is old", "user name is empty"];
+/// Texts of errors that a new token resolves, whatever their code: the registry sends some of them with the
+/// code of an invalid argument, and cancels a watch with a text only.
+const TOKEN_ERROR_TEXTS: [&str; 3] =
+    ["invalid auth token", "revision of auth store is old", "user name is empty"];
 
-/// Longest token that is sent with each call (bytes); it goes into a request's head.
-const LONGEST_TOKEN: usize = 8 * 1024;
+/// Longest token (bytes); it is sent in the head of each request.
+const MAX_TOKEN_BYTES: usize = 8 * 1024;
 
-/// A revision of the registry; 0 is none.
+/// A revision of the registry; 0 for none.
 pub type Revision = u64;
 
-/// A number that is written as a text, or as a number.
+/// Deserializes a number written as a string or as a number.
 fn number<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
@@ -46,7 +47,9 @@
     }
     match Either::deserialize(from)? {
         Either::Number(number) => Ok(number),
-        Either::Text(text) => text.parse().map_err(|_| serde::de::Error::custom("not a number in a text")),
+        Either::Text(text) => {
+            text.parse().map_err(|_| serde::de::Error::custom("string is not a decimal number"))
+        }
     }
 }
 
@@ -55,14 +58,14 @@
     STANDARD.decode(text).map_err(|_| serde::de::Error::custom("not base64"))
 }
 
-/// What stands above every answer.
+/// The header of every response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Header {
-    /// Which registry it is; another number after a restore from elsewhere.
+    /// The registry's cluster id; it changes when the data is restored into a new cluster.
     #[serde(deserialize_with = "number")]
     pub cluster_id: u64,
-    /// Its revision as the answer was made.
+    /// The registry's revision when it made the response.
     #[serde(deserialize_with = "number")]
     pub revision: Revision,
 }
@@ -74,42 +77,42 @@
     /// The key.
     #[serde(deserialize_with = "bytes")]
     pub key: Vec<u8>,
-    /// The value; empty in the event of a deletion.
+    /// The value; empty if the key was deleted.
     #[serde(deserialize_with = "bytes")]
     pub value: Vec<u8>,
-    /// The revision that wrote it last.
+    /// The revision that last changed the key.
     #[serde(deserialize_with = "number")]
     pub mod_revision: Revision,
 }
 
-/// A page of a range.
+/// One page of a range.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Page {
     /// Its header.
     pub header: Header,
-    /// Its keys, in their order.
+    /// Its keys, in order.
     pub kvs: Vec<KeyValue>,
-    /// Whether there are more behind the last.
+    /// Whether more keys follow.
     pub more: bool,
 }
 
-/// What happened to a key.
+/// Kind of a change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Kind {
     /// Written.
     #[default]
     Put,
-    /// Deleted, or its lease has run out.
+    /// Deleted, or expired with its lease.
     Delete,
 }
 
-/// One change of one key.
+/// A change of one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Change {
-    /// What happened.
+    /// The kind.
     #[serde(rename = "type")]
     pub kind: Kind,
     /// The key, its value and the revision of the change.
@@ -122,35 +125,35 @@
 pub struct WatchMessage {
     /// Its header.
     pub header: Header,
-    /// The watch is there.
+    /// The watch has been created.
     pub created: bool,
-    /// The watch is over.
+    /// The watch has been cancelled.
     pub canceled: bool,
-    /// The oldest revision that is left, where what was asked for is not.
+    /// The oldest revision available, if the requested one has been compacted away.
     #[serde(deserialize_with = "number")]
     pub compact_revision: Revision,
-    /// Why it is over, in the registry's words.
+    /// The registry's reason for the cancellation.
     pub cancel_reason: String,
-    /// More of the same revisions follows in the next message.
+    /// The message continues in the next one.
     pub fragment: bool,
-    /// The changes, in their order.
+    /// The changes, in order.
     pub events: Vec<Change>,
 }
 
-/// What a registry answers in place of what was asked for.
+/// Error responses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The revision asked for has been compacted away.
+    /// The requested revision has been compacted away.
     Compacted,
-    /// The token is not valid (any more).
+    /// The token is missing, invalid or expired.
     Unauthenticated,
-    /// Something else, in its words.
+    /// Another error, with the registry's text.
     Other(String),
-    /// Not of the agreed form.
+    /// A malformed response.
     Malformed(String),
 }
 
-/// An error as the gateway words it; older ones give the text in `error`.
+/// An error as the gateway writes it; older versions write the text in `error`.
 #[derive(Deserialize)]
 struct Error {
     #[serde(default)]
@@ -163,7 +166,7 @@
 
 impl Error {
     fn refusal(self) -> Refusal {
-        // In a watch the error is an object of its own.
+        // In a watch the error is a nested object.
         if let serde_json::Value::Object(_) = &self.error {
             if let Ok(inner) = serde_json::from_value::<Error>(self.error.clone()) {
                 return inner.refusal();
@@ -180,58 +183,58 @@
     }
 }
 
-/// Whether words of the registry's say that a new token is needed.
+/// Whether an error text means that a new token is needed.
 pub fn needs_new_token(text: &str) -> bool {
-    TOKEN_WORDS.iter().any(|words| text.contains(words))
+    TOKEN_ERROR_TEXTS.iter().any(|error_text| text.contains(error_text))
 }
 
-/// Whether an answer is an error, whatever its status says; else the thing itself.
+/// Decodes a response; a response with an error is an error whatever its HTTP status.
 fn decode<T: for<'de> Deserialize<'de>>(body: &[u8], wrapped: bool) -> Result<T, Refusal> {
     let malformed = |error: serde_json::Error| Refusal::Malformed(error.to_string());
     let value: serde_json::Value = serde_json::from_slice(body).map_err(malformed)?;
-    // Decoding a struct would take an array for one whose fields are all absent.
+    // serde would decode an array as a struct whose fields are all absent.
     if !value.is_object() {
-        return Err(Refusal::Malformed("not an object".into()));
+        return Err(Refusal::Malformed("not a JSON object".into()));
     }
     if value.get("error").is_some() || value.get("code").is_some() {
         return Err(serde_json::from_value::<Error>(value).map_err(malformed)?.refusal());
     }
     let value = match (wrapped, value) {
         (true, serde_json::Value::Object(mut object)) => {
-            object.remove("result").ok_or_else(|| Refusal::Malformed("no result".into()))?
+            object.remove("result").ok_or_else(|| Refusal::Malformed("no field 'result'".into()))?
         }
         (_, value) => value,
     };
     serde_json::from_value(value).map_err(malformed)
 }
 
-/// Reads the answer to a range.
+/// Parses the response to a range read.
 pub fn parse_page(body: &[u8]) -> Result<Page, Refusal> {
     decode(body, false)
 }
 
-/// Reads one line of a watch.
+/// Parses one line of a watch.
 pub fn parse_watch_message(line: &[u8]) -> Result<WatchMessage, Refusal> {
     decode(line, true)
 }
 
-/// A range to be read.
+/// A range read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Range {
-    /// From this key on ...
+    /// First key.
     pub from: Vec<u8>,
-    /// ... up to, and without, this one.
+    /// End of the range (exclusive).
     pub to: Vec<u8>,
-    /// As of this revision; the present one where it is 0.
+    /// The revision to read at; 0 for the present one.
     pub revision: Revision,
-    /// Most keys in the answer.
+    /// Most keys in the response.
     pub limit: u64,
-    /// Whether an endpoint may answer from what it has, without asking the others.
+    /// Whether an endpoint may answer from its own state, without a quorum.
     pub serializable: bool,
 }
 
 impl Range {
-    /// The call's body.
+    /// The request body.
     pub fn body(&self) -> Vec<u8> {
         #[derive(Serialize)]
         struct Body {
@@ -252,19 +255,19 @@
     }
 }
 
-/// One key to be written, if nobody else has done so meanwhile.
+/// A conditional write of one key: it fails if another client has changed the key meanwhile.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
     /// The key.
     pub key: Vec<u8>,
-    /// The revision that wrote it last, as far as is known; 0 where it was not there.
+    /// The revision that last changed the key, as far as is known; 0 if the key did not exist.
     pub revision: Revision,
-    /// Its new value; deleted where there is none.
+    /// The new value; none deletes the key.
     pub value: Option<Vec<u8>>,
 }
 
-/// The body of a transaction that makes all of these writes, or none where one of the keys is not as its revision
-/// left it.
+/// The request body of a transaction that makes all of these writes, or none if one of the keys has changed
+/// since its revision.
 pub fn transaction_body(writes: &[Write]) -> Vec<u8> {
     let compare = |write: &Write| {
         serde_json::json!({"key": STANDARD.encode(&write.key), "target": "MOD", "result": "EQUAL",
@@ -282,71 +285,71 @@
     serde_json::to_vec(&serde_json::json!({"compare": compares, "success": steps})).unwrap_or_default()
 }
 
-/// Reads the answer to a transaction: whether it was carried out.
+/// Parses the response to a transaction: whether it was carried out.
 pub fn parse_transaction(body: &[u8]) -> Result<bool, Refusal> {
     #[derive(Default, Deserialize)]
     #[serde(default)]
-    struct Written {
+    struct TransactionResponse {
         succeeded: bool,
     }
-    decode::<Written>(body, false).map(|written| written.succeeded)
+    decode::<TransactionResponse>(body, false).map(|response| response.succeeded)
 }
 
-/// The body of a call for a token.
+/// The request body for a token.
 pub fn login_body(user: &str, password: &str) -> Vec<u8> {
     serde_json::to_vec(&serde_json::json!({"name": user, "password": password})).unwrap_or_default()
 }
 
-/// Reads the answer to a call for a token.
+/// Parses the response to a token request.
 pub fn parse_token(body: &[u8]) -> Result<String, Refusal> {
     #[derive(Default, Deserialize)]
     #[serde(default)]
-    struct Given {
+    struct TokenResponse {
         token: String,
     }
-    match decode::<Given>(body, false)?.token {
-        token if token.is_empty() => Err(Refusal::Malformed("no token".into())),
-        token if token.len() > LONGEST_TOKEN => Err(Refusal::Malformed("a token far too long".into())),
+    match decode::<TokenResponse>(body, false)?.token {
+        token if token.is_empty() => Err(Refusal::Malformed("no token in the response".into())),
+        token if token.len() > MAX_TOKEN_BYTES => Err(Refusal::Malformed("token too long".into())),
         token => Ok(token),
     }
 }
 
-/// A lease as the registry tells of it; all zero in the answer to a call that only says that it was done.
+/// A lease in a response; all zero in responses that only acknowledge a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct LeaseGrant {
-    /// Its number.
+    /// The lease's id.
     #[serde(rename = "ID", deserialize_with = "number")]
     pub id: u64,
-    /// Its length, or what is left of it (seconds); 0 for one that is over.
+    /// Its TTL, or what is left of it (seconds); 0 if it has expired.
     #[serde(rename = "TTL", deserialize_with = "number")]
-    pub length: u64,
+    pub ttl: u64,
 }
 
-/// The body of a call for a lease of so many seconds.
-pub fn grant_body(length: u64) -> Vec<u8> {
-    serde_json::to_vec(&serde_json::json!({"TTL": length.to_string()})).unwrap_or_default()
+/// The request body for a lease of `ttl` seconds.
+pub fn grant_body(ttl: u64) -> Vec<u8> {
+    serde_json::to_vec(&serde_json::json!({"TTL": ttl.to_string()})).unwrap_or_default()
 }
 
-/// The body of a call about a lease.
+/// The request body of a call about a lease.
 pub fn lease_body(id: u64) -> Vec<u8> {
     serde_json::to_vec(&serde_json::json!({"ID": id.to_string()})).unwrap_or_default()
 }
 
-/// The body of a call that puts a key under a lease.
+/// The request body that puts a key under a lease.
 pub fn put_body(key: &[u8], value: &[u8], lease: u64) -> Vec<u8> {
     let body = serde_json::json!({"key": STANDARD.encode(key), "value": STANDARD.encode(value),
         "lease": lease.to_string()});
     serde_json::to_vec(&body).unwrap_or_default()
 }
 
-/// Reads the answer to a call about a lease, or to one that only says that it was done. That to a call which keeps
-/// one alive is a line of a stream, like a watch's.
+/// Parses the response to a lease call, or to a call that is only acknowledged. The response to a keep-alive
+/// is a line of a stream, like that of a watch.
 pub fn parse_lease(body: &[u8], stream: bool) -> Result<LeaseGrant, Refusal> {
     decode(body, stream)
 }
 
-/// The body of a call that watches all keys from one up to another, from a revision on.
+/// The request body of a watch on all keys from `from` to `to` (exclusive), starting with a revision.
 pub fn watch_body(from: &[u8], to: &[u8], revision: Revision) -> Vec<u8> {
     let create = serde_json::json!({"create_request": {
         "key": STANDARD.encode(from),
@@ -358,7 +361,7 @@
     serde_json::to_vec(&create).unwrap_or_default()
 }
 
-/// The end of a range of all keys that begin with a prefix.
+/// The end of the range of all keys that begin with a prefix.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
@@ -367,6 +370,6 @@
             return end;
         }
     }
-    // All keys there are.
+    // No upper bound.
     vec![0]
 }
--- a/crates/registry/tests/form.rs
+++ b/crates/registry/tests/form.rs
@@ -1,4 +1,4 @@
-//! The form of calls, answers, members and drains: what is understood, and what is told of the rest.
+//! Decoding of responses, members and drains, and the errors for malformed input; backoff of endpoints.
 
 use registry::schema::{parse_member, Members};
 use registry::wire::{parse_page, parse_watch_message, prefix_end, Kind, Range, Refusal};
@@ -6,7 +6,7 @@
 use routing::interface::Phase;
 
 #[test]
-fn answers_are_read_as_the_gateway_writes_them() {
+fn responses_of_the_gateway_are_decoded() {
     let body = br#"{"header":{"cluster_id":"14841639068965178418","member_id":"1","revision":"9","raft_term":"2"},
         "kvs":[{"key":"L2YvYQ==","create_revision":"2","mod_revision":"9","version":"3","value":"eA==","lease":"0"}],
         "more":true,"count":"2"}"#;
@@ -16,12 +16,12 @@
     let line =
         br#"{"result":{"header":{"revision":"10"},"events":[{"kv":{"key":"L2YvYQ==","mod_revision":"10"}},
         {"type":"DELETE","kv":{"key":"L2YvYg==","mod_revision":"10"}}]}}"#;
-    let told = parse_watch_message(line).unwrap();
-    assert_eq!((told.events[0].kind, told.events[1].kind), (Kind::Put, Kind::Delete));
+    let changes = parse_watch_message(line).unwrap();
+    assert_eq!((changes.events[0].kind, changes.events[1].kind), (Kind::Put, Kind::Delete));
 }
 
 #[test]
-fn an_error_is_one_whatever_its_status_says() {
+fn errors_are_recognized_by_their_body() {
     let compacted = br#"{"error":"etcdserver: mvcc: required revision has been compacted","code":11,
         "message":"etcdserver: mvcc: required revision has been compacted"}"#;
     assert_eq!(parse_page(compacted), Err(Refusal::Compacted));
@@ -29,16 +29,20 @@
     assert!(matches!(parse_page(future), Err(Refusal::Other(_))));
     let token = br#"{"error":{"grpc_code":16,"code":16,"message":"etcdserver: invalid auth token"}}"#;
     assert_eq!(parse_watch_message(token), Err(Refusal::Unauthenticated));
-    for bad in
+    for malformed in
         [&b"<html>"[..], b"\xff", b"[]", br#"{"header":{"revision":"x"}}"#, br#"{"kvs":[{"key":"!"}]}"#]
     {
-        assert!(matches!(parse_page(bad), Err(Refusal::Malformed(_))), "{}", String::from_utf8_lossy(bad));
+        assert!(
+            matches!(parse_page(malformed), Err(Refusal::Malformed(_))),
+            "{}",
+            String::from_utf8_lossy(malformed)
+        );
     }
     assert!(matches!(parse_watch_message(br#"{"other":1}"#), Err(Refusal::Malformed(_))));
 }
 
 #[test]
-fn a_prefix_ends_where_its_last_byte_can_grow() {
+fn prefix_end_increments_the_last_byte_below_ff() {
     assert_eq!(prefix_end(b"/f/"), b"/f0");
     assert_eq!(prefix_end(b"a\xff\xff"), b"b");
     assert_eq!(prefix_end(b"\xff"), [0]);
@@ -51,12 +55,12 @@
 }
 
 #[test]
-fn a_member_is_understood_or_the_fault_is_told() {
+fn members_are_parsed_or_rejected_with_the_error() {
     let value =
         br#"{"v":1,"address":"10.1.0.18:5432","zone":"a","group":3,"status":"DRAINING","since_ms":1500}"#;
     let listing = parse_member("s-1", value).unwrap();
     assert_eq!((listing.group, listing.phase, listing.started_at), (3, Phase::Leaving, 1.5));
-    for (bad, words) in [
+    for (malformed, text) in [
         (&b"x"[..], "expected value"),
         (b"\xff", "expected value"),
         (br#"{"v":2,"address":"10.1.0.18:5432"}"#, "version 2; accepted: 1"),
@@ -65,13 +69,13 @@
         (br#"{"v":1,"address":"10.1.0.18:5432","status":"ASLEEP"}"#, "unknown variant `ASLEEP`"),
         (&[b' '; 5_000], "5000 bytes; at most 4096"),
     ] {
-        let fault = parse_member("s-1", bad).unwrap_err();
-        assert!(fault.contains(words), "{fault}");
+        let error = parse_member("s-1", malformed).unwrap_err();
+        assert!(error.contains(text), "{error}");
     }
 }
 
-/// A machine that has read a view of these keys.
-fn following(keys: &[(&str, &str)]) -> RegistrySync {
+/// A state machine that has read a view of these keys.
+fn sync_with_view(keys: &[(&str, &str)]) -> RegistrySync {
     let endpoints = Endpoints::new(1, Pacing::default(), 1, 0.0);
     let mut sync = RegistrySync::new(b"/f/".to_vec(), endpoints, SyncConfig::default(), View::default());
     let mut out = Vec::new();
@@ -91,43 +95,44 @@
 }
 
 #[test]
-fn drains_are_laid_over_members_and_a_bad_value_keeps_what_was() {
-    let good = r#"{"v":1,"address":"127.0.0.1:1"}"#;
+fn drains_override_members_and_a_malformed_value_keeps_the_last_valid_one() {
+    let valid = r#"{"v":1,"address":"127.0.0.1:1"}"#;
     let mut members = Members::default();
-    let view = following(&[("/f/members/a", good), ("/f/members/b", good), ("/f/drains/b", "why")]);
-    let told = members.update("/f", view.view(), None);
-    let phases: Vec<(String, Phase)> = told.iter().map(|l| (l.name.to_string(), l.phase)).collect();
+    let view = sync_with_view(&[("/f/members/a", valid), ("/f/members/b", valid), ("/f/drains/b", "why")]);
+    let changes = members.update("/f", view.view(), None);
+    let phases: Vec<(String, Phase)> = changes.iter().map(|l| (l.name.to_string(), l.phase)).collect();
     assert_eq!(phases, [("a".into(), Phase::Active), ("b".into(), Phase::Leaving)]);
-    // b's value is spoilt and its drain is lifted at once: it is active, as its last good value says.
-    let view = following(&[("/f/members/a", good), ("/f/members/b", "spoilt")]);
-    let told = members.update("/f", view.view(), None);
+    // The value of b becomes malformed and its drain is removed at the same time: b is active, as its last
+    // valid value says.
+    let view = sync_with_view(&[("/f/members/a", valid), ("/f/members/b", "malformed")]);
+    let changes = members.update("/f", view.view(), None);
     assert_eq!(
-        told.iter().map(|l| (l.name.to_string(), l.phase)).collect::<Vec<_>>(),
+        changes.iter().map(|l| (l.name.to_string(), l.phase)).collect::<Vec<_>>(),
         [("b".into(), Phase::Active)]
     );
     assert_eq!(members.malformed().count(), 1);
-    // A drain of nobody, and a member that goes: only the latter is told.
-    let view = following(&[("/f/members/b", good), ("/f/drains/c", "")]);
-    let told = members.update("/f", view.view(), None);
+    // A drain without a member, and a member that was removed: only the latter is reported.
+    let view = sync_with_view(&[("/f/members/b", valid), ("/f/drains/c", "")]);
+    let changes = members.update("/f", view.view(), None);
     assert_eq!(
-        told.iter().map(|l| (l.name.to_string(), l.phase)).collect::<Vec<_>>(),
+        changes.iter().map(|l| (l.name.to_string(), l.phase)).collect::<Vec<_>>(),
         [("a".into(), Phase::Left)]
     );
     assert_eq!((members.malformed().count(), members.all().count()), (0, 1));
 }
 
 #[test]
-fn full_jitter_spreads_over_the_whole_span_and_the_budget_holds() {
-    let pace = Pacing { first_delay: 1.0, max_delay: 8.0, burst: 2.0, rate: 0.5, jitter: true };
-    let mut waits = Vec::new();
+fn full_jitter_covers_the_whole_delay_and_the_budget_is_kept() {
+    let pacing = Pacing { first_delay: 1.0, max_delay: 8.0, burst: 2.0, rate: 0.5, jitter: true };
+    let mut delays = Vec::new();
     for seed in 0..400 {
-        let mut endpoints = Endpoints::new(1, pace, seed, 0.0);
+        let mut endpoints = Endpoints::new(1, pacing, seed, 0.0);
         (0..4).for_each(|_| endpoints.record_failure(0.0));
-        waits.push(endpoints.next_call_at(0.0));
+        delays.push(endpoints.next_call_at(0.0));
     }
-    let mean = waits.iter().sum::<f64>() / waits.len() as f64;
-    assert!((3.5..4.5).contains(&mean) && waits.iter().all(|wait| *wait <= 8.0), "{mean}");
-    let mut endpoints = Endpoints::new(3, pace, 1, 0.0);
+    let mean = delays.iter().sum::<f64>() / delays.len() as f64;
+    assert!((3.5..4.5).contains(&mean) && delays.iter().all(|delay| *delay <= 8.0), "{mean}");
+    let mut endpoints = Endpoints::new(3, pacing, 1, 0.0);
     let times: Vec<f64> = (0..6).map(|_| endpoints.next_call_at(0.0)).collect();
-    assert_eq!(times, [0.0, 0.0, 2.0, 4.0, 6.0, 8.0], "two at once, then one in two seconds");
+    assert_eq!(times, [0.0, 0.0, 2.0, 4.0, 6.0, 8.0], "a burst of two, then one every two seconds");
 }
