--- a/crates/directory/src/channel.rs
+++ b/crates/directory/src/channel.rs
@@ -1,5 +1,6 @@
-//! Seals what is sent and opens what has come: of this directory, of a process that holds the key, to this start, and not
-//! seen before. What is not is dropped and counted by its [`Fault`].
+//! Seals outgoing messages and opens incoming ones. A message is accepted only if it belongs to this
+//! directory, comes from a process that has the key, is addressed to this incarnation and has not been
+//! received before. Others are dropped and counted by their [`Fault`].
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,9 +11,9 @@
 use crate::message::{self, Body, DecodeError, Header};
 use crate::timing::{bounds, Millis};
 
-/// Words of a window: numbers so many times 64 below the highest are told apart.
+/// Words of 64 bits in a replay window.
 const WINDOW_WORDS: usize = 4;
-/// Numbers that a window tells apart; older ones count as seen.
+/// Message numbers below the highest that a replay window covers; lower numbers count as replayed.
 const WINDOW: u64 = WINDOW_WORDS as u64 * 64;
 
 /// Why a datagram was dropped.
@@ -20,19 +21,19 @@
 pub enum Fault {
     /// Longer than [`bounds::MAX_DATAGRAM_BYTES`].
     TooLong,
-    /// Sealed by no key that is held here.
+    /// Sealed with none of the keys of this process.
     Key,
-    /// Of no known form, though the seal is right.
+    /// Malformed, though the seal is valid.
     Malformed,
-    /// Of another version.
+    /// Of an unsupported version.
     Version,
-    /// Its sender has another list of control instances, or other terms.
+    /// Its sender has another list of control instances, or other timing.
     Directory,
-    /// Of an earlier start of its sender, or to an earlier start of this process.
+    /// Of an earlier incarnation of its sender, or addressed to an earlier incarnation of this process.
     Incarnation,
-    /// Seen before.
+    /// Received before (replayed or duplicated).
     Replayed,
-    /// From a process that has no part in what it says.
+    /// From a process whose role does not permit this message.
     Sender,
 }
 
@@ -53,22 +54,22 @@
 
 impl std::error::Error for Fault {}
 
-/// Message numbers of one sender.
+/// Replay window: the message numbers received from one sender.
 #[derive(Debug)]
-struct Window {
+struct ReplayWindow {
     incarnation: u64,
     highest: u64,
     seen: [u64; WINDOW_WORDS],
-    heard: Millis,
+    last_heard_at: Millis,
 }
 
-impl Window {
-    fn new(incarnation: u64) -> Window {
-        Window { incarnation, highest: 0, seen: [0; WINDOW_WORDS], heard: 0 }
+impl ReplayWindow {
+    fn new(incarnation: u64) -> ReplayWindow {
+        ReplayWindow { incarnation, highest: 0, seen: [0; WINDOW_WORDS], last_heard_at: 0 }
     }
 
-    /// Notes a number; false where it was seen, or is too old to tell.
-    fn take(&mut self, number: u64) -> bool {
+    /// Records a message number. Returns false if it was received before, or is too old to tell.
+    fn accept(&mut self, number: u64) -> bool {
         let slot = |number: u64| ((number / 64) as usize % WINDOW_WORDS, 1u64 << (number % 64));
         if number > self.highest {
             let passed = (self.highest + 1)..=number;
@@ -85,67 +86,75 @@
             return false;
         }
         let (word, bit) = slot(number);
-        let fresh = self.seen[word] & bit == 0;
+        let is_new = self.seen[word] & bit == 0;
         self.seen[word] |= bit;
-        fresh
+        is_new
     }
 }
 
-/// The way to and from all other processes.
+/// Seals and opens the messages that one process exchanges with all others.
 #[derive(Debug)]
 pub struct Channel {
-    me: ProcessId,
+    process: ProcessId,
     directory: u32,
     keys: Keys,
-    sent: u64,
-    windows: BTreeMap<u64, Window>,
+    last_number: u64,
+    replay_windows: BTreeMap<u64, ReplayWindow>,
     faults: BTreeMap<Fault, u64>,
 }
 
 impl Channel {
-    /// The channel of a process.
-    pub fn new(me: ProcessId, directory: u32, keys: Keys) -> Channel {
-        Channel { me, directory, keys, sent: 0, windows: BTreeMap::new(), faults: BTreeMap::new() }
+    /// A channel for the process `me`.
+    pub fn new(process: ProcessId, directory: u32, keys: Keys) -> Channel {
+        Channel {
+            process,
+            directory,
+            keys,
+            last_number: 0,
+            replay_windows: BTreeMap::new(),
+            faults: BTreeMap::new(),
+        }
     }
 
-    /// Whose it is.
+    /// The identity of this process.
     pub fn process_id(&self) -> ProcessId {
-        self.me
+        self.process
     }
 
-    /// Seals a message to a start of another process, 0 for any; its number and its bytes.
+    /// Seals a message to incarnation `to` of another process, 0 for any incarnation. Returns its number and
+    /// its bytes.
     pub fn seal(&mut self, to: u64, body: &Body) -> (u64, Vec<u8>) {
-        self.sent += 1;
+        self.last_number += 1;
         let header = Header {
             version: message::VERSION,
             directory: self.directory,
-            from: self.me,
+            from: self.process,
             to,
-            number: self.sent,
+            number: self.last_number,
         };
-        (self.sent, self.keys.seal(message::encode(&header, body)))
+        (self.last_number, self.keys.seal(message::encode(&header, body)))
     }
 
-    /// Opens a datagram.
+    /// Opens and checks a datagram.
     pub fn open(&mut self, now: Millis, bytes: &[u8]) -> Result<(Header, Body), Fault> {
-        let opened = self.opened(now, bytes);
-        if let Err(fault) = opened {
+        let result = self.open_checked(now, bytes);
+        if let Err(fault) = result {
             self.count(fault);
         }
-        opened
+        result
     }
 
-    /// Notes that a datagram was dropped.
+    /// Counts a dropped datagram.
     pub fn count(&mut self, fault: Fault) {
         *self.faults.entry(fault).or_default() += 1;
     }
 
-    /// How many datagrams were dropped, by their faults.
+    /// Number of dropped datagrams by fault.
     pub fn faults(&self) -> &BTreeMap<Fault, u64> {
         &self.faults
     }
 
-    fn opened(&mut self, now: Millis, bytes: &[u8]) -> Result<(Header, Body), Fault> {
+    fn open_checked(&mut self, now: Millis, bytes: &[u8]) -> Result<(Header, Body), Fault> {
         if bytes.len() > bounds::MAX_DATAGRAM_BYTES {
             return Err(Fault::TooLong);
         }
@@ -157,29 +166,36 @@
         if header.directory != self.directory {
             return Err(Fault::Directory);
         }
-        if header.to != 0 && header.to != self.me.incarnation {
+        if header.to != 0 && header.to != self.process.incarnation {
             return Err(Fault::Incarnation);
         }
-        self.note(now, &header)?;
+        self.check_replay(now, &header)?;
         Ok((header, body))
     }
 
-    /// Guards against what is sent again by the network, or by somebody who has recorded it.
-    fn note(&mut self, now: Millis, header: &Header) -> Result<(), Fault> {
+    /// Guards against datagrams that the network duplicates or an attacker has recorded and replays.
+    fn check_replay(&mut self, now: Millis, header: &Header) -> Result<(), Fault> {
         let incarnation = header.from.incarnation;
-        if !self.windows.contains_key(&header.from.name) && self.windows.len() >= bounds::SENDERS {
-            let oldest = self.windows.iter().min_by_key(|(_, window)| window.heard).map(|(name, _)| *name);
-            oldest.and_then(|name| self.windows.remove(&name));
+        if !self.replay_windows.contains_key(&header.from.name)
+            && self.replay_windows.len() >= bounds::SENDERS
+        {
+            let oldest = self
+                .replay_windows
+                .iter()
+                .min_by_key(|(_, window)| window.last_heard_at)
+                .map(|(name, _)| *name);
+            oldest.and_then(|name| self.replay_windows.remove(&name));
         }
-        let window = self.windows.entry(header.from.name).or_insert_with(|| Window::new(incarnation));
+        let window =
+            self.replay_windows.entry(header.from.name).or_insert_with(|| ReplayWindow::new(incarnation));
         if incarnation < window.incarnation {
             return Err(Fault::Incarnation);
         }
         if incarnation > window.incarnation {
-            *window = Window::new(incarnation);
+            *window = ReplayWindow::new(incarnation);
         }
-        window.heard = now;
-        if window.take(header.number) {
+        window.last_heard_at = now;
+        if window.accept(header.number) {
             Ok(())
         } else {
             Err(Fault::Replayed)
--- a/crates/directory/src/client/claims.rs
+++ b/crates/directory/src/client/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of sessions: begun where one arrives, repeated, complete or given up.
+//! Claims of sessions: starting, retransmitting, completing and giving them up.
 
 use super::{Client, PrimaryReason};
 use crate::channel::Fault;
@@ -9,13 +9,13 @@
 use crate::session::{Claim, Session};
 use crate::timing::{bounds, Millis};
 
-/// A claim that was given up is begun anew after a random part of this (ms), doubled with each failure.
+/// A failed claim is started again after a random part of this time (ms), doubled with each failure.
 const FIRST_BACKOFF: Millis = 50;
 
 impl Client {
-    /// Whether a session is owned; claims it where it is not.
-    pub(super) fn own(&mut self, now: Millis, key: SessionKey) -> Result<(), PrimaryReason> {
-        if self.left {
+    /// Checks that a session is owned; claims it if it is not.
+    pub(super) fn ensure_owned(&mut self, now: Millis, key: SessionKey) -> Result<(), PrimaryReason> {
+        if self.has_left {
             return Err(PrimaryReason::Left);
         }
         if !self.sessions.contains_key(&key) && !self.open_session(now, key) {
@@ -23,55 +23,56 @@
         }
         self.advance(now, key);
         let Some(session) = self.sessions.get_mut(&key) else { return Err(PrimaryReason::LimitReached) };
-        session.used = now;
+        session.used_at = now;
         let group = session.group;
         let lapsed = session.claim.as_ref().is_some_and(|claim| claim.completed);
         let Some(session) = self.sessions.get(&key) else { return Err(PrimaryReason::LimitReached) };
         if self.owns(now, session) {
-            self.complete_members(now, key);
+            self.resend_to_missing_members(now, key);
             return Ok(());
         }
         if !self.has_quorum(now, group) {
             return Err(PrimaryReason::NoQuorum);
         }
         match &session.claim {
-            // A late answer has named one more former owner.
-            Some(claim) if !claim.is_settled() => Err(PrimaryReason::FormerOwner),
+            // A late reply has named another former owner.
+            Some(claim) if !claim.all_resolved() => Err(PrimaryReason::FormerOwner),
             Some(_) if !lapsed => Err(PrimaryReason::Claiming),
             None if now < session.retry_at => Err(PrimaryReason::Claiming),
-            _ => Err(self.begin_claim(now, key)),
+            _ => Err(self.start_claim(now, key)),
         }
     }
 
-    /// Whether a session that is not owned yet will be before a deadline, come what may.
-    pub(super) fn will_own(&self, now: Millis, key: SessionKey, deadline: Millis) -> bool {
+    /// Whether a session that is not owned yet is certain to be owned before `deadline`.
+    pub(super) fn will_own_by(&self, now: Millis, key: SessionKey, deadline: Millis) -> bool {
         let Some(session) = self.sessions.get(&key) else { return false };
         let Some(claim) = &session.claim else { return false };
-        self.valid_until(session.group, claim) > now && claim.settled_at() < deadline
+        self.valid_until(session.group, claim) > now && claim.resolved_at_latest() < deadline
     }
 
-    /// Whether a session is owned.
+    /// Whether this pooler owns a session.
     pub(super) fn owns(&self, now: Millis, session: &Session) -> bool {
         session.claim.as_ref().is_some_and(|claim| {
-            claim.completed && claim.is_settled() && self.valid_until(session.group, claim) > now
+            claim.completed && claim.all_resolved() && self.valid_until(session.group, claim) > now
         })
     }
 
-    /// Whether enough members of a group have granted a lease.
+    /// Whether leases at a quorum of a group's members are valid.
     pub(super) fn has_quorum(&self, now: Millis, group: usize) -> bool {
         let members = self.placement.members(group).iter();
-        let live = members.filter(|machine| self.leases[**machine].until(&self.terms) > now);
-        live.count() >= self.placement.quorum()
+        let valid = members.filter(|instance| self.leases[**instance].ends_at(&self.timing) > now);
+        valid.count() >= self.placement.quorum()
     }
 
-    /// The members of a group that hold a claim under their present lease: until when that lasts, and their floors.
+    /// The members of a group that hold a claim under their present lease: the end of the lease and the
+    /// member's floor.
     fn holders(&self, group: usize, claim: &Claim) -> impl Iterator<Item = (Millis, Millis)> + '_ {
-        let (recorded, floors) = (claim.recorded, claim.floors);
+        let (recorded_under, floors) = (claim.recorded_under, claim.floors);
         let members = self.placement.members(group).iter().enumerate();
-        members.filter_map(move |(slot, machine)| {
-            let lease = &self.leases[*machine];
-            let holds = recorded[slot].is_some() && recorded[slot] == lease.term();
-            holds.then(|| (lease.until(&self.terms), floors[slot]))
+        members.filter_map(move |(slot, instance)| {
+            let lease = &self.leases[*instance];
+            let holds = recorded_under[slot].is_some() && recorded_under[slot] == lease.term();
+            holds.then(|| (lease.ends_at(&self.timing), floors[slot]))
         })
     }
 
@@ -83,11 +84,12 @@
         until[self.placement.quorum() - 1]
     }
 
-    /// Owners that are not named wrote before this time: each had a quorum, and any quorum has a member that knew of it.
+    /// Owners that no member has named wrote before this time: each owner had a quorum, and any two quorums
+    /// share a member, which knew of that owner.
     fn floor(&self, now: Millis, group: usize, claim: &Claim) -> Millis {
         let mut floors = [Millis::MAX; MAX_GROUP_MEMBERS];
         let holders = self.holders(group, claim).filter(|(until, _)| *until > now);
-        holders.zip(&mut floors).for_each(|((_, told), floor)| *floor = told);
+        holders.zip(&mut floors).for_each(|((_, member_floor), floor)| *floor = member_floor);
         floors.sort_unstable();
         floors[self.placement.quorum() - 1]
     }
@@ -97,24 +99,25 @@
             return false;
         }
         let mut session = Session::new(now, self.placement.group(key));
-        // It may be one that was forgotten here.
-        session.marks.raise(self.forgotten);
+        // The session may be one that was released earlier.
+        session.watermark.raise(self.released_position);
         self.sessions.insert(key, session);
-        self.resting.push_back((now + bounds::IDLE_RETENTION, key));
+        self.idle_checks.push_back((now + bounds::IDLE_RETENTION, key));
         true
     }
 
-    fn begin_claim(&mut self, now: Millis, key: SessionKey) -> PrimaryReason {
-        if self.repeats.len() >= bounds::CLAIMS {
+    fn start_claim(&mut self, now: Millis, key: SessionKey) -> PrimaryReason {
+        if self.claim_timers.len() >= bounds::CLAIMS {
             return PrimaryReason::LimitReached;
         }
         let Some(session) = self.sessions.get_mut(&key) else { return PrimaryReason::LimitReached };
         session.drop_claim();
-        // Guards against a claim that is turned down because a session has had owners before: whoever claimed it then did
-        // so at an earlier time, whatever this pooler knows of that.
-        session.highest = now.max(session.highest + 1);
-        let claim = Claim::new(now, session.highest, bounds::FIRST_RETRY_DELAY);
-        self.repeats.insert((claim.repeat_at, key));
+        // Guards against a claim that is rejected because the session had other owners before: their counters
+        // came from an earlier time, so a counter of at least the present time is higher, even if this pooler
+        // does not know theirs.
+        session.highest_counter = now.max(session.highest_counter + 1);
+        let claim = Claim::new(now, session.highest_counter, bounds::FIRST_RETRY_DELAY);
+        self.claim_timers.insert((claim.resend_at, key));
         session.claim = Some(claim);
         self.counts.claims += 1;
         self.send_claim(now, key);
@@ -127,10 +130,11 @@
         let Some(claim) = &session.claim else { return };
         let body = Body::Claim { session: key, counter: claim.counter };
         let mut to = Vec::new();
-        for (slot, machine) in self.placement.members(session.group).iter().enumerate() {
-            let lease = &self.leases[*machine];
-            let open = claim.recorded[slot].is_none() || claim.recorded[slot] != lease.term();
-            if let Some(term) = lease.term().filter(|_| open && lease.until(&self.terms) > now) {
+        for (slot, instance) in self.placement.members(session.group).iter().enumerate() {
+            let lease = &self.leases[*instance];
+            let unrecorded =
+                claim.recorded_under[slot].is_none() || claim.recorded_under[slot] != lease.term();
+            if let Some(term) = lease.term().filter(|_| unrecorded && lease.ends_at(&self.timing) > now) {
                 to.push((lease.address, term.incarnation));
             }
         }
@@ -139,120 +143,127 @@
         }
     }
 
-    fn ask_formers(&mut self, key: SessionKey) {
+    fn request_handovers(&mut self, key: SessionKey) {
         let Some(claim) = self.sessions.get(&key).and_then(|session| session.claim.as_ref()) else { return };
         let counter = claim.counter;
-        let open: Vec<(std::net::SocketAddr, Ballot)> = claim
-            .formers
+        let unresolved: Vec<(std::net::SocketAddr, Ballot)> = claim
+            .former_owners
             .iter()
-            .filter(|former| !former.settled)
+            .filter(|former| !former.resolved)
             .map(|former| (former.address, former.ballot))
             .collect();
-        for (address, former) in open {
+        for (address, former) in unresolved {
             let body = Body::Handover { session: key, counter, former };
             self.send(address, former.owner.incarnation, &body);
         }
     }
 
-    /// The time to look at a claim again has come.
-    pub(super) fn repeat(&mut self, now: Millis, key: SessionKey, at: Millis) {
+    /// Handles the retransmission timer of a claim.
+    pub(super) fn resend(&mut self, now: Millis, key: SessionKey, at: Millis) {
         self.advance(now, key);
         let Some(session) = self.sessions.get(&key) else { return };
-        let Some(claim) = session.claim.as_ref().filter(|claim| claim.repeat_at == at) else { return };
-        let recorded = self.valid_until(session.group, claim) > now;
-        let given_up = now >= claim.begun + bounds::CLAIM_TIMEOUT;
-        if given_up && !recorded && !claim.completed {
-            return self.fail(now, key);
+        let Some(claim) = session.claim.as_ref().filter(|claim| claim.resend_at == at) else { return };
+        let is_recorded = self.valid_until(session.group, claim) > now;
+        let given_up = now >= claim.started_at + bounds::CLAIM_TIMEOUT;
+        if given_up && !is_recorded && !claim.completed {
+            return self.fail_claim(now, key);
         }
-        if given_up && recorded && claim.is_settled() {
+        if given_up && is_recorded && claim.all_resolved() {
             // A member that does not answer is asked again when the session is used.
             return;
         }
-        let settled = claim.is_settled();
+        let resolved = claim.all_resolved();
         self.send_claim(now, key);
-        if !settled {
-            self.ask_formers(key);
+        if !resolved {
+            self.request_handovers(key);
         }
-        self.schedule(now, key);
+        self.schedule_resend(now, key);
     }
 
-    fn schedule(&mut self, now: Millis, key: SessionKey) {
+    fn schedule_resend(&mut self, now: Millis, key: SessionKey) {
         let Some(claim) = self.sessions.get_mut(&key).and_then(|session| session.claim.as_mut()) else {
             return;
         };
-        let missing = claim.recorded.iter().filter(|recorded| recorded.is_some()).count()
+        let missing = claim.recorded_under.iter().filter(|term| term.is_some()).count()
             < self.placement.members(0).len();
-        if claim.completed && claim.is_settled() && !missing {
+        if claim.completed && claim.all_resolved() && !missing {
             return;
         }
-        claim.repeat_after = (2 * claim.repeat_after).min(bounds::MAX_RETRY_DELAY);
-        claim.repeat_at = now + claim.repeat_after;
-        let next = claim.formers.iter().filter(|former| !former.settled).map(|former| former.over_at).min();
-        claim.repeat_at = next.map_or(claim.repeat_at, |over| claim.repeat_at.min(over.max(now + 1)));
-        self.repeats.insert((claim.repeat_at, key));
+        claim.resend_delay = (2 * claim.resend_delay).min(bounds::MAX_RETRY_DELAY);
+        claim.resend_at = now + claim.resend_delay;
+        let next_end = claim
+            .former_owners
+            .iter()
+            .filter(|former| !former.resolved)
+            .map(|former| former.lease_ends_at)
+            .min();
+        claim.resend_at = next_end.map_or(claim.resend_at, |end| claim.resend_at.min(end.max(now + 1)));
+        self.claim_timers.insert((claim.resend_at, key));
     }
 
-    /// Asks members that have not recorded a claim, or have lost it, where it has not been done lately.
-    fn complete_members(&mut self, now: Millis, key: SessionKey) {
+    /// Sends the claim again to members that have not recorded it, or have lost it, unless that was done
+    /// recently.
+    fn resend_to_missing_members(&mut self, now: Millis, key: SessionKey) {
         let Some(session) = self.sessions.get(&key) else { return };
         let Some(claim) = &session.claim else { return };
         let members = self.placement.members(session.group).iter().enumerate();
-        let open = |(slot, machine): (usize, &usize)| {
-            let term = self.leases[*machine].term();
-            term.is_some() && claim.recorded[slot] != term
+        let unrecorded = |(slot, instance): (usize, &usize)| {
+            let term = self.leases[*instance].term();
+            term.is_some() && claim.recorded_under[slot] != term
         };
-        if claim.repeat_at + bounds::CLAIM_TIMEOUT > now || !members.into_iter().any(open) {
+        if claim.resend_at + bounds::CLAIM_TIMEOUT > now || !members.into_iter().any(unrecorded) {
             return;
         }
-        if self.repeats.len() < bounds::CLAIMS {
+        if self.claim_timers.len() < bounds::CLAIMS {
             self.send_claim(now, key);
-            self.schedule(now, key);
+            self.schedule_resend(now, key);
         }
     }
 
-    /// Settles former owners whose leases are over, and notes whether a claim is complete.
+    /// Resolves former owners whose leases are over, and updates whether the claim is complete.
     pub(super) fn advance(&mut self, now: Millis, key: SessionKey) {
-        let terms = self.terms;
+        let timing = self.timing;
         let Some(session) = self.sessions.get_mut(&key) else { return };
         let Some(claim) = session.claim.as_mut() else { return };
-        if claim.settle_expired(now, &terms, &mut session.marks) {
+        if claim.resolve_expired(now, &timing, &mut session.watermark) {
             self.counts.expired_owners += 1;
         }
         let Some(session) = self.sessions.get(&key) else { return };
         let Some(claim) = &session.claim else { return };
         let floor = self.floor(now, session.group, claim);
-        let complete = claim.is_settled() && self.valid_until(session.group, claim) > now;
+        let complete = claim.all_resolved() && self.valid_until(session.group, claim) > now;
         let Some(claim) = self.sessions.get_mut(&key).and_then(|session| session.claim.as_mut()) else {
             return;
         };
-        // Before it is complete only those who hold the claim now count: another may own the session meanwhile.
+        // Until the claim is complete, only the members that hold it now count: another pooler may have owned
+        // the session meanwhile.
         claim.floor = if claim.completed { claim.floor.min(floor) } else { floor };
-        if !complete || (claim.completed && claim.reported == claim.formers.len()) {
+        if !complete || (claim.completed && claim.reported_count == claim.former_owners.len()) {
             return;
         }
-        self.completed(key);
+        self.mark_completed(key);
     }
 
-    fn completed(&mut self, key: SessionKey) {
+    fn mark_completed(&mut self, key: SessionKey) {
         let Some(session) = self.sessions.get_mut(&key) else { return };
         let group = session.group;
         session.failures = 0;
         let Some(claim) = session.claim.as_mut() else { return };
         self.counts.completed += u64::from(!claim.completed);
         claim.completed = true;
-        let reports = claim.reported < claim.formers.len();
-        claim.reported = claim.formers.len();
-        let notice = Notice::Settled { session: key, counter: claim.counter };
-        let recorded = claim.recorded;
-        for (slot, machine) in self.placement.members(group).iter().enumerate() {
-            if reports && recorded[slot].is_some() {
-                self.leases[*machine].notify(notice);
+        let reports = claim.reported_count < claim.former_owners.len();
+        claim.reported_count = claim.former_owners.len();
+        let notice = Notice::ClaimCompleted { session: key, counter: claim.counter };
+        let recorded_under = claim.recorded_under;
+        for (slot, instance) in self.placement.members(group).iter().enumerate() {
+            if reports && recorded_under[slot].is_some() {
+                self.leases[*instance].notify(notice);
             }
         }
     }
 
-    /// Gives a claim up; the next one is begun when the session is asked for, after a random while.
-    fn fail(&mut self, now: Millis, key: SessionKey) {
+    /// Gives up a claim; after a random delay, the next use of the session starts a new one.
+    fn fail_claim(&mut self, now: Millis, key: SessionKey) {
         let Some(session) = self.sessions.get_mut(&key) else { return };
         session.drop_claim();
         session.failures = (session.failures + 1).min(5);
@@ -261,8 +272,8 @@
         self.counts.failed += 1;
     }
 
-    /// A member has answered a claim.
-    pub(super) fn claim_replied(
+    /// Handles a member's reply to a claim.
+    pub(super) fn handle_claim_reply(
         &mut self,
         now: Millis,
         header: &Header,
@@ -270,32 +281,33 @@
         counter: u64,
         verdict: &ClaimVerdict,
     ) -> Result<(), Fault> {
-        let machine = self.placement.instance_index(header.from).ok_or(Fault::Sender)?;
+        let instance = self.placement.instance_index(header.from).ok_or(Fault::Sender)?;
         let Some(session) = self.sessions.get_mut(&key) else { return Ok(()) };
         let members = self.placement.members(session.group);
-        let slot = members.iter().position(|member| *member == machine).ok_or(Fault::Sender)?;
+        let slot = members.iter().position(|member| *member == instance).ok_or(Fault::Sender)?;
         let size = members.len();
         if let ClaimVerdict::Rejected { by } = verdict {
-            session.highest = session.highest.max(by.counter);
+            session.highest_counter = session.highest_counter.max(by.counter);
         }
         let Some(claim) = session.claim.as_mut().filter(|claim| claim.counter == counter) else {
             return Ok(());
         };
         match verdict {
-            ClaimVerdict::Accepted { term, formers, floor_age } => {
-                claim.recorded[slot] = Some(Term { incarnation: header.from.incarnation, number: *term });
-                let floor = now.saturating_add_signed(-floor_age) + self.terms.clock_error;
+            ClaimVerdict::Accepted { term, former_owners, floor_age } => {
+                claim.recorded_under[slot] =
+                    Some(Term { incarnation: header.from.incarnation, number: *term });
+                let floor = now.saturating_add_signed(-floor_age) + self.timing.clock_error;
                 claim.floors[slot] = floor;
-                self.named(now, key, formers);
+                self.add_former_owners(now, key, former_owners);
             }
-            ClaimVerdict::NoLease => self.leases[machine].lost(),
+            ClaimVerdict::NoLease => self.leases[instance].mark_lost(),
             ClaimVerdict::Rejected { .. } | ClaimVerdict::Full => {
                 claim.refused[slot] = true;
                 let refused = claim.refused.iter().filter(|refused| **refused).count();
-                // A later claim that one member has recorded will have been refused by no quorum.
+                // A later claim outranks this one at every member, so a single rejection is enough.
                 let later = matches!(verdict, ClaimVerdict::Rejected { .. });
                 if later || refused > size - self.placement.quorum() {
-                    self.fail(now, key);
+                    self.fail_claim(now, key);
                 }
             }
         }
@@ -303,17 +315,18 @@
         Ok(())
     }
 
-    /// A member has named former owners: those that are new are asked.
-    fn named(&mut self, now: Millis, key: SessionKey, formers: &[FormerOwner]) {
+    /// Adds the former owners that a member named, and asks new ones for a handover.
+    fn add_former_owners(&mut self, now: Millis, key: SessionKey, former_owners: &[FormerOwner]) {
         let me = self.channel.process_id();
         let Some(claim) = self.sessions.get_mut(&key).and_then(|session| session.claim.as_mut()) else {
             return;
         };
         let counter = claim.counter;
-        let others = formers.iter().take(bounds::FORMERS).filter(|former| former.ballot.owner != me);
-        let fresh: Vec<FormerOwner> =
+        let others =
+            former_owners.iter().take(bounds::FORMER_OWNERS).filter(|former| former.ballot.owner != me);
+        let new_owners: Vec<FormerOwner> =
             others.filter(|former| claim.add_former(now, former)).copied().collect();
-        for former in fresh {
+        for former in new_owners {
             let body = Body::Handover { session: key, counter, former: former.ballot };
             self.send(former.address, former.ballot.owner.incarnation, &body);
         }
--- a/crates/directory/src/lease.rs
+++ b/crates/directory/src/lease.rs
@@ -1,6 +1,6 @@
-//! Leases of poolers, from both sides. A pooler's lease at a control instance counts for the pooler from the sending of a
-//! heartbeat, for the control instance from its receipt and a margin longer. A quorum of those members of a group that have
-//! recorded a claim must have renewed theirs for the claim to hold.
+//! Leases of poolers, from both sides. A pooler counts its lease at a control instance from the sending of a
+//! heartbeat; the control instance counts it from the receipt and adds a margin. A claim is valid while a
+//! quorum of the group's members have recorded it under leases that are still valid.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -9,52 +9,52 @@
 use crate::message::{Notice, Revocation};
 use crate::timing::{bounds, Millis, Timing};
 
-/// One lease: the start of the control instance that granted it, and its number there.
+/// Identifies a lease: the incarnation of the control instance that granted it, and its number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Term {
-    /// The start.
+    /// The incarnation of the control instance.
     pub incarnation: u64,
-    /// The number.
+    /// The number of the lease.
     pub number: u32,
 }
 
 /// A pooler's lease at one control instance, as the pooler knows it.
 #[derive(Debug)]
 pub struct HeldLease {
-    /// Where the control instance is reached.
+    /// The address at which the control instance is reached.
     pub address: SocketAddr,
     term: Option<Term>,
-    /// When the latest heartbeat that was confirmed had been sent.
-    confirmed: Millis,
-    /// Heartbeats that may still be confirmed: number, sent.
-    awaited: VecDeque<(u64, Millis)>,
+    /// When the latest acknowledged heartbeat was sent.
+    confirmed_sent_at: Millis,
+    /// Heartbeats that await an acknowledgement: number, time of sending.
+    unacknowledged: VecDeque<(u64, Millis)>,
     revoked_up_to: u64,
     /// Notices, and the number of the first heartbeat that carried each.
     notices: VecDeque<(Notice, Option<u64>)>,
 }
 
 impl HeldLease {
-    /// No lease yet.
+    /// The state before the first lease.
     pub fn new(address: SocketAddr) -> HeldLease {
         HeldLease {
             address,
             term: None,
-            confirmed: 0,
-            awaited: VecDeque::new(),
+            confirmed_sent_at: 0,
+            unacknowledged: VecDeque::new(),
             revoked_up_to: 0,
             notices: VecDeque::new(),
         }
     }
 
-    /// The lease, ended or not.
+    /// The identity of the lease, whether it has ended or not.
     pub fn term(&self) -> Option<Term> {
         self.term
     }
 
-    /// Until when it lasts.
-    pub fn until(&self, terms: &Timing) -> Millis {
+    /// When the lease ends; 0 if there is none.
+    pub fn ends_at(&self, timing: &Timing) -> Millis {
         match self.term {
-            Some(_) if self.confirmed > 0 => self.confirmed + terms.lease,
+            Some(_) if self.confirmed_sent_at > 0 => self.confirmed_sent_at + timing.lease,
             _ => 0,
         }
     }
@@ -64,31 +64,32 @@
         self.revoked_up_to
     }
 
-    /// Adds a notice for the next heartbeat.
+    /// Queues a notice for the next heartbeat.
     pub fn notify(&mut self, notice: Notice) {
         if self.notices.len() < bounds::NOTICES {
             self.notices.push_back((notice, None));
         }
     }
 
-    /// The notices for a heartbeat.
+    /// The notices for the next heartbeat.
     pub fn notices(&self) -> Vec<Notice> {
         self.notices.iter().take(bounds::ENTRIES_PER_DATAGRAM).map(|(notice, _)| *notice).collect()
     }
 
-    /// A heartbeat goes out.
-    pub fn sent(&mut self, now: Millis, number: u64) {
-        if self.awaited.len() == bounds::HEARTBEATS {
-            self.awaited.pop_front();
+    /// Records that a heartbeat was sent.
+    pub fn heartbeat_sent(&mut self, now: Millis, number: u64) {
+        if self.unacknowledged.len() == bounds::HEARTBEATS {
+            self.unacknowledged.pop_front();
         }
-        self.awaited.push_back((number, now));
-        for (_, first) in self.notices.iter_mut().take(bounds::ENTRIES_PER_DATAGRAM) {
-            first.get_or_insert(number);
+        self.unacknowledged.push_back((number, now));
+        for (_, first_heartbeat) in self.notices.iter_mut().take(bounds::ENTRIES_PER_DATAGRAM) {
+            first_heartbeat.get_or_insert(number);
         }
     }
 
-    /// An answer has come; false where it is of an earlier lease. Revocations in it are the caller's to carry out.
-    pub fn acknowledged(
+    /// Handles the acknowledgement of a heartbeat. Returns false if it belongs to an earlier lease. The
+    /// caller carries out the revocations in it.
+    pub fn heartbeat_acknowledged(
         &mut self,
         heartbeat: u64,
         term: Term,
@@ -100,45 +101,47 @@
             return false;
         }
         if self.term != Some(term) {
-            (self.term, self.confirmed, self.revoked_up_to) = (Some(term), 0, 0);
+            (self.term, self.confirmed_sent_at, self.revoked_up_to) = (Some(term), 0, 0);
         }
         let highest = revocations.iter().map(|revocation| revocation.number).max().unwrap_or(0);
         self.revoked_up_to = self.revoked_up_to.max(highest);
         while self.notices.front().is_some_and(|(_, first)| first.is_some_and(|first| first <= heartbeat)) {
             self.notices.pop_front();
         }
-        // Counted from the sending of the heartbeat: its answer may have been under way for long.
-        let sent = self.awaited.iter().find(|(number, _)| *number == heartbeat).map(|(_, sent)| *sent);
-        if let Some(sent) = sent.filter(|_| complete) {
-            self.confirmed = self.confirmed.max(sent);
-            self.awaited.retain(|(number, _)| *number > heartbeat);
+        // Counted from the sending of the heartbeat: the acknowledgement may have been delayed by the
+        // network.
+        let sent_at =
+            self.unacknowledged.iter().find(|(number, _)| *number == heartbeat).map(|(_, sent_at)| *sent_at);
+        if let Some(sent_at) = sent_at.filter(|_| complete) {
+            self.confirmed_sent_at = self.confirmed_sent_at.max(sent_at);
+            self.unacknowledged.retain(|(number, _)| *number > heartbeat);
         }
         true
     }
 
-    /// The control instance says that there is no lease.
-    pub fn lost(&mut self) {
-        self.confirmed = 0;
+    /// The control instance reported that there is no lease.
+    pub fn mark_lost(&mut self) {
+        self.confirmed_sent_at = 0;
     }
 }
 
-/// A pooler's lease, as a control instance has granted it.
+/// A pooler's lease, as the control instance that granted it knows it.
 #[derive(Debug)]
 pub struct GrantedLease {
-    /// Where the pooler is reached.
+    /// The address at which the pooler is reached.
     pub address: SocketAddr,
-    /// Its number.
+    /// The number of the lease.
     pub term: u32,
     /// When it ends.
-    pub expires: Millis,
+    pub expires_at: Millis,
     revocations: VecDeque<Revocation>,
     last_revocation: u64,
-    /// There were more revocations than are kept: it is not renewed any more.
+    /// There were more revocations than can be stored: the lease is no longer renewed.
     overflowed: bool,
 }
 
 impl GrantedLease {
-    /// A session of the pooler has been claimed by another.
+    /// Queues the revocation of a session that another pooler has claimed.
     pub fn revoke(&mut self, session: SessionKey, below: Ballot) {
         if self.revocations.len() >= bounds::REVOCATIONS {
             self.overflowed = true;
@@ -148,14 +151,14 @@
         self.revocations.push_back(Revocation { number: self.last_revocation, session, below });
     }
 
-    /// The pooler has carried out revocations up to a number.
-    pub fn confirm(&mut self, up_to: u64) {
+    /// The pooler has carried out the revocations up to a number.
+    pub fn confirm_revocations(&mut self, up_to: u64) {
         while self.revocations.front().is_some_and(|first| first.number <= up_to) {
             self.revocations.pop_front();
         }
     }
 
-    /// The first revocations, and whether these are all.
+    /// The first pending revocations, and whether these are all.
     pub fn revocations(&self) -> (Vec<Revocation>, bool) {
         let first = self.revocations.iter().take(bounds::ENTRIES_PER_DATAGRAM).copied().collect();
         (first, self.revocations.len() <= bounds::ENTRIES_PER_DATAGRAM && !self.overflowed)
@@ -165,15 +168,16 @@
 /// A lease that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedLease {
-    /// Whose it was.
+    /// The pooler that held it.
     pub pooler: ProcessId,
-    /// Its number.
+    /// The number of the lease.
     pub term: u32,
     /// When it ended.
-    pub at: Millis,
+    pub ended_at: Millis,
 }
 
-/// Leases that have ended not long ago: by then what was claimed under one had been written.
+/// Leases that ended recently, each with its floor: sessions claimed under the lease may have been written
+/// until then.
 #[derive(Debug, Default)]
 pub struct EndedLeases {
     floors: BTreeMap<(ProcessId, u32), Millis>,
@@ -181,22 +185,22 @@
 }
 
 impl EndedLeases {
-    /// Notes a lease and the time before which its sessions were written.
-    pub fn note(&mut self, now: Millis, lease: &EndedLease, floor: Millis) {
+    /// Records an ended lease and its floor.
+    pub fn record(&mut self, now: Millis, lease: &EndedLease, floor: Millis) {
         let key = (lease.pooler, lease.term);
         self.floors.insert(key, floor);
         self.by_time.push_back((now, key));
     }
 
-    /// The time before which the sessions of a lease were written. None where it is not remembered, or has not ended.
+    /// The floor of an ended lease. None if it is not remembered, or has not ended.
     pub fn floor(&self, pooler: ProcessId, term: u32) -> Option<Millis> {
         self.floors.get(&(pooler, term)).copied()
     }
 
-    /// Forgets one that ended long ago, or the oldest where there are too many; its floor.
-    pub fn forget(&mut self, now: Millis) -> Option<Millis> {
-        let (noted, key) = *self.by_time.front()?;
-        if noted + bounds::IDLE_RETENTION > now && self.by_time.len() <= bounds::ENDED_LEASES {
+    /// Removes a lease that ended long ago, or the oldest one if there are too many, and returns its floor.
+    pub fn remove_expired(&mut self, now: Millis) -> Option<Millis> {
+        let (recorded_at, key) = *self.by_time.front()?;
+        if recorded_at + bounds::IDLE_RETENTION > now && self.by_time.len() <= bounds::ENDED_LEASES {
             return None;
         }
         self.by_time.pop_front();
@@ -204,7 +208,7 @@
     }
 }
 
-/// All leases that a control instance has granted.
+/// All leases that a control instance has granted and that have not ended.
 #[derive(Debug, Default)]
 pub struct LeaseTable {
     granted: BTreeMap<ProcessId, GrantedLease>,
@@ -218,22 +222,22 @@
         self.granted.get(&pooler)
     }
 
-    /// The same, to be changed.
+    /// The lease of a pooler, for changes.
     pub fn get_mut(&mut self, pooler: ProcessId) -> Option<&mut GrantedLease> {
         self.granted.get_mut(&pooler)
     }
 
-    /// How many there are.
+    /// Number of leases.
     pub fn len(&self) -> usize {
         self.granted.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no leases.
     pub fn is_empty(&self) -> bool {
         self.granted.is_empty()
     }
 
-    /// The lease of a pooler, a new one where it has none. None where there are too many.
+    /// The lease of a pooler; a new one if it has none. None if there are too many leases.
     pub fn grant(
         &mut self,
         now: Millis,
@@ -248,7 +252,7 @@
             let lease = GrantedLease {
                 address,
                 term: self.last_term,
-                expires: now,
+                expires_at: now,
                 revocations: VecDeque::new(),
                 last_revocation: 0,
                 overflowed: false,
@@ -259,30 +263,30 @@
         self.granted.get_mut(&pooler)
     }
 
-    /// Moves the end of a lease.
+    /// Extends a lease.
     pub fn renew(&mut self, pooler: ProcessId, until: Millis) {
         if let Some(lease) = self.granted.get_mut(&pooler) {
-            self.by_expiry.remove(&(lease.expires, pooler));
-            lease.expires = lease.expires.max(until);
-            self.by_expiry.insert((lease.expires, pooler));
+            self.by_expiry.remove(&(lease.expires_at, pooler));
+            lease.expires_at = lease.expires_at.max(until);
+            self.by_expiry.insert((lease.expires_at, pooler));
         }
     }
 
-    /// Ends a lease; which it was, and when it would have ended.
+    /// Ends a lease and returns it with its regular end.
     pub fn end(&mut self, pooler: ProcessId) -> Option<EndedLease> {
         let lease = self.granted.remove(&pooler)?;
-        self.by_expiry.remove(&(lease.expires, pooler));
-        Some(EndedLease { pooler, term: lease.term, at: lease.expires })
+        self.by_expiry.remove(&(lease.expires_at, pooler));
+        Some(EndedLease { pooler, term: lease.term, ended_at: lease.expires_at })
     }
 
-    /// Ends a lease whose time is over.
+    /// Ends a lease that has expired, if there is one.
     pub fn expire(&mut self, now: Millis) -> Option<EndedLease> {
-        let (_, pooler) = self.by_expiry.first().copied().filter(|(expires, _)| *expires < now)?;
+        let (_, pooler) = self.by_expiry.first().copied().filter(|(expires_at, _)| *expires_at < now)?;
         self.end(pooler)
     }
 
-    /// When the next lease ends.
+    /// When the next lease expires.
     pub fn next_expiry(&self) -> Option<Millis> {
-        self.by_expiry.first().map(|(expires, _)| *expires)
+        self.by_expiry.first().map(|(expires_at, _)| *expires_at)
     }
 }
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -1,12 +1,14 @@
-//! A session directory: which pooler owns a session, kept by a few control instances (docs/session-directory.md). State
-//! machines without I/O: datagrams, requests and the time go in; datagrams and answers come out.
+//! A session directory: records which pooler owns a session. A few control instances keep the records, under
+//! leases (docs/session-directory.md). State machines without I/O: datagrams, requests and the time are
+//! inputs; datagrams and answers are outputs.
 //!
-//! - [`Client`] is the side of a pooler: it holds a lease, claims sessions that arrive and hands over those that leave.
-//! - [`Replica`] is the side of a control instance: a member of several groups, each of which keeps the records of a part
-//!   of the sessions. It has no disk.
+//! - [`Client`] runs in a pooler: it holds leases, claims sessions that arrive and hands over those that move
+//!   to another pooler.
+//! - [`Replica`] runs in a control instance: it is a member of several groups, each of which keeps the
+//!   records of a part of the sessions. It has no disk.
 //!
-//! Every time is in milliseconds of one clock that its caller supplies, that begins near Unix time and never goes back.
-//! Positions are Unix milliseconds as well, by the clock of the databases.
+//! All times are in milliseconds of one clock that the caller supplies; it starts near Unix time and never
+//! goes back. Positions are Unix milliseconds as well, by the clock of the databases.
 #![warn(missing_docs)]
 
 pub mod channel;
@@ -26,5 +28,5 @@
 pub use replica::Replica;
 pub use timing::{Millis, Timing};
 
-/// A datagram to be sent: where to, and its bytes.
+/// A datagram to be sent: its destination and its bytes.
 pub type Datagram = (std::net::SocketAddr, Vec<u8>);
--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages of the directory. A message is a header, a body and a CRC-32 over both, in the form of `postcard`; the whole is
-//! sealed by [`crate::channel`].
+//! Messages of the directory. A message is a header, a body and a CRC-32 over both, encoded with `postcard`;
+//! [`crate::channel`] seals the result.
 
 use std::net::SocketAddr;
 
@@ -7,66 +7,67 @@
 
 use crate::identity::{Ballot, ProcessId, SessionKey};
 
-/// The version of the form.
+/// The version of the message format.
 pub const VERSION: u8 = 1;
 
-/// Who speaks to whom.
+/// Sender, receiver and number of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Header {
     /// [`VERSION`].
     pub version: u8,
-    /// [`crate::Placement::digest`] of who speaks.
+    /// [`crate::Placement::digest`] of the sender.
     pub directory: u32,
-    /// Who speaks.
+    /// The sender.
     pub from: ProcessId,
-    /// The start of whom it is to; 0 where that is not known.
+    /// The incarnation of the receiver; 0 where the sender does not know it.
     pub to: u64,
-    /// The number of the message; rises with each that its sender sends to anybody.
+    /// The number of the message; rises with each message that its sender sends to any receiver.
     pub number: u64,
 }
 
-/// What is said.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Body {
-    /// A pooler to a control instance: it is there, and wants its lease renewed.
+    /// Sent by a pooler to a control instance: the pooler is alive and requests the renewal of its lease.
     Heartbeat {
-        /// Where other poolers reach it.
+        /// The address at which other poolers reach the sender.
         address: SocketAddr,
-        /// Its lease there, as far as it knows; its answers to revocations are of that one.
+        /// The number of the sender's lease at the receiver, as far as the sender knows it; `revoked_up_to`
+        /// refers to this lease.
         term: u32,
         /// Revocations up to this number have been carried out.
         revoked_up_to: u64,
-        /// What it has to tell besides.
+        /// Notices for the receiver.
         notices: Vec<Notice>,
     },
-    /// The answer.
+    /// The reply to [`Body::Heartbeat`].
     HeartbeatAck {
-        /// The number of the heartbeat's message.
+        /// The message number of the heartbeat.
         heartbeat: u64,
-        /// The pooler's lease, which is another one where it had ended meanwhile.
+        /// The number of the pooler's lease; a new one if the lease in the heartbeat has ended.
         term: u32,
-        /// Sessions that others have claimed and whose revocation the pooler has not confirmed.
+        /// Sessions that other poolers have claimed and whose revocation the pooler has not confirmed.
         revocations: Vec<Revocation>,
-        /// Whether these are all. The lease is renewed only then.
+        /// Whether `revocations` holds all of them. The lease is renewed only then.
         complete: bool,
     },
-    /// A pooler to each member of a session's group: it wants to own the session.
+    /// Sent by a pooler to each member of a session's group: the pooler claims the session.
     Claim {
         /// The session.
         session: SessionKey,
-        /// The counter of its ballot.
+        /// The counter of the claim's ballot.
         counter: u64,
     },
-    /// The answer.
+    /// The reply to [`Body::Claim`].
     ClaimReply {
         /// The session.
         session: SessionKey,
-        /// As in [`Body::Claim`].
+        /// The counter of the claim.
         counter: u64,
-        /// What it came to.
+        /// The decision.
         verdict: ClaimVerdict,
     },
-    /// A pooler that claims a session to one of its former owners.
+    /// Sent by a pooler that claims a session to one of its former owners.
     Handover {
         /// The session.
         session: SessionKey,
@@ -75,22 +76,23 @@
         /// The ballot of the former owner.
         former: Ballot,
     },
-    /// The answer.
+    /// The reply to [`Body::Handover`].
     HandoverReply {
         /// The session.
         session: SessionKey,
-        /// As in [`Body::Handover`].
+        /// The counter of the claim.
         counter: u64,
-        /// As in [`Body::Handover`].
+        /// The ballot of the former owner.
         former: Ballot,
-        /// What it came to.
+        /// The decision.
         verdict: HandoverVerdict,
     },
-    /// A pooler that ends in order to a control instance. It answers no request any more, and no write of it is under way.
+    /// Sent by a pooler that shuts down to a control instance. The pooler answers no more requests and has no
+    /// write in flight.
     Leave,
 }
 
-/// What a message is for, without what it says.
+/// The kind of a message, without its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Purpose {
     /// [`Body::Heartbeat`].
@@ -110,8 +112,8 @@
 }
 
 impl Purpose {
-    /// The purpose of a datagram, by the number that stands behind its header; nothing of it is checked. None where there is
-    /// no such number.
+    /// The purpose of a datagram, read from the variant number that follows its header. Nothing is verified.
+    /// None if there is no such number.
     pub fn of_datagram(bytes: &[u8]) -> Option<Purpose> {
         let (_, rest) = postcard::take_from_bytes::<Header>(bytes).ok()?;
         Some(match rest.first()? {
@@ -127,28 +129,28 @@
     }
 }
 
-/// What a pooler tells a control instance with its next heartbeat.
+/// What a pooler reports to a control instance with its next heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Notice {
-    /// The pooler owns the session by this claim; all former owners that it was told of are settled.
-    Settled {
+    /// The pooler owns the session by this claim, and all former owners that were named to it are resolved.
+    ClaimCompleted {
         /// The session.
         session: SessionKey,
         /// The counter of the claim.
         counter: u64,
     },
-    /// The pooler gives the session up; nobody has to be asked for it.
+    /// The pooler gives up the session; it need not be asked for a handover.
     Released {
         /// The session.
         session: SessionKey,
         /// The counter of the claim.
         counter: u64,
-        /// How long ago its last write was (ms).
-        age: i64,
+        /// Time since the session's last write (ms).
+        write_age: i64,
     },
 }
 
-/// Whoever owned a session by a lower ballot does not any more.
+/// Ends the ownership of a session by any ballot lower than `below`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Revocation {
     /// Its number within the lease.
@@ -159,79 +161,80 @@
     pub below: Ballot,
 }
 
-/// What a member says to a claim.
+/// A group member's decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimVerdict {
-    /// It is recorded.
+    /// The claim is recorded.
     Accepted {
-        /// The claimant's lease at this member; the record holds as long as that lease does.
+        /// The number of the claimant's lease at this member; the record is valid only under this lease.
         term: u32,
-        /// Who claimed the session before and may own it.
-        formers: Vec<FormerOwner>,
-        /// Of sessions without a record the last write was so long ago (ms), or will be.
+        /// Earlier claimants that may still own the session.
+        former_owners: Vec<FormerOwner>,
+        /// Time since the newest write (ms) that a session without a record may have had; negative if such a
+        /// write may still commit.
         floor_age: i64,
     },
     /// There is a later claim.
     Rejected {
-        /// Its ballot.
+        /// The ballot of the later claim.
         by: Ballot,
     },
-    /// The claimant has no lease here.
+    /// The claimant has no lease at this member.
     NoLease,
-    /// A bound of this member is reached.
+    /// A limit of this member is reached.
     Full,
 }
 
 /// A former owner of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FormerOwner {
-    /// Its claim.
+    /// The ballot of its claim.
     pub ballot: Ballot,
-    /// Where it is reached.
+    /// The address at which it is reached.
     pub address: SocketAddr,
-    /// How long its lease at this member lasts at the most (ms).
-    pub lease: u32,
+    /// The longest remaining time of its lease at this member (ms).
+    pub remaining_lease: u32,
 }
 
-/// What a former owner says to a handover.
+/// A former owner's answer to a handover request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum HandoverVerdict {
-    /// It does not own the session any more.
-    Marks {
-        /// The commit of the session's last write (Unix ms); 0 for none.
+    /// It no longer owns the session.
+    Relinquished {
+        /// Position of the session's last commit (Unix ms); 0 for none.
         position: u64,
-        /// Writes of the session may commit, and be answered, for so long (ms).
-        open: u32,
+        /// For this long (ms), writes of the session may still commit and be answered.
+        open_for: u32,
     },
     /// It has claimed the session by a later ballot.
     Superseded {
-        /// That ballot.
+        /// The later ballot.
         by: Ballot,
     },
 }
 
-/// What is wrong with the bytes of a message.
+/// Why bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// The checksum is another one, or the bytes are of no message.
+    /// The checksum is wrong, or the bytes do not decode.
     Malformed,
     /// The version is not [`VERSION`].
     Version(u8),
 }
 
-/// Bytes of a checksum.
-const CHECKSUM: usize = 4;
+/// Length of the checksum (bytes).
+const CHECKSUM_BYTES: usize = 4;
 
-/// The bytes of a message, not sealed yet.
+/// Encodes a message; the result is not sealed yet.
 pub fn encode(header: &Header, body: &Body) -> Vec<u8> {
     let mut bytes = postcard::to_stdvec(&(header, body)).unwrap_or_default();
     bytes.extend(crc32fast::hash(&bytes).to_be_bytes());
     bytes
 }
 
-/// Reads a message.
+/// Decodes a message and verifies its checksum.
 pub fn decode(bytes: &[u8]) -> Result<(Header, Body), DecodeError> {
-    let (message, sum) = bytes.split_last_chunk::<CHECKSUM>().ok_or(DecodeError::Malformed)?;
+    let (message, sum) = bytes.split_last_chunk::<CHECKSUM_BYTES>().ok_or(DecodeError::Malformed)?;
     if crc32fast::hash(message).to_be_bytes() != *sum {
         return Err(DecodeError::Malformed);
     }
--- a/crates/directory/src/placement.rs
+++ b/crates/directory/src/placement.rs
@@ -1,5 +1,5 @@
-//! Which control instances keep the record of a session. Each of the groups has a ballot of its own for each of its sessions;
-//! a session's group is found by rendezvous hashing, without asking anybody.
+//! Assigns sessions to groups of control instances. Each group orders the claims of its sessions by ballots.
+//! Rendezvous hashing determines the group of a session without any message.
 
 use std::net::SocketAddr;
 
@@ -8,40 +8,40 @@
 
 /// Members of the largest group.
 pub const MAX_GROUP_MEMBERS: usize = 5;
-/// Control instances of one directory.
+/// Most control instances in a directory.
 pub const MAX_CONTROL_INSTANCES: usize = 64;
 
-/// A control instance, as all poolers and all control instances are told of it.
+/// A control instance, as all poolers and control instances are configured with it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ControlInstance {
     /// Its name.
     pub name: String,
-    /// Its region: members of a group are taken from different ones as far as there are.
+    /// Its region. The members of a group are in different regions as far as possible.
     pub region: String,
-    /// Where it is reached.
+    /// The address at which it is reached.
     pub address: SocketAddr,
 }
 
-/// What is wrong with a list of control instances.
+/// Why a list of control instances is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementError {
     /// Groups have 1, 3 or 5 members.
     GroupSize(usize),
-    /// There are fewer machines than a group has members, or more than [`MAX_CONTROL_INSTANCES`].
+    /// There are fewer control instances than a group has members, or more than [`MAX_CONTROL_INSTANCES`].
     InstanceCount(usize),
-    /// Two machines of one name or address; the number of the second.
+    /// Two control instances have the same name or address; holds the index of the second.
     Duplicate(usize),
 }
 
 impl std::fmt::Display for PlacementError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            PlacementError::GroupSize(size) => write!(f, "groups of {size}; accepted: 1, 3 or 5"),
+            PlacementError::GroupSize(size) => write!(f, "groups of {size} members; accepted: 1, 3 or 5"),
             PlacementError::InstanceCount(count) => {
-                write!(f, "{count} control instances; accepted: a group's size to {MAX_CONTROL_INSTANCES}")
+                write!(f, "{count} control instances; accepted: the group size to {MAX_CONTROL_INSTANCES}")
             }
             PlacementError::Duplicate(number) => {
-                write!(f, "control instance {number} has the name or address of another")
+                write!(f, "control instance {number} has the same name or address as another")
             }
         }
     }
@@ -52,50 +52,51 @@
 /// The control instances and their groups.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    machines: Vec<ControlInstance>,
-    /// Machines by group, as indices.
+    instances: Vec<ControlInstance>,
+    /// The members of each group, as indices of `instances`.
     groups: Vec<Vec<usize>>,
     seeds: Vec<u64>,
     digest: u32,
 }
 
 impl Placement {
-    /// As many groups of `size` members as there are machines; each machine is in `size` groups.
+    /// Builds as many groups of `size` members as there are control instances; each instance is in `size`
+    /// groups.
     pub fn new(
-        mut machines: Vec<ControlInstance>,
+        mut instances: Vec<ControlInstance>,
         size: usize,
-        terms: &Timing,
+        timing: &Timing,
     ) -> Result<Placement, PlacementError> {
         if ![1, 3, MAX_GROUP_MEMBERS].contains(&size) {
             return Err(PlacementError::GroupSize(size));
         }
-        if machines.len() < size || machines.len() > MAX_CONTROL_INSTANCES {
-            return Err(PlacementError::InstanceCount(machines.len()));
+        if instances.len() < size || instances.len() > MAX_CONTROL_INSTANCES {
+            return Err(PlacementError::InstanceCount(instances.len()));
         }
-        let taken = |n: usize, m: &ControlInstance, other: &ControlInstance| {
+        let duplicate = |n: usize, m: &ControlInstance, other: &ControlInstance| {
             n > 0 && (m.name == other.name || m.address == other.address)
         };
-        for n in 1..machines.len() {
-            if machines[..n].iter().any(|other| taken(n, &machines[n], other)) {
+        for n in 1..instances.len() {
+            if instances[..n].iter().any(|other| duplicate(n, &instances[n], other)) {
                 return Err(PlacementError::Duplicate(n));
             }
         }
-        // The order of the list must not matter: two processes may be told it in different orders.
-        machines.sort_by(|a, b| a.name.cmp(&b.name));
-        let ring = interleaved(&machines);
+        // The order of the list must not matter: two processes may be configured with different orders.
+        instances.sort_by(|a, b| a.name.cmp(&b.name));
+        let ring = interleaved(&instances);
         let groups =
             (0..ring.len()).map(|g| (0..size).map(|n| ring[(g + n) % ring.len()]).collect()).collect();
         let seeds = (0..ring.len() as u64).map(|g| hash_of(&g.to_be_bytes())).collect();
-        let digest = digest(&machines, size, terms);
-        Ok(Placement { machines, groups, seeds, digest })
+        let digest = digest(&instances, size, timing);
+        Ok(Placement { instances, groups, seeds, digest })
     }
 
-    /// The control instances, by name.
+    /// The control instances, sorted by name.
     pub fn instances(&self) -> &[ControlInstance] {
-        &self.machines
+        &self.instances
     }
 
-    /// How many groups there are.
+    /// Number of groups.
     pub fn groups(&self) -> usize {
         self.groups.len()
     }
@@ -105,7 +106,7 @@
         &self.groups[group]
     }
 
-    /// How many members are a quorum of a group.
+    /// Number of members that form a quorum of a group.
     pub fn quorum(&self) -> usize {
         self.groups[0].len() / 2 + 1
     }
@@ -116,41 +117,42 @@
         (0..self.groups.len()).max_by_key(weight).unwrap_or(0)
     }
 
-    /// The index of the machine whose name has this hash.
+    /// The index of the control instance with the name hash of `process`.
     pub fn instance_index(&self, process: ProcessId) -> Option<usize> {
-        self.machines.iter().position(|machine| hash_of(machine.name.as_bytes()) == process.name)
+        self.instances.iter().position(|instance| hash_of(instance.name.as_bytes()) == process.name)
     }
 
-    /// A sum over the machines, the groups and the terms: processes whose sums differ must not count each other.
+    /// A checksum over the instances, the group size and the timing. Processes with different checksums must
+    /// not count each other.
     pub fn digest(&self) -> u32 {
         self.digest
     }
 }
 
-/// The machines in an order in which neighbours are of different regions, as far as there are.
-fn interleaved(machines: &[ControlInstance]) -> Vec<usize> {
-    let mut left: Vec<usize> = (0..machines.len()).collect();
+/// The instances in an order in which neighbours are in different regions, as far as possible.
+fn interleaved(instances: &[ControlInstance]) -> Vec<usize> {
+    let mut remaining: Vec<usize> = (0..instances.len()).collect();
     let mut ring: Vec<usize> = Vec::new();
-    while !left.is_empty() {
-        let used = |m: usize| ring.iter().filter(|n| machines[**n].region == machines[m].region).count();
-        // Regions in the same order in each round, as far as there are machines left in each.
-        let rank = |m: usize| (used(m), machines[m].region.as_str(), m);
-        let next = (0..left.len()).min_by_key(|n| rank(left[*n])).unwrap_or(0);
-        ring.push(left.remove(next));
+    while !remaining.is_empty() {
+        let used = |m: usize| ring.iter().filter(|n| instances[**n].region == instances[m].region).count();
+        // Takes the regions in the same order in each round, while they have instances left.
+        let rank = |m: usize| (used(m), instances[m].region.as_str(), m);
+        let next = (0..remaining.len()).min_by_key(|n| rank(remaining[*n])).unwrap_or(0);
+        ring.push(remaining.remove(next));
     }
     ring
 }
 
-fn digest(machines: &[ControlInstance], size: usize, terms: &Timing) -> u32 {
+fn digest(instances: &[ControlInstance], size: usize, timing: &Timing) -> u32 {
     let mut hash = crc32fast::Hasher::new();
-    for machine in machines {
-        let address = machine.address.to_string();
-        for part in [&machine.name, &machine.region, &address] {
+    for instance in instances {
+        let address = instance.address.to_string();
+        for part in [&instance.name, &instance.region, &address] {
             hash.update(&(part.len() as u64).to_be_bytes());
             hash.update(part.as_bytes());
         }
     }
-    for number in [size as u64, terms.lease, terms.heartbeat, terms.write_bound, terms.clock_error] {
+    for number in [size as u64, timing.lease, timing.heartbeat, timing.write_bound, timing.clock_error] {
         hash.update(&number.to_be_bytes());
     }
     hash.finalize()
--- a/crates/directory/tests/client.rs
+++ b/crates/directory/tests/client.rs
@@ -1,31 +1,37 @@
-//! A pooler against control instances and other poolers, step by step.
+//! A pooler with control instances and other poolers, in single steps.
 
 mod network;
 
 use directory::{PrimaryReason, ReadRequirement, WriteOutcome};
-use network::{session_key, Net, Shape, World};
+use network::{session_key, NetworkConfig, World, WorldConfig};
 use rstest::rstest;
 
 const SESSION: usize = 1;
 const MS: u64 = 1_000;
 
 fn world() -> World {
-    let mut world = World::new(1, Shape { poolers: 3, machines: 3, ..Shape::default() }, Net::default());
+    let mut world = World::new(
+        1,
+        WorldConfig { poolers: 3, control_instances: 3, ..WorldConfig::default() },
+        NetworkConfig::default(),
+    );
     world.start_all();
     world
 }
 
-fn need(world: &mut World, pooler: usize) -> ReadRequirement {
-    let seat = world.pooler(pooler);
-    world.with(seat, |client, now| client.read_requirement(now, session_key(SESSION))).expect("it runs")
+fn read_requirement(world: &mut World, pooler: usize) -> ReadRequirement {
+    let slot = world.pooler(pooler);
+    world
+        .with_client(slot, |client, now| client.read_requirement(now, session_key(SESSION)))
+        .expect("pooler is running")
 }
 
-/// Has a pooler own the session.
-fn owned(world: &mut World, pooler: usize) {
-    need(world, pooler);
+/// Makes a pooler the owner of the session.
+fn make_owner(world: &mut World, pooler: usize) {
+    read_requirement(world, pooler);
     world.run(10 * MS);
     assert!(!matches!(
-        need(world, pooler),
+        read_requirement(world, pooler),
         ReadRequirement::Primary(PrimaryReason::Claiming | PrimaryReason::FormerOwner)
     ));
 }
@@ -33,107 +39,110 @@
 #[test]
 fn an_owner_sends_nothing_for_its_session() {
     let mut world = world();
-    owned(&mut world, 0);
-    let seat = world.pooler(0);
+    make_owner(&mut world, 0);
+    let slot = world.pooler(0);
     world.run(900 * MS);
-    let sent = world.cost(seat).sent;
+    let sent = world.cost(slot).sent;
     for _ in 0..1_000 {
-        world.with(seat, |client, now| client.read_requirement(now, session_key(SESSION)));
+        world.with_client(slot, |client, now| client.read_requirement(now, session_key(SESSION)));
     }
-    assert_eq!(world.cost(seat).sent, sent);
+    assert_eq!(world.cost(slot).sent, sent);
 }
 
 #[test]
-fn a_session_that_arrives_brings_its_last_write() {
+fn handover_transfers_the_position_of_the_last_write() {
     let mut world = world();
-    owned(&mut world, 0);
-    let seat = world.pooler(0);
-    let position = world.clock(seat) + 60_000;
-    world.with(seat, |client, now| {
+    make_owner(&mut world, 0);
+    let slot = world.pooler(0);
+    let position = world.clock(slot) + 60_000;
+    world.with_client(slot, |client, now| {
         let ticket = client.begin_write(now, session_key(SESSION), 1_000).unwrap();
         assert!(client.may_send(now, ticket));
         client.end_write(now, ticket, WriteOutcome::Committed(position));
         assert!(client.may_answer(now, ticket));
         client.forget(now, ticket);
     });
-    owned(&mut world, 1);
-    assert_eq!(need(&mut world, 1), ReadRequirement::AtLeast(position));
-    let seat = world.pooler(0);
-    assert!(!world.client(seat).unwrap().is_owner(world.clock(seat), session_key(SESSION)));
+    make_owner(&mut world, 1);
+    assert_eq!(read_requirement(&mut world, 1), ReadRequirement::AtLeast(position));
+    let slot = world.pooler(0);
+    assert!(!world.client(slot).unwrap().is_owner(world.clock(slot), session_key(SESSION)));
 }
 
 #[test]
-fn a_write_under_way_at_the_former_owner_keeps_reads_at_the_primary_and_may_be_answered() {
+fn write_in_flight_at_the_former_owner_keeps_reads_on_the_primary_and_may_be_answered() {
     let mut world = world();
-    owned(&mut world, 0);
-    let seat = world.pooler(0);
+    make_owner(&mut world, 0);
+    let slot = world.pooler(0);
     let ticket = world
-        .with(seat, |client, now| {
+        .with_client(slot, |client, now| {
             let ticket = client.begin_write(now, session_key(SESSION), 1_000).unwrap();
             assert!(client.may_send(now, ticket));
             ticket
         })
         .unwrap();
-    owned(&mut world, 1);
-    assert_eq!(need(&mut world, 1), ReadRequirement::Primary(PrimaryReason::OpenWrite));
-    let answers = world.with(seat, |client, now| {
+    make_owner(&mut world, 1);
+    assert_eq!(read_requirement(&mut world, 1), ReadRequirement::Primary(PrimaryReason::OpenWrite));
+    let answers = world.with_client(slot, |client, now| {
         client.end_write(now, ticket, WriteOutcome::Committed(now));
         client.may_answer(now, ticket)
     });
     assert_eq!(answers, Some(true));
     world.run(1_200 * MS);
-    assert!(matches!(need(&mut world, 1), ReadRequirement::AtLeast(_)));
+    assert!(matches!(read_requirement(&mut world, 1), ReadRequirement::AtLeast(_)));
 }
 
 #[rstest]
 #[case("killed")]
 #[case("stopped")]
 #[case("cut off")]
-fn the_lease_of_a_former_owner_that_does_not_answer_is_outwaited(#[case] what: &str) {
+fn lease_of_an_unresponsive_former_owner_is_waited_out(#[case] failure: &str) {
     let mut world = world();
-    owned(&mut world, 0);
-    let seat = world.pooler(0);
-    match what {
-        "killed" => world.kill(seat),
-        "stopped" => world.stop(seat),
-        _ => world.isolate(seat, true),
+    make_owner(&mut world, 0);
+    let slot = world.pooler(0);
+    match failure {
+        "killed" => world.kill(slot),
+        "stopped" => world.pause(slot),
+        _ => world.isolate(slot, true),
     }
-    let begun = world.now;
+    let started_at = world.now;
     let other = world.pooler(1);
     let ticket = world
-        .with(other, |client, now| client.begin_write(now, session_key(SESSION), 3_000).unwrap())
+        .with_client(other, |client, now| client.begin_write(now, session_key(SESSION), 3_000).unwrap())
         .unwrap();
     world.run(100 * MS);
-    assert_eq!(need(&mut world, 1), ReadRequirement::Primary(PrimaryReason::FormerOwner));
-    // Its work goes on while the lease is outwaited, where its time is longer than that.
-    assert_eq!(world.with(other, |client, now| client.may_send(now, ticket)), Some(true));
+    assert_eq!(read_requirement(&mut world, 1), ReadRequirement::Primary(PrimaryReason::FormerOwner));
+    // A write whose time limit is longer than the lease is sent while the lease is waited out.
+    assert_eq!(world.with_client(other, |client, now| client.may_send(now, ticket)), Some(true));
     let mut answered = None;
-    while answered.is_none() && world.now < begun + 3_000 * MS {
+    while answered.is_none() && world.now < started_at + 3_000 * MS {
         world.run(10 * MS);
-        let may = world.with(other, |client, now| client.may_answer(now, ticket)) == Some(true);
-        answered = may.then_some(world.now - begun);
+        let allowed = world.with_client(other, |client, now| client.may_answer(now, ticket)) == Some(true);
+        answered = allowed.then_some(world.now - started_at);
     }
     let waited = answered.expect("answered") / MS;
-    assert!((1_000..2_800).contains(&waited), "{what}: {waited} ms");
-    world.with(other, |client, now| client.forget(now, ticket));
-    // What it had sent may commit for as long as a write may take.
-    assert_eq!(need(&mut world, 1), ReadRequirement::Primary(PrimaryReason::OpenWrite));
+    assert!((1_000..2_800).contains(&waited), "{failure}: {waited} ms");
+    world.with_client(other, |client, now| client.forget(now, ticket));
+    // Writes of the former owner may commit for as long as a write may take.
+    assert_eq!(read_requirement(&mut world, 1), ReadRequirement::Primary(PrimaryReason::OpenWrite));
     world.run(4_000 * MS);
-    assert!(matches!(need(&mut world, 1), ReadRequirement::AtLeast(_)));
+    assert!(matches!(read_requirement(&mut world, 1), ReadRequirement::AtLeast(_)));
 }
 
 #[test]
-fn without_a_quorum_everything_goes_to_the_primary_and_no_write_is_sent() {
+fn without_a_quorum_reads_go_to_the_primary_and_no_write_is_sent() {
     let mut world = world();
-    owned(&mut world, 0);
+    make_owner(&mut world, 0);
     world.kill(0);
     world.run(5_000 * MS);
-    assert!(matches!(need(&mut world, 0), ReadRequirement::AtLeast(_)), "a minority costs nothing");
+    assert!(
+        matches!(read_requirement(&mut world, 0), ReadRequirement::AtLeast(_)),
+        "one failed member is tolerated"
+    );
     world.kill(1);
     world.run(2_100 * MS);
-    assert_eq!(need(&mut world, 0), ReadRequirement::Primary(PrimaryReason::NoQuorum));
-    let seat = world.pooler(0);
-    let sends = world.with(seat, |client, now| {
+    assert_eq!(read_requirement(&mut world, 0), ReadRequirement::Primary(PrimaryReason::NoQuorum));
+    let slot = world.pooler(0);
+    let sends = world.with_client(slot, |client, now| {
         let ticket = client.begin_write(now, session_key(SESSION), 1_000).unwrap();
         client.may_send(now, ticket)
     });
@@ -141,46 +150,46 @@
     world.start(0);
     world.start(1);
     world.run(8_000 * MS);
-    owned(&mut world, 0);
+    make_owner(&mut world, 0);
 }
 
 #[test]
-fn who_has_left_owns_nothing_and_nobody_waits_for_it() {
+fn a_pooler_that_left_owns_nothing_and_delays_no_claim() {
     let mut world = world();
-    owned(&mut world, 0);
-    let seat = world.pooler(0);
-    assert_eq!(world.with(seat, |client, _| client.leave()), Some(true));
+    make_owner(&mut world, 0);
+    let slot = world.pooler(0);
+    assert_eq!(world.with_client(slot, |client, _| client.leave()), Some(true));
     world.run(5 * MS);
-    world.kill(seat);
-    owned(&mut world, 1);
-    assert_eq!(need_of_left(&mut world), PrimaryReason::Left);
+    world.kill(slot);
+    make_owner(&mut world, 1);
+    assert_eq!(reason_after_leaving(&mut world), PrimaryReason::Left);
 }
 
-fn need_of_left(world: &mut World) -> PrimaryReason {
-    let seat = world.pooler(2);
+fn reason_after_leaving(world: &mut World) -> PrimaryReason {
+    let slot = world.pooler(2);
     world
-        .with(seat, |client, now| {
+        .with_client(slot, |client, now| {
             client.leave();
             match client.read_requirement(now, session_key(SESSION)) {
-                ReadRequirement::Primary(why) => why,
+                ReadRequirement::Primary(reason) => reason,
                 other => panic!("{other:?}"),
             }
         })
-        .expect("it runs")
+        .expect("pooler is running")
 }
 
 #[test]
-fn sessions_are_bounded_and_the_one_that_rested_longest_goes() {
+fn sessions_are_bounded_and_the_longest_idle_one_is_released() {
     let mut world = world();
-    let seat = world.pooler(0);
-    let most = directory::timing::bounds::SESSIONS;
-    for session in 0..most + 100 {
-        world.with(seat, |client, now| client.read_requirement(now, session_key(session)));
+    let slot = world.pooler(0);
+    let max_sessions = directory::timing::bounds::SESSIONS;
+    for session in 0..max_sessions + 100 {
+        world.with_client(slot, |client, now| client.read_requirement(now, session_key(session)));
         if session % 1_000 == 0 {
             world.run(20 * MS);
         }
     }
-    let status = world.client(seat).unwrap().status(world.clock(seat));
-    assert!(status.sessions <= most, "{status:?}");
+    let status = world.client(slot).unwrap().status(world.clock(slot));
+    assert!(status.sessions <= max_sessions, "{status:?}");
     assert!(status.claiming <= directory::timing::bounds::CLAIMS, "{status:?}");
 }
--- a/crates/directory/tests/network/mod.rs
+++ b/crates/directory/tests/network/mod.rs
@@ -1,5 +1,6 @@
-//! Poolers and control instances on a virtual network with faults, each with a clock of its own; a primary whose commits
-//! are positions, and a replica that lags. What a session's read would see is held against what the session was answered.
+//! Poolers and control instances on a virtual network with faults, each with its own clock; a primary whose
+//! commits define positions, and a replica that lags. Compares what a session's read would see with what the
+//! session was answered before.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -13,77 +14,83 @@
 };
 use replication::Keys;
 
-/// The key of all processes.
+/// The key that all processes share.
 pub const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
-/// Unix time at the beginning (µs).
-pub const BEGIN: u64 = 1_000_000_000_000;
+/// Unix time at the start (µs).
+pub const START_TIME: u64 = 1_000_000_000_000;
 /// Bytes that IP and UDP add to a datagram.
 pub const UDP_OVERHEAD: u64 = 28;
 
-/// What is built.
+/// Size and timing of a simulated world.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct WorldConfig {
     pub poolers: usize,
-    pub machines: usize,
+    pub control_instances: usize,
     pub group_size: usize,
-    /// What poolers go by, and what control instances do: the same but where a fault is planted.
-    pub terms: Timing,
-    pub machine_terms: Timing,
-    /// The part by which a clock is faster, then slower, and the offset (ms) at which it turns.
+    /// Timing of poolers and of control instances; they differ only where a test injects a fault.
+    pub timing: Timing,
+    pub instance_timing: Timing,
+    /// The rate by which a clock runs fast and slow in turn, and the largest offset (ms), at which it turns.
     pub clock_rate: f64,
     pub clock_offset: Millis,
 }
 
-impl Default for Shape {
-    fn default() -> Shape {
-        Shape {
+impl Default for WorldConfig {
+    fn default() -> WorldConfig {
+        WorldConfig {
             poolers: 4,
-            machines: 5,
+            control_instances: 5,
             group_size: 3,
-            terms: Timing::default(),
-            machine_terms: Timing::default(),
+            timing: Timing::default(),
+            instance_timing: Timing::default(),
             clock_rate: 0.0,
             clock_offset: 0,
         }
     }
 }
 
-/// What the network does to datagrams.
+/// Faults and latency of the network.
 #[derive(Clone, Copy, Debug)]
-pub struct Net {
-    /// Shares that are lost, come twice, and are late.
+pub struct NetworkConfig {
+    /// Shares of datagrams that are lost, duplicated and delayed.
     pub loss: f64,
-    pub twice: f64,
-    pub late: f64,
-    /// Shortest and longest way, and how much longer a late one takes at the most (µs).
-    pub way: (u64, u64),
-    pub lateness: u64,
+    pub duplication: f64,
+    pub delayed_share: f64,
+    /// Shortest and longest latency, and the longest extra delay of a delayed datagram (µs).
+    pub latency: (u64, u64),
+    pub max_extra_delay: u64,
 }
 
-impl Default for Net {
-    fn default() -> Net {
-        Net { loss: 0.0, twice: 0.0, late: 0.0, way: (200, 1_000), lateness: 400_000 }
+impl Default for NetworkConfig {
+    fn default() -> NetworkConfig {
+        NetworkConfig {
+            loss: 0.0,
+            duplication: 0.0,
+            delayed_share: 0.0,
+            latency: (200, 1_000),
+            max_extra_delay: 400_000,
+        }
     }
 }
 
-/// What has come of reads and writes.
+/// Results of reads and writes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Reads, and those of sessions whose last write was answered by another pooler.
+pub struct SessionTotals {
+    /// All reads, and reads of sessions whose last write was answered by another pooler.
     pub reads: u64,
     pub moved: u64,
-    /// Of all and of the moved ones, those that the replica served.
-    pub near: u64,
-    pub moved_near: u64,
-    /// Reads that saw less than their session was answered.
+    /// Reads that the replica served, of all and of those of moved sessions.
+    pub from_replica: u64,
+    pub moved_from_replica: u64,
+    /// Reads that saw less than an answered write of their session.
     pub stale: u64,
-    /// Writes answered, refused before they were sent, and sent without an answer.
+    /// Writes that were answered, refused before they were sent, and sent but not answered.
     pub answered: u64,
     pub refused: u64,
     pub unanswered: u64,
 }
 
-/// What a process has sent and received, and the time spent in it.
+/// Datagrams and bytes that a process sent and received, and the time spent in it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
     pub sent: u64,
@@ -98,71 +105,71 @@
     Control(Box<Replica>),
 }
 
-struct Seat {
+struct ProcessSlot {
     process: Option<Process>,
-    life: u64,
-    stopped: bool,
+    generation: u64,
+    paused: bool,
     backlog: Vec<(SocketAddr, std::rc::Rc<Vec<u8>>)>,
-    /// Where its clock is between its turns, from 0 to 1.
-    phase: f64,
+    /// Phase of its clock's drift, from 0 to 1.
+    clock_phase: f64,
     due_at: u64,
     cost: Cost,
 }
 
 enum Event {
     Arrive { to: usize, from: SocketAddr, bytes: std::rc::Rc<Vec<u8>> },
-    Due(usize),
+    Timer(usize),
     Poll(u64),
     Commit(u64),
 }
 
 struct Write {
     at: usize,
-    life: u64,
+    generation: u64,
     session: usize,
     ticket: Ticket,
-    begun: u64,
+    started_at: u64,
     sent: Option<u64>,
     committed: Option<u64>,
 }
 
-/// A write is polled so often (µs), and refused unsent after so long (µs).
-const POLL: u64 = 5_000;
-const HOLD: u64 = 400_000;
-/// Time that a client gives a write (µs).
-const PATIENCE: u64 = 2_500_000;
+/// Time between two checks of a pending write, and the time after which an unsent write is refused (µs).
+const POLL_INTERVAL: u64 = 5_000;
+const MAX_HOLD: u64 = 400_000;
+/// Time limit of a client's write (µs).
+const WRITE_TIMEOUT: u64 = 2_500_000;
 
 /// All processes, the network, the sessions and the databases.
 pub struct World {
-    /// Now (Unix µs).
+    /// Present Unix time (µs).
     pub now: u64,
-    pub net: Net,
-    /// Directions that are cut.
-    pub cut: HashSet<(usize, usize)>,
-    pub tally: Tally,
-    /// How far the replica is behind (µs), and how long a write takes at the most (µs).
-    pub lag: u64,
-    pub work: u64,
+    pub network: NetworkConfig,
+    /// Blocked directions, as (sender, receiver).
+    pub blocked_directions: HashSet<(usize, usize)>,
+    pub totals: SessionTotals,
+    /// Lag of the replica, and the usual longest time of a write (µs).
+    pub replica_lag: u64,
+    pub max_write_time: u64,
     /// Whether the time spent in processes is measured.
     pub measure: bool,
-    shape: Shape,
+    config: WorldConfig,
     placement: Placement,
-    seats: Vec<Seat>,
+    slots: Vec<ProcessSlot>,
     events: BinaryHeap<Reverse<(u64, u64)>>,
     pending: HashMap<u64, Event>,
-    order: u64,
+    last_event: u64,
     rng: fastrand::Rng,
     writes: HashMap<u64, Write>,
     last_write: u64,
-    /// By session: the latest position that was answered, and by whom.
+    /// By session: the latest answered position, and the slot of the pooler that answered.
     answered: HashMap<usize, (u64, usize)>,
 }
 
-fn address(seat: usize) -> SocketAddr {
-    ([10, (seat >> 16) as u8, (seat >> 8) as u8, seat as u8], 7_000).into()
+fn address(slot: usize) -> SocketAddr {
+    ([10, (slot >> 16) as u8, (slot >> 8) as u8, slot as u8], 7_000).into()
 }
 
-fn seat_of(address: SocketAddr) -> usize {
+fn slot_of(address: SocketAddr) -> usize {
     match address.ip() {
         std::net::IpAddr::V4(ip) => {
             let [_, a, b, c] = ip.octets();
@@ -180,43 +187,45 @@
     SessionKey::new(&format!("session-{session}"))
 }
 
-pub fn machines(count: usize) -> Vec<ControlInstance> {
-    let machine =
+pub fn control_instances(count: usize) -> Vec<ControlInstance> {
+    let instance =
         |n| ControlInstance { name: format!("c{n}"), region: format!("r{}", n % 3), address: address(n) };
-    (0..count).map(machine).collect()
+    (0..count).map(instance).collect()
 }
 
 impl World {
-    /// Nothing runs yet. The control instances have the first seats, the poolers those after.
-    pub fn new(seed: u64, shape: Shape, net: Net) -> World {
+    /// Creates a world in which nothing runs yet. Control instances have the first slots, poolers the
+    /// following ones.
+    pub fn new(seed: u64, config: WorldConfig, network: NetworkConfig) -> World {
         let mut rng = fastrand::Rng::with_seed(seed);
         let placement =
-            Placement::new(machines(shape.machines), shape.group_size, &shape.terms).expect("a placement");
-        let seats = (0..shape.machines + shape.poolers)
-            .map(|_| Seat {
+            Placement::new(control_instances(config.control_instances), config.group_size, &config.timing)
+                .expect("a placement");
+        let slots = (0..config.control_instances + config.poolers)
+            .map(|_| ProcessSlot {
                 process: None,
-                life: 0,
-                stopped: false,
+                generation: 0,
+                paused: false,
                 backlog: Vec::new(),
-                phase: rng.f64(),
+                clock_phase: rng.f64(),
                 due_at: u64::MAX,
                 cost: Cost::default(),
             })
             .collect();
         World {
-            now: BEGIN,
-            net,
-            cut: HashSet::new(),
-            tally: Tally::default(),
-            lag: 1_500_000,
-            work: 50_000,
+            now: START_TIME,
+            network,
+            blocked_directions: HashSet::new(),
+            totals: SessionTotals::default(),
+            replica_lag: 1_500_000,
+            max_write_time: 50_000,
             measure: false,
             placement,
-            shape,
-            seats,
+            config,
+            slots,
             events: BinaryHeap::new(),
             pending: HashMap::new(),
-            order: 0,
+            last_event: 0,
             rng,
             writes: HashMap::new(),
             last_write: 0,
@@ -224,179 +233,187 @@
         }
     }
 
-    /// The seat of a pooler.
+    /// The slot of a pooler.
     pub fn pooler(&self, n: usize) -> usize {
-        self.shape.machines + n
+        self.config.control_instances + n
     }
 
-    pub fn machines(&self) -> usize {
-        self.shape.machines
+    pub fn control_instances(&self) -> usize {
+        self.config.control_instances
     }
 
     pub fn poolers(&self) -> usize {
-        self.shape.poolers
+        self.config.poolers
     }
 
     pub fn placement(&self) -> &Placement {
         &self.placement
     }
 
-    pub fn cost(&self, seat: usize) -> Cost {
-        self.seats[seat].cost
+    pub fn cost(&self, slot: usize) -> Cost {
+        self.slots[slot].cost
     }
 
     pub fn reset_costs(&mut self) {
-        self.seats.iter_mut().for_each(|seat| seat.cost = Cost::default());
+        self.slots.iter_mut().for_each(|slot| slot.cost = Cost::default());
     }
 
-    /// The clock of a seat (ms).
-    pub fn clock(&self, seat: usize) -> Millis {
-        let Shape { clock_rate, clock_offset, .. } = self.shape;
+    /// The clock of a process (ms).
+    pub fn clock(&self, slot: usize) -> Millis {
+        let WorldConfig { clock_rate, clock_offset, .. } = self.config;
         let largest = 1_000.0 * clock_offset as f64;
-        let phase = self.seats[seat].phase;
+        let clock_phase = self.slots[slot].clock_phase;
         let passed =
-            if largest > 0.0 { (self.now - BEGIN) as f64 * clock_rate / (4.0 * largest) } else { 0.0 };
-        let turn = (passed + phase).fract();
-        // A triangle between -1 and 1.
-        let swing = 1.0 - 4.0 * (turn - 0.5).abs();
+            if largest > 0.0 { (self.now - START_TIME) as f64 * clock_rate / (4.0 * largest) } else { 0.0 };
+        let cycle = (passed + clock_phase).fract();
+        // A triangle wave between -1 and 1.
+        let swing = 1.0 - 4.0 * (cycle - 0.5).abs();
         self.now.saturating_add_signed((swing * largest) as i64) / 1_000
     }
 
-    pub fn start(&mut self, seat: usize) {
-        let now = self.clock(seat);
-        let life = self.seats[seat].life + 1;
-        let incarnation = self.now / 1_000 * 10 + life % 10;
-        let process = if seat < self.shape.machines {
-            let me = ProcessId::new(&format!("c{seat}"), incarnation);
-            let replica = Replica::new(me, keys(), self.shape.machine_terms, self.placement.clone(), now);
+    pub fn start(&mut self, slot: usize) {
+        let now = self.clock(slot);
+        let generation = self.slots[slot].generation + 1;
+        let incarnation = self.now / 1_000 * 10 + generation % 10;
+        let process = if slot < self.config.control_instances {
+            let me = ProcessId::new(&format!("c{slot}"), incarnation);
+            let replica = Replica::new(me, keys(), self.config.instance_timing, self.placement.clone(), now);
             Process::Control(Box::new(replica.expect("a member")))
         } else {
-            let me = ProcessId::new(&format!("p{seat}"), incarnation);
+            let me = ProcessId::new(&format!("p{slot}"), incarnation);
             let placement = self.placement.clone();
             Process::Pooler(Box::new(Client::new(
                 me,
-                address(seat),
+                address(slot),
                 keys(),
-                self.shape.terms,
+                self.config.timing,
                 placement,
                 now,
             )))
         };
-        let place = &mut self.seats[seat];
-        (place.process, place.life, place.stopped) = (Some(process), life, false);
-        place.backlog.clear();
-        place.due_at = u64::MAX;
-        self.after(seat);
+        let process_slot = &mut self.slots[slot];
+        (process_slot.process, process_slot.generation, process_slot.paused) =
+            (Some(process), generation, false);
+        process_slot.backlog.clear();
+        process_slot.due_at = u64::MAX;
+        self.advance_process(slot);
     }
 
-    /// Starts all, and lets them meet.
+    /// Starts all processes and runs until they have leases.
     pub fn start_all(&mut self) {
-        (0..self.seats.len()).for_each(|seat| self.start(seat));
-        let silence = self.shape.machine_terms.startup_silence();
-        self.run(1_000 * (silence + 2 * self.shape.terms.heartbeat + 500));
+        (0..self.slots.len()).for_each(|slot| self.start(slot));
+        let silence = self.config.instance_timing.startup_silence();
+        self.run(1_000 * (silence + 2 * self.config.timing.heartbeat + 500));
     }
 
-    pub fn kill(&mut self, seat: usize) {
-        self.seats[seat].process = None;
-        self.seats[seat].life += 1;
-        let life = self.seats[seat].life;
-        let lost = self.writes.values().filter(|w| w.at == seat && w.life < life && w.sent.is_some()).count();
-        self.tally.unanswered += lost as u64;
-        self.writes.retain(|_, write| write.at != seat || write.life >= life);
+    pub fn kill(&mut self, slot: usize) {
+        self.slots[slot].process = None;
+        self.slots[slot].generation += 1;
+        let generation = self.slots[slot].generation;
+        let lost = self
+            .writes
+            .values()
+            .filter(|w| w.at == slot && w.generation < generation && w.sent.is_some())
+            .count();
+        self.totals.unanswered += lost as u64;
+        self.writes.retain(|_, write| write.at != slot || write.generation >= generation);
     }
 
-    pub fn stop(&mut self, seat: usize) {
-        self.seats[seat].stopped = true;
+    pub fn pause(&mut self, slot: usize) {
+        self.slots[slot].paused = true;
     }
 
-    pub fn go_on(&mut self, seat: usize) {
-        self.seats[seat].stopped = false;
-        for (from, bytes) in std::mem::take(&mut self.seats[seat].backlog) {
-            self.deliver(seat, from, &bytes);
+    pub fn resume(&mut self, slot: usize) {
+        self.slots[slot].paused = false;
+        for (from, bytes) in std::mem::take(&mut self.slots[slot].backlog) {
+            self.deliver(slot, from, &bytes);
         }
-        self.after(seat);
+        self.advance_process(slot);
         let waiting: Vec<u64> =
-            self.writes.iter().filter(|(_, write)| write.at == seat).map(|(id, _)| *id).collect();
+            self.writes.iter().filter(|(_, write)| write.at == slot).map(|(id, _)| *id).collect();
         waiting.into_iter().for_each(|id| self.schedule(self.now, Event::Poll(id)));
     }
 
-    pub fn runs(&self, seat: usize) -> bool {
-        self.seats[seat].process.is_some() && !self.seats[seat].stopped
+    pub fn is_running(&self, slot: usize) -> bool {
+        self.slots[slot].process.is_some() && !self.slots[slot].paused
     }
 
-    pub fn is_alive(&self, seat: usize) -> bool {
-        self.seats[seat].process.is_some()
+    pub fn is_alive(&self, slot: usize) -> bool {
+        self.slots[slot].process.is_some()
     }
 
-    /// Cuts a seat off from all others, or only one way: what it sends.
-    pub fn isolate(&mut self, seat: usize, both_ways: bool) {
-        for other in (0..self.seats.len()).filter(|other| *other != seat) {
-            self.cut.insert((seat, other));
+    /// Blocks all traffic of a process, or only what it sends.
+    pub fn isolate(&mut self, slot: usize, both_ways: bool) {
+        for other in (0..self.slots.len()).filter(|other| *other != slot) {
+            self.blocked_directions.insert((slot, other));
             if both_ways {
-                self.cut.insert((other, seat));
+                self.blocked_directions.insert((other, slot));
             }
         }
     }
 
-    pub fn rejoin(&mut self, seat: usize) {
-        self.cut.retain(|(from, to)| *from != seat && *to != seat);
+    pub fn rejoin(&mut self, slot: usize) {
+        self.blocked_directions.retain(|(from, to)| *from != slot && *to != slot);
     }
 
-    /// Has a pooler do something, if it runs.
-    pub fn with<T>(&mut self, seat: usize, what: impl FnOnce(&mut Client, Millis) -> T) -> Option<T> {
-        if !self.runs(seat) {
+    /// Calls a pooler, if it is running.
+    pub fn with_client<T>(&mut self, slot: usize, what: impl FnOnce(&mut Client, Millis) -> T) -> Option<T> {
+        if !self.is_running(slot) {
             return None;
         }
-        let now = self.clock(seat);
-        let begun = self.measure.then(Instant::now);
-        let done = match &mut self.seats[seat].process {
+        let now = self.clock(slot);
+        let started_at = self.measure.then(Instant::now);
+        let result = match &mut self.slots[slot].process {
             Some(Process::Pooler(client)) => what(client, now),
             _ => return None,
         };
-        self.seats[seat].cost.busy += begun.map_or(Duration::ZERO, |begun| begun.elapsed());
-        self.after(seat);
-        Some(done)
+        self.slots[slot].cost.busy += started_at.map_or(Duration::ZERO, |started_at| started_at.elapsed());
+        self.advance_process(slot);
+        Some(result)
     }
 
-    pub fn client(&self, seat: usize) -> Option<&Client> {
-        match &self.seats[seat].process {
+    pub fn client(&self, slot: usize) -> Option<&Client> {
+        match &self.slots[slot].process {
             Some(Process::Pooler(client)) => Some(client),
             _ => None,
         }
     }
 
-    pub fn replica(&self, seat: usize) -> Option<&Replica> {
-        match &self.seats[seat].process {
+    pub fn replica(&self, slot: usize) -> Option<&Replica> {
+        match &self.slots[slot].process {
             Some(Process::Control(replica)) => Some(replica),
             _ => None,
         }
     }
 
-    /// Lets so many microseconds pass.
+    /// Runs for `time` microseconds.
     pub fn run(&mut self, time: u64) {
         let until = self.now + time;
-        while let Some(Reverse((at, order))) =
+        while let Some(Reverse((at, event_id))) =
             self.events.peek().copied().filter(|Reverse((at, _))| *at <= until)
         {
             self.events.pop();
             self.now = self.now.max(at);
-            if let Some(event) = self.pending.remove(&order) {
-                self.happen(event);
+            if let Some(event) = self.pending.remove(&event_id) {
+                self.handle_event(event);
             }
         }
         self.now = until;
     }
 
-    /// The same, but the read waits for its session to be owned, for so long at the most (µs).
-    pub fn read_patiently(&mut self, pooler: usize, session: usize, patience: u64) -> Option<bool> {
-        let until = self.now + patience;
-        let seat = self.pooler(pooler);
-        let waits = |need: ReadRequirement| {
-            matches!(need, ReadRequirement::Primary(PrimaryReason::Claiming | PrimaryReason::FormerOwner))
+    /// Like [`World::read`], but waits for the session to be owned, for at most `timeout` (µs).
+    pub fn read_when_owned(&mut self, pooler: usize, session: usize, timeout: u64) -> Option<bool> {
+        let until = self.now + timeout;
+        let slot = self.pooler(pooler);
+        let waits = |requirement: ReadRequirement| {
+            matches!(
+                requirement,
+                ReadRequirement::Primary(PrimaryReason::Claiming | PrimaryReason::FormerOwner)
+            )
         };
         while self.now < until
             && self
-                .with(seat, |client, now| client.read_requirement(now, session_key(session)))
+                .with_client(slot, |client, now| client.read_requirement(now, session_key(session)))
                 .is_some_and(waits)
         {
             self.run(500);
@@ -404,47 +421,59 @@
         self.read(pooler, session)
     }
 
-    /// A session reads through a pooler. Whether the replica served it; none where the pooler does not run.
+    /// Reads a session through a pooler. Returns whether the replica served the read; none if the pooler is
+    /// not running.
     pub fn read(&mut self, pooler: usize, session: usize) -> Option<bool> {
-        let seat = self.pooler(pooler);
-        let need = self.with(seat, |client, now| client.read_requirement(now, session_key(session)))?;
-        let replica_at = self.now - self.lag;
-        let near = matches!(need, ReadRequirement::AtLeast(position) if 1_000 * position <= replica_at);
+        let slot = self.pooler(pooler);
+        let requirement =
+            self.with_client(slot, |client, now| client.read_requirement(now, session_key(session)))?;
+        let replica_at = self.now - self.replica_lag;
+        let from_replica =
+            matches!(requirement, ReadRequirement::AtLeast(position) if 1_000 * position <= replica_at);
         let answered = self.answered.get(&session).copied();
-        let moved = answered.is_some_and(|(_, by)| by != seat);
-        self.tally.reads += 1;
-        self.tally.moved += u64::from(moved);
-        self.tally.near += u64::from(near);
-        self.tally.moved_near += u64::from(near && moved);
-        if near && answered.is_some_and(|(position, _)| position > replica_at) {
-            self.tally.stale += 1;
+        let moved = answered.is_some_and(|(_, by)| by != slot);
+        self.totals.reads += 1;
+        self.totals.moved += u64::from(moved);
+        self.totals.from_replica += u64::from(from_replica);
+        self.totals.moved_from_replica += u64::from(from_replica && moved);
+        if from_replica && answered.is_some_and(|(position, _)| position > replica_at) {
+            self.totals.stale += 1;
         }
-        Some(near)
+        Some(from_replica)
     }
 
-    /// A session writes through a pooler.
+    /// Writes a session through a pooler.
     pub fn write(&mut self, pooler: usize, session: usize) {
-        let seat = self.pooler(pooler);
+        let slot = self.pooler(pooler);
         let begins =
-            |client: &mut Client, now| client.begin_write(now, session_key(session), PATIENCE / 1_000);
-        let Some(Some(ticket)) = self.with(seat, begins) else { return };
+            |client: &mut Client, now| client.begin_write(now, session_key(session), WRITE_TIMEOUT / 1_000);
+        let Some(Some(ticket)) = self.with_client(slot, begins) else { return };
         self.last_write += 1;
-        let (id, life) = (self.last_write, self.seats[seat].life);
-        let write = Write { at: seat, life, session, ticket, begun: self.now, sent: None, committed: None };
+        let (id, generation) = (self.last_write, self.slots[slot].generation);
+        let write = Write {
+            at: slot,
+            generation,
+            session,
+            ticket,
+            started_at: self.now,
+            sent: None,
+            committed: None,
+        };
         self.writes.insert(id, write);
-        self.poll(id);
+        self.poll_write(id);
     }
 
-    fn poll(&mut self, id: u64) {
+    fn poll_write(&mut self, id: u64) {
         let Some(write) = self.writes.get(&id) else { return };
-        let Write { at, session, ticket, begun, sent, committed, .. } = *write;
-        if !self.runs(at) {
+        let Write { at, session, ticket, started_at, sent, committed, .. } = *write;
+        if !self.is_running(at) {
             return;
         }
-        let over = self.now >= begun + PATIENCE;
+        let timed_out = self.now >= started_at + WRITE_TIMEOUT;
         if let Some(position) = committed {
-            if self.with(at, |client, now| client.may_answer(now, ticket)) == Some(true) && !over {
-                self.tally.answered += 1;
+            if self.with_client(at, |client, now| client.may_answer(now, ticket)) == Some(true) && !timed_out
+            {
+                self.totals.answered += 1;
                 let known = self.answered.entry(session).or_insert((0, at));
                 if position >= known.0 {
                     *known = (position, at);
@@ -452,109 +481,110 @@
                 return self.finish(id);
             }
         } else if sent.is_none() {
-            if self.now >= begun + HOLD {
-                self.tally.refused += 1;
+            if self.now >= started_at + MAX_HOLD {
+                self.totals.refused += 1;
                 return self.finish(id);
             }
-            if self.with(at, |client, now| client.may_send(now, ticket)) == Some(true) {
-                // Some commit late, up to the longest time that a write may take.
-                let longest = begun + PATIENCE - self.now;
-                let work = if self.rng.u8(..20) == 0 { longest } else { self.work.min(longest) };
-                let takes = self.rng.u64(1..=work);
+            if self.with_client(at, |client, now| client.may_send(now, ticket)) == Some(true) {
+                // Some writes commit late, up to the longest time that a write may take.
+                let longest = started_at + WRITE_TIMEOUT - self.now;
+                let max_time =
+                    if self.rng.u8(..20) == 0 { longest } else { self.max_write_time.min(longest) };
+                let write_time = self.rng.u64(1..=max_time);
                 if let Some(write) = self.writes.get_mut(&id) {
                     write.sent = Some(self.now);
                 }
-                self.schedule(self.now + takes, Event::Commit(id));
+                self.schedule(self.now + write_time, Event::Commit(id));
             }
         }
-        if over {
-            self.tally.unanswered += 1;
+        if timed_out {
+            self.totals.unanswered += 1;
             return self.finish(id);
         }
-        self.schedule(self.now + POLL, Event::Poll(id));
+        self.schedule(self.now + POLL_INTERVAL, Event::Poll(id));
     }
 
     fn commit(&mut self, id: u64) {
         let Some(write) = self.writes.get(&id) else { return };
         let (at, ticket, position) = (write.at, write.ticket, self.now);
-        if !self.runs(at) {
-            // The answer of the database waits at the stopped pooler.
-            return self.schedule(self.now + POLL, Event::Commit(id));
+        if !self.is_running(at) {
+            // The database's answer waits for the paused pooler.
+            return self.schedule(self.now + POLL_INTERVAL, Event::Commit(id));
         }
-        // Rounded up: a position of a whole millisecond covers the commit.
-        let told = position.div_ceil(1_000);
+        // Rounded up, so that a position in whole milliseconds covers the commit.
+        let reported = position.div_ceil(1_000);
         if self.rng.u8(..50) == 0 {
-            // The answer is lost on its way.
-            self.with(at, |client, now| client.end_write(now, ticket, WriteOutcome::InDoubt));
-            self.tally.unanswered += 1;
+            // The database's answer is lost.
+            self.with_client(at, |client, now| client.end_write(now, ticket, WriteOutcome::InDoubt));
+            self.totals.unanswered += 1;
             return self.finish(id);
         }
-        self.with(at, |client, now| client.end_write(now, ticket, WriteOutcome::Committed(told)));
+        self.with_client(at, |client, now| client.end_write(now, ticket, WriteOutcome::Committed(reported)));
         if let Some(write) = self.writes.get_mut(&id) {
             write.committed = Some(position);
         }
-        self.poll(id);
+        self.poll_write(id);
     }
 
     fn finish(&mut self, id: u64) {
         if let Some(write) = self.writes.remove(&id) {
-            self.with(write.at, |client, now| client.forget(now, write.ticket));
+            self.with_client(write.at, |client, now| client.forget(now, write.ticket));
         }
     }
 
     fn schedule(&mut self, at: u64, event: Event) {
-        self.order += 1;
-        self.pending.insert(self.order, event);
-        self.events.push(Reverse((at, self.order)));
+        self.last_event += 1;
+        self.pending.insert(self.last_event, event);
+        self.events.push(Reverse((at, self.last_event)));
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrive { to, from, bytes } => {
-                if self.seats[to].stopped {
-                    if self.seats[to].backlog.len() < 4_096 {
-                        self.seats[to].backlog.push((from, bytes));
+                if self.slots[to].paused {
+                    if self.slots[to].backlog.len() < 4_096 {
+                        self.slots[to].backlog.push((from, bytes));
                     }
                 } else {
                     self.deliver(to, from, &bytes);
-                    self.after(to);
+                    self.advance_process(to);
                 }
             }
-            Event::Due(seat) => {
-                if self.seats[seat].due_at <= self.now {
-                    self.seats[seat].due_at = u64::MAX;
-                    self.after(seat);
+            Event::Timer(slot) => {
+                if self.slots[slot].due_at <= self.now {
+                    self.slots[slot].due_at = u64::MAX;
+                    self.advance_process(slot);
                 }
             }
-            Event::Poll(id) => self.poll(id),
+            Event::Poll(id) => self.poll_write(id),
             Event::Commit(id) => self.commit(id),
         }
     }
 
     fn deliver(&mut self, to: usize, from: SocketAddr, bytes: &[u8]) {
         let now = self.clock(to);
-        let seat = &mut self.seats[to];
-        seat.cost.received += 1;
-        seat.cost.received_bytes += bytes.len() as u64 + UDP_OVERHEAD;
-        let begun = self.measure.then(Instant::now);
-        // What is dropped is counted by the process.
-        let _ = match &mut seat.process {
+        let slot = &mut self.slots[to];
+        slot.cost.received += 1;
+        slot.cost.received_bytes += bytes.len() as u64 + UDP_OVERHEAD;
+        let started_at = self.measure.then(Instant::now);
+        // The process counts dropped datagrams itself.
+        let _ = match &mut slot.process {
             Some(Process::Pooler(client)) => client.receive(now, from, bytes),
             Some(Process::Control(replica)) => replica.receive(now, from, bytes),
             None => Ok(()),
         };
-        seat.cost.busy += begun.map_or(Duration::ZERO, |begun| begun.elapsed());
+        slot.cost.busy += started_at.map_or(Duration::ZERO, |started_at| started_at.elapsed());
     }
 
-    /// What a process wants done after it was called.
-    fn after(&mut self, seat: usize) {
-        if !self.runs(seat) {
+    /// Carries out what a process has pending: its timers and its outgoing datagrams.
+    fn advance_process(&mut self, slot: usize) {
+        if !self.is_running(slot) {
             return;
         }
-        let now = self.clock(seat);
-        let begun = self.measure.then(Instant::now);
-        let place = &mut self.seats[seat];
-        let (out, due) = match &mut place.process {
+        let now = self.clock(slot);
+        let started_at = self.measure.then(Instant::now);
+        let process_slot = &mut self.slots[slot];
+        let (out, due) = match &mut process_slot.process {
             Some(Process::Pooler(client)) => {
                 client.tick(now);
                 (client.take_datagrams(), client.next_due())
@@ -565,20 +595,20 @@
             }
             None => return,
         };
-        place.cost.busy += begun.map_or(Duration::ZERO, |begun| begun.elapsed());
-        out.into_iter().for_each(|(to, bytes)| self.send(seat, to, bytes));
+        process_slot.cost.busy += started_at.map_or(Duration::ZERO, |started_at| started_at.elapsed());
+        out.into_iter().for_each(|(to, bytes)| self.send(slot, to, bytes));
         if due != Millis::MAX {
             let wait = due.saturating_sub(now).max(1) as f64 * 1_000.0;
             let at = self.now + wait as u64 + 1;
-            if at < self.seats[seat].due_at {
-                self.seats[seat].due_at = at;
-                self.schedule(at, Event::Due(seat));
+            if at < self.slots[slot].due_at {
+                self.slots[slot].due_at = at;
+                self.schedule(at, Event::Timer(slot));
             }
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        let cost = &mut self.seats[from].cost;
+        let cost = &mut self.slots[from].cost;
         cost.sent += 1;
         cost.sent_bytes += bytes.len() as u64 + UDP_OVERHEAD;
         assert!(
@@ -586,20 +616,23 @@
             "a datagram of {} bytes",
             bytes.len()
         );
-        let to = seat_of(to);
-        if to >= self.seats.len() || self.cut.contains(&(from, to)) || self.rng.f64() < self.net.loss {
+        let to = slot_of(to);
+        if to >= self.slots.len()
+            || self.blocked_directions.contains(&(from, to))
+            || self.rng.f64() < self.network.loss
+        {
             return;
         }
         let bytes = std::rc::Rc::new(bytes);
-        let copies = 1 + usize::from(self.rng.f64() < self.net.twice);
+        let copies = 1 + usize::from(self.rng.f64() < self.network.duplication);
         for _ in 0..copies {
-            let (shortest, longest) = self.net.way;
-            let mut way = self.rng.u64(shortest..=longest);
-            if self.rng.f64() < self.net.late {
-                way += self.rng.u64(..=self.net.lateness);
+            let (shortest, longest) = self.network.latency;
+            let mut latency = self.rng.u64(shortest..=longest);
+            if self.rng.f64() < self.network.delayed_share {
+                latency += self.rng.u64(..=self.network.max_extra_delay);
             }
             let arrive = Event::Arrive { to, from: address(from), bytes: bytes.clone() };
-            self.schedule(self.now + way, arrive);
+            self.schedule(self.now + latency, arrive);
         }
     }
 }
--- a/crates/directory/tests/placement.rs
+++ b/crates/directory/tests/placement.rs
@@ -4,30 +4,33 @@
 
 use directory::placement::PlacementError;
 use directory::{Placement, SessionKey, Timing};
-use network::machines;
+use network::control_instances;
 
 fn placement(count: usize, size: usize) -> Placement {
-    Placement::new(machines(count), size, &Timing::default()).unwrap()
+    Placement::new(control_instances(count), size, &Timing::default()).unwrap()
 }
 
 #[test]
-fn each_machine_is_in_as_many_groups_as_a_group_has_members() {
+fn each_control_instance_is_in_as_many_groups_as_a_group_has_members() {
     for size in [1, 3, 5] {
         let placement = placement(13, size);
         assert_eq!(placement.groups(), 13);
-        for machine in 0..13 {
-            let groups = (0..13).filter(|group| placement.members(*group).contains(&machine));
+        for instance in 0..13 {
+            let groups = (0..13).filter(|group| placement.members(*group).contains(&instance));
             assert_eq!(groups.count(), size);
         }
     }
 }
 
 #[test]
-fn members_are_of_different_regions_where_there_are_as_many_of_each() {
+fn members_are_in_different_regions_if_regions_are_balanced() {
     let placement = placement(12, 3);
     for group in 0..placement.groups() {
-        let mut regions: Vec<&str> =
-            placement.members(group).iter().map(|machine| &*placement.instances()[*machine].region).collect();
+        let mut regions: Vec<&str> = placement
+            .members(group)
+            .iter()
+            .map(|instance| &*placement.instances()[*instance].region)
+            .collect();
         regions.sort_unstable();
         regions.dedup();
         assert_eq!(regions.len(), 3, "group {group}");
@@ -35,9 +38,9 @@
 }
 
 #[test]
-fn sessions_are_spread_evenly_and_the_order_of_the_list_does_not_matter() {
+fn sessions_are_distributed_evenly_regardless_of_list_order() {
     let all = placement(13, 3);
-    let mut reversed = machines(13);
+    let mut reversed = control_instances(13);
     reversed.reverse();
     let reversed = Placement::new(reversed, 3, &Timing::default()).unwrap();
     assert_eq!(all.digest(), reversed.digest());
@@ -51,19 +54,20 @@
 }
 
 #[test]
-fn other_terms_make_another_directory() {
+fn timing_is_part_of_the_digest() {
     let other = Timing { lease: 3_000, ..Timing::default() };
-    let other = Placement::new(machines(13), 3, &other).unwrap();
+    let other = Placement::new(control_instances(13), 3, &other).unwrap();
     assert_ne!(placement(13, 3).digest(), other.digest());
 }
 
 #[test]
-fn a_list_that_is_none_is_turned_down() {
-    let wrong = |machines, size| Placement::new(machines, size, &Timing::default()).unwrap_err();
-    assert_eq!(wrong(machines(13), 2), PlacementError::GroupSize(2));
-    assert_eq!(wrong(machines(2), 3), PlacementError::InstanceCount(2));
-    assert_eq!(wrong(machines(65), 3), PlacementError::InstanceCount(65));
-    let mut twice = machines(3);
-    twice[2].name = twice[0].name.clone();
-    assert_eq!(wrong(twice, 3), PlacementError::Duplicate(2));
+fn invalid_lists_are_rejected() {
+    let error =
+        |control_instances, size| Placement::new(control_instances, size, &Timing::default()).unwrap_err();
+    assert_eq!(error(control_instances(13), 2), PlacementError::GroupSize(2));
+    assert_eq!(error(control_instances(2), 3), PlacementError::InstanceCount(2));
+    assert_eq!(error(control_instances(65), 3), PlacementError::InstanceCount(65));
+    let mut duplicate = control_instances(3);
+    duplicate[2].name = duplicate[0].name.clone();
+    assert_eq!(error(duplicate, 3), PlacementError::Duplicate(2));
 }
