--- a/crates/directory/tests/client.rs
+++ b/crates/directory/tests/client.rs
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn sessions_are_bounded_and_the_longest_idle_one_is_released() {
+fn tracked_sessions_and_claims_are_bounded() {
     let mut world = world();
     let slot = world.pooler(0);
     let max_sessions = directory::timing::bounds::SESSIONS;
