--- a/crates/listing/src/connection.rs
+++ b/crates/listing/src/connection.rs
@@ -1,5 +1,5 @@
-//! A connection on which the list is followed: the call, and the answer cut into documents. Bytes come and go over
-//! whatever can be read and written; no socket is known here.
+//! A connection on which the list is followed: sends the list request and splits the response into documents.
+//! Reads from and writes to any stream; it does not depend on sockets.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -9,91 +9,92 @@
 use json::Documents;
 
 const PATH: &str = "/catalog/members";
-/// Longest document of an answer (bytes): some 10,000 db machines, indented.
-const LONGEST: usize = 4 * 1024 * 1024;
+/// Maximum length of one document of a response (bytes): an indented list of about 10,000 members.
+const MAX_DOCUMENT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a connection is of no further use, for the log.
+/// Why a connection cannot be used any more, for the log.
 pub type ConnectionError = &'static str;
 
-/// Bytes that have passed since the last look.
+/// Bytes transferred since the previous [`Connection::take_byte_counts`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ByteCounts {
-    /// Written.
+    /// Bytes written.
     pub sent: usize,
-    /// Read.
+    /// Bytes read.
     pub received: usize,
 }
 
-/// The call and its answer.
+/// A list request and its response.
 pub struct Connection {
     inbox: Ring,
     outbox: Ring,
-    answer: ResponseReader,
+    response: ResponseReader,
     documents: Documents,
-    passed: ByteCounts,
+    byte_counts: ByteCounts,
 }
 
 impl Connection {
-    /// Calls the address for what has changed since that version of the list.
+    /// Prepares a request for the changes since version `since` of the list.
     pub fn new(address: SocketAddr, since: u64, budget: &Budget) -> Result<Connection, ConnectionError> {
         let mut outbox = Ring::new(budget);
         let (target, host) = (format!("{PATH}?follow=1&since={since}"), address.to_string());
-        let asked = Request { method: "GET", target: &target, host: &host, ..Request::default() };
-        outbox.push(&asked.to_bytes()).map_err(|_| "no connection")?;
-        let (inbox, documents) = (Ring::new(budget), Documents::new(LONGEST));
-        let (answer, passed) = (ResponseReader::default(), ByteCounts::default());
-        Ok(Connection { inbox, outbox, answer, documents, passed })
+        let request = Request { method: "GET", target: &target, host: &host, ..Request::default() };
+        outbox.push(&request.to_bytes()).map_err(|_| "no memory for the list request")?;
+        let (inbox, documents) = (Ring::new(budget), Documents::new(MAX_DOCUMENT_BYTES));
+        let (response, byte_counts) = (ResponseReader::default(), ByteCounts::default());
+        Ok(Connection { inbox, outbox, response, documents, byte_counts })
     }
 
-    /// Whether a document has begun and not ended.
+    /// Returns true if a document has begun and not ended.
     pub fn in_document(&self) -> bool {
         self.documents.in_document()
     }
 
-    /// What has passed since the last call.
+    /// Returns the bytes transferred since the previous call.
     pub fn take_byte_counts(&mut self) -> ByteCounts {
-        std::mem::take(&mut self.passed)
+        std::mem::take(&mut self.byte_counts)
     }
 
-    /// Writes and reads as far as it goes; `pieces` takes what is whole of the answer.
+    /// Writes and reads until the stream would block; appends the complete pieces of the response to
+    /// `pieces`.
     pub fn transfer(
         &mut self,
         stream: &mut (impl Read + Write),
         pieces: &mut Vec<json::Piece>,
     ) -> Result<(), ConnectionError> {
-        let waiting = self.outbox.len();
+        let unsent = self.outbox.len();
         let drained = self.outbox.drain(stream);
-        self.passed.sent += waiting - self.outbox.len();
-        drained.map_err(|_| "the connection broke")?;
+        self.byte_counts.sent += unsent - self.outbox.len();
+        drained.map_err(|_| "connection lost")?;
         loop {
-            let held = self.inbox.len();
+            let buffered = self.inbox.len();
             let fill = self.inbox.fill(stream);
-            self.passed.received += self.inbox.len() - held;
+            self.byte_counts.received += self.inbox.len() - buffered;
             let before = self.inbox.len();
-            // What came before a reset counts: it has been told.
-            self.understand(pieces)?;
-            match fill.map_err(|_| "the connection broke")? {
-                Fill::Ended => return Err("the watch ended"),
+            // Data received before a reset is still processed: discovery has sent it.
+            self.parse_response(pieces)?;
+            match fill.map_err(|_| "connection lost")? {
+                Fill::Ended => return Err("watch closed by discovery"),
                 Fill::Drained => return Ok(()),
-                Fill::Full if self.inbox.len() == before => return Err("an answer too long"),
+                Fill::Full if self.inbox.len() == before => return Err("response exceeds the buffer"),
                 Fill::Full => {}
             }
         }
     }
 
-    /// Takes what is there of the answer.
-    fn understand(&mut self, pieces: &mut Vec<json::Piece>) -> Result<(), ConnectionError> {
-        while let Some(piece) = self.answer.next(&mut self.inbox).map_err(Fault::description)? {
+    /// Parses the buffered part of the response.
+    fn parse_response(&mut self, pieces: &mut Vec<json::Piece>) -> Result<(), ConnectionError> {
+        while let Some(piece) = self.response.next(&mut self.inbox).map_err(Fault::description)? {
             match piece {
                 Piece::Head(Head { status: 200, chunked: true, .. }) => {}
-                Piece::Head(_) => return Err("the call was turned down"),
+                Piece::Head(_) => return Err("list request refused"),
                 Piece::Body(bytes) => {
-                    self.documents.push(&bytes).map_err(|_| "a list too long")?;
+                    self.documents.push(&bytes).map_err(|_| "list document too long")?;
                     while let Some(piece) = self.documents.take() {
                         pieces.push(piece);
                     }
                 }
-                Piece::End => return Err("the watch ended"),
+                Piece::End => return Err("watch closed by discovery"),
             }
         }
         Ok(())
--- a/crates/listing/src/follow.rs
+++ b/crates/listing/src/follow.rs
@@ -1,34 +1,39 @@
-//! Following the list at discovery, without I/O: what a watch or a call that says nothing means, and which of several
-//! connections counts. A call that takes long is not given up: a service that is slow looks like one that hangs, and who calls
-//! anew stands at the end of its line. It is kept beside the calls that are made after it, within a bound.
+//! Follows the list at discovery, without I/O: decides what a silent watch or an unanswered list request
+//! means, and which of several connections is authoritative. A request that takes long is not abandoned: a
+//! slow service cannot be told from one that hangs, and a new request goes to the end of the service's queue.
+//! The slow request stays open beside later ones, within a limit.
 
-/// An empty line is due on a watch every 2 s. One that is later than this (seconds) has fallen silent: what it misses
-/// counts as told 6 s after that began, heard or not, and calls of a whole fleet take discovery some seconds.
-const QUIET: f64 = 2.3;
-/// A call without any answer for so long (seconds) is overdue: another is made beside it.
-const CALL: f64 = 3.0;
-/// A call without any answer for so long (seconds) hangs, and makes room for others.
-const HUNG: f64 = 30.0;
-/// Most connections at a time, the watch included: to a service that is asked, within the spare descriptors, ...
+/// Discovery sends an empty line on a watch every 2 s. A watch without one for longer than this (seconds) is
+/// silent. The bound leaves time for list requests: an update that a watch misses counts as delivered 6 s
+/// after the silence began, and requests of a whole fleet keep discovery busy for some seconds.
+const WATCH_TIMEOUT: f64 = 2.3;
+/// A list request without any response for this long (seconds) is overdue: another is sent beside it.
+const REQUEST_TIMEOUT: f64 = 3.0;
+/// A list request without any response for this long (seconds) hangs, and is closed to make room for others.
+const HUNG_REQUEST_TIMEOUT: f64 = 30.0;
+/// Maximum number of connections at a time to a service that is polled, the watch included. Fits into the
+/// reserved descriptors.
 pub const MAX_CONNECTIONS: usize = 3;
-/// ... and to an agent, which is called often and answers at once.
-const MOST_AT_AGENT: usize = 2;
-/// An agent answers at once, at no cost, and is silent while discovery is down; what it gets at the return counts at
-/// once. It is called again after so long without an answer (seconds), below any grace ...
-const CALL_AT_AGENT: f64 = 0.2;
-/// ... and so long after it turned a call down, or ended a connection (seconds).
+/// Maximum number of connections at a time to an agent, the watch included. An agent is polled often and
+/// answers at once.
+const MAX_AGENT_CONNECTIONS: usize = 2;
+/// An agent answers at once, at no cost, and is silent while discovery is down; an update that it receives
+/// when discovery returns counts as delivered at once. Without an answer, the agent is polled again after
+/// this time (seconds), which is below any grace period.
+const AGENT_REQUEST_TIMEOUT: f64 = 0.2;
+/// Delay before polling an agent again after it refused a request or ended a connection (seconds).
 pub const AGENT_RETRY_DELAY: f64 = 0.25;
 
-/// A timer may come early by what rounding takes off its time (seconds).
-const ROUNDING: f64 = 0.001;
+/// A timer may fire early by the rounding of its time (seconds).
+const TIMER_TOLERANCE: f64 = 0.001;
 
-/// Number of a connection to discovery, given out once.
+/// Identifies a connection to discovery; an id is not used twice.
 pub type ConnectionId = u64;
 
-/// What is to be done, in this order.
+/// What the caller has to do; steps are carried out in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Call on a new connection for what has changed since that version, and go on listening there.
+    /// Open a new connection, request the changes since that version, and keep the connection as a watch.
     Open(ConnectionId, u64),
     /// Close a connection.
     Close(ConnectionId),
@@ -36,307 +41,316 @@
     Timer(f64),
     /// The list is followed, and nothing has changed.
     Unchanged,
-    /// The list is lost: a call failed, or a connection ended.
+    /// The list is not followed any more: a request failed, or a connection ended.
     Failed(&'static str),
-    /// The list may be lost: nothing is heard where something is due.
+    /// The list may not be followed any more: no data came within the time limit.
     Silent(&'static str),
 }
 
-/// A connection that has answered, and goes on telling of changes.
+/// A connection on which discovery has answered and on which it sends further updates.
 #[derive(Clone, Copy, Debug)]
 struct Watch {
-    line: ConnectionId,
-    /// When the last whole document or empty line came, or a document began.
-    heard: f64,
+    id: ConnectionId,
+    /// When the last complete document or empty line arrived, or a document began.
+    heard_at: f64,
     /// A document has begun and not ended.
-    begun: bool,
-    /// It has been found silent, and has said nothing since.
-    silent: bool,
-    /// It is at a service that has been left: its versions mean nothing to the present one.
-    left: bool,
+    in_document: bool,
+    /// The watch has been reported as silent and has sent nothing since.
+    reported_silent: bool,
+    /// The watch is at the previous address: its versions cannot be compared with those of the present
+    /// service.
+    superseded: bool,
 }
 
-/// A connection on which a call has been made and nothing whole has come yet.
+/// A connection with a list request to which no complete document or empty line has come yet.
 #[derive(Clone, Copy, Debug)]
-struct Call {
-    line: ConnectionId,
-    made: f64,
-    /// When it was made, or a document began.
-    heard: f64,
-    begun: bool,
-    /// That it takes too long has been told.
+struct ListRequest {
+    id: ConnectionId,
+    sent_at: f64,
+    /// When the request was sent, or a document began.
+    heard_at: f64,
+    in_document: bool,
+    /// The request has been reported as taking too long.
     overdue: bool,
 }
 
-/// The connections to discovery: the one that is listened to, and calls that have had no answer.
+/// The connections to discovery: the watch, and the requests that have no answer yet.
 #[derive(Debug)]
 pub struct Follower {
-    /// The list is pushed to an agent: nobody else says when to call.
+    /// An agent pushes the list: no other part of the pooler requests it.
     pushed: bool,
-    index: u64,
-    lines: ConnectionId,
+    version: u64,
+    last_id: ConnectionId,
     watch: Option<Watch>,
-    /// Calls without an answer, the oldest first; at most [`MAX_CONNECTIONS`].
-    calls: Vec<Call>,
-    /// An agent that says nothing is called again and again: that the list is lost is told once.
-    lost: bool,
-    /// When an agent is to be asked again.
-    again: Option<f64>,
-    /// When [`Follower::on_timer`] is called next: one timer is set at a time.
-    armed: Option<f64>,
+    /// Requests without an answer, the oldest first; at most [`MAX_CONNECTIONS`].
+    requests: Vec<ListRequest>,
+    /// The loss of the list has been reported. A silent agent is polled repeatedly, but the loss is reported
+    /// once.
+    loss_reported: bool,
+    /// When an agent is polled again.
+    retry_at: Option<f64>,
+    /// When the pending timer calls [`Follower::on_timer`]; one timer is set at a time.
+    timer_at: Option<f64>,
 }
 
 impl Follower {
-    /// Holds the list of that version and has no connection yet.
-    pub fn new(pushed: bool, index: u64) -> Follower {
-        let (lines, watch, calls, lost, again, armed) = (0, None, Vec::new(), false, None, None);
-        Follower { pushed, index, lines, watch, calls, lost, again, armed }
+    /// Starts from the given version of the list, without a connection.
+    pub fn new(pushed: bool, version: u64) -> Follower {
+        let (last_id, watch, requests, loss_reported, retry_at, timer_at) =
+            (0, None, Vec::new(), false, None, None);
+        Follower { pushed, version, last_id, watch, requests, loss_reported, retry_at, timer_at }
     }
 
-    /// The version of the list that is held.
+    /// Returns the version of the list last received.
     pub fn version(&self) -> u64 {
-        self.index
+        self.version
     }
 
-    /// Where the list is pushed, sees to it that there is a call or a watch.
+    /// Sends a list request if the list is pushed and there is neither a watch nor a request.
     pub fn ensure_followed(&mut self, now: f64, out: &mut Vec<Step>) {
-        if self.pushed && self.watch.is_none() && self.calls.is_empty() {
+        if self.pushed && self.watch.is_none() && self.requests.is_empty() {
             self.send_list_request(now, out);
         }
     }
 
-    /// Calls from the list held. The watch and earlier calls are kept until one of the calls is answered.
+    /// Requests the changes since the stored version. The watch and earlier requests stay open until one of
+    /// the requests is answered.
     pub fn send_list_request(&mut self, now: f64, out: &mut Vec<Step>) {
-        self.again = None;
+        self.retry_at = None;
         self.make_room(now, out);
-        self.lines += 1;
-        let (line, made, heard) = (self.lines, now, now);
-        self.calls.push(Call { line, made, heard, begun: false, overdue: false });
-        out.push(Step::Open(line, self.index));
-        self.arm(now + self.patience(), out);
+        self.last_id += 1;
+        let (id, sent_at, heard_at) = (self.last_id, now, now);
+        self.requests.push(ListRequest { id, sent_at, heard_at, in_document: false, overdue: false });
+        out.push(Step::Open(id, self.version));
+        self.schedule_timer(now + self.answer_timeout(), out);
     }
 
-    /// Closes a call where there are as many connections as there may be. The oldest has the best place in a line, and is
-    /// closed only once it hangs; of the others the one that was made first goes.
+    /// Closes a request if the maximum number of connections is open. The oldest request is the first in the
+    /// service's queue, so it is closed only once it hangs; otherwise the second oldest is closed.
     fn make_room(&mut self, now: f64, out: &mut Vec<Step>) {
-        let most =
-            if self.pushed { MOST_AT_AGENT } else { MAX_CONNECTIONS } - usize::from(self.watch.is_some());
-        while self.calls.len() >= most {
-            let hangs = now >= self.calls[0].made + HUNG;
-            let next = if hangs || self.calls.len() == 1 { 0 } else { 1 };
-            out.push(Step::Close(self.calls.remove(next).line));
+        let limit = if self.pushed { MAX_AGENT_CONNECTIONS } else { MAX_CONNECTIONS }
+            - usize::from(self.watch.is_some());
+        while self.requests.len() >= limit {
+            let hung = now >= self.requests[0].sent_at + HUNG_REQUEST_TIMEOUT;
+            let next = if hung || self.requests.len() == 1 { 0 } else { 1 };
+            out.push(Step::Close(self.requests.remove(next).id));
         }
     }
 
-    /// Calls for the whole list at another service. What comes over a watch that is open still counts until the call is
+    /// Requests the full list from another service. Updates on an open watch still count until the request is
     /// answered.
     pub fn request_full_list(&mut self, now: f64, out: &mut Vec<Step>) {
-        // The versions of one service mean nothing to another.
-        self.index = 0;
-        self.watch.iter_mut().for_each(|watch| watch.left = true);
-        self.close_calls(out);
+        // Versions of different services cannot be compared.
+        self.version = 0;
+        self.watch.iter_mut().for_each(|watch| watch.superseded = true);
+        self.close_requests(out);
         self.send_list_request(now, out);
     }
 
-    /// Follows the list no more.
+    /// Stops following the list and closes all connections.
     pub fn stop(&mut self, out: &mut Vec<Step>) {
-        self.again = None;
+        self.retry_at = None;
         self.close_watch(out);
-        self.close_calls(out);
+        self.close_requests(out);
     }
 
     fn close_watch(&mut self, out: &mut Vec<Step>) {
-        self.watch.take().into_iter().for_each(|watch| out.push(Step::Close(watch.line)));
+        self.watch.take().into_iter().for_each(|watch| out.push(Step::Close(watch.id)));
     }
 
-    fn close_calls(&mut self, out: &mut Vec<Step>) {
-        self.calls.drain(..).for_each(|call| out.push(Step::Close(call.line)));
+    fn close_requests(&mut self, out: &mut Vec<Step>) {
+        self.requests.drain(..).for_each(|request| out.push(Step::Close(request.id)));
     }
 
-    /// Calls that take too long are not needed once the watch has spoken again.
+    /// Closes overdue requests: they are not needed once the watch has sent data again.
     fn close_overdue(&mut self, out: &mut Vec<Step>) {
-        self.calls.retain(|call| {
-            if call.overdue {
-                out.push(Step::Close(call.line));
+        self.requests.retain(|request| {
+            if request.overdue {
+                out.push(Step::Close(request.id));
             }
-            !call.overdue
+            !request.overdue
         });
     }
 
-    /// Asks for a look at that time, unless there is one before it.
-    fn arm(&mut self, at: f64, out: &mut Vec<Step>) {
-        if self.armed.is_none_or(|armed| at < armed) {
-            self.armed = Some(at);
+    /// Sets a timer for that time, unless one is pending before it.
+    fn schedule_timer(&mut self, at: f64, out: &mut Vec<Step>) {
+        if self.timer_at.is_none_or(|timer_at| at < timer_at) {
+            self.timer_at = Some(at);
             out.push(Step::Timer(at));
         }
     }
 
-    /// How long a call may take.
-    fn patience(&self) -> f64 {
+    /// Returns the time limit for the answer to a request (seconds).
+    fn answer_timeout(&self) -> f64 {
         if self.pushed {
-            CALL_AT_AGENT
+            AGENT_REQUEST_TIMEOUT
         } else {
-            CALL
+            REQUEST_TIMEOUT
         }
     }
 
-    /// Something came over a connection, after which a document has begun there and not ended, or not. What comes
-    /// of a document gives it as long again for the rest, once.
-    pub fn bytes_received(&mut self, line: ConnectionId, now: f64, begun: bool) {
-        let watch = self.watch.iter_mut().filter(|watch| watch.line == line);
-        let calls = self.calls.iter_mut().filter(|call| call.line == line);
-        let watch = watch.map(|watch| (&mut watch.begun, &mut watch.heard));
-        for (known, heard) in watch.chain(calls.map(|call| (&mut call.begun, &mut call.heard))) {
-            if begun && !std::mem::replace(known, true) {
-                *heard = now;
+    /// Data came over a connection; `in_document` is true if a document has begun on it and not ended. The
+    /// beginning of a document restarts the time limit once, for the rest of the document.
+    pub fn bytes_received(&mut self, id: ConnectionId, now: f64, in_document: bool) {
+        let watch = self.watch.iter_mut().filter(|watch| watch.id == id);
+        let requests = self.requests.iter_mut().filter(|request| request.id == id);
+        let watch = watch.map(|watch| (&mut watch.in_document, &mut watch.heard_at));
+        for (seen_document, heard_at) in
+            watch.chain(requests.map(|request| (&mut request.in_document, &mut request.heard_at)))
+        {
+            if in_document && !std::mem::replace(seen_document, true) {
+                *heard_at = now;
             }
         }
     }
 
     /// An empty line came: nothing has changed.
-    pub fn empty_line_received(&mut self, line: ConnectionId, now: f64, out: &mut Vec<Step>) {
-        if self.heard(line, now, out) == Some(true) {
+    pub fn empty_line_received(&mut self, id: ConnectionId, now: f64, out: &mut Vec<Step>) {
+        if self.record_message(id, now, out) == Some(true) {
             out.push(Step::Unchanged);
         }
     }
 
-    /// News of that version came. Whether they count.
-    pub fn update_received(&mut self, line: ConnectionId, now: f64, index: u64, out: &mut Vec<Step>) -> bool {
-        let counts = self.heard(line, now, out).is_some();
-        if self.watch.is_some_and(|watch| watch.line == line && !watch.left) {
-            self.index = index;
+    /// An update to that version came. Returns true if it counts.
+    pub fn update_received(&mut self, id: ConnectionId, now: f64, version: u64, out: &mut Vec<Step>) -> bool {
+        let accepted = self.record_message(id, now, out).is_some();
+        if self.watch.is_some_and(|watch| watch.id == id && !watch.superseded) {
+            self.version = version;
         }
-        counts
+        accepted
     }
 
-    /// Notes a whole document or empty line. Whether the list was not known to be followed before; none for a
-    /// connection that does not count.
-    fn heard(&mut self, line: ConnectionId, now: f64, out: &mut Vec<Step>) -> Option<bool> {
-        let fresh = Watch { line, heard: now, begun: false, silent: false, left: false };
-        let was_lost = match self.watch {
-            Some(watch) if watch.line == line => {
-                self.watch = Some(Watch { left: watch.left, ..fresh });
-                if !watch.left {
+    /// Records a complete document or empty line. Returns true if the list was not being followed before, and
+    /// `None` for a connection that does not count.
+    fn record_message(&mut self, id: ConnectionId, now: f64, out: &mut Vec<Step>) -> Option<bool> {
+        let active =
+            Watch { id, heard_at: now, in_document: false, reported_silent: false, superseded: false };
+        let was_unfollowed = match self.watch {
+            Some(watch) if watch.id == id => {
+                self.watch = Some(Watch { superseded: watch.superseded, ..active });
+                if !watch.superseded {
                     self.close_overdue(out);
                 }
-                watch.silent
+                watch.reported_silent
             }
             _ => {
-                // Whichever call is answered first takes the place of all other connections.
-                let place = self.calls.iter().position(|call| call.line == line)?;
-                self.calls.remove(place);
-                self.close_calls(out);
+                // The request that is answered first replaces all other connections.
+                let index = self.requests.iter().position(|request| request.id == id)?;
+                self.requests.remove(index);
+                self.close_requests(out);
                 self.close_watch(out);
-                self.watch = Some(fresh);
+                self.watch = Some(active);
                 true
             }
         };
-        self.lost = false;
-        self.arm(now + QUIET, out);
-        Some(was_lost)
+        self.loss_reported = false;
+        self.schedule_timer(now + WATCH_TIMEOUT, out);
+        Some(was_unfollowed)
     }
 
-    /// A connection has broken, or what came over it is of no use.
+    /// A connection has failed, or its data cannot be used.
     pub fn connection_failed(
         &mut self,
-        line: ConnectionId,
+        id: ConnectionId,
         now: f64,
-        why: &'static str,
+        reason: &'static str,
         out: &mut Vec<Step>,
     ) {
-        out.push(Step::Close(line));
-        if self.watch.take_if(|watch| watch.line == line).is_some() {
-            if self.calls.is_empty() {
-                self.lost(now, Step::Failed(why), out);
+        out.push(Step::Close(id));
+        if self.watch.take_if(|watch| watch.id == id).is_some() {
+            if self.requests.is_empty() {
+                self.handle_loss(now, Step::Failed(reason), out);
             }
             return;
         }
-        let Some(place) = self.calls.iter().position(|call| call.line == line) else { return };
-        let newest = place + 1 == self.calls.len();
-        let call = self.calls.remove(place);
-        // Of one that is overdue it has been told that it may be lost, and of an older one that another was made.
-        if newest && !call.overdue {
-            self.lost(now, Step::Failed(why), out);
+        let Some(index) = self.requests.iter().position(|request| request.id == id) else { return };
+        let newest = index + 1 == self.requests.len();
+        let request = self.requests.remove(index);
+        // An overdue request has already been reported, and a newer request replaces an older one.
+        if newest && !request.overdue {
+            self.handle_loss(now, Step::Failed(reason), out);
         }
     }
 
-    /// The newest call has come to nothing so far: a watch counts again, if it is not silent itself.
-    fn lost(&mut self, now: f64, how: Step, out: &mut Vec<Step>) {
-        let failed = matches!(how, Step::Failed(_));
-        // One at a service that was left would count as a watch for as long as it speaks.
-        if failed && self.watch.is_some_and(|watch| watch.left) {
+    /// The newest request has failed or is overdue. The watch is authoritative again unless it is silent too.
+    fn handle_loss(&mut self, now: f64, step: Step, out: &mut Vec<Step>) {
+        let failed = matches!(step, Step::Failed(_));
+        // A watch at the previous address would otherwise count for as long as it sends data.
+        if failed && self.watch.is_some_and(|watch| watch.superseded) {
             self.close_watch(out);
         }
-        if let Some(watch) = self.watch.filter(|watch| !watch.silent && !watch.left) {
-            return self.arm(watch.heard + QUIET, out);
+        if let Some(watch) = self.watch.filter(|watch| !watch.reported_silent && !watch.superseded) {
+            return self.schedule_timer(watch.heard_at + WATCH_TIMEOUT, out);
         }
-        let known = std::mem::replace(&mut self.lost, true);
+        let already_reported = std::mem::replace(&mut self.loss_reported, true);
         if self.pushed && !failed {
             self.send_list_request(now, out);
         } else if self.pushed {
-            self.again = Some(now + AGENT_RETRY_DELAY);
-            self.arm(now + AGENT_RETRY_DELAY, out);
+            self.retry_at = Some(now + AGENT_RETRY_DELAY);
+            self.schedule_timer(now + AGENT_RETRY_DELAY, out);
         }
-        if !(self.pushed && known) {
-            out.push(how);
+        if !(self.pushed && already_reported) {
+            out.push(step);
         }
     }
 
-    /// Looks whether anything has been silent for too long: what is cut off would stay open for ever.
+    /// Checks the watch and the requests for silence: a connection whose peer was cut off would stay open for
+    /// ever.
     pub fn on_timer(&mut self, now: f64, out: &mut Vec<Step>) {
-        let now = now + ROUNDING;
-        if self.armed.is_some_and(|at| now >= at) {
-            self.armed = None;
+        let now = now + TIMER_TOLERANCE;
+        if self.timer_at.is_some_and(|at| now >= at) {
+            self.timer_at = None;
         }
-        match self.again {
+        match self.retry_at {
             Some(at) if now >= at => self.send_list_request(now, out),
-            Some(at) => self.arm(at, out),
+            Some(at) => self.schedule_timer(at, out),
             None => {}
         }
-        self.look_at_watch(now, out);
-        self.look_at_calls(now, out);
+        self.check_watch(now, out);
+        self.check_requests(now, out);
     }
 
-    /// A watch that has been silent for too long is kept: should it only be late, what it says next counts.
-    fn look_at_watch(&mut self, now: f64, out: &mut Vec<Step>) {
-        let Some(watch) = self.watch.as_mut().filter(|watch| !watch.silent) else { return };
-        let until = watch.heard + QUIET;
+    /// A silent watch stays open: if it is only late, its next data counts.
+    fn check_watch(&mut self, now: f64, out: &mut Vec<Step>) {
+        let Some(watch) = self.watch.as_mut().filter(|watch| !watch.reported_silent) else { return };
+        let until = watch.heard_at + WATCH_TIMEOUT;
         if now < until {
-            return self.arm(until, out);
+            return self.schedule_timer(until, out);
         }
-        watch.silent = true;
-        // Where a call is out, its end decides.
-        if self.calls.is_empty() {
-            self.lost = true;
-            out.push(Step::Silent("silent"));
+        watch.reported_silent = true;
+        // While a request is in flight, its end decides.
+        if self.requests.is_empty() {
+            self.loss_reported = true;
+            out.push(Step::Silent("no data on the watch in time"));
             if self.pushed {
                 self.send_list_request(now, out);
             }
         }
     }
 
-    /// A call that takes too long is kept, and another is asked for; where the watch has spoken again it is not needed.
-    fn look_at_calls(&mut self, now: f64, out: &mut Vec<Step>) {
-        let patience = self.patience();
-        let speaks = self.watch.is_some_and(|watch| !watch.silent && !watch.left);
-        let mut place = 0;
-        while place < self.calls.len() {
-            let (call, newest) = (self.calls[place], place + 1 == self.calls.len());
-            let until = call.heard + patience;
-            if now >= until && speaks {
-                out.push(Step::Close(call.line));
-                self.calls.remove(place);
+    /// An overdue request stays open and is reported, so that another is sent; if the watch has sent data
+    /// again, the request is not needed and is closed.
+    fn check_requests(&mut self, now: f64, out: &mut Vec<Step>) {
+        let answer_timeout = self.answer_timeout();
+        let watch_is_live = self.watch.is_some_and(|watch| !watch.reported_silent && !watch.superseded);
+        let mut index = 0;
+        while index < self.requests.len() {
+            let (request, newest) = (self.requests[index], index + 1 == self.requests.len());
+            let until = request.heard_at + answer_timeout;
+            if now >= until && watch_is_live {
+                out.push(Step::Close(request.id));
+                self.requests.remove(index);
                 continue;
             }
             if now < until {
-                self.arm(until, out);
-            } else if !call.overdue {
-                self.calls[place].overdue = true;
+                self.schedule_timer(until, out);
+            } else if !request.overdue {
+                self.requests[index].overdue = true;
                 if newest {
-                    return self.lost(now, Step::Silent("a call without an answer"), out);
+                    return self.handle_loss(now, Step::Silent("list request not answered in time"), out);
                 }
             }
-            place += 1;
+            index += 1;
         }
     }
 }
--- a/crates/listing/src/lib.rs
+++ b/crates/listing/src/lib.rs
@@ -1,4 +1,4 @@
-//! The list of db machines: its lines, and the form in which discovery and the configuration tell it.
+//! The list of members: its entries, and the form in which discovery and the configuration provide it.
 #![warn(missing_docs)]
 
 pub mod connection;
@@ -9,45 +9,45 @@
 use json::Node;
 use routing::interface::{MemberId, Phase};
 
-const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+const UNSPECIFIED_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// The list of db machines, or what has changed in it.
+/// The list of members, or what has changed in it.
 #[derive(Clone, Debug, Default)]
 pub struct ListUpdate {
-    /// The version of the list, as its source counts them.
+    /// The version of the list, as counted by its source.
     pub version: u64,
-    /// Whether it is the whole list.
+    /// True if it is the full list.
     pub is_full: bool,
-    /// Its lines.
+    /// Its entries.
     pub listings: Vec<Listing>,
 }
 
-/// One line of the list.
+/// One entry of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
-    /// The machine's name, the same at every pooler.
+    /// The member's name, the same at every pooler.
     pub name: MemberId,
-    /// Where it listens.
+    /// The address that the member listens on.
     pub address: SocketAddr,
     /// The name of its zone.
     pub zone: String,
-    /// Its group.
+    /// The group that it belongs to.
     pub group: u32,
-    /// Where it stands in its life.
+    /// Its phase: serving, draining or removed.
     pub phase: Phase,
-    /// When it last started (Unix seconds); 0 means long ago.
+    /// When the member last started (Unix seconds); 0 means long ago.
     pub started_at: f64,
 }
 
-/// Reads one message of the list from its JSON text; none where it is not of the agreed form.
+/// Parses one message of the list from its JSON text; `None` if it is malformed.
 pub fn parse(text: &str) -> Option<ListUpdate> {
     json::parse(text).ok().and_then(|value| parse_update(Node::new(&value)))
 }
 
-/// Reads one message of the list; none where it is not of the agreed form. A single entry that cannot be
-/// read is left out: the others are of use without it.
+/// Parses one message of the list; `None` if it is malformed. A single entry that cannot be parsed is left
+/// out, since the other entries are usable without it.
 pub fn parse_update(root: Node) -> Option<ListUpdate> {
-    let listings = root.at("endpoints").items()?.iter().filter_map(|entry| listing(Node::new(entry)));
+    let listings = root.at("endpoints").items()?.iter().filter_map(|entry| parse_entry(Node::new(entry)));
     Some(ListUpdate {
         version: root.at("index").number()? as u64,
         is_full: root.at("snapshot").flag(),
@@ -55,7 +55,7 @@
     })
 }
 
-fn listing(entry: Node) -> Option<Listing> {
+fn parse_entry(entry: Node) -> Option<Listing> {
     let phase = match entry.at("status").text()? {
         "SERVING" => Phase::Active,
         "DRAINING" => Phase::Leaving,
@@ -65,8 +65,8 @@
     let address = entry.at("address").text().and_then(|address| address.parse().ok());
     Some(Listing {
         name: entry.at("name").text()?.into(),
-        // One that is gone may have no address any more; it must be known to be gone all the same.
-        address: address.or((phase == Phase::Left).then_some(NOWHERE))?,
+        // A removed member may have no address any more; its removal must be recorded all the same.
+        address: address.or((phase == Phase::Left).then_some(UNSPECIFIED_ADDRESS))?,
         zone: entry.at("zone").text()?.to_string(),
         group: entry.at("group").number()? as u32,
         phase,
--- a/crates/listing/tests/follow.rs
+++ b/crates/listing/tests/follow.rs
@@ -1,229 +1,241 @@
-//! What silence means to whoever follows the list, and which of two connections counts meanwhile.
+//! What a silent watch or request means to the follower, and which of its connections counts meanwhile.
 
 use listing::follow::{Follower, Step};
 
-/// A follower and the steps it asked for last.
-struct Drive {
+/// A follower and the steps that it returned last.
+struct Harness {
     follower: Follower,
     now: f64,
     out: Vec<Step>,
 }
 
-impl Drive {
-    /// One that listens on its first connection since second 100 and has been answered there.
-    fn following(pushed: bool) -> Drive {
-        let mut drive = Drive { follower: Follower::new(pushed, 41), now: 100.0, out: Vec::new() };
-        drive.tell(|f, now, out| f.send_list_request(now, out));
-        assert_eq!(drive.out[0], Step::Open(1, 41));
-        drive.tell(|f, now, out| f.empty_line_received(1, now, out));
-        assert!(drive.out.contains(&Step::Unchanged));
-        drive
+impl Harness {
+    /// A follower whose first connection is opened at second 100 and has been answered.
+    fn watching(pushed: bool) -> Harness {
+        let mut harness = Harness { follower: Follower::new(pushed, 41), now: 100.0, out: Vec::new() };
+        harness.call(|f, now, out| f.send_list_request(now, out));
+        assert_eq!(harness.out[0], Step::Open(1, 41));
+        harness.call(|f, now, out| f.empty_line_received(1, now, out));
+        assert!(harness.out.contains(&Step::Unchanged));
+        harness
     }
 
-    fn tell(&mut self, what: impl FnOnce(&mut Follower, f64, &mut Vec<Step>)) {
+    fn call(&mut self, operation: impl FnOnce(&mut Follower, f64, &mut Vec<Step>)) {
         self.out.clear();
-        what(&mut self.follower, self.now, &mut self.out);
+        operation(&mut self.follower, self.now, &mut self.out);
     }
 
-    /// Passes time in hundredths; what was asked for meanwhile but timers.
-    fn pass(&mut self, seconds: f64) -> Vec<Step> {
-        let mut seen = Vec::new();
+    /// Advances the time in steps of 10 ms and returns all steps other than timers.
+    fn advance(&mut self, seconds: f64) -> Vec<Step> {
+        let mut steps = Vec::new();
         let end = self.now + seconds;
         while self.now < end {
             self.now += 0.01;
-            self.tell(|f, now, out| f.on_timer(now, out));
-            seen.extend(self.out.drain(..).filter(|step| !matches!(step, Step::Timer(_))));
+            self.call(|f, now, out| f.on_timer(now, out));
+            steps.extend(self.out.drain(..).filter(|step| !matches!(step, Step::Timer(_))));
         }
-        seen
+        steps
     }
 }
 
 #[test]
-fn silence_is_noticed_when_a_line_is_a_little_late_and_the_watch_is_kept_until_the_next_has_answered() {
-    let mut drive = Drive::following(false);
+fn a_silent_watch_is_reported_once_and_stays_open_until_the_next_has_answered() {
+    let mut harness = Harness::watching(false);
     for _ in 0..5 {
-        assert_eq!(drive.pass(2.0), []);
-        drive.tell(|f, now, out| f.empty_line_received(1, now, out));
+        assert_eq!(harness.advance(2.0), []);
+        harness.call(|f, now, out| f.empty_line_received(1, now, out));
     }
-    assert_eq!(drive.pass(2.2), [], "a line may be a little late");
-    assert_eq!(drive.pass(0.3), [Step::Silent("silent")]);
-    assert_eq!(drive.pass(60.0), [], "and that is told once");
-    drive.tell(|f, now, out| f.send_list_request(now, out));
-    assert_eq!(drive.out[0], Step::Open(2, 41), "nothing is closed for it");
-    // What comes over the old one counts until the new one has answered, and not after.
-    let (now, mut out) = (drive.now, Vec::new());
-    assert!(drive.follower.update_received(1, now, 42, &mut out));
-    assert!(drive.follower.update_received(2, now, 43, &mut out));
+    assert_eq!(harness.advance(2.2), [], "an empty line may be slightly late");
+    assert_eq!(harness.advance(0.3), [Step::Silent("no data on the watch in time")]);
+    assert_eq!(harness.advance(60.0), [], "the silence is reported once");
+    harness.call(|f, now, out| f.send_list_request(now, out));
+    assert_eq!(harness.out[0], Step::Open(2, 41), "no connection is closed for it");
+    // Updates on the old watch count until the new one has answered, and not after.
+    let (now, mut out) = (harness.now, Vec::new());
+    assert!(harness.follower.update_received(1, now, 42, &mut out));
+    assert!(harness.follower.update_received(2, now, 43, &mut out));
     assert!(out.contains(&Step::Close(1)), "{out:?}");
-    assert!(!drive.follower.update_received(1, now, 42, &mut out), "it is closed");
-    assert_eq!(drive.follower.version(), 43);
+    assert!(!harness.follower.update_received(1, now, 42, &mut out), "the old watch is closed");
+    assert_eq!(harness.follower.version(), 43);
 }
 
 #[test]
-fn a_call_that_hangs_is_told_and_kept_and_a_watch_that_speaks_again_stands_in_for_it() {
-    let mut drive = Drive::following(false);
-    drive.pass(2.5);
-    drive.tell(|f, now, out| f.send_list_request(now, out));
-    assert_eq!(drive.pass(2.9), [], "a call may wait in line");
-    assert_eq!(drive.pass(0.2), [Step::Silent("a call without an answer")]);
-    assert_eq!(drive.pass(3.0), [], "that is told once, and nothing is closed");
-    drive.tell(|f, now, out| f.empty_line_received(1, now, out));
-    assert!(drive.out.contains(&Step::Unchanged), "the old watch was only late: {:?}", drive.out);
-    assert!(drive.out.contains(&Step::Close(2)), "the call is not needed any more: {:?}", drive.out);
-    assert_eq!(drive.pass(2.0), []);
-    assert_eq!(drive.pass(0.5), [Step::Silent("silent")], "and it is looked at like any other");
+fn an_overdue_request_stays_open_until_the_old_watch_sends_data_again() {
+    let mut harness = Harness::watching(false);
+    harness.advance(2.5);
+    harness.call(|f, now, out| f.send_list_request(now, out));
+    assert_eq!(harness.advance(2.9), [], "a request may wait in the queue of the service");
+    assert_eq!(harness.advance(0.2), [Step::Silent("list request not answered in time")]);
+    assert_eq!(harness.advance(3.0), [], "the delay is reported once, and nothing is closed");
+    harness.call(|f, now, out| f.empty_line_received(1, now, out));
+    assert!(harness.out.contains(&Step::Unchanged), "the old watch was only late: {:?}", harness.out);
+    assert!(harness.out.contains(&Step::Close(2)), "the request is not needed any more: {:?}", harness.out);
+    assert_eq!(harness.advance(2.0), []);
+    assert_eq!(
+        harness.advance(0.5),
+        [Step::Silent("no data on the watch in time")],
+        "the old watch is checked like any other"
+    );
 }
 
-/// A service that took 3.5 s to begin each answer was never heard: each call was given up after 3 s and made anew.
+/// Guards against never accepting a service that takes 3.5 s to begin each response: each request was
+/// abandoned after 3 s and sent anew.
 #[test]
-fn a_call_that_is_answered_late_counts_and_closes_those_made_after_it() {
-    let mut drive = Drive { follower: Follower::new(false, 41), now: 100.0, out: Vec::new() };
-    drive.tell(|f, now, out| f.send_list_request(now, out));
-    assert_eq!(drive.pass(3.1), [Step::Silent("a call without an answer")]);
-    drive.tell(|f, now, out| f.send_list_request(now, out));
-    assert_eq!(drive.out[0], Step::Open(2, 41), "the first is kept");
-    let (now, mut out) = (drive.now + 0.4, Vec::new());
-    assert!(drive.follower.update_received(1, now, 42, &mut out));
+fn a_request_answered_late_counts_and_closes_later_requests() {
+    let mut harness = Harness { follower: Follower::new(false, 41), now: 100.0, out: Vec::new() };
+    harness.call(|f, now, out| f.send_list_request(now, out));
+    assert_eq!(harness.advance(3.1), [Step::Silent("list request not answered in time")]);
+    harness.call(|f, now, out| f.send_list_request(now, out));
+    assert_eq!(harness.out[0], Step::Open(2, 41), "the first request stays open");
+    let (now, mut out) = (harness.now + 0.4, Vec::new());
+    assert!(harness.follower.update_received(1, now, 42, &mut out));
     assert!(out.contains(&Step::Close(2)) && !out.contains(&Step::Close(1)), "{out:?}");
-    assert_eq!(drive.follower.version(), 42);
-    drive.now = now;
-    assert_eq!(drive.pass(2.2), [], "it is the watch from now on");
+    assert_eq!(harness.follower.version(), 42);
+    harness.now = now;
+    assert_eq!(harness.advance(2.2), [], "the connection is the watch from now on");
 }
 
-/// Guards descriptors, and the best place in a line: only one that hangs for very long gives it up.
+/// Guards the descriptors and the place in the service's queue: the oldest request is closed only once it
+/// hangs.
 #[test]
-fn calls_without_an_answer_are_bounded_and_the_oldest_is_kept_until_it_hangs() {
-    let mut drive = Drive { follower: Follower::new(false, 41), now: 100.0, out: Vec::new() };
-    let (mut open, mut most, mut first_closed) = (Vec::new(), 0, None);
+fn unanswered_requests_are_bounded_and_the_oldest_stays_open_until_it_hangs() {
+    let mut harness = Harness { follower: Follower::new(false, 41), now: 100.0, out: Vec::new() };
+    let (mut open, mut max_open, mut first_closed) = (Vec::new(), 0, None);
     for _ in 0..15 {
-        drive.tell(|f, now, out| f.send_list_request(now, out));
-        let asked = drive.out.drain(..).collect::<Vec<_>>();
-        for step in asked.into_iter().chain(drive.pass(4.0)) {
+        harness.call(|f, now, out| f.send_list_request(now, out));
+        let requested = harness.out.drain(..).collect::<Vec<_>>();
+        for step in requested.into_iter().chain(harness.advance(4.0)) {
             match step {
-                Step::Open(line, _) => open.push(line),
-                Step::Close(line) => {
-                    assert!(open.contains(&line), "{line} is closed twice");
-                    open.retain(|other| *other != line);
-                    first_closed = first_closed.or((line == 1).then_some(drive.now));
+                Step::Open(id, _) => open.push(id),
+                Step::Close(id) => {
+                    assert!(open.contains(&id), "{id} is closed twice");
+                    open.retain(|other| *other != id);
+                    first_closed = first_closed.or((id == 1).then_some(harness.now));
                 }
                 _ => {}
             }
         }
-        most = most.max(open.len());
+        max_open = max_open.max(open.len());
     }
-    assert_eq!(most, 3);
+    assert_eq!(max_open, 3);
     assert!(first_closed.is_some_and(|at| (128.0..140.0).contains(&at)), "{first_closed:?}");
 }
 
-/// Several calls are out: one that is turned down is no word on the others.
+/// The failure of an older request says nothing about the newer ones.
 #[test]
-fn only_the_newest_call_tells_that_the_list_is_lost() {
-    let mut drive = Drive { follower: Follower::new(false, 41), now: 100.0, out: Vec::new() };
-    drive.tell(|f, now, out| f.send_list_request(now, out));
-    drive.pass(3.1);
-    drive.tell(|f, now, out| f.send_list_request(now, out));
-    drive.tell(|f, now, out| f.connection_failed(1, now, "turned down", out));
-    assert_eq!(drive.out, [Step::Close(1)]);
-    drive.tell(|f, now, out| f.connection_failed(2, now, "turned down", out));
-    assert_eq!(drive.out, [Step::Close(2), Step::Failed("turned down")]);
+fn only_the_failure_of_the_newest_request_reports_the_list_as_lost() {
+    let mut harness = Harness { follower: Follower::new(false, 41), now: 100.0, out: Vec::new() };
+    harness.call(|f, now, out| f.send_list_request(now, out));
+    harness.advance(3.1);
+    harness.call(|f, now, out| f.send_list_request(now, out));
+    harness.call(|f, now, out| f.connection_failed(1, now, "refused", out));
+    assert_eq!(harness.out, [Step::Close(1)]);
+    harness.call(|f, now, out| f.connection_failed(2, now, "refused", out));
+    assert_eq!(harness.out, [Step::Close(2), Step::Failed("refused")]);
 }
 
 #[test]
-fn a_call_turned_down_changes_nothing_for_a_watch_that_has_spoken_again() {
-    let mut drive = Drive::following(false);
-    drive.pass(2.5);
-    drive.tell(|f, now, out| f.send_list_request(now, out));
-    drive.tell(|f, now, out| f.empty_line_received(1, now, out));
-    drive.tell(|f, now, out| f.connection_failed(2, now, "turned down", out));
-    assert_eq!(drive.out, [Step::Close(2)]);
-    drive.tell(|f, now, out| f.connection_failed(1, now, "reset", out));
-    assert_eq!(drive.out, [Step::Close(1), Step::Failed("reset")], "then there is none left");
+fn a_refused_request_does_not_affect_a_watch_that_has_sent_data_again() {
+    let mut harness = Harness::watching(false);
+    harness.advance(2.5);
+    harness.call(|f, now, out| f.send_list_request(now, out));
+    harness.call(|f, now, out| f.empty_line_received(1, now, out));
+    harness.call(|f, now, out| f.connection_failed(2, now, "refused", out));
+    assert_eq!(harness.out, [Step::Close(2)]);
+    harness.call(|f, now, out| f.connection_failed(1, now, "reset", out));
+    assert_eq!(harness.out, [Step::Close(1), Step::Failed("reset")], "no connection is left");
 }
 
 #[test]
-fn a_list_that_stops_in_the_middle_is_silence() {
-    let mut drive = Drive::following(false);
-    drive.pass(1.0);
-    let now = drive.now;
+fn a_document_that_stops_in_the_middle_counts_as_silence() {
+    let mut harness = Harness::watching(false);
+    harness.advance(1.0);
+    let now = harness.now;
     for step in 0..100 {
-        drive.follower.bytes_received(1, now + f64::from(step) / 100.0, true);
+        harness.follower.bytes_received(1, now + f64::from(step) / 100.0, true);
     }
-    assert_eq!(drive.pass(2.2), [], "the rest has as long as any line");
-    assert_eq!(drive.pass(0.3), [Step::Silent("silent")], "a trickle is no list");
+    assert_eq!(harness.advance(2.2), [], "the rest has the full time limit");
+    assert_eq!(
+        harness.advance(0.3),
+        [Step::Silent("no data on the watch in time")],
+        "single bytes do not extend the time limit"
+    );
 }
 
 #[test]
-fn an_agent_is_asked_again_at_once_and_as_long_as_it_says_nothing() {
-    let mut drive = Drive::following(true);
-    let seen = drive.pass(2.4);
-    assert_eq!(seen, [Step::Silent("silent"), Step::Open(2, 41)]);
-    // It is below any grace, and told once.
-    let seen = drive.pass(10.0);
-    let calls = seen.iter().filter(|step| matches!(step, Step::Open(..))).count();
-    assert!((45..55).contains(&calls), "{calls}");
-    assert!(seen.iter().all(|step| matches!(step, Step::Open(..) | Step::Close(_))), "{seen:?}");
-    // What it says on the watch that was open first counts as what it says on a new one.
-    drive.tell(|f, now, out| f.empty_line_received(1, now, out));
-    assert!(drive.out.contains(&Step::Unchanged));
-    assert_eq!(drive.pass(1.0).len(), 1, "the call that is out is given up, and none is made");
+fn a_silent_agent_is_polled_repeatedly() {
+    let mut harness = Harness::watching(true);
+    let steps = harness.advance(2.4);
+    assert_eq!(steps, [Step::Silent("no data on the watch in time"), Step::Open(2, 41)]);
+    // The interval is below any grace period, and the silence is reported once.
+    let steps = harness.advance(10.0);
+    let requests = steps.iter().filter(|step| matches!(step, Step::Open(..))).count();
+    assert!((45..55).contains(&requests), "{requests}");
+    assert!(steps.iter().all(|step| matches!(step, Step::Open(..) | Step::Close(_))), "{steps:?}");
+    // Data on the first watch counts as much as data on a new one.
+    harness.call(|f, now, out| f.empty_line_received(1, now, out));
+    assert!(harness.out.contains(&Step::Unchanged));
+    assert_eq!(harness.advance(1.0).len(), 1, "the request in flight is closed, and none is sent");
 }
 
 #[test]
-fn an_agent_that_takes_longer_than_others_to_answer_is_heard() {
-    let mut drive = Drive { follower: Follower::new(true, 41), now: 100.0, out: Vec::new() };
-    drive.tell(|f, now, out| f.ensure_followed(now, out));
-    assert_eq!(drive.pass(0.25), [Step::Open(2, 41), Step::Silent("a call without an answer")]);
-    drive.pass(0.5);
-    let (now, mut out) = (drive.now, Vec::new());
-    assert!(drive.follower.update_received(1, now, 42, &mut out), "the first call is open still");
-    assert_eq!(drive.follower.version(), 42);
+fn a_late_answer_of_an_agent_counts() {
+    let mut harness = Harness { follower: Follower::new(true, 41), now: 100.0, out: Vec::new() };
+    harness.call(|f, now, out| f.ensure_followed(now, out));
+    assert_eq!(harness.advance(0.25), [Step::Open(2, 41), Step::Silent("list request not answered in time")]);
+    harness.advance(0.5);
+    let (now, mut out) = (harness.now, Vec::new());
+    assert!(harness.follower.update_received(1, now, 42, &mut out), "the first request is still open");
+    assert_eq!(harness.follower.version(), 42);
 }
 
-/// Guards a watch at the service before: its versions mean nothing to the next, and it must not stand in for it.
+/// Guards against a watch at the previous address: its versions cannot be compared, and it must not replace
+/// the new one.
 #[test]
-fn a_service_that_is_left_is_listened_to_until_the_next_has_answered() {
-    let mut drive = Drive::following(false);
-    drive.tell(|f, now, out| f.request_full_list(now, out));
-    assert_eq!(drive.out[0], Step::Open(2, 0));
-    let (now, mut out) = (drive.now, Vec::new());
-    assert!(drive.follower.update_received(1, now, 99, &mut out));
-    assert_eq!(drive.follower.version(), 0);
-    drive.tell(|f, now, out| f.connection_failed(2, now, "turned down", out));
-    assert_eq!(drive.out, [Step::Close(2), Step::Close(1), Step::Failed("turned down")]);
+fn the_watch_at_the_previous_address_counts_until_the_next_has_answered() {
+    let mut harness = Harness::watching(false);
+    harness.call(|f, now, out| f.request_full_list(now, out));
+    assert_eq!(harness.out[0], Step::Open(2, 0));
+    let (now, mut out) = (harness.now, Vec::new());
+    assert!(harness.follower.update_received(1, now, 99, &mut out));
+    assert_eq!(harness.follower.version(), 0);
+    harness.call(|f, now, out| f.connection_failed(2, now, "refused", out));
+    assert_eq!(harness.out, [Step::Close(2), Step::Close(1), Step::Failed("refused")]);
 }
 
-/// Guards the pause against a timer of the call before, which comes sooner.
+/// Guards the delay against a timer of the previous request, which fires sooner.
 #[test]
-fn an_agent_that_ends_the_connection_is_asked_again() {
-    for after in [0.0, 0.1] {
-        let mut drive = Drive { follower: Follower::new(true, 41), now: 100.0, out: Vec::new() };
-        drive.tell(|f, now, out| f.ensure_followed(now, out));
-        drive.pass(after);
-        drive.tell(|f, now, out| f.connection_failed(1, now, "reset", out));
-        assert_eq!(drive.pass(0.4)[0], Step::Open(2, 41));
+fn an_agent_that_ends_the_connection_is_polled_again() {
+    for delay in [0.0, 0.1] {
+        let mut harness = Harness { follower: Follower::new(true, 41), now: 100.0, out: Vec::new() };
+        harness.call(|f, now, out| f.ensure_followed(now, out));
+        harness.advance(delay);
+        harness.call(|f, now, out| f.connection_failed(1, now, "reset", out));
+        assert_eq!(harness.advance(0.4)[0], Step::Open(2, 41));
     }
 }
 
-/// Guards timers against adding up, call by call.
+/// Guards against timers that add up, one for each request.
 #[test]
 fn one_timer_is_set_at_a_time() {
-    let mut drive = Drive::following(false);
+    let mut harness = Harness::watching(false);
     let mut timers = vec![];
     for _ in 0..200 {
-        drive.tell(|f, now, out| f.send_list_request(now, out));
-        timers
-            .extend(drive.out.iter().filter_map(|s| if let Step::Timer(at) = s { Some(*at) } else { None }));
-        drive.now += 0.01;
+        harness.call(|f, now, out| f.send_list_request(now, out));
+        timers.extend(
+            harness.out.iter().filter_map(|s| if let Step::Timer(at) = s { Some(*at) } else { None }),
+        );
+        harness.now += 0.01;
     }
     assert!(timers.len() <= 2, "{timers:?}");
 }
 
-/// Guards against a look that comes a rounding too early and is the last.
+/// Guards against a timer that fires early by a rounding error and is not set again.
 #[test]
-fn a_timer_that_comes_early_by_its_rounding_is_not_lost() {
-    let mut drive = Drive::following(false);
-    drive.tell(|f, now, out| f.empty_line_received(1, now, out));
-    drive.now = 102.3 - 1e-9;
-    drive.tell(|f, now, out| f.on_timer(now, out));
-    assert_eq!(drive.out, [Step::Silent("silent")]);
+fn a_timer_that_fires_early_by_its_rounding_is_not_lost() {
+    let mut harness = Harness::watching(false);
+    harness.call(|f, now, out| f.empty_line_received(1, now, out));
+    harness.now = 102.3 - 1e-9;
+    harness.call(|f, now, out| f.on_timer(now, out));
+    assert_eq!(harness.out, [Step::Silent("no data on the watch in time")]);
 }
