--- a/crates/buffer/src/lib.rs
+++ b/crates/buffer/src/lib.rs
@@ -1,4 +1,4 @@
-//! The ring buffer that each connection has for each direction, and the memory budget of all of them.
+//! Ring buffers, one per connection and direction, and the memory budget that they share.
 
 mod lines;
 
@@ -9,80 +9,81 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::rc::Rc;
 
-/// Size of a buffer when first used.
-const START: usize = 1024;
-/// An empty buffer above this size gives its memory back. Guards against a thousand idle connections that
-/// each keep what their largest message once took.
-const KEEP: usize = 4 * 1024;
-/// Most bytes that one buffer holds: the largest message either protocol may carry, with its frame. A value
-/// is at most 64 KiB, which written out in hexadecimal is twice that.
+/// Size of a buffer when first used (bytes).
+const INITIAL_BYTES: usize = 1024;
+/// An empty buffer above this size (bytes) frees its memory. Guards against a thousand idle connections that
+/// each retain the size of their largest message.
+const MAX_RETAINED_BYTES: usize = 4 * 1024;
+/// Maximum size of a buffer: the largest message of either protocol, with its header. A value has at most 64
+/// KiB, and twice that in hexadecimal.
 pub const MAX_BUFFER_BYTES: usize = 160 * 1024;
 
 /// Why reading stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fill {
-    /// The source has nothing more for now.
+    /// The source has no more data for now.
     Drained,
     /// The source has ended.
     Ended,
-    /// The buffer is at its bound, or all buffers together are at theirs.
+    /// The buffer is at its maximum size, or the budget is exhausted.
     Full,
 }
 
-/// More was pushed than the bound admits.
+/// The data exceeds the maximum size of the buffer or the budget.
 #[derive(Debug)]
 pub struct Overflow;
 
-/// The memory that all buffers together may take. Guards against many peers that are each within their
-/// bound and together past the limit of the process, which would be killed for it.
+/// The memory limit of all buffers together. Guards against many connections that are each within their limit
+/// and together exceed that of the process, which would be killed.
 #[derive(Clone)]
-pub struct Budget(Rc<Pool>);
+pub struct Budget(Rc<BudgetState>);
 
-struct Pool {
+struct BudgetState {
     limit: Cell<usize>,
     used: Cell<usize>,
 }
 
 impl Budget {
     pub fn new(bytes: usize) -> Self {
-        Budget(Rc::new(Pool { limit: Cell::new(bytes), used: Cell::new(0) }))
+        Budget(Rc::new(BudgetState { limit: Cell::new(bytes), used: Cell::new(0) }))
     }
 
-    /// So many bytes from now on. Who holds more than that keeps it; nobody gets more until it fits again.
+    /// Changes the limit. Memory above a lower limit stays allocated; no more is granted until the total is
+    /// below the limit.
     pub fn resize(&self, bytes: usize) {
         self.0.limit.set(bytes);
     }
 
-    /// Bytes that are held.
+    /// Bytes in use.
     pub fn used(&self) -> usize {
         self.0.used.get()
     }
 
-    /// A part of it, of no size yet.
+    /// A charge against this budget, of zero bytes at first.
     pub fn charge(&self) -> Charge {
         Charge { budget: self.clone(), bytes: 0 }
     }
 }
 
-/// What one holder has of a budget; given back when dropped.
+/// The share of one holder of the budget; returned when dropped.
 pub struct Charge {
     budget: Budget,
     bytes: usize,
 }
 
 impl Charge {
-    /// Makes it so many bytes, whether or not the budget reaches.
+    /// Sets the charge to `bytes` even if that exceeds the budget.
     fn force(&mut self, bytes: usize) {
-        let Budget(pool) = &self.budget;
-        pool.used.set(pool.used.get() - self.bytes + bytes);
+        let Budget(state) = &self.budget;
+        state.used.set(state.used.get() - self.bytes + bytes);
         self.bytes = bytes;
     }
 
-    /// Makes it so many bytes; unchanged where the budget does not reach.
+    /// Sets the charge to `bytes`; leaves it unchanged if that exceeds the budget.
     pub fn set(&mut self, bytes: usize) -> Result<(), Overflow> {
-        let Budget(pool) = &self.budget;
-        let used = pool.used.get() - self.bytes + bytes;
-        if bytes > self.bytes && used > pool.limit.get() {
+        let Budget(state) = &self.budget;
+        let used = state.used.get() - self.bytes + bytes;
+        if bytes > self.bytes && used > state.limit.get() {
             return Err(Overflow);
         }
         self.force(bytes);
@@ -92,7 +93,7 @@
 
 impl Drop for Charge {
     fn drop(&mut self) {
-        // Taking less than before always succeeds.
+        // Reducing a charge always succeeds.
         let _ = self.set(0);
     }
 }
@@ -103,7 +104,7 @@
     }
 }
 
-/// A queue of bytes that grows up to [`MAX_BUFFER_BYTES`], as far as its budget reaches.
+/// A byte queue that grows up to [`MAX_BUFFER_BYTES`] within its budget.
 pub struct Ring {
     buffer: Vec<u8>,
     head: usize,
@@ -116,7 +117,7 @@
         Ring { buffer: Vec::new(), head: 0, len: 0, charge: budget.charge() }
     }
 
-    /// So many bytes more of the same budget, for something that was in this buffer.
+    /// Charges `bytes` to the same budget, for data that was taken from this buffer.
     pub fn charge(&self, bytes: usize) -> Result<Charge, Overflow> {
         let mut charge = self.charge.budget.charge();
         charge.set(bytes).map(|()| charge)
@@ -130,14 +131,14 @@
         self.len == 0
     }
 
-    /// Makes room for `more` bytes, if the bound allows.
+    /// Makes room for `more` bytes within the maximum size and the budget.
     fn reserve(&mut self, more: usize) -> Result<(), Overflow> {
         let need = self.len + more;
         if need > MAX_BUFFER_BYTES {
             return Err(Overflow);
         }
         if need > self.buffer.len() {
-            let size = need.next_power_of_two().clamp(START, MAX_BUFFER_BYTES);
+            let size = need.next_power_of_two().clamp(INITIAL_BYTES, MAX_BUFFER_BYTES);
             self.charge.set(size)?;
             let mut buffer = vec![0; size];
             self.copy(0, &mut buffer[..self.len]);
@@ -146,7 +147,7 @@
         Ok(())
     }
 
-    /// Reads until the source would block, has ended, or the bound is reached.
+    /// Reads until the source would block, has ended, or the buffer is full.
     pub fn fill(&mut self, source: &mut impl Read) -> io::Result<Fill> {
         loop {
             if self.len == self.buffer.len() && self.reserve(1).is_err() {
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Writes until all is gone or the sink would block; true when all is gone.
+    /// Writes until the buffer is empty or the sink would block; returns true if the buffer is empty.
     pub fn drain(&mut self, sink: &mut impl Write) -> io::Result<bool> {
         while self.len > 0 {
             let end = (self.head + self.len).min(self.buffer.len());
@@ -183,17 +184,17 @@
         Ok(true)
     }
 
-    /// Pushes a short message that is owed whatever is left of the budget. A buffer goes past the budget by [`START`] at the
-    /// most for it, so all together by that for each connection.
+    /// Pushes a short message that must be sent even if the budget is exhausted. A buffer exceeds the budget
+    /// by at most [`INITIAL_BYTES`] for it, and all buffers together by that for each connection.
     pub fn push_over_budget(&mut self, bytes: &[u8]) -> Result<(), Overflow> {
         if self.push(bytes).is_ok() {
             return Ok(());
         }
-        if !self.is_empty() || bytes.len() > START {
+        if !self.is_empty() || bytes.len() > INITIAL_BYTES {
             return Err(Overflow);
         }
-        self.charge.force(START);
-        (self.buffer, self.head) = (vec![0; START], 0);
+        self.charge.force(INITIAL_BYTES);
+        (self.buffer, self.head) = (vec![0; INITIAL_BYTES], 0);
         self.push(bytes)
     }
 
@@ -211,7 +212,7 @@
         Ok(())
     }
 
-    /// Copies what stands at `from` without taking it; the caller has seen that there is so much.
+    /// Copies the data at offset `from` without taking it; the caller has checked that there is enough of it.
     fn copy(&self, from: usize, into: &mut [u8]) {
         if into.is_empty() {
             return;
@@ -223,21 +224,21 @@
         into[first..].copy_from_slice(&self.buffer[..rest]);
     }
 
-    /// The first bytes, left where they are; none while there are fewer.
+    /// Returns the first bytes without taking them; `None` if there are fewer.
     pub fn peek<const N: usize>(&self) -> Option<[u8; N]> {
         let mut bytes = [0; N];
         (self.len >= N).then(|| self.copy(0, &mut bytes))?;
         Some(bytes)
     }
 
-    /// A copy of what stands first, `most` bytes at the most, left where it is.
-    pub fn peek_up_to(&self, most: usize) -> Vec<u8> {
-        let mut bytes = vec![0; most.min(self.len)];
+    /// Returns a copy of at most `max` bytes from the front, without taking them.
+    pub fn peek_up_to(&self, max: usize) -> Vec<u8> {
+        let mut bytes = vec![0; max.min(self.len)];
         self.copy(0, &mut bytes);
         bytes
     }
 
-    /// Takes as many bytes as are there, `count` at the most.
+    /// Takes at most `count` bytes.
     pub fn take(&mut self, count: usize) -> Vec<u8> {
         let bytes = self.peek_up_to(count);
         self.skip(bytes.len());
@@ -252,9 +253,9 @@
     }
 
     fn release(&mut self) {
-        if self.len == 0 && self.buffer.len() > KEEP {
+        if self.len == 0 && self.buffer.len() > MAX_RETAINED_BYTES {
             self.buffer = Vec::new();
-            // Taking less than before always succeeds.
+            // Reducing a charge always succeeds.
             let _ = self.charge.set(0);
         }
     }
@@ -265,10 +266,11 @@
     use super::*;
 
     #[test]
-    fn bytes_come_out_in_their_order_however_they_lie() {
+    fn bytes_keep_their_order_across_wrap_around_and_growth() {
         let mut ring = Ring::new(&Budget::new(MAX_BUFFER_BYTES));
         let (mut put, mut got): (u8, u8) = (0, 0);
-        // Odd sizes put the seam at every place, and more goes in than out, so it grows meanwhile.
+        // Odd sizes move the wrap-around to every offset; more goes in than comes out, so that the buffer
+        // also grows.
         let mut check = |bytes: Vec<u8>| {
             for byte in bytes {
                 assert_eq!(byte, got);
@@ -288,30 +290,30 @@
     }
 
     #[test]
-    fn a_short_message_that_is_owed_goes_past_the_budget_and_gives_it_back() {
-        let budget = Budget::new(START);
-        let (mut full, mut owing) = (Ring::new(&budget), Ring::new(&budget));
-        full.push(&[1; START]).unwrap();
-        assert!(owing.push(&[2; 10]).is_err());
-        owing.push_over_budget(&[2; 10]).unwrap();
-        assert!(owing.push_over_budget(&[2; START]).is_err(), "once, and short");
-        assert_eq!(budget.used(), 2 * START);
-        assert_eq!(owing.take(20), [2; 10]);
-        drop((full, owing));
+    fn a_short_message_may_exceed_the_budget_once_and_returns_it() {
+        let budget = Budget::new(INITIAL_BYTES);
+        let (mut full, mut short) = (Ring::new(&budget), Ring::new(&budget));
+        full.push(&[1; INITIAL_BYTES]).unwrap();
+        assert!(short.push(&[2; 10]).is_err());
+        short.push_over_budget(&[2; 10]).unwrap();
+        assert!(short.push_over_budget(&[2; INITIAL_BYTES]).is_err(), "only once, and only a short message");
+        assert_eq!(budget.used(), 2 * INITIAL_BYTES);
+        assert_eq!(short.take(20), [2; 10]);
+        drop((full, short));
         assert_eq!(budget.used(), 0);
     }
 
     #[test]
-    fn all_buffers_share_their_budget_and_give_it_back() {
-        let budget = Budget::new(MAX_BUFFER_BYTES + START);
+    fn buffers_share_a_budget_and_return_it() {
+        let budget = Budget::new(MAX_BUFFER_BYTES + INITIAL_BYTES);
         let (mut one, mut two) = (Ring::new(&budget), Ring::new(&budget));
         one.push(&vec![1; MAX_BUFFER_BYTES]).unwrap();
-        assert!(one.push(&[1]).is_err(), "past its own bound");
+        assert!(one.push(&[1]).is_err(), "beyond its own maximum size");
         two.push(&[2]).unwrap();
-        assert!(two.push(&vec![2; START]).is_err(), "past the budget of both");
+        assert!(two.push(&vec![2; INITIAL_BYTES]).is_err(), "beyond the budget of both");
         assert_eq!(two.fill(&mut &[3; MAX_BUFFER_BYTES][..]).unwrap(), Fill::Full);
         one.skip(MAX_BUFFER_BYTES);
-        assert_eq!(two.fill(&mut &[3; START][..]).unwrap(), Fill::Ended);
+        assert_eq!(two.fill(&mut &[3; INITIAL_BYTES][..]).unwrap(), Fill::Ended);
         drop((one, two));
         assert_eq!(budget.used(), 0);
     }
--- a/crates/buffer/src/lines.rs
+++ b/crates/buffer/src/lines.rs
@@ -1,24 +1,23 @@
-//! Cuts bytes into lines, within a bound.
+//! Splits bytes into lines of a limited length.
 
-/// A line that does not end within the bound: what sends it is of no further use.
+/// A line does not end within the limit; its sender must not be read from any more.
 #[derive(Debug, PartialEq, Eq)]
 pub struct TooLong;
 
-/// Bytes of which whole lines are taken. Holds at most so many bytes.
+/// Collects bytes and returns complete lines; stores at most `bound` bytes.
 pub struct Lines {
     bound: usize,
     pending: Vec<u8>,
-    /// Up to here there is no line end.
-    looked: usize,
+    /// Up to this index there is no line end.
+    scanned: usize,
 }
 
 impl Lines {
-    /// Holds at most `bound` bytes.
+    /// Stores at most `bound` bytes.
     pub fn new(bound: usize) -> Lines {
-        Lines { bound, pending: Vec::new(), looked: 0 }
+        Lines { bound, pending: Vec::new(), scanned: 0 }
     }
 
-    /// Takes in bytes.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLong> {
         if self.pending.len() + bytes.len() > self.bound {
             return Err(TooLong);
@@ -27,30 +26,29 @@
         Ok(())
     }
 
-    /// Takes the next whole line, without its end.
+    /// Takes the next complete line, without its line end.
     pub fn take(&mut self) -> Option<Vec<u8>> {
-        let end = self.pending[self.looked..].iter().position(|byte| *byte == b'\n');
-        let Some(end) = end.map(|end| end + self.looked) else {
-            self.looked = self.pending.len();
+        let end = self.pending[self.scanned..].iter().position(|byte| *byte == b'\n');
+        let Some(end) = end.map(|end| end + self.scanned) else {
+            self.scanned = self.pending.len();
             return None;
         };
         let mut line: Vec<u8> = self.pending.drain(..=end).collect();
         line.pop();
-        self.looked = 0;
+        self.scanned = 0;
         if self.pending.is_empty() {
-            // Not kept for the next: one long line should not cost its size for ever.
+            // Frees the memory: one long line must not occupy its size for ever.
             self.pending = Vec::new();
         }
         Some(line)
     }
 
-    /// Takes what is held as a last line, where nothing more is to come; none where nothing is held.
+    /// Takes the rest as a last line, for use when no more data will come; `None` if there is none.
     pub fn take_rest(&mut self) -> Option<Vec<u8>> {
-        self.looked = 0;
+        self.scanned = 0;
         Some(std::mem::take(&mut self.pending)).filter(|rest| !rest.is_empty())
     }
 
-    /// Bytes held.
     pub fn buffered_bytes(&self) -> usize {
         self.pending.len()
     }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,26 +1,27 @@
-//! What passes between a front and the proxy, in no protocol's form.
+//! Queries and answers between the client connections and the pooler, independent of any wire protocol.
 #![warn(missing_docs)]
 
 use std::ops::Range;
 
 use buffer::Charge;
 
-/// A statement as the client wrote it, and where in it the time that the sender will wait stands.
+/// A statement as the client wrote it, and the position of the client's timeout in it.
 #[derive(Debug)]
 pub struct Statement {
     text: Box<str>,
-    patience: Range<usize>,
-    /// What it takes of the memory for requests, once that is granted.
+    timeout_range: Range<usize>,
+    /// The statement's share of the memory for requests, once charged.
     charge: Option<Charge>,
 }
 
 impl Statement {
-    /// A statement that has been granted no memory yet; `patience` is where the time to wait stands in it.
-    pub fn new(text: Box<str>, patience: Range<usize>) -> Statement {
-        Statement { text, patience, charge: None }
+    /// A statement whose memory is not charged yet; `timeout_range` is the position of the timeout in its
+    /// text.
+    pub fn new(text: Box<str>, timeout_range: Range<usize>) -> Statement {
+        Statement { text, timeout_range, charge: None }
     }
 
-    /// Holds its part of the memory for as long as it lives.
+    /// Keeps the charge for its memory until the statement is dropped.
     pub fn set_charge(&mut self, charge: Charge) {
         self.charge = Some(charge);
     }
@@ -31,47 +32,49 @@
         self.text.len()
     }
 
-    /// The same statement with another time to wait (seconds; told in whole milliseconds, at least one).
+    /// Returns the statement with another timeout (seconds; written in whole milliseconds, at least 1).
     pub fn with_timeout(&self, seconds: f64) -> Vec<u8> {
         let millis = ((seconds * 1000.0) as u64).max(1).to_string();
-        [&self.text[..self.patience.start], &millis, &self.text[self.patience.end..]].concat().into_bytes()
+        [&self.text[..self.timeout_range.start], &millis, &self.text[self.timeout_range.end..]]
+            .concat()
+            .into_bytes()
     }
 }
 
-/// What a client's query says of itself.
+/// A client's query and the properties that it states.
 #[derive(Debug)]
 pub struct Query {
-    /// Its name, new with each try.
+    /// Its identifier, new with each attempt of the client.
     pub id: String,
-    /// Its class, by name.
+    /// The name of its class.
     pub class: String,
-    /// Its tenant, by name; empty without one.
+    /// The name of its tenant; empty if there is none.
     pub tenant: String,
-    /// Its group of machines.
+    /// Its group of members.
     pub group: u32,
-    /// How long the client will wait (seconds).
+    /// How long the client waits for the answer (seconds).
     pub timeout: f64,
-    /// Whether it carries an idempotency key.
+    /// True if it carries an idempotency key.
     pub has_idempotency_key: bool,
-    /// Whether the client marked it as a repeat.
+    /// True if the client marked it as a repeat.
     pub repeat: bool,
-    /// The position that the answer must see, where the client says which (Unix seconds).
+    /// The position that the answer must include, if the client names one (Unix seconds).
     pub required_position: Option<f64>,
-    /// The quoted key, where there is one: names the session.
+    /// The quoted key, if there is one; it identifies the session.
     pub session_key: Option<String>,
-    /// What is to be carried out.
+    /// The statement to be executed.
     pub statement: Statement,
 }
 
 /// The final answer to a query.
 #[derive(Debug)]
 pub enum Answer {
-    /// The value, in the form in which the db machine gave it.
+    /// The value, as encoded by the member.
     Served(Vec<u8>),
-    /// Another try is harmless, after so many seconds; 0 for no advice.
+    /// A retry is harmless, after that many seconds; 0 for no advice.
     Refused(f64),
-    /// It may have run.
+    /// The query may have run.
     Failed,
-    /// Not a query that can be carried out: it went nowhere.
+    /// The query is invalid and was not sent.
     Invalid(&'static str),
 }
--- a/crates/http1/tests/answers.rs
+++ b/crates/http1/tests/answers.rs
@@ -1,31 +1,32 @@
-//! Answers, whole and in pieces, sound and not.
+//! Responses, complete and in pieces, valid and invalid.
 
 use buffer::{Budget, Ring};
 use http1::{Fault, Head, Piece, Request, ResponseReader};
 
-/// All pieces of bytes that come cut at `at`, bodies joined.
-fn pieces(bytes: &[u8], at: usize) -> Result<Vec<Piece>, Fault> {
+/// Returns all pieces of a byte sequence that arrives in two parts, split at `at`; adjacent parts of a body
+/// are joined.
+fn pieces(bytes: &[u8], split_at: usize) -> Result<Vec<Piece>, Fault> {
     let mut inbox = Ring::new(&Budget::new(1 << 20));
-    let mut answer = ResponseReader::default();
+    let mut reader = ResponseReader::default();
     let mut all: Vec<Piece> = Vec::new();
-    for part in [&bytes[..at], &bytes[at..]] {
-        inbox.push(part).unwrap();
-        while let Some(piece) = answer.next(&mut inbox)? {
+    for half in [&bytes[..split_at], &bytes[split_at..]] {
+        inbox.push(half).unwrap();
+        while let Some(piece) = reader.next(&mut inbox)? {
             match (all.last_mut(), piece) {
                 (Some(Piece::Body(before)), Piece::Body(more)) => before.extend(more),
                 (_, piece) => all.push(piece),
             }
         }
     }
-    answer.connection_closed().map(|()| all)
+    reader.connection_closed().map(|()| all)
 }
 
-fn head(status: u16, chunked: bool, keep: bool) -> Piece {
-    Piece::Head(Head { status, chunked, keep_alive: keep })
+fn head(status: u16, chunked: bool, keep_alive: bool) -> Piece {
+    Piece::Head(Head { status, chunked, keep_alive })
 }
 
 #[test]
-fn answers_are_the_same_wherever_they_are_cut() {
+fn responses_are_parsed_alike_wherever_they_are_split() {
     let bytes = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello\
         HTTP/1.1 204 No Content\r\n\r\n\
         HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n\
@@ -40,8 +41,8 @@
         Piece::Body(b"abcde".to_vec()),
         Piece::End,
     ];
-    for at in 0..=bytes.len() {
-        assert_eq!(pieces(bytes, at), Ok(expected.clone()), "{at}");
+    for split_at in 0..=bytes.len() {
+        assert_eq!(pieces(bytes, split_at), Ok(expected.clone()), "{split_at}");
     }
 }
 
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn what_is_cut_or_contradicts_itself_is_a_fault() {
+fn truncated_and_contradictory_responses_are_rejected() {
     let long = [b"HTTP/1.1 200 OK\r\nx: ".to_vec(), vec![b'a'; 10_000]].concat();
     let informational = b"HTTP/1.1 100 Continue\r\n\r\n".repeat(20);
     for (bytes, fault) in [
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn nothing_breaks_out_of_its_field() {
+fn control_characters_cannot_end_a_header_field() {
     let request = Request {
         method: "POST",
         target: "/v3/kv x\r\nEvil: 1",
--- a/crates/json/src/documents.rs
+++ b/crates/json/src/documents.rs
@@ -1,78 +1,78 @@
-//! Cuts a stream of bytes into JSON documents, however they are laid out over lines.
+//! Splits a byte stream into JSON documents, independent of their layout in lines.
 
-/// What stands in a stream of documents.
+/// An element of a stream of documents.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// A line with nothing on it, between two documents.
+    /// An empty line between two documents.
     Blank,
-    /// An object or an array from its first bracket to its last; or a line that begins as neither, or that ends amid
-    /// a text, which no JSON does: reading it will fail.
+    /// An object or an array, from its first bracket to its last. Also a line that begins with neither, or
+    /// one that ends inside a string, which JSON does not allow: parsing it will fail.
     Document(Vec<u8>),
 }
 
-/// A document that does not end within the bound: what sends it is of no further use.
+/// A document does not end within the limit; its sender must not be read from any more.
 #[derive(Debug, PartialEq, Eq)]
 pub struct TooLong;
 
-/// Bytes of which whole documents are taken. Holds at most so many bytes.
+/// Collects bytes and returns complete documents; stores at most `bound` bytes.
 pub struct Documents {
     bound: usize,
     pending: Vec<u8>,
-    /// Up to here they have been taken ...
-    taken: usize,
-    /// ... and up to here looked at.
-    looked: usize,
+    /// Up to this index the bytes have been returned.
+    consumed: usize,
+    /// Up to this index the bytes have been scanned.
+    scanned: usize,
     depth: usize,
     quoted: bool,
     escaped: bool,
-    /// The document that has begun is no JSON and ends with its line.
-    odd: bool,
-    /// Something stands on this line already.
-    used: bool,
+    /// The current document is not JSON and ends with its line.
+    malformed: bool,
+    /// The current line has content.
+    line_used: bool,
 }
 
 impl Documents {
-    /// Holds at most `bound` bytes.
+    /// Stores at most `bound` bytes.
     pub fn new(bound: usize) -> Documents {
-        let (pending, taken, looked, depth) = (Vec::new(), 0, 0, 0);
-        let (quoted, escaped, odd, used) = (false, false, false, false);
-        Documents { bound, pending, taken, looked, depth, quoted, escaped, odd, used }
+        let (pending, consumed, scanned, depth) = (Vec::new(), 0, 0, 0);
+        let (quoted, escaped, malformed, line_used) = (false, false, false, false);
+        Documents { bound, pending, consumed, scanned, depth, quoted, escaped, malformed, line_used }
     }
 
-    /// Takes in bytes.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLong> {
-        if self.pending.len() - self.taken + bytes.len() > self.bound {
+        if self.pending.len() - self.consumed + bytes.len() > self.bound {
             return Err(TooLong);
         }
-        let taken = std::mem::take(&mut self.taken);
-        self.pending.drain(..taken);
-        self.looked -= taken;
+        let consumed = std::mem::take(&mut self.consumed);
+        self.pending.drain(..consumed);
+        self.scanned -= consumed;
         self.pending.extend(bytes);
         Ok(())
     }
 
-    /// Whether a document has begun and not ended.
+    /// Returns true if a document has begun and not ended.
     pub fn in_document(&self) -> bool {
-        self.depth > 0 || self.odd
+        self.depth > 0 || self.malformed
     }
 
-    /// Takes the next piece that is whole.
+    /// Takes the next complete piece.
     pub fn take(&mut self) -> Option<Piece> {
-        while let Some(&byte) = self.pending.get(self.looked) {
-            self.looked += 1;
+        while let Some(&byte) = self.pending.get(self.scanned) {
+            self.scanned += 1;
             if !self.in_document() {
                 match byte {
                     b'\n' => {
-                        if !std::mem::replace(&mut self.used, false) {
+                        if !std::mem::replace(&mut self.line_used, false) {
                             return Some(Piece::Blank);
                         }
                     }
                     byte if byte.is_ascii_whitespace() => {}
                     byte => {
-                        // What stands before it is white space.
-                        self.taken = self.looked - 1;
-                        self.used = true;
-                        (self.odd, self.depth) = match byte {
+                        // The bytes before this one are white space.
+                        self.consumed = self.scanned - 1;
+                        self.line_used = true;
+                        (self.malformed, self.depth) = match byte {
                             b'{' | b'[' => (false, 1),
                             _ => (true, 0),
                         };
@@ -80,13 +80,13 @@
                 }
                 continue;
             }
-            if byte == b'\n' && (self.odd || self.quoted) {
-                (self.odd, self.depth, self.quoted, self.escaped, self.used) =
+            if byte == b'\n' && (self.malformed || self.quoted) {
+                (self.malformed, self.depth, self.quoted, self.escaped, self.line_used) =
                     (false, 0, false, false, false);
-                return Some(Piece::Document(self.cut()));
+                return Some(Piece::Document(self.take_document()));
             }
             match byte {
-                _ if self.odd => {}
+                _ if self.malformed => {}
                 _ if self.escaped => self.escaped = false,
                 b'\\' if self.quoted => self.escaped = true,
                 b'"' => self.quoted = !self.quoted,
@@ -95,20 +95,20 @@
                 _ => {}
             }
             if !self.in_document() {
-                return Some(Piece::Document(self.cut()));
+                return Some(Piece::Document(self.take_document()));
             }
         }
         if !self.in_document() {
-            // White space between documents is not kept, nor is the room that a long document took.
-            (self.pending, self.taken, self.looked) = (Vec::new(), 0, 0);
+            // Neither white space between documents nor the memory of a long document is retained.
+            (self.pending, self.consumed, self.scanned) = (Vec::new(), 0, 0);
         }
         None
     }
 
-    /// Takes off what has been looked at.
-    fn cut(&mut self) -> Vec<u8> {
-        let from = std::mem::replace(&mut self.taken, self.looked);
-        self.pending[from..self.looked].to_vec()
+    /// Takes the bytes scanned since the last document.
+    fn take_document(&mut self) -> Vec<u8> {
+        let from = std::mem::replace(&mut self.consumed, self.scanned);
+        self.pending[from..self.scanned].to_vec()
     }
 }
 
@@ -116,24 +116,24 @@
 mod tests {
     use super::*;
 
-    /// The pieces of a stream that comes in parts of so many bytes.
+    /// Returns the pieces of a stream that arrives in parts of `part` bytes.
     fn pieces(text: &str, part: usize) -> Vec<String> {
         let mut documents = Documents::new(1000);
-        let mut seen = Vec::new();
+        let mut found = Vec::new();
         for part in text.as_bytes().chunks(part) {
             documents.push(part).unwrap();
             while let Some(piece) = documents.take() {
-                seen.push(match piece {
+                found.push(match piece {
                     Piece::Blank => String::from("-"),
                     Piece::Document(bytes) => String::from_utf8(bytes).unwrap(),
                 });
             }
         }
-        seen
+        found
     }
 
     #[test]
-    fn documents_are_found_however_they_are_laid_out() {
+    fn documents_are_split_independently_of_their_layout() {
         let indented = "{\n  \"a\": [\n    {\"b\": \"}\\\"{\"}\n  ]\n}";
         let stream = format!("\n{indented}\n\n  \r\n{{\"c\":1}}{{}}\nodd }}\n[\"cut\n\n{{}}\n");
         let expected = ["-", indented, "-", "-", "{\"c\":1}", "{}", "odd }\n", "[\"cut\n", "-", "{}"];
@@ -143,12 +143,12 @@
     }
 
     #[test]
-    fn what_does_not_end_within_the_bound_is_turned_away() {
+    fn a_document_beyond_the_limit_is_rejected() {
         let mut documents = Documents::new(10);
         documents.push(b"{\"12345").unwrap();
         assert_eq!((documents.take(), documents.in_document()), (None, true));
         assert_eq!(documents.push(b"6789"), Err(TooLong));
-        // White space between documents takes no room.
+        // White space between documents takes no memory.
         let mut documents = Documents::new(10);
         for _ in 0..10 {
             documents.push(b"    \t  ").unwrap();
--- a/crates/pgwire/src/lib.rs
+++ b/crates/pgwire/src/lib.rs
@@ -1,5 +1,5 @@
-//! The form of PostgreSQL's protocol, version 3: bytes to messages and back. Nothing is decided here, and
-//! nothing is read or written: that is the connections' part.
+//! PostgreSQL's protocol, version 3: parses and serializes messages. This crate does no I/O and makes no
+//! decisions; the connections do.
 
 pub mod session;
 
@@ -8,23 +8,24 @@
 use buffer::{Ring, MAX_BUFFER_BYTES};
 use exchange::{Query, Statement};
 
-/// Longest body of a message: its frame must fit a buffer together with it.
-const LONGEST: usize = MAX_BUFFER_BYTES - 5;
-/// Longest value, and the longest message of a db machine that holds a name or a tag, or any other text.
-const LONGEST_VALUE: usize = 64 * 1024;
-const LONGEST_NAME: usize = 1024;
-const LONGEST_TEXT: usize = 8 * 1024;
-/// Longest startup message: it holds a handful of names.
-const LONGEST_STARTUP: usize = 10_000;
-/// Most digits of a number in a statement's comment; keeps it far inside what a float holds exactly.
-const MOST_DIGITS: usize = 15;
+/// Maximum length of a message body: the message with its header must fit into a buffer.
+const MAX_BODY_BYTES: usize = MAX_BUFFER_BYTES - 5;
+/// Maximum length of a value, of a name or command tag, and of any other text from a member (bytes).
+const MAX_VALUE_BYTES: usize = 64 * 1024;
+const MAX_NAME_BYTES: usize = 1024;
+const MAX_TEXT_BYTES: usize = 8 * 1024;
+/// Maximum length of a startup message (bytes), which contains a few names and values.
+const MAX_STARTUP_BYTES: usize = 10_000;
+/// Maximum number of digits of a number in a statement's comment; such a number is represented exactly by a
+/// float.
+const MAX_DIGITS: usize = 15;
 
 pub const PROTOCOL_VERSION: u32 = 3 << 16;
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_REQUEST: u32 = 80_877_104;
 const CANCEL_REQUEST: u32 = 80_877_102;
 
-/// SQLSTATE codes that are spoken or understood.
+/// SQLSTATE codes that the pooler sends or interprets.
 pub mod sqlstate {
     pub const TOO_MANY_CONNECTIONS: &str = "53300";
     pub const READ_ONLY_TRANSACTION: &str = "25006";
@@ -49,94 +50,96 @@
     pub const INVALID_AUTHORIZATION: &str = "28000";
 }
 
-/// One message, its type and what follows the length.
+/// A message: its type and the body that follows the length.
 #[derive(Debug)]
 pub struct Message {
     pub kind: u8,
     pub body: Vec<u8>,
 }
 
-/// Why the bytes cannot be cut into messages; the connection is of no further use.
+/// Why bytes cannot be split into messages; the connection cannot be used any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
     Malformed,
     TooLong,
 }
 
-/// Takes the next whole message, if it is there.
+/// Takes the next message, if it is complete.
 pub fn read_message(ring: &mut Ring) -> Result<Option<Message>, FrameError> {
-    let Some((kind, body)) = head(ring)? else { return Ok(None) };
-    if body > LONGEST {
+    let Some((kind, body)) = peek_header(ring)? else { return Ok(None) };
+    if body > MAX_BODY_BYTES {
         return Err(FrameError::TooLong);
     }
-    Ok(whole(ring, kind, body))
+    Ok(take_message(ring, kind, body))
 }
 
-/// The type of the next message and the length of its body.
-fn head(ring: &Ring) -> Result<Option<(u8, usize)>, FrameError> {
+/// Returns the type of the next message and the length of its body.
+fn peek_header(ring: &Ring) -> Result<Option<(u8, usize)>, FrameError> {
     let Some([kind, a, b, c, d]) = ring.peek() else { return Ok(None) };
     let length = u32::from_be_bytes([a, b, c, d]) as usize;
     let body = length.checked_sub(4).ok_or(FrameError::Malformed)?;
     Ok(Some((kind, body)))
 }
 
-/// Takes a message of that head, if all of it is there.
-fn whole(ring: &mut Ring, kind: u8, body: usize) -> Option<Message> {
+/// Takes a message with that header, if it is complete.
+fn take_message(ring: &mut Ring, kind: u8, body: usize) -> Option<Message> {
     (ring.len() >= body + 5).then(|| {
         ring.skip(5);
         Message { kind, body: ring.take(body) }
     })
 }
 
-/// Takes the next whole message of a db machine, if it is there. One that no db machine would send is found
-/// out by its head, so far as that shows it: nobody waits for the rest of what will never be whole.
+/// Takes the next message of a member, if it is complete. A message that no member would send is rejected by
+/// its header where possible, so that nobody waits for the rest of a message that never completes.
 pub fn read_server_message(ring: &mut Ring) -> Result<Option<Message>, FrameError> {
     let first = ring.peek_up_to(1);
-    let longest = match first.first() {
+    let max_length = match first.first() {
         None => return Ok(None),
-        Some(b'D') => LONGEST_VALUE + 6,
-        Some(b'E' | b'N' | b'S') => LONGEST_TEXT,
-        Some(b'T' | b'C') => LONGEST_NAME,
+        Some(b'D') => MAX_VALUE_BYTES + 6,
+        Some(b'E' | b'N' | b'S') => MAX_TEXT_BYTES,
+        Some(b'T' | b'C') => MAX_NAME_BYTES,
         Some(b'R' | b'K') => 256,
         Some(b'Z') => 1,
         Some(_) => return Err(FrameError::Malformed),
     };
-    let Some((kind, body)) = head(ring)? else { return Ok(None) };
-    if body > longest {
+    let Some((kind, body)) = peek_header(ring)? else { return Ok(None) };
+    if body > max_length {
         return Err(FrameError::TooLong);
     }
     if let (b'D', Some(row)) = (kind, ring.peek::<11>()) {
-        column_length(&row[5..], body)?;
+        check_single_column(&row[5..], body)?;
     }
-    let Some(message) = whole(ring, kind, body) else { return Ok(None) };
-    let sound = match kind {
-        b'T' => described(&message.body),
+    let Some(message) = take_message(ring, kind, body) else { return Ok(None) };
+    let valid = match kind {
+        b'T' => describes_single_column(&message.body),
         b'D' => read_single_column(&message.body).is_some(),
-        b'C' => terminated(&message.body).is_some_and(|tag| tag.bytes().all(|b| (b' '..=b'~').contains(&b))),
+        b'C' => {
+            parse_string(&message.body).is_some_and(|tag| tag.bytes().all(|b| (b' '..=b'~').contains(&b)))
+        }
         b'S' => read_parameter_status(&message.body).is_some(),
         b'Z' => message.body == [b'I'],
         _ => true,
     };
-    if sound {
+    if valid {
         Ok(Some(message))
     } else {
         Err(FrameError::Malformed)
     }
 }
 
-/// What a client's first message wants.
+/// What a client requests in its first message.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Startup {
     Session,
     Encryption,
-    /// What another connection does is to be ended, by that one's key.
+    /// Cancel the request of another connection, identified by its key.
     Cancel((u32, u32)),
     Unknown,
 }
 
-/// Takes a message without type, as clients send it first.
+/// Takes a client's first message, which has no type byte.
 pub fn read_startup(ring: &mut Ring) -> Result<Option<Startup>, FrameError> {
-    let Some(body) = untyped(ring)? else { return Ok(None) };
+    let Some(body) = take_untyped(ring)? else { return Ok(None) };
     Ok(Some(match u32::from_be_bytes([body[4], body[5], body[6], body[7]]) {
         SSL_REQUEST | GSS_REQUEST => Startup::Encryption,
         CANCEL_REQUEST => Startup::Cancel(session::read_backend_key(&body[8..]).unwrap_or_default()),
@@ -145,20 +148,20 @@
     }))
 }
 
-/// Takes a whole message without type: eight bytes at least, its length among them.
-fn untyped(ring: &mut Ring) -> Result<Option<Vec<u8>>, FrameError> {
+/// Takes a complete message without a type byte. It has at least eight bytes, including its length.
+fn take_untyped(ring: &mut Ring) -> Result<Option<Vec<u8>>, FrameError> {
     let Some([a, b, c, d]) = ring.peek() else { return Ok(None) };
     let length = u32::from_be_bytes([a, b, c, d]) as usize;
     if length < 8 {
         return Err(FrameError::Malformed);
     }
-    if length > LONGEST_STARTUP {
+    if length > MAX_STARTUP_BYTES {
         return Err(FrameError::TooLong);
     }
     Ok((ring.len() >= length).then(|| ring.take(length)))
 }
 
-/// Writes one message: its type, then whatever `body` appends.
+/// Writes a message: the type, the length and the body that `body` appends.
 fn frame(out: &mut Vec<u8>, kind: u8, body: impl FnOnce(&mut Vec<u8>)) {
     out.push(kind);
     let at = out.len();
@@ -168,17 +171,17 @@
     out[at..at + 4].copy_from_slice(&length.to_be_bytes());
 }
 
-fn text(out: &mut Vec<u8>, text: &str) {
+fn push_string(out: &mut Vec<u8>, text: &str) {
     out.extend(text.as_bytes());
     out.push(0);
 }
 
-/// The first message to a db machine.
+/// The startup message to a member.
 pub fn startup_message(user: &str, database: &str) -> Vec<u8> {
     let mut out = vec![0; 4];
     out.extend(PROTOCOL_VERSION.to_be_bytes());
     for word in ["user", user, "database", database] {
-        text(&mut out, word);
+        push_string(&mut out, word);
     }
     out.push(0);
     let length = out.len() as u32;
@@ -186,8 +189,8 @@
     out
 }
 
-/// The answer to a client's startup message, up to and with ReadyForQuery; the key is that by which it may ask for its request to
-/// be cancelled.
+/// The response to a client's startup message, up to and including ReadyForQuery; with `key` the client may
+/// request the cancellation of its query.
 pub fn startup_response(key: (u32, u32)) -> Vec<u8> {
     let mut out = Vec::new();
     frame(&mut out, b'R', |out| out.extend([0; 4]));
@@ -200,8 +203,8 @@
         ("standard_conforming_strings", "on"),
     ] {
         frame(&mut out, b'S', |out| {
-            text(out, name);
-            text(out, value);
+            push_string(out, name);
+            push_string(out, value);
         });
     }
     out.extend(session::backend_key_data(key));
@@ -226,36 +229,36 @@
     out
 }
 
-/// An ErrorResponse; `detail` goes into the field D.
+/// An ErrorResponse; `detail` is sent in the field D.
 pub fn error_response(severity: &str, code: &str, what: &str, detail: Option<&str>) -> Vec<u8> {
     let mut out = Vec::new();
     frame(&mut out, b'E', |out| {
         for (field, value) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', what)] {
             out.push(field);
-            text(out, value);
+            push_string(out, value);
         }
         if let Some(detail) = detail {
             out.push(b'D');
-            text(out, detail);
+            push_string(out, detail);
         }
         out.push(0);
     });
     out
 }
 
-/// Appends a message as it came.
+/// Appends a received message unchanged.
 pub fn append_message(out: &mut Vec<u8>, message: &Message) {
     frame(out, message.kind, |out| out.extend(&message.body));
 }
 
-/// A message that ends with a zero, without it.
-fn terminated(body: &[u8]) -> Option<&str> {
+/// Returns the text of a body that is a single null-terminated string, without the terminator.
+fn parse_string(body: &[u8]) -> Option<&str> {
     let (last, rest) = body.split_last()?;
     let text = std::str::from_utf8(rest).ok()?;
     (*last == 0 && !text.contains('\0')).then_some(text)
 }
 
-/// The code and the severity of an ErrorResponse.
+/// Returns the SQLSTATE code of an ErrorResponse, and true if its severity is FATAL or PANIC.
 pub fn error_code(body: &[u8]) -> (String, bool) {
     let (mut code, mut fatal) = (String::new(), false);
     for field in body.split(|byte| *byte == 0).filter(|field| !field.is_empty()) {
@@ -269,7 +272,7 @@
     (code, fatal)
 }
 
-/// Name and value of a ParameterStatus.
+/// Returns the name and the value of a ParameterStatus.
 pub fn read_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
     std::str::from_utf8(body)
         .ok()?
@@ -278,36 +281,37 @@
         .filter(|(_, value)| !value.contains('\0'))
 }
 
-/// Whether a RowDescription tells of one column: a name that ends, and 18 bytes of numbers.
-fn described(body: &[u8]) -> bool {
+/// Returns true if a RowDescription describes exactly one column: a null-terminated name and 18 bytes of
+/// numbers.
+fn describes_single_column(body: &[u8]) -> bool {
     let name = body.strip_prefix(&[0, 1]).and_then(|field| field.get(..field.len().checked_sub(18)?));
-    name.and_then(terminated).is_some()
+    name.and_then(parse_string).is_some()
 }
 
-/// The only column of a DataRow; none where its length is not that of the message.
+/// Returns the only column of a DataRow; `None` if the column's length does not match that of the message.
 pub fn read_single_column(body: &[u8]) -> Option<&[u8]> {
-    column_length(body, body.len()).ok()?;
+    check_single_column(body, body.len()).ok()?;
     body.get(6..)
 }
 
-/// Looks whether the head of a DataRow's body tells of one column that fills all of it.
-fn column_length(head: &[u8], body: usize) -> Result<(), FrameError> {
-    match head.first_chunk() {
+/// Checks that the header of a DataRow's body describes one column that fills the whole body.
+fn check_single_column(header: &[u8], body: usize) -> Result<(), FrameError> {
+    match header.first_chunk() {
         Some([0, 1, a, b, c, d]) if u32::from_be_bytes([*a, *b, *c, *d]) as usize + 6 == body => Ok(()),
         _ => Err(FrameError::Malformed),
     }
 }
 
-/// A query message of a client.
+/// A client's query message.
 #[derive(Debug)]
 pub enum ClientQuery {
     Empty,
     Query(Box<Query>),
 }
 
-/// Reads the body of a query message; what is wrong with it where it is not of the agreed form.
+/// Parses the body of a query message; returns what is wrong with a malformed one.
 pub fn parse_client_query(body: &[u8]) -> Result<ClientQuery, &'static str> {
-    let sql = terminated(body).ok_or("a query must be UTF-8 and end with its only zero")?;
+    let sql = parse_string(body).ok_or("a query must be UTF-8 and end with its only zero")?;
     if sql.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty() {
         return Ok(ClientQuery::Empty);
     }
@@ -317,8 +321,8 @@
     if rest.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty() {
         return Err("no statement behind the comment");
     }
-    let (mut id, mut class, mut tenant, mut group, mut patience) = (None, None, None, None, None);
-    let (mut keyed, mut repeat, mut after) = (None, None, None);
+    let (mut id, mut class, mut tenant, mut group, mut timeout) = (None, None, None, None, None);
+    let (mut idempotency_key, mut repeat, mut required_position) = (None, None, None);
     let mut at = start + 2;
     for pair in sql[start + 2..end].split(',') {
         let (name, value) = pair.split_once('=').ok_or("the comment is not made of names and values")?;
@@ -326,46 +330,46 @@
         at += pair.len() + 1;
         let lead = value.len() - value.trim_start().len();
         let (name, value) = (name.trim(), value.trim());
-        let place = from + lead..from + lead + value.len();
+        let range = from + lead..from + lead + value.len();
         let slot = match name {
             "id" => &mut id,
             "c" => &mut class,
             "t" => &mut tenant,
             "cluster" => &mut group,
-            "d" => &mut patience,
-            "k" => &mut keyed,
+            "d" => &mut timeout,
+            "k" => &mut idempotency_key,
             "r" => &mut repeat,
-            "after" => &mut after,
+            "after" => &mut required_position,
             _ => continue,
         };
-        if value.is_empty() || slot.replace((value, place)).is_some() {
+        if value.is_empty() || slot.replace((value, range)).is_some() {
             return Err("a value of the comment is empty or there twice");
         }
     }
-    let need = |value: Option<(&str, Range<usize>)>| value.map(|(value, _)| value.to_string());
-    let (patience, place) = patience.ok_or("no d in the comment")?;
+    let owned = |value: Option<(&str, Range<usize>)>| value.map(|(value, _)| value.to_string());
+    let (timeout, range) = timeout.ok_or("no d in the comment")?;
     let millis = |text: &str| {
-        let text = Some(text).filter(|d| d.len() <= MOST_DIGITS && d.bytes().all(|b| b.is_ascii_digit()));
+        let text = Some(text).filter(|d| d.len() <= MAX_DIGITS && d.bytes().all(|b| b.is_ascii_digit()));
         text.and_then(|digits| digits.parse::<u64>().ok()).map(|millis| millis as f64 / 1000.0)
     };
-    // One that cannot be read must not pass for none: the read would be answered from behind its own write.
-    let after = match after {
+    // A position that cannot be parsed must not count as none: the read could miss the client's own write.
+    let required_position = match required_position {
         Some((position, _)) => Some(millis(position).ok_or("after is not a position in milliseconds")?),
         None => None,
     };
     let group = group.and_then(|(group, _)| group.parse().ok()).ok_or("no group number in the comment")?;
     Ok(ClientQuery::Query(Box::new(Query {
-        id: need(id).ok_or("no id in the comment")?,
-        class: need(class).ok_or("no class in the comment")?,
-        tenant: need(tenant).unwrap_or_default(),
+        id: owned(id).ok_or("no id in the comment")?,
+        class: owned(class).ok_or("no class in the comment")?,
+        tenant: owned(tenant).unwrap_or_default(),
         group,
-        timeout: millis(patience)
+        timeout: millis(timeout)
             .filter(|seconds| *seconds > 0.0)
             .ok_or("d is not a number of milliseconds above 0")?,
-        has_idempotency_key: keyed.is_some(),
+        has_idempotency_key: idempotency_key.is_some(),
         repeat: repeat.is_some_and(|(value, _)| value == "1"),
-        required_position: after,
+        required_position,
         session_key: rest.split('\'').nth(1).filter(|_| rest.matches('\'').count() >= 2).map(String::from),
-        statement: Statement::new(sql.into(), place),
+        statement: Statement::new(sql.into(), range),
     })))
 }
--- a/crates/pgwire/src/session.rs
+++ b/crates/pgwire/src/session.rs
@@ -1,38 +1,39 @@
-//! Messages of ordinary clients and of servers behind them: the whole of the protocol, as far as a pooler in between
-//! has to understand it.
+//! Messages between ordinary clients, the pooler and the servers: the full protocol as far as a pooler has to
+//! interpret it.
 
 use buffer::Ring;
 
 use crate::{
-    head, text, untyped, whole, FrameError, Message, CANCEL_REQUEST, GSS_REQUEST, PROTOCOL_VERSION,
-    SSL_REQUEST,
+    peek_header, push_string, take_message, take_untyped, FrameError, Message, CANCEL_REQUEST, GSS_REQUEST,
+    PROTOCOL_VERSION, SSL_REQUEST,
 };
 
-/// Longest message of a server that is taken whole; rows and copied data are passed on in parts.
-const LONGEST_WHOLE: usize = 128 * 1024;
-/// Most bytes of a message that are passed on in one part.
-const LONGEST_TAKEN: usize = 8 * 1024;
-/// Longest message of a server at all: as long as the protocol's own bound on a row.
-const LONGEST_PART: usize = 1 << 30;
-/// Most names and values in a startup message.
-const MOST_OPTIONS: usize = 64;
+/// Maximum length of a server's message that is buffered completely (bytes); rows and copied data are
+/// forwarded in parts.
+const MAX_MESSAGE_BYTES: usize = 128 * 1024;
+/// Maximum number of bytes of a message that are forwarded in one part.
+const MAX_PART_BYTES: usize = 8 * 1024;
+/// Maximum length of a message that is forwarded in parts (bytes): the protocol's own limit for a row.
+const MAX_FORWARDED_MESSAGE_BYTES: usize = 1 << 30;
+/// Maximum number of options in a startup message.
+const MAX_OPTIONS: usize = 64;
 
 /// A client's first message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FirstMessage {
-    /// It wants a session, with these names and values.
+    /// Requests a session with these options (names and values).
     Session(Vec<(String, String)>),
-    /// It asks for encryption.
+    /// Requests encryption.
     Encryption,
-    /// It wants what a session does to end: the session's number and its secret.
+    /// Requests the cancellation of a session's query: the session's number and secret.
     Cancel(u32, u32),
-    /// Another protocol, or another version of it.
+    /// Another protocol, or another version of this one.
     Unknown,
 }
 
-/// Takes a message without type, as clients send it first.
+/// Takes a client's first message, which has no type byte.
 pub fn read_startup(ring: &mut Ring) -> Result<Option<FirstMessage>, FrameError> {
-    let Some(body) = untyped(ring)? else { return Ok(None) };
+    let Some(body) = take_untyped(ring)? else { return Ok(None) };
     let length = body.len();
     let word = |at: usize| body.get(at..at + 4).map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]));
     Ok(Some(match word(4) {
@@ -48,162 +49,163 @@
     }))
 }
 
-/// Names and values, each with a zero behind it, and one more at the end.
+/// Parses null-terminated names and values, followed by one more null byte.
 fn options(body: &[u8]) -> Option<Vec<(String, String)>> {
-    let words = std::str::from_utf8(body.strip_suffix(&[0])?).ok()?;
-    if words.is_empty() {
+    let strings = std::str::from_utf8(body.strip_suffix(&[0])?).ok()?;
+    if strings.is_empty() {
         return Some(Vec::new());
     }
-    let words: Vec<&str> = words.strip_suffix('\0')?.split('\0').collect();
-    if !words.len().is_multiple_of(2) || words.len() > 2 * MOST_OPTIONS {
+    let strings: Vec<&str> = strings.strip_suffix('\0')?.split('\0').collect();
+    if !strings.len().is_multiple_of(2) || strings.len() > 2 * MAX_OPTIONS {
         return None;
     }
-    Some(words.chunks(2).map(|pair| (pair[0].to_string(), pair[1].to_string())).collect())
+    Some(strings.chunks(2).map(|pair| (pair[0].to_string(), pair[1].to_string())).collect())
 }
 
-/// What comes from a server.
+/// A unit of data from a server.
 #[derive(Debug)]
 pub enum Piece {
-    /// A whole message.
+    /// A complete message.
     Message(Message),
-    /// Bytes of a row or of copied data, with the head of it where it begins; to be passed on as they are.
+    /// Bytes of a row or of copied data, including the message header at the beginning, to be forwarded
+    /// unchanged.
     Part(Vec<u8>),
 }
 
-/// Takes a server's messages apart.
+/// Splits a server's data into messages.
 #[derive(Debug, Default)]
 pub struct ServerMessageReader {
-    /// Bytes left of a message that is passed on in parts.
-    left: usize,
+    /// Remaining bytes of a message that is forwarded in parts.
+    remaining: usize,
 }
 
 impl ServerMessageReader {
-    /// The next piece that is there, if one is.
+    /// Returns the next piece, if one is available.
     pub fn next(&mut self, ring: &mut Ring) -> Result<Option<Piece>, FrameError> {
-        if self.left == 0 {
-            let Some((kind, body)) = head(ring)? else { return Ok(None) };
+        if self.remaining == 0 {
+            let Some((kind, body)) = peek_header(ring)? else { return Ok(None) };
             match kind {
-                b'D' | b'd' if body > LONGEST_PART => return Err(FrameError::TooLong),
-                b'D' | b'd' => self.left = body + 5,
+                b'D' | b'd' if body > MAX_FORWARDED_MESSAGE_BYTES => return Err(FrameError::TooLong),
+                b'D' | b'd' => self.remaining = body + 5,
                 b'R' | b'S' | b'K' | b'Z' | b'1' | b'2' | b'3' | b'C' | b'E' | b'N' | b'A' | b'G' | b'H'
                 | b'W' | b'I' | b'n' | b's' | b't' | b'T' | b'V' | b'c' | b'v' => {
-                    if body > LONGEST_WHOLE {
+                    if body > MAX_MESSAGE_BYTES {
                         return Err(FrameError::TooLong);
                     }
-                    return Ok(whole(ring, kind, body).map(Piece::Message));
+                    return Ok(take_message(ring, kind, body).map(Piece::Message));
                 }
                 _ => return Err(FrameError::Malformed),
             }
         }
-        let bytes = ring.take(self.left.min(LONGEST_TAKEN));
-        self.left -= bytes.len();
+        let bytes = ring.take(self.remaining.min(MAX_PART_BYTES));
+        self.remaining -= bytes.len();
         Ok((!bytes.is_empty()).then_some(Piece::Part(bytes)))
     }
 
-    /// Whether a message has begun to be passed on and is not whole.
+    /// Returns true if a message has been forwarded in part.
     pub fn is_mid_message(&self) -> bool {
-        self.left > 0
+        self.remaining > 0
     }
 }
 
-/// Splits a text that ends with a zero off a body.
-fn split(body: &[u8]) -> Option<(&str, &[u8])> {
+/// Splits a null-terminated string off the front of a body.
+fn split_string(body: &[u8]) -> Option<(&str, &[u8])> {
     let end = body.iter().position(|byte| *byte == 0)?;
     Some((std::str::from_utf8(&body[..end]).ok()?, &body[end + 1..]))
 }
 
-/// The text of a simple query.
+/// Returns the text of a simple query.
 pub fn read_query(body: &[u8]) -> Option<&str> {
-    split(body).filter(|(_, rest)| rest.is_empty()).map(|(text, _)| text)
+    split_string(body).filter(|(_, rest)| rest.is_empty()).map(|(text, _)| text)
 }
 
-/// Name, text and the types of a Parse; the types are left as they are.
+/// Returns the name, the text and the unparsed parameter types of a Parse message.
 pub fn read_parse(body: &[u8]) -> Option<(&str, &str, &[u8])> {
-    let (name, rest) = split(body)?;
-    let (text, types) = split(rest)?;
+    let (name, rest) = split_string(body)?;
+    let (text, types) = split_string(rest)?;
     let count = usize::from(u16::from_be_bytes(*types.first_chunk()?));
     (types.len() == 2 + 4 * count).then_some((name, text, types))
 }
 
-/// Portal and statement of a Bind, and what follows them.
+/// Returns the portal and the statement of a Bind message, and the rest of it.
 pub fn read_bind(body: &[u8]) -> Option<(&str, &str, &[u8])> {
-    let (portal, rest) = split(body)?;
-    let (statement, rest) = split(rest)?;
+    let (portal, rest) = split_string(body)?;
+    let (statement, rest) = split_string(rest)?;
     (rest.len() >= 6).then_some((portal, statement, rest))
 }
 
-/// Kind (`S` or `P`) and name of a Describe or a Close.
+/// Returns the kind (`S` for statement or `P` for portal) and the name of a Describe or Close message.
 pub fn read_target(body: &[u8]) -> Option<(u8, &str)> {
     let (kind, rest) = body.split_first()?;
     let name = read_query(rest)?;
     matches!(kind, b'S' | b'P').then_some((*kind, name))
 }
 
-/// The portal of an Execute.
+/// Returns the portal of an Execute message.
 pub fn read_execute(body: &[u8]) -> Option<&str> {
-    split(body).filter(|(_, rest)| rest.len() == 4).map(|(portal, _)| portal)
+    split_string(body).filter(|(_, rest)| rest.len() == 4).map(|(portal, _)| portal)
 }
 
-/// The tag of a CommandComplete.
+/// Returns the tag of a CommandComplete message.
 pub fn read_command_tag(body: &[u8]) -> &str {
     read_query(body).unwrap_or_default()
 }
 
-/// The message of an ErrorResponse.
+/// Returns the message text of an ErrorResponse.
 pub fn read_error_text(body: &[u8]) -> String {
     let field = body.split(|byte| *byte == 0).find(|field| field.first() == Some(&b'M'));
     field.map(|field| String::from_utf8_lossy(&field[1..]).into_owned()).unwrap_or_default()
 }
 
-fn message(kind: u8, body: impl FnOnce(&mut Vec<u8>)) -> Vec<u8> {
+fn build_message(kind: u8, body: impl FnOnce(&mut Vec<u8>)) -> Vec<u8> {
     let mut out = Vec::new();
     crate::frame(&mut out, kind, body);
     out
 }
 
-/// A message of texts, each with a zero behind it, and of what follows them.
+/// A message of null-terminated strings, followed by `rest`.
 pub fn message_of_strings(kind: u8, texts: &[&str], rest: &[u8]) -> Vec<u8> {
-    message(kind, |out| {
-        texts.iter().for_each(|word| text(out, word));
+    build_message(kind, |out| {
+        texts.iter().for_each(|word| push_string(out, word));
         out.extend(rest);
     })
 }
 
-/// A Describe or a Close of a statement (`S`) or a portal (`P`).
+/// A Describe or Close message for a statement (`S`) or a portal (`P`).
 pub fn target_message(kind: u8, of: u8, name: &str) -> Vec<u8> {
-    message(kind, |out| {
+    build_message(kind, |out| {
         out.push(of);
-        text(out, name);
+        push_string(out, name);
     })
 }
 
-/// A message with nothing in it: Sync, Flush, ParseComplete and such.
+/// A message with an empty body, such as Sync, Flush or ParseComplete.
 pub fn empty_message(kind: u8) -> Vec<u8> {
     vec![kind, 0, 0, 0, 4]
 }
 
-/// A message as it came.
-pub fn copy_message(came: &Message) -> Vec<u8> {
-    message(came.kind, |out| out.extend(&came.body))
+/// Serializes a received message unchanged.
+pub fn copy_message(message: &Message) -> Vec<u8> {
+    build_message(message.kind, |out| out.extend(&message.body))
 }
 
-/// ReadyForQuery in a state of the transaction: `I`, `T` or `E`.
+/// ReadyForQuery with the transaction status `I`, `T` or `E`.
 pub fn ready_for_query(status: u8) -> Vec<u8> {
     vec![b'Z', 0, 0, 0, 5, status]
 }
 
-/// Asks a server for TLS; it answers with one byte, `S` or `N`.
+/// Requests TLS of a server, which answers with one byte, `S` or `N`.
 pub fn ssl_request() -> Vec<u8> {
     [8, SSL_REQUEST].iter().flat_map(|word: &u32| word.to_be_bytes()).collect()
 }
 
-/// The first message to a server, with names and values.
+/// The startup message to a server, with options (names and values).
 pub fn startup_message(options: &[(&str, &str)]) -> Vec<u8> {
     let mut out = vec![0; 4];
     out.extend(PROTOCOL_VERSION.to_be_bytes());
     for (name, value) in options {
-        text(&mut out, name);
-        text(&mut out, value);
+        push_string(&mut out, name);
+        push_string(&mut out, value);
     }
     out.push(0);
     let length = out.len() as u32;
@@ -211,65 +213,68 @@
     out
 }
 
-/// A request that what a connection does end.
+/// Requests the cancellation of a connection's query.
 pub fn cancel_request((number, secret): (u32, u32)) -> Vec<u8> {
     [16, CANCEL_REQUEST, number, secret].iter().flat_map(|word| word.to_be_bytes()).collect()
 }
 
-/// The key by which what a connection does can be ended.
+/// The key with which a connection's query can be cancelled.
 pub fn backend_key_data((number, secret): (u32, u32)) -> Vec<u8> {
-    message(b'K', |out| [number, secret].iter().for_each(|word| out.extend(word.to_be_bytes())))
+    build_message(b'K', |out| [number, secret].iter().for_each(|word| out.extend(word.to_be_bytes())))
 }
 
-/// Reads such a key.
+/// Parses the body of a BackendKeyData message.
 pub fn read_backend_key(body: &[u8]) -> Option<(u32, u32)> {
     let (number, rest) = body.split_first_chunk()?;
     let secret = rest.first_chunk()?;
     Some((u32::from_be_bytes(*number), u32::from_be_bytes(*secret)))
 }
 
-/// What a server asks of whoever connects.
+/// The authentication that a server requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Authentication<'a> {
-    /// Nothing (more).
+    /// None, or no further step.
     Complete,
-    /// One of these mechanisms, each with a zero behind it.
+    /// One of these mechanisms (a list of null-terminated names).
     Mechanisms(&'a [u8]),
-    /// An answer to this step of the mechanism.
+    /// A response to this SASL challenge.
     SaslContinue(&'a str),
-    /// Nothing but to take its last word.
+    /// The server's final SASL message, which needs no response.
     SaslFinal(&'a str),
-    /// Something else.
+    /// A method that is not supported.
     Other,
 }
 
 impl Authentication<'_> {
-    /// Whether a mechanism is among those that are asked for.
+    /// Returns true if the server offers `mechanism`.
     pub fn offers(&self, mechanism: &str) -> bool {
-        matches!(self, Authentication::Mechanisms(list) if list.split(|byte| *byte == 0).any(|m| m == mechanism.as_bytes()))
+        matches!(
+            self,
+            Authentication::Mechanisms(list) if list.split(|byte| *byte == 0).any(|m| m == mechanism.as_bytes())
+        )
     }
 }
 
-/// Reads the body of an Authentication message.
+/// Parses the body of an Authentication message.
 pub fn read_authentication(body: &[u8]) -> Authentication<'_> {
     let Some((code, rest)) = body.split_first_chunk() else { return Authentication::Other };
-    let text = |rest| std::str::from_utf8(rest);
+    let utf8 = |rest| std::str::from_utf8(rest);
     match (u32::from_be_bytes(*code), rest) {
         (0, []) => Authentication::Complete,
         (10, list) => Authentication::Mechanisms(list),
-        (11, step) => text(step).map_or(Authentication::Other, Authentication::SaslContinue),
-        (12, last) => text(last).map_or(Authentication::Other, Authentication::SaslFinal),
+        (11, step) => utf8(step).map_or(Authentication::Other, Authentication::SaslContinue),
+        (12, last) => utf8(last).map_or(Authentication::Other, Authentication::SaslFinal),
         _ => Authentication::Other,
     }
 }
 
-/// Asks for a password by a mechanism.
+/// Requests SASL authentication with one of these mechanisms.
 pub fn authentication_sasl(mechanisms: &[&str]) -> Vec<u8> {
     let list: String = mechanisms.iter().map(|mechanism| format!("{mechanism}\0")).collect();
     message_of_strings(b'R', &[], &[&10u32.to_be_bytes()[..], list.as_bytes(), b"\0"].concat())
 }
 
-/// A step of the mechanism from the server's side, or the last word of it.
+/// A SASL challenge of the server, or its final message.
 pub fn authentication_sasl_step(last: bool, step: &str) -> Vec<u8> {
     message_of_strings(
         b'R',
@@ -278,7 +283,7 @@
     )
 }
 
-/// The client's first step by a mechanism.
+/// The client's initial SASL response.
 pub fn sasl_initial_response(mechanism: &str, step: &str) -> Vec<u8> {
     message_of_strings(
         b'p',
@@ -287,9 +292,9 @@
     )
 }
 
-/// Mechanism and first step of a client.
+/// Returns the mechanism and the initial response of a client.
 pub fn read_sasl_initial_response(body: &[u8]) -> Option<(&str, &str)> {
-    let (mechanism, rest) = split(body)?;
+    let (mechanism, rest) = split_string(body)?;
     let (length, step) = rest.split_first_chunk()?;
     (u32::from_be_bytes(*length) as usize == step.len()).then_some(())?;
     Some((mechanism, std::str::from_utf8(step).ok()?))
