--- a/crates/daemon/src/net/clients.rs
+++ b/crates/daemon/src/net/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: takes connections in, reads queries off them and writes the answers.
+//! Client connections: accepts them, reads queries and writes the answers.
 
 mod connection;
 mod pipeline;
@@ -17,36 +17,40 @@
 
 pub(crate) use pipeline::CommandNumber;
 
-/// Pause before accepting again after the system had no descriptor or memory for a connection (seconds).
-const ACCEPT_AGAIN: f64 = 0.1;
-/// Connections that linger beside as many as the limit admits; each takes one of the spare descriptors.
-const LINGERERS: usize = 4;
-/// How long a connection may rest between requests while more than a quarter of the places are taken, and while
-/// more than half of them are, and how often that is looked at (seconds). Guards against clients that ask once
-/// and keep their connection for good: when all that a front may hold are kept so, it has none left to ask on.
+/// Delay before accepting again after the system had no descriptor or memory for a connection (seconds).
+const ACCEPT_RETRY_DELAY: f64 = 0.1;
+/// Maximum number of lingering connections beyond the connection limit; each uses one of the reserved
+/// descriptors.
+const MAX_LINGERING: usize = 4;
+/// Idle timeouts while more than a quarter and more than half of the permitted connections are open, and the
+/// interval of the check (seconds). Guards against clients that send one request and keep the connection open
+/// for good: they would use up the connection limit of a client host, which then cannot send another request.
 const IDLE_TIMEOUT: f64 = 2.0;
 const IDLE_TIMEOUT_CROWDED: f64 = 0.2;
-const SWEEP: f64 = 0.1;
-/// What keeps new clients out is logged again only after so long without (seconds): it comes and goes.
-const QUIET: f64 = 10.0;
+const IDLE_CHECK_INTERVAL: f64 = 0.1;
+/// A reason that keeps new clients out is logged again only after this time without it (seconds), since it
+/// comes and goes.
+const LOG_INTERVAL: f64 = 10.0;
 
-/// All client connections and the socket that they come in by.
+/// All client connections and their listeners.
 pub(crate) struct Clients {
-    /// Gone once no more are taken in: each connection then ends as soon as nothing is owed on it.
+    /// `None` once no more connections are accepted; each connection then ends as soon as it has no pending
+    /// reply.
     listener: Option<TcpListener>,
-    /// The one before, while the change that replaced it may still be undone: it takes in as well.
+    /// The listener before the current one, while the change that replaced it may still be undone;
+    /// connections are accepted on both.
     previous: Option<TcpListener>,
     connections: Slots<Connection>,
     budget: Budget,
-    /// Most connections at a time.
+    /// Maximum number of connections.
     limit: usize,
-    /// Connections wait in the listener's queue until there is room.
-    full: bool,
-    /// What keeps new ones out is not logged again before then.
-    quiet_until: f64,
-    /// Whether queries can be carried out.
+    /// New connections wait in the listener's queue for room.
+    at_limit: bool,
+    /// Until then, the reason that keeps new clients out is not logged again.
+    log_after: f64,
+    /// True if queries can be carried out.
     serving: bool,
-    /// Another process takes in who comes to the listener.
+    /// True while another process accepts from the listener.
     paused: bool,
     rng: fastrand::Rng,
 }
@@ -63,7 +67,7 @@
             Source::ClientListener.into(),
             Interest::READABLE,
         )?;
-        context.reactor.set_timer(context.reactor.now() + SWEEP, TimerKind::ClientSweep);
+        context.reactor.set_timer(context.reactor.now() + IDLE_CHECK_INTERVAL, TimerKind::ClientSweep);
         let (listener, connections) = (Some(listener), Slots::new());
         Ok(Clients {
             listener,
@@ -71,8 +75,8 @@
             connections,
             budget,
             limit,
-            full: false,
-            quiet_until: 0.0,
+            at_limit: false,
+            log_after: 0.0,
             serving: false,
             paused: false,
             rng: fastrand::Rng::with_seed(seed ^ 0x5ec2e7),
@@ -83,18 +87,18 @@
         self.connections.len()
     }
 
-    /// The listeners, for a successor.
+    /// Returns the current listener, for the successor process.
     pub fn listener(&self) -> Option<&TcpListener> {
         self.listener.as_ref()
     }
 
-    /// Whether another process takes in who comes to the listener.
+    /// Sets whether another process accepts from the listener.
     pub fn set_paused(&mut self, paused: bool, context: &mut Context) {
         self.paused = paused;
         self.accept(context);
     }
 
-    /// Takes in all that wait.
+    /// Accepts all waiting connections.
     pub fn accept(&mut self, context: &mut Context) {
         if self.paused {
             return;
@@ -104,54 +108,56 @@
     }
 
     fn accept_from(&mut self, previous: bool, context: &mut Context) {
-        self.full = false;
+        self.at_limit = false;
         loop {
-            // At the limit a connection between requests makes room; where all are busy, new ones wait. It
-            // does so only once a new one is there: one descriptor of the spares is used for that moment.
+            // At the limit, a new connection replaces an idle one; if all are busy, new ones wait. The idle
+            // connection is closed only once a new one has arrived, which uses one reserved descriptor for
+            // that moment.
             let now = context.reactor.now();
-            let lingerers = self.lingerers();
-            let full = self.connections.len() >= self.limit + lingerers.min(LINGERERS);
-            let idlest = if full { self.longest_idle(context) } else { None };
-            if full && idlest.is_none() && lingerers <= LINGERERS {
-                self.full = true;
-                let clients = self.connections.len() - lingerers;
-                return self.complain(now, &format!("{clients} clients, all busy: new connections wait"));
+            let lingering = self.lingering();
+            let at_limit = self.connections.len() >= self.limit + lingering.min(MAX_LINGERING);
+            let idlest = if at_limit { self.longest_idle(context) } else { None };
+            if at_limit && idlest.is_none() && lingering <= MAX_LINGERING {
+                self.at_limit = true;
+                let clients = self.connections.len() - lingering;
+                return self.log_held_up(now, &format!("{clients} clients, all busy: new connections wait"));
             }
             let Some(listener) = (if previous { &self.previous } else { &self.listener }) else { return };
             match listener.accept() {
                 Ok((stream, _)) => {
-                    // Those that have lingered for longest go before there are too many.
-                    if full && lingerers >= LINGERERS {
-                        let longest = longest(&self.connections, |connection| connection.is_ending());
-                        longest.map(|slot| self.connections.remove(slot));
+                    // The connections that have lingered longest are removed before there are too many.
+                    if at_limit && lingering >= MAX_LINGERING {
+                        let oldest =
+                            least_recently_active(&self.connections, |connection| connection.is_ending());
+                        oldest.map(|slot| self.connections.remove(slot));
                     }
-                    if let Some(slot) = idlest.filter(|_| full && lingerers <= LINGERERS) {
+                    if let Some(slot) = idlest.filter(|_| at_limit && lingering <= MAX_LINGERING) {
                         self.linger(slot, context);
                     }
                     self.admit(stream, context);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // The peer has left the queue again.
+                // The client has closed its connection while it waited in the queue.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => {
-                    // No descriptor or no memory: what waits is taken in when there is some again.
-                    context.reactor.set_timer(now + ACCEPT_AGAIN, TimerKind::Accept);
-                    return self.complain(now, &format!("cannot accept: {error}"));
+                    // No descriptor or no memory: waiting connections are accepted when the timer fires.
+                    context.reactor.set_timer(now + ACCEPT_RETRY_DELAY, TimerKind::Accept);
+                    return self.log_held_up(now, &format!("cannot accept: {error}"));
                 }
             }
         }
     }
 
-    /// Connections that linger.
-    fn lingerers(&self) -> usize {
+    /// Returns the number of lingering connections.
+    fn lingering(&self) -> usize {
         self.connections.iter().filter(|(_, connection)| connection.is_ending()).count()
     }
 
-    /// The connection that has been between requests for longest. What has come on it meanwhile is looked at first: a request
-    /// that was about to be read is taken up.
+    /// Returns the connection that has been idle for longest. Reads what has arrived on it meanwhile, so that
+    /// a request is carried out instead.
     fn longest_idle(&mut self, context: &mut Context) -> Option<Slot> {
-        while let Some(slot) = longest(&self.connections, Connection::is_idle) {
+        while let Some(slot) = least_recently_active(&self.connections, Connection::is_idle) {
             let connection = self.connections.get_mut(slot)?;
             let active = connection.active;
             let result = connection.process(slot, self.serving, context);
@@ -159,19 +165,19 @@
                 connection.active = active;
                 return Some(slot);
             }
-            self.settle(slot, result, context);
+            self.finish_step(slot, result, context);
         }
         None
     }
 
-    /// Ends a connection that is between requests; it lingers.
+    /// Starts the lingering close of a connection that has no pending reply.
     fn linger(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let result = connection.linger(slot, self.serving, context);
-        self.settle(slot, result, context);
+        self.finish_step(slot, result, context);
     }
 
-    /// Where new clients come in, of the two addresses at most.
+    /// Accepts new clients on `listener` as well. At most two listeners are open.
     pub fn listen_on(&mut self, mut listener: TcpListener, context: &mut Context) -> io::Result<()> {
         context.reactor.registry.register(
             &mut listener,
@@ -183,47 +189,48 @@
         Ok(())
     }
 
-    /// Back to the address before, which has never been let go.
+    /// Makes the previous listener, which was never closed, the current one again.
     pub fn revert_listener(&mut self) {
         if self.previous.is_some() {
             std::mem::swap(&mut self.listener, &mut self.previous);
         }
     }
 
-    /// Lets go of the address before; who waits there is taken in first, and open connections live on.
+    /// Closes the previous listener after accepting the connections that wait on it; open connections
+    /// continue.
     pub fn close_previous_listener(&mut self, context: &mut Context) {
         self.accept(context);
         self.previous = None;
     }
 
-    /// So many connections at a time from now on; those between requests make room at once, the others as they
-    /// come to rest.
+    /// Changes the connection limit. Idle connections above it are closed at once, the others when they
+    /// become idle.
     pub fn set_limit(&mut self, limit: usize, context: &mut Context) {
         self.limit = limit;
-        while self.connections.len() > self.limit + self.lingerers() {
+        while self.connections.len() > self.limit + self.lingering() {
             let Some(slot) = self.longest_idle(context) else { break };
             self.linger(slot, context);
             context.counters.idle_clients_closed += 1;
         }
-        if std::mem::replace(&mut self.full, false) {
+        if std::mem::replace(&mut self.at_limit, false) {
             self.accept(context);
         }
     }
 
-    /// Closes those that have rested for too long, the one that did for longest first.
+    /// Closes connections that have been idle for too long, starting with the longest idle.
     pub fn close_idle(&mut self, context: &mut Context) {
         let now = context.reactor.now();
-        context.reactor.set_timer(now + SWEEP, TimerKind::ClientSweep);
+        context.reactor.set_timer(now + IDLE_CHECK_INTERVAL, TimerKind::ClientSweep);
         loop {
-            let rest = match self.connections.len() - self.lingerers() {
-                places if places > self.limit / 2 => IDLE_TIMEOUT_CROWDED,
-                places if places > self.limit / 4 => IDLE_TIMEOUT,
+            let timeout = match self.connections.len() - self.lingering() {
+                open if open > self.limit / 2 => IDLE_TIMEOUT_CROWDED,
+                open if open > self.limit / 4 => IDLE_TIMEOUT,
                 _ => return,
             };
-            // Those who have not asked yet have their own time limit.
-            let rested = |connection: &Connection| connection.idle_longer_than(now, rest);
-            let Some(slot) = longest(&self.connections, rested) else { return };
-            // A request that has come meanwhile is taken up: it is no longer at rest then.
+            // A client that has sent no request yet has a time limit of its own.
+            let timed_out = |connection: &Connection| connection.idle_longer_than(now, timeout);
+            let Some(slot) = least_recently_active(&self.connections, timed_out) else { return };
+            // A request that has arrived meanwhile is carried out; the connection is not idle then.
             self.on_ready(slot, context);
             if self.connections.get(slot).is_some_and(Connection::is_idle) {
                 self.linger(slot, context);
@@ -232,11 +239,11 @@
         }
     }
 
-    fn complain(&mut self, now: f64, line: &str) {
-        if now >= self.quiet_until {
+    fn log_held_up(&mut self, now: f64, line: &str) {
+        if now >= self.log_after {
             logging::warn!(event = "clients.held_up", "{line}");
         }
-        self.quiet_until = now + QUIET;
+        self.log_after = now + LOG_INTERVAL;
     }
 
     fn admit(&mut self, stream: TcpStream, context: &mut Context) {
@@ -254,54 +261,61 @@
         self.on_ready(slot, context);
     }
 
-    /// A connection may be read from or written to.
+    /// A connection is readable or writable.
     pub fn on_ready(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let result = connection.process(slot, self.serving, context);
-        self.settle(slot, result, context);
+        self.finish_step(slot, result, context);
     }
 
-    /// A client has ended its sending, or its connection is reset: it waits for nothing any more.
+    /// A client has closed its sending side, or its connection was reset: it does not wait for replies any
+    /// more.
     pub fn on_half_closed(&mut self, slot: Slot, context: &mut Context) {
         self.connections.get_mut(slot).into_iter().for_each(|connection| connection.half_closed = true);
         self.on_ready(slot, context);
     }
 
-    /// Whether a client has ended its connection, as far as can be seen now; one that was heard of since then is not looked at.
+    /// Returns true if the client is known to have closed its connection. A connection that was active after
+    /// `since` is not checked.
     pub fn has_left(&self, slot: Slot, since: f64) -> bool {
         self.connections.get(slot).is_none_or(|connection| connection.active < since && connection.has_left())
     }
 
-    /// The connection that has been given this key, by which its request may be cancelled.
+    /// Returns the connection to which this cancel key was given.
     pub fn find_by_key(&self, (number, secret): (u32, u32)) -> Option<Slot> {
-        let own = |(slot, connection): &(Slot, &Connection)| {
+        let has_key = |(slot, connection): &(Slot, &Connection)| {
             slot.number() as u32 == number && connection.has_secret(secret)
         };
-        self.connections.iter().find(own).map(|(slot, _)| slot)
+        self.connections.iter().find(has_key).map(|(slot, _)| slot)
     }
 
-    /// The requests of a connection have been cancelled by its client, which is told so.
+    /// Tells a client that its requests have been cancelled at its own request.
     pub fn finish_cancelled(&mut self, slot: Slot, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         connection.finish_cancelled();
         self.on_ready(slot, context);
     }
 
-    /// Ends a connection that is over, or that is between requests while all are to end.
-    fn settle(&mut self, slot: Slot, result: Result<(), CloseReason>, context: &mut Context) {
+    /// Removes a connection that has ended, and closes an idle one if all are to be closed.
+    fn finish_step(&mut self, slot: Slot, result: Result<(), CloseReason>, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let free = connection.is_free();
-        // An answer that is still to be written is, but not for ever: whoever does not read would keep the end.
+        // A pending write is completed within the linger time; a client that does not read cannot delay the
+        // shutdown for ever.
         let closing = self.listener.is_none() && connection.can_close();
         let result =
             if closing && result.is_ok() { connection.linger(slot, self.serving, context) } else { result };
         connection.update_timeout(slot, context);
-        if let Err(over) = result {
-            if over == CloseReason::Local && !free {
+        if let Err(reason) = result {
+            if reason == CloseReason::Local && !free {
                 context.counters.violations.count(Denial::ReplyPending);
-                logging::error!(event = "rule.violation", denial = "answer_owed", "a connection is closed");
+                logging::error!(
+                    event = "rule.violation",
+                    denial = "answer_owed",
+                    "connection closed with a pending reply"
+                );
             }
-            // What it has asked and nobody has looked at yet is not begun.
+            // A query that the pooler has not looked at yet is not begun.
             context
                 .events
                 .retain(|event| !matches!(event, Event::QueryReceived(client, ..) if *client == slot));
@@ -310,9 +324,9 @@
             }
             self.connections.remove(slot);
         }
-        // Whoever waits at the door was announced once: now that there is room, it must be looked for.
-        if self.full && (free || result.is_err()) {
-            self.full = false;
+        // Waiting connections were announced by one event only: accept them now that there is room.
+        if self.at_limit && (free || result.is_err()) {
+            self.at_limit = false;
             self.accept(context);
         }
     }
@@ -332,7 +346,7 @@
         }
     }
 
-    /// From now on queries can be carried out: those who asked are told.
+    /// Queries can be carried out from now on: answers the pending empty queries.
     pub fn start_serving(&mut self, context: &mut Context) {
         if std::mem::replace(&mut self.serving, true) {
             return;
@@ -346,9 +360,9 @@
         }
     }
 
-    /// Ends every connection as soon as nothing is owed on it, and takes in no more.
+    /// Accepts no more connections, and closes each one as soon as it has no pending reply.
     pub fn close(&mut self, context: &mut Context) {
-        // What has come in until now is still read, and owed an answer.
+        // Requests that have arrived by now are still read and answered.
         self.accept(context);
         (self.listener, self.previous) = (None, None);
         let all: Vec<Slot> = self.connections.iter().map(|(slot, _)| slot).collect();
@@ -357,18 +371,18 @@
         }
     }
 
-    /// A connection has more to read, or what is due from its client may be overdue.
+    /// A connection has more data to read, or its client may have exceeded a time limit.
     pub fn on_timer(&mut self, slot: Slot, context: &mut Context) {
         let now = context.reactor.now();
         if self.connections.get(slot).is_some_and(Connection::has_unread) {
             self.on_ready(slot, context);
         }
-        // Guards a request that has come in this instant: it is taken up before it is looked at what is overdue.
+        // A request that has just arrived is read before the time limit is checked.
         if self.connections.get(slot).is_some_and(|connection| connection.is_overdue(now)) {
             self.on_ready(slot, context);
         }
         let Some(connection) = self.connections.get_mut(slot) else { return };
-        // Timers are not withdrawn: this one may belong to what the client has done meanwhile.
+        // Timers cannot be cancelled: this one may belong to an earlier wait of the client.
         let result = if connection.is_ending() {
             if !connection.linger_expired(now) {
                 return;
@@ -379,12 +393,15 @@
         } else {
             return;
         };
-        self.settle(slot, result, context);
+        self.finish_step(slot, result, context);
     }
 }
 
-/// Of the connections that will do, the one not heard of for longest.
-fn longest(connections: &Slots<Connection>, will_do: impl Fn(&Connection) -> bool) -> Option<Slot> {
-    let those = connections.iter().filter(|(_, connection)| will_do(connection));
-    those.min_by(|(_, a), (_, b)| a.active.total_cmp(&b.active)).map(|(slot, _)| slot)
+/// Returns the least recently active connection among those that `eligible` accepts.
+fn least_recently_active(
+    connections: &Slots<Connection>,
+    eligible: impl Fn(&Connection) -> bool,
+) -> Option<Slot> {
+    let candidates = connections.iter().filter(|(_, connection)| eligible(connection));
+    candidates.min_by(|(_, a), (_, b)| a.active.total_cmp(&b.active)).map(|(slot, _)| slot)
 }
--- a/crates/daemon/src/net/clients/connection.rs
+++ b/crates/daemon/src/net/clients/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: reads commands off it, keeps what it owes in order, and writes the replies.
+//! A client's connection: reads commands, keeps the pending replies in order, and writes them.
 
 use std::io::ErrorKind;
 use std::net::Shutdown;
@@ -12,41 +12,41 @@
 use crate::net::event_loop::{Slot, TimerKind};
 use crate::net::{Context, Event};
 
-/// How long a connection that is ended from here is still read from, what comes being thrown away (seconds): a lingering close,
-/// for a client that is told something, ...
-const LINGER: f64 = 1.0;
-/// ... and for one at rest, which is to see the end. Guards what was written last against the reset that a close over
-/// unread bytes would be.
-const LINGER_IDLE: f64 = 0.3;
-/// Pause between two buffers that are thrown away on one that lingers (seconds): some 8 MiB a second.
-const DISCARD: f64 = 0.02;
-/// How long a client may take to ask for the first time, to complete a message that it has begun, and to read
-/// what it is told (seconds). Guards against those who come to hold a place.
-const PROMPT: f64 = 2.0;
-/// Most messages taken off a connection before the others have their turn. Guards against a client that sends
-/// faster than it can be told that it sends rubbish.
-const TURN: usize = 32;
-/// What a command takes of the memory for buffers beside its statement, for what is remembered of it until its end (bytes). Guards
-/// against many small commands that are sent ahead on many connections.
+/// How long a connection that the pooler closes is still read from, discarding the data (seconds): a
+/// lingering close, for a client that is sent a message.
+const LINGER_TIMEOUT: f64 = 1.0;
+/// The same for an idle connection (seconds), whose client has to see the end. Closing over unread bytes
+/// would reset the connection, and the client could lose the last reply.
+const IDLE_LINGER_TIMEOUT: f64 = 0.3;
+/// Delay between two buffers that are discarded on a lingering connection (seconds): some 8 MiB a second.
+const DISCARD_INTERVAL: f64 = 0.02;
+/// How long a client may take to send its first query, to complete a message that it has begun, and to read
+/// what it was sent (seconds). Guards against clients that connect only to occupy a connection.
+const CLIENT_TIMEOUT: f64 = 2.0;
+/// Maximum number of messages read from a connection in one iteration. Guards against a client that sends
+/// faster than the errors about its malformed messages can be written.
+const MAX_MESSAGES_PER_ITERATION: usize = 32;
+/// The memory charged for a command beside its statement, for the state that is stored until its end (bytes).
+/// Guards against many small pipelined commands on many connections.
 const COMMAND_MEMORY: usize = 1024;
 
-/// How far a connection has come.
+/// The stage of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The client's first message has not come yet.
+    /// The client's first message has not arrived yet.
     Startup,
-    /// Commands are taken.
+    /// Commands are read.
     Open,
-    /// The end: what comes is thrown away, what was written is still sent.
+    /// Received data is discarded, and data already written is still sent.
     Ending,
 }
 
-/// The connection is of no further use.
+/// Why a connection has to be removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// Its client has ended it, or does not read.
+    /// The client has closed it, or does not read.
     Peer,
-    /// It is ended from here.
+    /// The pooler closes it.
     Local,
 }
 
@@ -62,30 +62,29 @@
     inbox: Ring,
     outbox: Ring,
     stage: Stage,
-    /// The commands that have come and are owed a reply.
+    /// Commands that have been read and have a pending reply.
     pipeline: Pipeline,
-    /// After an error in the extended protocol everything up to Sync is passed over.
+    /// After an error in the extended protocol all messages up to Sync are skipped.
     skipping: bool,
-    /// Whether it has asked anything that could be carried out.
-    asked: bool,
-    /// There may be more to read, which no event will announce.
-    more: bool,
-    /// The client has ended its sending: what is unread of it is all that comes.
+    /// True once the client has sent a query that could be carried out.
+    has_queried: bool,
+    /// There may be more data to read, which no event will announce.
+    unread_data: bool,
+    /// The client has closed its sending side: no more data arrives.
     pub half_closed: bool,
-    /// The sending has been ended from here, and how long the connection lingers.
-    shut: bool,
+    /// The pooler has closed its sending side; and until when the connection lingers.
+    send_closed: bool,
     ends_at: f64,
-    /// By this, together with its place, it may ask on another connection for its requests to be cancelled.
+    /// Together with the connection's number, the key with which its requests can be cancelled on another
+    /// connection.
     secret: u32,
-    /// When it was last heard of.
+    /// When the connection was last active.
     pub active: f64,
-    /// Since when something has been due from the client: a first query, the rest of a message, or that it
-    /// reads.
-    owing: Option<f64>,
+    /// Since when the client has to act: to send a first query, to complete a message, or to read.
+    waiting_since: Option<f64>,
 }
 
 impl Connection {
-    /// A connection that has just been accepted.
     pub fn new(stream: TcpStream, budget: &Budget, secret: u32, now: f64) -> Connection {
         Connection {
             stream,
@@ -94,51 +93,58 @@
             stage: Stage::Startup,
             pipeline: Pipeline::default(),
             skipping: false,
-            asked: false,
-            more: false,
+            has_queried: false,
+            unread_data: false,
             half_closed: false,
-            shut: false,
+            send_closed: false,
             ends_at: f64::INFINITY,
             secret,
             active: now,
-            owing: None,
+            waiting_since: None,
         }
     }
 
-    /// Reads, understands and writes as far as it goes without waiting.
+    /// Reads, processes and writes until the socket would block.
     pub fn process(&mut self, slot: Slot, serving: bool, context: &mut Context) -> Result<(), CloseReason> {
         self.active = context.reactor.now();
-        self.more = false;
-        self.turn_once(slot, serving, context)?;
-        // Its end may lie behind more unread bytes than a buffer holds: nothing more is begun for a client that has gone.
+        self.unread_data = false;
+        self.read_and_process(slot, serving, context)?;
+        // The end of the data may lie behind more unread bytes than a buffer stores: no more commands are
+        // begun for a client that has left.
         if self.half_closed && self.pipeline.is_waiting() {
             return Err(CloseReason::Peer);
         }
         Ok(())
     }
 
-    fn turn_once(&mut self, slot: Slot, serving: bool, context: &mut Context) -> Result<(), CloseReason> {
+    fn read_and_process(
+        &mut self,
+        slot: Slot,
+        serving: bool,
+        context: &mut Context,
+    ) -> Result<(), CloseReason> {
         while self.stage != Stage::Ending {
             let fill = self.inbox.fill(&mut self.stream).map_err(|_| CloseReason::Peer)?;
             if fill == Fill::Ended {
                 return Err(CloseReason::Peer);
             }
             let before = self.inbox.len();
-            self.understand(slot, serving, context)?;
-            if self.more {
+            self.process_messages(slot, serving, context)?;
+            if self.unread_data {
                 context.reactor.set_timer(self.active, TimerKind::Client(slot));
                 return Ok(());
             }
-            // The event is edge-triggered: what a full buffer left in the socket must be read now that there
-            // is room, since nothing will announce it again.
+            // Events are edge-triggered: the data that a full buffer left in the socket must be read now that
+            // there is room, since no further event announces it.
             if fill == Fill::Drained {
                 return Ok(());
             }
             if self.inbox.len() == before {
-                // A message whose rest will never fit must not hold its memory and its client for ever. While replies are
-                // owed, the next of them looks again.
-                let stuck = self.stage != Stage::Ending && self.pipeline.is_empty() && self.outbox.is_empty();
-                return if stuck {
+                // A message whose rest never fits must not occupy its memory and its connection for ever.
+                // While replies are pending, the next of them leads to another check.
+                let cannot_continue =
+                    self.stage != Stage::Ending && self.pipeline.is_empty() && self.outbox.is_empty();
+                return if cannot_continue {
                     self.fatal(sqlstate::OUT_OF_MEMORY, "no memory", slot, context)
                 } else {
                     Ok(())
@@ -148,8 +154,8 @@
         self.discard(slot, context)
     }
 
-    /// Throws away what comes on a connection that lingers, a buffer at a time with a pause between: guards the loop against a
-    /// sender that does not stop.
+    /// Discards the data of a lingering connection, one buffer at a time with a delay between. Guards the
+    /// event loop against a client that sends without end.
     fn discard(&mut self, slot: Slot, context: &mut Context) -> Result<(), CloseReason> {
         self.flush()?;
         let fill = self.inbox.fill(&mut self.stream).map_err(|_| CloseReason::Peer)?;
@@ -158,27 +164,33 @@
         }
         self.inbox.skip(self.inbox.len());
         if fill == Fill::Full {
-            self.more = true;
-            context.reactor.set_timer(self.active + DISCARD, TimerKind::Client(slot));
+            self.unread_data = true;
+            context.reactor.set_timer(self.active + DISCARD_INTERVAL, TimerKind::Client(slot));
         }
         Ok(())
     }
 
-    /// Takes message by message. The next is looked at only when the replies so far are written: a client
-    /// that sends and does not read gets no further than its buffers.
-    fn understand(&mut self, slot: Slot, serving: bool, context: &mut Context) -> Result<(), CloseReason> {
-        for _ in 0..TURN {
+    /// Processes messages one at a time. The next one is read only after the replies so far are written, so
+    /// that a client that sends without reading gets no further than its buffers.
+    fn process_messages(
+        &mut self,
+        slot: Slot,
+        serving: bool,
+        context: &mut Context,
+    ) -> Result<(), CloseReason> {
+        for _ in 0..MAX_MESSAGES_PER_ITERATION {
             if !self.deliver(slot, context)? || !self.pipeline.takes_commands() {
                 return Ok(());
             }
-            let taken = match self.stage {
+            let result = match self.stage {
                 Stage::Startup => self.take_startup(slot, context)?,
                 Stage::Open => self.take_message(slot, serving, context)?,
                 Stage::Ending => return Ok(()),
             };
-            match taken {
-                // Guards against one that holds its place by messages that ask for nothing: until it has asked its time runs on.
-                Ok(true) if self.asked => self.owing = None,
+            match result {
+                // The time limit for a first query continues until there is one: messages without a query
+                // must not hold a connection open.
+                Ok(true) if self.has_queried => self.waiting_since = None,
                 Ok(true) => {}
                 Ok(false) => return Ok(()),
                 Err(FrameError::Malformed) => {
@@ -189,11 +201,11 @@
                 }
             }
         }
-        self.more = true;
+        self.unread_data = true;
         Ok(())
     }
 
-    /// Takes the client's first message; false while it is not there in full.
+    /// Reads the client's first message; returns false while it is incomplete.
     fn take_startup(
         &mut self,
         slot: Slot,
@@ -202,11 +214,11 @@
         match pgwire::read_startup(&mut self.inbox) {
             Ok(Some(first)) => self.startup(first, slot, context).map(|()| Ok(true)),
             Ok(None) => Ok(Ok(false)),
-            Err(fault) => Ok(Err(fault)),
+            Err(error) => Ok(Err(error)),
         }
     }
 
-    /// Takes the next message; false while it is not there in full.
+    /// Reads the next message; returns false while it is incomplete.
     fn take_message(
         &mut self,
         slot: Slot,
@@ -216,19 +228,19 @@
         match pgwire::read_message(&mut self.inbox) {
             Ok(Some(message)) => self.message(message, slot, serving, context).map(|()| Ok(true)),
             Ok(None) => Ok(Ok(false)),
-            Err(fault) => Ok(Err(fault)),
+            Err(error) => Ok(Err(error)),
         }
     }
 
-    /// Writes the replies that are known, in the order of their commands; true when all that could be was written.
+    /// Writes the available replies in the order of their commands; returns true if all of them were written.
     fn deliver(&mut self, slot: Slot, context: &mut Context) -> Result<bool, CloseReason> {
         loop {
-            // One reply at a time: each has the whole of the buffer to itself.
+            // One reply at a time: each may use the full buffer.
             if !self.flush()? {
                 return Ok(false);
             }
             let Some(reply) = self.pipeline.next_reply() else { return Ok(true) };
-            // Guards an answer that is owed against short memory: the client is told at least that it failed.
+            // If memory is short, the client is told at least that its query failed.
             if self.outbox.push_over_budget(&reply.bytes).is_err() {
                 self.outbox.push_over_budget(&error(
                     sqlstate::SYSTEM_ERROR,
@@ -236,51 +248,52 @@
                     None,
                 ))?;
             }
-            match reply.afterwards {
+            match reply.after {
                 AfterReply::Continue => {}
-                AfterReply::Linger => self.end(slot, LINGER, context),
+                AfterReply::Linger => self.end(slot, LINGER_TIMEOUT, context),
                 AfterReply::Close => return Err(CloseReason::Peer),
             }
         }
     }
 
-    /// Whether the connection lingers.
+    /// Returns true if the connection lingers.
     pub fn is_ending(&self) -> bool {
         self.stage == Stage::Ending
     }
 
-    /// Whether the connection has lingered for as long as it may.
+    /// Returns true if the linger time is over.
     pub fn linger_expired(&self, now: f64) -> bool {
         now >= self.ends_at
     }
 
-    /// Whether it is between requests, with nothing on its way from here.
+    /// Returns true if no reply is pending and no data is buffered in either direction.
     pub fn is_idle(&self) -> bool {
         self.is_quiet() && self.inbox.is_empty() && self.outbox.is_empty()
     }
 
-    /// Whether no reply is owed and its end has not begun.
+    /// Returns true if no reply is pending and the connection does not linger.
     fn is_quiet(&self) -> bool {
         self.stage != Stage::Ending && self.pipeline.is_empty()
     }
 
-    /// Whether no request of it is being carried out.
+    /// Returns true if none of its requests is being carried out.
     pub fn is_free(&self) -> bool {
         !self.pipeline.is_running()
     }
 
-    /// Whether it is to end where all are to end: nothing is owed on it, and no message has begun. Guards a message of which a
-    /// part has been read here already.
+    /// Returns true if it can be closed when all connections are: no reply is pending, and no part of a message
+    /// other than the startup message has been read. Guards a request of which a part has arrived already.
     pub fn can_close(&self) -> bool {
         self.is_quiet() && (self.stage == Stage::Startup || self.inbox.is_empty())
     }
 
-    /// Whether it has asked something, is at rest, and has been for so long (seconds).
-    pub fn idle_longer_than(&self, now: f64, rest: f64) -> bool {
-        self.asked && self.is_idle() && now >= self.active + rest
+    /// Returns true if the client has sent a query, and the connection has been idle for `rest` seconds.
+    pub fn idle_longer_than(&self, now: f64, timeout: f64) -> bool {
+        self.has_queried && self.is_idle() && now >= self.active + timeout
     }
 
-    /// Whether the client has ended it, though that may not have been read yet. What it sent before its end hides the end.
+    /// Returns true if the client has closed the connection, even if that has not been read yet. Unread data
+    /// before the end hides it.
     pub fn has_left(&self) -> bool {
         match self.stream.peek(&mut [0]) {
             Ok(count) => count == 0,
@@ -288,22 +301,22 @@
         }
     }
 
-    /// Whether the connection may be cancelled by this secret.
+    /// Returns true if this is the secret of the connection's cancel key.
     pub fn has_secret(&self, secret: u32) -> bool {
         self.secret == secret
     }
 
-    /// Whether there may be more to read, which no event will announce.
+    /// Returns true if there may be more data to read, which no event will announce.
     pub fn has_unread(&self) -> bool {
-        self.more
+        self.unread_data
     }
 
-    /// Whether something is due from the client.
-    fn owes(&self) -> bool {
+    /// Returns true if the client has to act within a time limit.
+    fn must_act(&self) -> bool {
         match self.stage {
             Stage::Startup => true,
             Stage::Open => {
-                let unasked = !self.asked && self.pipeline.is_empty();
+                let unasked = !self.has_queried && self.pipeline.is_empty();
                 let unfinished = !self.inbox.is_empty() && self.pipeline.takes_commands();
                 unasked || unfinished || !self.outbox.is_empty()
             }
@@ -311,23 +324,24 @@
         }
     }
 
-    /// Looks whether something is due from the client, and has that looked at again when its time is up.
+    /// Starts the client's time limit and its timer, or stops it if the client does not have to act.
     pub fn update_timeout(&mut self, slot: Slot, context: &mut Context) {
-        if !self.owes() {
-            self.owing = None;
-        } else if self.owing.is_none() {
-            self.owing = Some(self.active);
-            context.reactor.set_timer(self.active + PROMPT, TimerKind::Client(slot));
+        if !self.must_act() {
+            self.waiting_since = None;
+        } else if self.waiting_since.is_none() {
+            self.waiting_since = Some(self.active);
+            context.reactor.set_timer(self.active + CLIENT_TIMEOUT, TimerKind::Client(slot));
         }
     }
 
-    /// Whether what is due from the client is overdue.
+    /// Returns true if the client has exceeded its time limit.
     pub fn is_overdue(&self, now: f64) -> bool {
-        self.owing.is_some_and(|since| now >= since + PROMPT)
+        self.waiting_since.is_some_and(|since| now >= since + CLIENT_TIMEOUT)
     }
 
-    /// Ends a connection whose client has not sent or read in time. A message that does not end is answered; one that was never
-    /// begun is not, since the end of a connection is no answer to a request that crosses it.
+    /// Closes a connection whose client has not sent or read in time. An incomplete message is answered with
+    /// an error. A client that began none gets no error, since that could be taken for the answer to a
+    /// request that crosses it.
     pub fn end_overdue(
         &mut self,
         slot: Slot,
@@ -381,11 +395,11 @@
             b'Q' => self.query(&message.body, slot, serving, context),
             b'P' | b'B' | b'D' | b'E' | b'C' => {
                 self.skipping = true;
-                let what = "only simple queries are served";
+                let text = "only simple queries are served";
                 self.pipeline.reply(pgwire::error_response(
                     "ERROR",
                     sqlstate::FEATURE_NOT_SUPPORTED,
-                    what,
+                    text,
                     None,
                 ));
             }
@@ -394,7 +408,8 @@
                 "function calls are not served",
                 None,
             )),
-            // Flush asks for nothing here; the rest belongs to exchanges that are over or were never begun.
+            // Flush needs no reply here; the other messages belong to exchanges that have ended or were never
+            // begun.
             b'H' | b'p' | b'd' | b'c' | b'f' => {}
             _ => self.fatal(sqlstate::PROTOCOL_VIOLATION, "unknown message", slot, context)?,
         }
@@ -404,79 +419,81 @@
     fn query(&mut self, body: &[u8], slot: Slot, serving: bool, context: &mut Context) {
         match pgwire::parse_client_query(body) {
             Ok(ClientQuery::Empty) if serving => {
-                self.asked = true;
+                self.has_queried = true;
                 self.pipeline.reply(empty());
             }
             Ok(ClientQuery::Empty) => self.pipeline.begin_unready(),
             Ok(ClientQuery::Query(mut query)) => {
-                // Guards against many statements that are each within their bound and together are not.
+                // Guards against many statements that are each within the limit and together exceed the
+                // memory.
                 let Ok(charge) = self.inbox.charge(query.statement.len() + COMMAND_MEMORY) else {
                     context.counters.refused += 1;
                     return self.pipeline.reply(error(sqlstate::TOO_MANY_CONNECTIONS, "no memory", None));
                 };
                 query.statement.set_charge(charge);
-                self.asked = true;
+                self.has_queried = true;
                 context.counters.pipelined += u64::from(!self.pipeline.is_empty());
                 context.events.push_back(Event::QueryReceived(slot, self.pipeline.begin(), query));
             }
-            Err(what) => {
+            Err(text) => {
                 context.counters.malformed += 1;
-                self.pipeline.reply(error(sqlstate::SYNTAX_ERROR, what, None));
+                self.pipeline.reply(error(sqlstate::SYNTAX_ERROR, text, None));
             }
         }
     }
 
-    /// Says what is wrong, behind the replies that are owed, and ends the connection once that is read.
+    /// Sends a fatal error after the pending replies, and closes the connection once the client has read it.
     fn fatal(
         &mut self,
         code: &str,
-        what: &str,
+        text: &str,
         slot: Slot,
         context: &mut Context,
     ) -> Result<(), CloseReason> {
         context.counters.malformed += 1;
-        self.pipeline.reply_last(pgwire::error_response("FATAL", code, what, None), AfterReply::Linger);
+        self.pipeline.reply_last(pgwire::error_response("FATAL", code, text, None), AfterReply::Linger);
         self.deliver(slot, context).map(|_| ())
     }
 
-    /// From now on the client is only given the time to read what it was told, and to see that this is all: nothing that comes
-    /// is taken up any more.
-    fn end(&mut self, slot: Slot, within: f64, context: &mut Context) {
-        (self.stage, self.ends_at) = (Stage::Ending, context.reactor.now() + within);
+    /// Starts the lingering close: the client has time to read what it was sent and to see the end. Received
+    /// data is discarded.
+    fn end(&mut self, slot: Slot, timeout: f64, context: &mut Context) {
+        (self.stage, self.ends_at) = (Stage::Ending, context.reactor.now() + timeout);
         context.reactor.set_timer(self.ends_at, TimerKind::Client(slot));
     }
 
-    /// Ends a connection on which nothing is owed.
+    /// Closes a connection that has no pending reply.
     pub fn linger(&mut self, slot: Slot, serving: bool, context: &mut Context) -> Result<(), CloseReason> {
-        let within = if self.outbox.is_empty() { LINGER_IDLE } else { LINGER };
-        self.end(slot, within, context);
+        let timeout = if self.outbox.is_empty() { IDLE_LINGER_TIMEOUT } else { LINGER_TIMEOUT };
+        self.end(slot, timeout, context);
         self.process(slot, serving, context)
     }
 
-    /// Writes what there is to write; true when all is written.
+    /// Writes the buffered data; returns true if all of it was written.
     fn flush(&mut self) -> Result<bool, CloseReason> {
         let before = self.outbox.len();
         let written = self.outbox.drain(&mut self.stream).map_err(|_| CloseReason::Peer)?;
         if !written && self.outbox.len() < before && self.stage != Stage::Ending {
-            // Who reads slowly reads all the same: its time starts anew.
-            self.owing = None;
+            // A client that reads slowly still reads: its time limit starts anew.
+            self.waiting_since = None;
         }
-        // Once: each further time wakes the loop for this very connection again, without end.
-        if written && self.stage == Stage::Ending && !std::mem::replace(&mut self.shut, true) {
-            // Ends the sending only: closing with input unread would reset the connection, and the client
-            // might lose the message that says why.
+        // Only once: each further shutdown would wake the event loop for this connection again, without end.
+        if written && self.stage == Stage::Ending && !std::mem::replace(&mut self.send_closed, true) {
+            // Closes the sending side only: closing with unread input would reset the connection, and the
+            // client could lose the message that gives the reason.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
         Ok(written)
     }
 
-    /// The final answer to a command that is being carried out; false where it is not.
+    /// Gives the final answer to a command; returns false if the command is not being carried out.
     pub fn answer(&mut self, number: CommandNumber, answer: Answer) -> bool {
         let bytes = reply(answer);
         if self.pipeline.is_first(number) {
             return self.pipeline.finish(number, bytes, None);
         }
-        // It waits for others. Guards against many answers that are each within their bound and together are not.
+        // The reply waits for earlier ones. Guards against many answers that are each within the limit and
+        // together exceed the memory.
         match self.inbox.charge(bytes.len()) {
             Ok(charge) => self.pipeline.finish(number, bytes, Some(charge)),
             Err(Overflow) => {
@@ -486,19 +503,19 @@
         }
     }
 
-    /// Tells the client that all its commands that were being carried out are cancelled.
+    /// Tells the client that all its running commands are cancelled.
     pub fn finish_cancelled(&mut self) {
         self.pipeline.finish_running(&error(sqlstate::QUERY_CANCELED, "cancelled on request", None));
     }
 
-    /// Whether an empty query waits until the pooler can serve.
+    /// Returns true if an empty query waits until the pooler can serve.
     pub fn is_unready(&self) -> bool {
         self.pipeline.is_unready()
     }
 
-    /// The pooler can serve from now on.
+    /// The pooler can serve from now on: answers the waiting empty queries.
     pub fn answer_unready(&mut self) {
-        self.asked = true;
+        self.has_queried = true;
         self.pipeline.finish_unready(&empty());
     }
 }
@@ -508,12 +525,12 @@
     [pgwire::empty_response(), pgwire::ready_for_query()].concat()
 }
 
-/// The reply to a command that has failed.
-fn error(code: &str, what: &str, detail: Option<&str>) -> Vec<u8> {
-    [pgwire::error_response("ERROR", code, what, detail), pgwire::ready_for_query()].concat()
+/// The reply to a failed command.
+fn error(code: &str, text: &str, detail: Option<&str>) -> Vec<u8> {
+    [pgwire::error_response("ERROR", code, text, detail), pgwire::ready_for_query()].concat()
 }
 
-/// The reply that a final answer is.
+/// Serializes a final answer as a reply.
 fn reply(answer: Answer) -> Vec<u8> {
     match answer {
         Answer::Served(mut value) => {
@@ -526,6 +543,6 @@
             error(sqlstate::TOO_MANY_CONNECTIONS, "refused: try again later", detail.as_deref())
         }
         Answer::Failed => error(sqlstate::SYSTEM_ERROR, "failed: it may have run", None),
-        Answer::Invalid(what) => error(sqlstate::INVALID_PARAMETER_VALUE, what, None),
+        Answer::Invalid(text) => error(sqlstate::INVALID_PARAMETER_VALUE, text, None),
     }
 }
--- a/crates/daemon/src/net/clients/pipeline.rs
+++ b/crates/daemon/src/net/clients/pipeline.rs
@@ -1,15 +1,15 @@
-//! The replies that a connection owes, in the order of its commands. A client may send commands ahead of the replies to earlier
-//! ones; they are carried out side by side, and each reply waits here until all before it have been written.
+//! The pending replies of a connection, in the order of its commands. A client may pipeline commands: they
+//! are carried out concurrently, and each reply waits until all earlier ones have been written.
 
 use std::collections::VecDeque;
 
 use buffer::Charge;
 
-/// Most commands of a connection that have no reply yet or whose reply waits for an earlier one. Guards against a client that
-/// sends without end: what it sends beyond that stays unread, and the system's window closes.
+/// Maximum number of commands of a connection that have no reply yet or whose reply waits for an earlier one.
+/// Guards against a client that sends without end: further commands stay unread, and the TCP window closes.
 pub(super) const MAX_COMMANDS: usize = 64;
 
-/// The number of a command on its connection; numbers grow and are not used again.
+/// The number of a command on its connection; numbers grow and are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct CommandNumber(u64);
 
@@ -19,12 +19,12 @@
     }
 }
 
-/// What becomes of the connection once a reply is written.
+/// What happens to the connection after a reply is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterReply {
-    /// It goes on.
+    /// It stays open.
     Continue,
-    /// It is given time to read the reply, then closed.
+    /// It is closed after the client has had time to read the reply.
     Linger,
     /// It is closed at once.
     Close,
@@ -33,13 +33,13 @@
 /// A reply that can be written.
 pub(super) struct Reply {
     pub bytes: Vec<u8>,
-    pub afterwards: AfterReply,
-    /// What the bytes take of the memory for buffers while they wait.
+    pub after: AfterReply,
+    /// The memory charged for the bytes while they wait.
     charge: Option<Charge>,
 }
 
-/// What stands in the place of a command's reply.
-enum Place {
+/// The state of a command's reply.
+enum ReplyState {
     /// The command is being carried out.
     Running,
     /// The command is an empty query, which is answered once the pooler can serve.
@@ -47,93 +47,93 @@
     Ready(Reply),
 }
 
-/// The replies owed on one connection, the oldest first.
+/// The pending replies of a connection, the oldest first.
 #[derive(Default)]
 pub(super) struct Pipeline {
-    places: VecDeque<(CommandNumber, Place)>,
+    replies: VecDeque<(CommandNumber, ReplyState)>,
     next: u64,
-    /// The last reply of the connection has been queued: no further command is taken.
+    /// The last reply of the connection has been queued: no further command is read.
     closing: bool,
 }
 
 impl Pipeline {
-    /// Whether no reply is owed.
+    /// Returns true if no reply is pending.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.replies.is_empty()
     }
 
-    /// Whether another command may be taken.
+    /// Returns true if another command may be read.
     pub fn takes_commands(&self) -> bool {
-        !self.closing && self.places.len() < MAX_COMMANDS
+        !self.closing && self.replies.len() < MAX_COMMANDS
     }
 
-    /// Whether a command is being carried out, or waits until the pooler can serve.
+    /// Returns true if a command is being carried out, or waits until the pooler can serve.
     pub fn is_waiting(&self) -> bool {
-        self.places.iter().any(|(_, place)| !matches!(place, Place::Ready(_)))
+        self.replies.iter().any(|(_, state)| !matches!(state, ReplyState::Ready(_)))
     }
 
-    /// Whether a command is being carried out.
+    /// Returns true if a command is being carried out.
     pub fn is_running(&self) -> bool {
-        self.places.iter().any(|(_, place)| matches!(place, Place::Running))
+        self.replies.iter().any(|(_, state)| matches!(state, ReplyState::Running))
     }
 
-    /// Whether an empty query waits until the pooler can serve.
+    /// Returns true if an empty query waits until the pooler can serve.
     pub fn is_unready(&self) -> bool {
-        self.places.iter().any(|(_, place)| matches!(place, Place::Unready))
+        self.replies.iter().any(|(_, state)| matches!(state, ReplyState::Unready))
     }
 
-    /// A command is to be carried out; its reply comes by [`Pipeline::finish`].
+    /// Adds a command that is to be carried out; its reply is given by [`Pipeline::finish`].
     pub fn begin(&mut self) -> CommandNumber {
-        self.push(Place::Running)
+        self.push(ReplyState::Running)
     }
 
-    /// An empty query waits until the pooler can serve.
+    /// Adds an empty query that waits until the pooler can serve.
     pub fn begin_unready(&mut self) {
-        self.push(Place::Unready);
+        self.push(ReplyState::Unready);
     }
 
-    /// Queues a reply that is known at once.
+    /// Queues a reply that is available at once.
     pub fn reply(&mut self, bytes: Vec<u8>) {
-        self.push(Place::Ready(Reply { bytes, afterwards: AfterReply::Continue, charge: None }));
+        self.push(ReplyState::Ready(Reply { bytes, after: AfterReply::Continue, charge: None }));
     }
 
     /// Queues the last reply of the connection.
-    pub fn reply_last(&mut self, bytes: Vec<u8>, afterwards: AfterReply) {
+    pub fn reply_last(&mut self, bytes: Vec<u8>, after: AfterReply) {
         self.closing = true;
-        self.push(Place::Ready(Reply { bytes, afterwards, charge: None }));
+        self.push(ReplyState::Ready(Reply { bytes, after, charge: None }));
     }
 
-    /// Whether the reply to this command, once known, could be written without waiting for another.
+    /// Returns true if the reply to this command, once available, can be written without waiting for another.
     pub fn is_first(&self, number: CommandNumber) -> bool {
-        self.places.front().is_some_and(|(first, _)| *first == number)
+        self.replies.front().is_some_and(|(first, _)| *first == number)
     }
 
-    /// The reply to a command that is being carried out; false where it is not.
+    /// Gives the reply to a command; returns false if the command is not being carried out.
     pub fn finish(&mut self, number: CommandNumber, bytes: Vec<u8>, charge: Option<Charge>) -> bool {
-        let place = self.places.iter_mut().find(|(of, _)| *of == number).map(|(_, place)| place);
-        let Some(place) = place.filter(|place| matches!(place, Place::Running)) else { return false };
-        *place = Place::Ready(Reply { bytes, afterwards: AfterReply::Continue, charge });
+        let state = self.replies.iter_mut().find(|(of, _)| *of == number).map(|(_, state)| state);
+        let Some(state) = state.filter(|state| matches!(state, ReplyState::Running)) else { return false };
+        *state = ReplyState::Ready(Reply { bytes, after: AfterReply::Continue, charge });
         true
     }
 
-    /// Gives every command that is being carried out the same reply.
+    /// Gives the same reply to every command that is being carried out.
     pub fn finish_running(&mut self, bytes: &[u8]) {
-        self.replace(bytes, |place| matches!(place, Place::Running));
+        self.replace(bytes, |state| matches!(state, ReplyState::Running));
     }
 
-    /// Gives every empty query that waits its reply.
+    /// Gives the reply to every waiting empty query.
     pub fn finish_unready(&mut self, bytes: &[u8]) {
-        self.replace(bytes, |place| matches!(place, Place::Unready));
+        self.replace(bytes, |state| matches!(state, ReplyState::Unready));
     }
 
-    /// Takes the oldest reply, if it is known.
+    /// Takes the oldest reply, if it is available.
     pub fn next_reply(&mut self) -> Option<Reply> {
-        if !matches!(self.places.front(), Some((_, Place::Ready(_)))) {
+        if !matches!(self.replies.front(), Some((_, ReplyState::Ready(_)))) {
             return None;
         }
-        match self.places.pop_front() {
-            Some((_, Place::Ready(mut reply))) => {
-                // From here on the buffer that it is written to is charged.
+        match self.replies.pop_front() {
+            Some((_, ReplyState::Ready(mut reply))) => {
+                // The buffer that the reply is written to is charged from here on.
                 reply.charge = None;
                 Some(reply)
             }
@@ -141,17 +141,17 @@
         }
     }
 
-    fn push(&mut self, place: Place) -> CommandNumber {
+    fn push(&mut self, state: ReplyState) -> CommandNumber {
         let number = CommandNumber::from(self.next);
         self.next += 1;
-        self.places.push_back((number, place));
+        self.replies.push_back((number, state));
         number
     }
 
-    fn replace(&mut self, bytes: &[u8], which: impl Fn(&Place) -> bool) {
-        for (_, place) in self.places.iter_mut().filter(|(_, place)| which(place)) {
+    fn replace(&mut self, bytes: &[u8], which: impl Fn(&ReplyState) -> bool) {
+        for (_, state) in self.replies.iter_mut().filter(|(_, state)| which(state)) {
             let bytes = bytes.to_vec();
-            *place = Place::Ready(Reply { bytes, afterwards: AfterReply::Continue, charge: None });
+            *state = ReplyState::Ready(Reply { bytes, after: AfterReply::Continue, charge: None });
         }
     }
 }
