--- a/crates/daemon/src/net/clients/connection.rs
+++ b/crates/daemon/src/net/clients/connection.rs
@@ -281,8 +281,9 @@
         !self.pipeline.is_running()
     }
 
-    /// Returns true if it can be closed when all connections are: no reply is pending, and no part of a message
-    /// other than the startup message has been read. Guards a request of which a part has arrived already.
+    /// Returns true if it can be closed when all connections are: no reply is pending, and no part of a
+    /// message other than the startup message has been read. Guards a request of which a part has arrived
+    /// already.
     pub fn can_close(&self) -> bool {
         self.is_quiet() && (self.stage == Stage::Startup || self.inbox.is_empty())
     }
--- a/crates/daemon/src/net/discovery.rs
+++ b/crates/daemon/src/net/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery's side: the connections on which the list of db machines is followed, over HTTP/1.1. What silence means
-//! and which connection counts is decided by [`listing::follow`].
+//! The connections on which the list is followed at discovery, over HTTP/1.1. [`listing::follow`] decides
+//! what silence means and which connection counts.
 
 use std::net::SocketAddr;
 
@@ -13,218 +13,235 @@
 use super::event_loop::{Slot, Slots, Source, TimerKind};
 use super::{Context, Event};
 
-/// Memory for the buffers of all connections to discovery (bytes), of its own: what clients and machines take of theirs must not
-/// keep the list from being read.
-const MEMORY: usize = 2 * follow::MAX_CONNECTIONS * buffer::MAX_BUFFER_BYTES;
+/// Memory for the buffers of all connections to discovery (bytes). It has a budget of its own, so that the
+/// buffers of clients and server connections cannot keep the list from being read.
+const BUFFER_BYTES: usize = 2 * follow::MAX_CONNECTIONS * buffer::MAX_BUFFER_BYTES;
 
 struct Watch {
-    line: ConnectionId,
-    /// When it was called.
-    opened: f64,
-    /// It has come up.
+    id: ConnectionId,
+    /// When the connection was opened.
+    opened_at: f64,
+    /// The connection is established.
     connected: bool,
-    /// Something has been heard.
+    /// Data has been received.
     answered: bool,
     stream: TcpStream,
     connection: Connection,
 }
 
 impl Watch {
-    /// Reads and writes as far as it goes; what is whole of the answer.
-    fn turn(&mut self, pieces: &mut Vec<json::Piece>) -> Result<(), ConnectionError> {
-        // One that was reset has no peer any more, though what came before is there to be read.
+    /// Reads and writes until the socket would block; appends the complete pieces of the response to
+    /// `pieces`.
+    fn transfer(&mut self, pieces: &mut Vec<json::Piece>) -> Result<(), ConnectionError> {
+        // A connection that was reset has no peer address any more, though data received before is still
+        // readable.
         self.connected |= self.stream.peer_addr().is_ok();
         if !self.connected {
             return match self.stream.take_error() {
                 Ok(None) => Ok(()),
-                _ => Err("no connection"),
+                _ => Err("connection failed"),
             };
         }
         self.connection.transfer(&mut self.stream, pieces)
     }
 }
 
-/// The connections to discovery: at most one that is listened to and one that is to take its place.
+/// The connections to discovery: at most one watch, and the requests that may replace it.
 pub(crate) struct Discovery {
     address: SocketAddr,
     follower: Follower,
     watches: Slots<Watch>,
     budget: Budget,
-    /// What is wrong at present; logged when it changes, not with each call that fails.
-    trouble: Option<ConnectionError>,
+    /// The present error; logged when it changes, not for each request that fails.
+    last_error: Option<ConnectionError>,
 }
 
 impl Discovery {
-    /// Holds the list of that index, and no watch yet. Where it is `pushed`, an agent is listened to from the start;
-    /// elsewhere the decisions say when to call.
-    pub fn new(address: SocketAddr, index: u64, pushed: bool) -> Discovery {
-        let (follower, watches) = (Follower::new(pushed, index), Slots::new());
-        let budget = Budget::new(MEMORY);
-        Discovery { address, follower, watches, budget, trouble: None }
+    /// Starts from that version of the list, without a connection. If the list is `pushed` by an agent, it is
+    /// followed from the start; otherwise the routing policy decides when to send a request.
+    pub fn new(address: SocketAddr, version: u64, pushed: bool) -> Discovery {
+        let (follower, watches) = (Follower::new(pushed, version), Slots::new());
+        let budget = Budget::new(BUFFER_BYTES);
+        Discovery { address, follower, watches, budget, last_error: None }
     }
 
-    /// Where the list is pushed, sees to it that there is a watch: nobody else will ask for one.
+    /// Follows a pushed list: no other part of the pooler requests it.
     pub fn follow_pushed(&mut self, context: &mut Context) {
-        self.step(context, |follower, now, out| follower.ensure_followed(now, out));
+        self.call_follower(context, |follower, now, out| follower.ensure_followed(now, out));
     }
 
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The version of the list that is held.
+    /// Returns the version of the list last received.
     pub fn list_version(&self) -> u64 {
         self.follower.version()
     }
 
-    /// Watches the list at another address from now on; the watch that is open is kept until that has answered.
+    /// Follows the list at another address from now on; the open watch stays until the new address has
+    /// answered.
     pub fn set_address(&mut self, address: SocketAddr, context: &mut Context) {
         if self.address != address {
-            // Calls at the address before are given up: what has been written to them counts.
+            // Requests at the previous address are closed: responses that have arrived on them still count.
             self.read_pending(context);
             self.address = address;
             self.resubscribe(context);
         }
     }
 
-    /// Watches no more.
+    /// Stops following the list.
     pub fn stop(&mut self, context: &mut Context) {
-        self.step(context, |follower, _, out| follower.stop(out));
+        self.call_follower(context, |follower, _, out| follower.stop(out));
     }
 
-    /// Opens the watch and asks for the whole list.
+    /// Opens a connection and requests the full list.
     pub fn resubscribe(&mut self, context: &mut Context) {
-        self.step(context, |follower, now, out| follower.request_full_list(now, out));
+        self.call_follower(context, |follower, now, out| follower.request_full_list(now, out));
     }
 
-    /// Opens the watch from the list held.
+    /// Opens a connection and requests the changes since the stored version.
     pub fn subscribe(&mut self, context: &mut Context) {
-        self.step(context, |follower, now, out| follower.send_list_request(now, out));
+        self.call_follower(context, |follower, now, out| follower.send_list_request(now, out));
     }
 
-    /// Tells the follower of one thing and carries out what follows from it.
-    fn step(&mut self, context: &mut Context, tell: impl FnOnce(&mut Follower, f64, &mut Vec<Step>)) {
+    /// Calls the follower and carries out the resulting steps.
+    fn call_follower(
+        &mut self,
+        context: &mut Context,
+        operation: impl FnOnce(&mut Follower, f64, &mut Vec<Step>),
+    ) {
         let mut steps = Vec::new();
-        tell(&mut self.follower, context.reactor.now(), &mut steps);
+        operation(&mut self.follower, context.reactor.now(), &mut steps);
         self.carry_out(steps, context);
     }
 
     fn carry_out(&mut self, steps: Vec<Step>, context: &mut Context) {
         for step in steps {
             match step {
-                Step::Open(line, index) => {
-                    if let Err(why) = self.open(line, index, context) {
+                Step::Open(id, version) => {
+                    if let Err(reason) = self.open(id, version, context) {
                         let mut steps = Vec::new();
-                        self.follower.connection_failed(line, context.reactor.now(), why, &mut steps);
+                        self.follower.connection_failed(id, context.reactor.now(), reason, &mut steps);
                         self.carry_out(steps, context);
                     }
                 }
-                Step::Close(line) => {
-                    let slot =
-                        self.watches.iter().find(|(_, watch)| watch.line == line).map(|(slot, _)| slot);
+                Step::Close(id) => {
+                    let slot = self.watches.iter().find(|(_, watch)| watch.id == id).map(|(slot, _)| slot);
                     if let Some(watch) = slot.and_then(|slot| self.watches.remove(slot)) {
-                        let lived_s = context.reactor.now() - watch.opened;
-                        logging::info!(event = "discovery.closed", line, lived_s, answered = watch.answered);
+                        let lived_s = context.reactor.now() - watch.opened_at;
+                        logging::info!(
+                            event = "discovery.closed",
+                            line = watch.id,
+                            lived_s,
+                            answered = watch.answered
+                        );
                     }
                 }
                 Step::Timer(at) => context.reactor.set_timer(at, TimerKind::Discovery),
-                Step::Unchanged => self.tell(ListKind::Incremental, context),
-                Step::Failed(why) => self.lost(why, ListKind::Failed, context),
-                Step::Silent(why) => self.lost(why, ListKind::Silent, context),
+                Step::Unchanged => self.report_list(ListKind::Incremental, context),
+                Step::Failed(reason) => self.report_loss(reason, ListKind::Failed, context),
+                Step::Silent(reason) => self.report_loss(reason, ListKind::Silent, context),
             }
         }
     }
 
-    fn tell(&mut self, kind: ListKind, context: &mut Context) {
+    fn report_list(&mut self, kind: ListKind, context: &mut Context) {
         if kind.carries_entries() {
-            self.trouble = None;
+            self.last_error = None;
         }
         context.events.push_back(Event::ListReceived(kind, Vec::new()));
     }
 
-    fn lost(&mut self, why: ConnectionError, kind: ListKind, context: &mut Context) {
-        if self.trouble.replace(why) != Some(why) {
-            logging::warn!(event = "discovery.lost", "discovery: {why}");
+    fn report_loss(&mut self, reason: ConnectionError, kind: ListKind, context: &mut Context) {
+        if self.last_error.replace(reason) != Some(reason) {
+            logging::warn!(event = "discovery.lost", "discovery: {reason}");
         }
-        self.tell(kind, context);
-    }
-
-    fn open(&mut self, line: ConnectionId, index: u64, context: &mut Context) -> Result<(), ConnectionError> {
-        let stream = TcpStream::connect(self.address).map_err(|_| "no connection")?;
-        let connection = Connection::new(self.address, index, &self.budget)?;
-        let opened = context.reactor.now();
-        logging::info!(event = "discovery.call", line, index, address = %self.address, "calls for the list");
+        self.report_list(kind, context);
+    }
+
+    fn open(&mut self, id: ConnectionId, version: u64, context: &mut Context) -> Result<(), ConnectionError> {
+        let stream = TcpStream::connect(self.address).map_err(|_| "connection failed")?;
+        let connection = Connection::new(self.address, version, &self.budget)?;
+        let opened_at = context.reactor.now();
+        logging::info!(
+            event = "discovery.call",
+            line = id,
+            index = version,
+            address = %self.address,
+            "requesting the list"
+        );
         let (connected, answered) = (false, false);
-        let slot = self.watches.insert(Watch { line, opened, connected, answered, stream, connection });
+        let slot = self.watches.insert(Watch { id, opened_at, connected, answered, stream, connection });
         let Some(watch) = self.watches.get_mut(slot) else { return Ok(()) };
         let (token, both) = (Source::Discovery(slot).into(), Interest::READABLE | Interest::WRITABLE);
-        context.reactor.registry.register(&mut watch.stream, token, both).map_err(|_| "no connection")
+        context.reactor.registry.register(&mut watch.stream, token, both).map_err(|_| "connection failed")
     }
 
-    /// A watch may be read from or written to.
+    /// A connection is readable or writable.
     pub fn on_ready(&mut self, slot: Slot, context: &mut Context) {
         let Some(watch) = self.watches.get_mut(slot) else { return };
-        let (line, mut pieces) = (watch.line, Vec::new());
-        let mut result = watch.turn(&mut pieces);
-        let begun = watch.connection.in_document();
+        let (id, mut pieces) = (watch.id, Vec::new());
+        let mut result = watch.transfer(&mut pieces);
+        let in_document = watch.connection.in_document();
         if !pieces.is_empty() && !std::mem::replace(&mut watch.answered, true) {
-            let after_s = context.reactor.now() - watch.opened;
-            logging::info!(event = "discovery.answered", line, after_s);
+            let after_s = context.reactor.now() - watch.opened_at;
+            logging::info!(event = "discovery.answered", line = id, after_s);
         }
         for piece in pieces {
-            if let Err(why) = self.piece(line, piece, context) {
-                result = Err(why);
+            if let Err(reason) = self.handle_piece(id, piece, context) {
+                result = Err(reason);
                 break;
             }
         }
         match result {
-            Ok(()) => self.follower.bytes_received(line, context.reactor.now(), begun),
-            Err(why) => {
-                self.step(context, |follower, now, out| follower.connection_failed(line, now, why, out))
-            }
+            Ok(()) => self.follower.bytes_received(id, context.reactor.now(), in_document),
+            Err(reason) => self.call_follower(context, |follower, now, out| {
+                follower.connection_failed(id, now, reason, out)
+            }),
         }
     }
 
-    /// Takes in one document or empty line.
-    fn piece(
+    /// Processes one document or empty line.
+    fn handle_piece(
         &mut self,
-        line: ConnectionId,
+        id: ConnectionId,
         piece: json::Piece,
         context: &mut Context,
     ) -> Result<(), ConnectionError> {
         let json::Piece::Document(bytes) = piece else {
-            // Nothing has changed since the list held: that, too, answers a call.
-            self.step(context, |follower, now, out| follower.empty_line_received(line, now, out));
+            // Nothing has changed since the stored version; that also answers a request.
+            self.call_follower(context, |follower, now, out| follower.empty_line_received(id, now, out));
             return Ok(());
         };
-        let text = std::str::from_utf8(&bytes).map_err(|_| "a list that is not text")?;
-        let news = listing::parse(text).ok_or("what is no list")?;
-        // Guards against a list that would take away all there is: nobody could be asked any more.
-        if news.is_full && news.listings.is_empty() {
-            return Err("a whole list that names nobody");
+        let text = std::str::from_utf8(&bytes).map_err(|_| "list is not UTF-8")?;
+        let update = listing::parse(text).ok_or("list is malformed")?;
+        // Guards against a list that would remove all members: no request could be sent any more.
+        if update.is_full && update.listings.is_empty() {
+            return Err("full list is empty");
         }
-        let mut counts = false;
-        self.step(context, |follower, now, out| {
-            counts = follower.update_received(line, now, news.version, out)
+        let mut accepted = false;
+        self.call_follower(context, |follower, now, out| {
+            accepted = follower.update_received(id, now, update.version, out)
         });
-        if counts {
-            self.trouble = None;
-            let kind = if news.is_full { ListKind::Full } else { ListKind::Incremental };
-            context.events.push_back(Event::ListReceived(kind, news.listings));
+        if accepted {
+            self.last_error = None;
+            let kind = if update.is_full { ListKind::Full } else { ListKind::Incremental };
+            context.events.push_back(Event::ListReceived(kind, update.listings));
         }
         Ok(())
     }
 
-    /// Takes in what has arrived on every connection, whether or not its event has been taken up.
+    /// Reads the data that has arrived on every connection, even if its event has not been processed.
     pub fn read_pending(&mut self, context: &mut Context) {
         let open: Vec<Slot> = self.watches.iter().map(|(slot, _)| slot).collect();
         open.into_iter().for_each(|slot| self.on_ready(slot, context));
     }
 
-    /// Looks whether discovery has been silent for too long.
+    /// Checks whether discovery has been silent for too long.
     pub fn on_timer(&mut self, context: &mut Context) {
-        // What has arrived by now still counts, though its event has not been taken up yet.
+        // Data that has arrived by now still counts, even if its event has not been processed.
         self.read_pending(context);
-        self.step(context, |follower, now, out| follower.on_timer(now, out));
+        self.call_follower(context, |follower, now, out| follower.on_timer(now, out));
     }
 }
