--- a/crates/daemon/src/net/sessions.rs
+++ b/crates/daemon/src/net/sessions.rs
@@ -1,5 +1,6 @@
-//! Ordinary clients and the server connections that they share. Moves the bytes; what they mean to a session is
-//! [`pooling::Session`]'s to say, which connection it gets [`pooling::Pools`]', and which member the policy's.
+//! Ordinary clients and the server connections that they share. This module moves the bytes;
+//! [`pooling::Session`] interprets them, [`pooling::Pools`] chooses the server connection, and the routing
+//! policy the member.
 
 mod assignment;
 mod cancel;
@@ -31,10 +32,10 @@
 use members::Member;
 use server::ServerConnection;
 
-/// How many requests to cancel may be under way.
+/// Maximum number of cancel requests in flight.
 pub(crate) const MAX_CANCELS: usize = 8;
 
-/// What a session needs a server for, placed.
+/// A session's request for a server connection, with its class, tenant and group.
 #[derive(Debug)]
 pub(crate) struct RoutedServerRequest {
     pub id: RequestId,
@@ -43,43 +44,43 @@
     pub group: u32,
 }
 
-/// How a session's use of a server ended.
+/// How a session's use of a server connection ended.
 #[derive(Debug)]
 pub(crate) struct Detachment {
     pub id: RequestId,
     pub attempt: usize,
     pub member: MemberId,
     pub outcome: Outcome,
-    /// For how long the server was busy (seconds).
+    /// How long the server was busy (seconds).
     pub elapsed: f64,
-    /// Whether the server has shown what it is.
+    /// Whether the server is the primary, if it has reported or shown it.
     pub primary: Option<bool>,
 }
 
 /// All ordinary clients, their listener, and the server connections.
 pub(crate) struct Sessions {
     listener: Option<TcpListener>,
-    /// Another process takes in who comes to it.
+    /// True while another process accepts from the listener.
     paused: bool,
-    conns: Slots<ClientConnection>,
+    clients: Slots<ClientConnection>,
     servers: Slots<ServerConnection>,
     pools: Pools,
     pool: Pool,
     table: Table,
     members: HashMap<MemberId, Member>,
-    /// Nobody is asked what it is before then.
+    /// No server is probed for its role before then.
     next_primary_probe: f64,
-    /// What a server has told last of its settings: new clients are told the same.
+    /// The last settings reported by a server; they are sent to new clients.
     server_settings: BTreeMap<String, String>,
-    /// Those who may connect; anybody where there is no such list.
+    /// The users that may connect; `None` if there is no list of users and anybody may.
     users: Option<Users>,
-    guesses: FailedLogins,
-    /// What clients' TLS is made from; none is spoken where there is none.
+    failed_logins: FailedLogins,
+    /// The TLS context for clients; `None` if TLS is not offered.
     tls: Option<tls::ServerContext>,
-    /// What TLS towards servers is made from; none is spoken where there is none.
+    /// The TLS context for servers; `None` if TLS is not used.
     server_tls: Option<tls::ClientContext>,
-    /// Makes up what is told of users that are not known.
-    key: [u8; 32],
+    /// Key for the salts that are sent for unknown users, so that they look like those of known ones.
+    unknown_user_secret: [u8; 32],
     budget: Budget,
     connect_timeout: f64,
     requests: u64,
@@ -101,7 +102,7 @@
         )?;
         let now = context.reactor.now();
         context.reactor.set_timer(now + SWEEP_INTERVAL, TimerKind::SessionSweep);
-        let pace = PoolLimits {
+        let pool_limits = PoolLimits {
             max_connections: pool.servers as usize,
             max_per_key: pool.servers_each as usize,
             reserve_per_key: pool.servers_reserve as usize,
@@ -110,36 +111,39 @@
             min_per_key: pool.servers_least as usize,
             max_lifetime: pool.server_lifetime_s,
         };
-        let mut key = [0; 32];
-        files::fill_random(&mut key).map_err(io::Error::other)?;
-        let told = [("server_version", "15.0"), ("server_encoding", "UTF8"), ("client_encoding", "UTF8")]
-            .into_iter()
-            .chain([
-                ("DateStyle", "ISO, MDY"),
-                ("integer_datetimes", "on"),
-                ("standard_conforming_strings", "on"),
-            ]);
+        let mut unknown_user_secret = [0; 32];
+        files::fill_random(&mut unknown_user_secret).map_err(io::Error::other)?;
+        let default_settings =
+            [("server_version", "15.0"), ("server_encoding", "UTF8"), ("client_encoding", "UTF8")]
+                .into_iter()
+                .chain([
+                    ("DateStyle", "ISO, MDY"),
+                    ("integer_datetimes", "on"),
+                    ("standard_conforming_strings", "on"),
+                ]);
         Ok(Sessions {
             listener: Some(listener),
             paused: false,
-            conns: Slots::new(),
+            clients: Slots::new(),
             servers: Slots::new(),
-            pools: Pools::new(pace, seed),
+            pools: Pools::new(pool_limits, seed),
             pool: pool.clone(),
             table,
             members: HashMap::new(),
             next_primary_probe: 0.0,
-            server_settings: told.map(|(name, value)| (name.to_string(), value.to_string())).collect(),
+            server_settings: default_settings
+                .map(|(name, value)| (name.to_string(), value.to_string()))
+                .collect(),
             users: pool
                 .users
                 .as_ref()
                 .map(|file| files::read_users(file))
                 .transpose()
                 .map_err(io::Error::other)?,
-            guesses: FailedLogins::default(),
+            failed_logins: FailedLogins::default(),
             tls: files::pool_tls(pool, now).map_err(io::Error::other)?,
             server_tls: files::server_tls(pool, now).map_err(io::Error::other)?,
-            key,
+            unknown_user_secret,
             budget,
             connect_timeout,
             requests: 0,
@@ -147,8 +151,8 @@
         })
     }
 
-    /// Where what is asked belongs from now on, and who may ask. A file of users that cannot be read leaves those of
-    /// before.
+    /// Changes the routing table and the users. If the file of users cannot be read, the previous users stay
+    /// in use.
     pub fn reconfigure(&mut self, pool: &Pool, table: Table, now: f64) {
         self.table = table;
         self.pool.users.clone_from(&pool.users);
@@ -156,9 +160,9 @@
         let tls = |pool: &Pool| (pool.tls_cert.clone(), pool.tls_key.clone(), pool.tls_client_ca.clone());
         if tls(&self.pool) != tls(pool) {
             match files::pool_tls(pool, now) {
-                // Open connections go on under what they began with.
+                // Open connections continue with the context that they began with.
                 Ok(server) => self.tls = server,
-                Err(fault) => logging::error!(event = "pool.tls", "the files of before stay in use: {fault}"),
+                Err(fault) => logging::error!(event = "pool.tls", "the previous files stay in use: {fault}"),
             }
         }
         (self.pool.tls_cert, self.pool.tls_key, self.pool.tls_client_ca) = tls(pool);
@@ -169,30 +173,31 @@
     pub fn reload_users(&mut self) {
         match self.pool.users.as_ref().map(|file| files::read_users(file)).transpose() {
             Ok(users) => self.users = users,
-            Err(fault) => logging::error!(event = "pool.users", "those of before stay: {fault}"),
+            Err(fault) => logging::error!(event = "pool.users", "the previous users stay in use: {fault}"),
         }
     }
 
     pub fn len(&self) -> usize {
-        self.conns.len()
+        self.clients.len()
     }
 
-    /// The listener, for a successor.
+    /// Returns the listener, for the successor process.
     pub fn listener(&self) -> Option<&TcpListener> {
         self.listener.as_ref()
     }
 
-    /// Whether another process takes in who comes to the listener.
+    /// Sets whether another process accepts from the listener.
     pub fn set_paused(&mut self, paused: bool, context: &mut Context) {
         self.paused = paused;
         self.accept(context);
     }
 
-    /// Takes in no more, and ends every session that is not in the middle of something; all of them where `now`.
+    /// Accepts no more connections and ends every session that has no pending reply and no open transaction;
+    /// ends all sessions if `at_once`.
     pub fn end_sessions(&mut self, at_once: bool, context: &mut Context) {
         self.listener = None;
         let idle: Vec<Slot> = self
-            .conns
+            .clients
             .iter()
             .filter(|(_, conn)| {
                 at_once || conn.session.as_ref().is_none_or(|s| !s.awaits_reply() && !s.in_transaction())
@@ -200,10 +205,11 @@
             .map(|(slot, _)| slot)
             .collect();
         for slot in idle {
-            let Some(conn) = self.conns.get_mut(slot) else { continue };
-            let what = "the pooler ends";
-            let _ = conn.link.outbox.push(&error_response("FATAL", sqlstate::ADMIN_SHUTDOWN, what, None));
-            let _ = conn.link.process_io(&mut conn.stream);
+            let Some(conn) = self.clients.get_mut(slot) else { continue };
+            let text = "the pooler ends";
+            let _ =
+                conn.transport.outbox.push(&error_response("FATAL", sqlstate::ADMIN_SHUTDOWN, text, None));
+            let _ = conn.transport.process_io(&mut conn.stream);
             self.remove_client(slot, context);
         }
     }
--- a/crates/daemon/src/net/sessions/assignment.rs
+++ b/crates/daemon/src/net/sessions/assignment.rs
@@ -1,4 +1,4 @@
-//! Which connection to a server a session gets, and how it lets go of it.
+//! Assignment of server connections to sessions, and their release.
 
 use std::net::SocketAddr;
 
@@ -15,50 +15,50 @@
 use crate::net::event_loop::{Slot, TimerKind};
 use crate::net::{Context, Event};
 
-/// What a session waits for.
+/// A session's pending request for a server connection.
 pub(super) struct PendingRequest {
     pub(super) id: RequestId,
     pub(super) tenant: String,
     pub(super) group: u32,
-    /// Whether only the primary will do.
+    /// True if only the primary is acceptable.
     pub(super) primary: bool,
 }
 
-/// A server that was named for a session.
+/// The member that was assigned to a session.
 pub(super) struct ServerAssignment {
     pub(super) id: RequestId,
     pub(super) attempt: usize,
     pub(super) member: MemberId,
     pub(super) give_up: f64,
     pub(super) tenant: String,
-    /// Whether the session is on a connection, which may have run something.
+    /// True if the session is attached to a connection, which may have run a statement.
     pub(super) attached: bool,
-    /// For how long the server was busy, and since when it is.
+    /// How long the server has been busy in total (seconds), and since when it is busy now.
     pub(super) busy_time: f64,
     pub(super) busy_since: Option<f64>,
 }
 
 impl Sessions {
-    pub(super) fn request_server(&mut self, slot: Slot, want: &ServerRequest, context: &mut Context) {
-        let Some(conn) = self.conns.get_mut(slot) else { return };
+    pub(super) fn request_server(&mut self, slot: Slot, request: &ServerRequest, context: &mut Context) {
+        let Some(conn) = self.clients.get_mut(slot) else { return };
         let route = self.table.route(&RouteRequest {
             user: &conn.user,
             database: &conn.database,
-            application: &want.application,
-            comment: want.comment.as_deref(),
-            class: want.class.as_deref(),
-            read_only: want.read_only,
+            application: &request.application,
+            comment: request.comment.as_deref(),
+            class: request.class.as_deref(),
+            read_only: request.read_only,
         });
         self.requests += 1;
         let id: RequestId = format!("session-{}-{}", slot.number(), self.requests).into();
         let (tenant, group, primary) = (route.tenant.clone(), route.group, route.primary_only);
         conn.pending_request = Some(PendingRequest { id: id.clone(), tenant, group, primary });
-        let wanted = RoutedServerRequest { id, class: route.class, tenant: route.tenant, group };
-        context.events.push_back(Event::ServerRequested(slot, Box::new(wanted)));
+        let routed = RoutedServerRequest { id, class: route.class, tenant: route.tenant, group };
+        context.events.push_back(Event::ServerRequested(slot, Box::new(routed)));
         self.probe_for_primary(context);
     }
 
-    /// A server is named for a session. The end of this attempt is told by an event.
+    /// Assigns a member to a session. The end of this attempt is reported by an event.
     pub fn assign_server(
         &mut self,
         slot: Slot,
@@ -69,13 +69,13 @@
         context: &mut Context,
     ) {
         let now = context.reactor.now();
-        let Some(conn) = self.conns.get_mut(slot) else {
+        let Some(conn) = self.clients.get_mut(slot) else {
             let (id, member) = (id.clone(), member.clone());
-            let parted =
+            let detachment =
                 Detachment { id, attempt, member, outcome: Outcome::NotSent, elapsed: 0.0, primary: None };
-            return context.events.push_back(Event::SessionDetached(Box::new(parted)));
+            return context.events.push_back(Event::SessionDetached(Box::new(detachment)));
         };
-        let tenant = conn.pending_request.as_ref().map(|wanted| wanted.tenant.clone()).unwrap_or_default();
+        let tenant = conn.pending_request.as_ref().map(|request| request.tenant.clone()).unwrap_or_default();
         conn.assignment = Some(ServerAssignment {
             id: id.clone(),
             attempt,
@@ -89,164 +89,166 @@
         self.find_connection(slot, context);
     }
 
-    /// Finds a connection to the server that is named for a session.
+    /// Finds a connection to the member that is assigned to a session.
     pub(super) fn find_connection(&mut self, slot: Slot, context: &mut Context) {
         loop {
             let now = context.reactor.now();
-            let Some(conn) = self.conns.get_mut(slot) else { return };
-            let (Some(job), Some(session)) = (&conn.assignment, &conn.session) else { return };
-            let Some(Member { address, active: true, .. }) = self.members.get(&job.member) else {
+            let Some(conn) = self.clients.get_mut(slot) else { return };
+            let (Some(assignment), Some(session)) = (&conn.assignment, &conn.session) else { return };
+            let Some(Member { address, active: true, .. }) = self.members.get(&assignment.member) else {
                 return self.detach(slot, Outcome::NotSent, None, context);
             };
-            let (address, member, tenant, state) =
-                (*address, job.member.clone(), job.tenant.clone(), session.settings_hash());
+            let (address, member, tenant, settings_hash) =
+                (*address, assignment.member.clone(), assignment.tenant.clone(), session.settings_hash());
             let database = conn.database.clone();
-            let Some(conn) = self.conns.get(slot) else { return };
+            let Some(conn) = self.clients.get(slot) else { return };
             let key = Key { member: (*member).into(), user: self.server_user(conn), database };
-            match self.pools.acquire(now, &key, state, &tenant, slot.number()) {
+            match self.pools.acquire(now, &key, settings_hash, &tenant, slot.number()) {
                 Acquisition::Wait => return,
                 Acquisition::Reuse(number) => {
-                    let backend = Slot::from_number(number);
-                    if self.is_alive(backend) {
-                        return self.attach(slot, backend, context);
+                    let server = Slot::from_number(number);
+                    if self.is_alive(server) {
+                        return self.attach(slot, server, context);
                     }
-                    self.close_connection(backend);
+                    self.close_connection(server);
                 }
                 Acquisition::ReplaceIdle(number) => {
                     self.close_connection(Slot::from_number(number));
                     return self.open_connection(Some(slot), key, member, address, context);
                 }
                 Acquisition::Open => match self.unclaimed_connection(&key, address) {
-                    Some(place) => return self.claim(slot, place),
+                    Some(server_slot) => return self.claim(slot, server_slot),
                     None => return self.open_connection(Some(slot), key, member, address, context),
                 },
             }
         }
     }
 
-    /// A connection that is being made for nobody: of a probe for the primary, or of a session that no longer wants it.
+    /// Returns a connection that is being opened for no session: for a probe for the primary, or for a
+    /// session that no longer wants it.
     pub(super) fn unclaimed_connection(&self, key: &Key, address: SocketAddr) -> Option<Slot> {
         let opening = |state| {
             matches!(state, ServerState::Connecting | ServerState::NegotiatingTls | ServerState::Starting)
         };
-        let fits = |b: &ServerConnection| {
+        let usable_for = |b: &ServerConnection| {
             b.key == *key && b.address == address && b.client.is_none() && b.drain_until.is_none()
         };
         self.servers
             .iter()
-            .find(|(_, backend)| opening(backend.state) && fits(backend))
-            .map(|(place, _)| place)
+            .find(|(_, server)| opening(server.state) && usable_for(server))
+            .map(|(server_slot, _)| server_slot)
     }
 
-    /// A connection that is being made for nobody is made for this session from now on.
-    pub(super) fn claim(&mut self, slot: Slot, place: Slot) {
-        if let (Some(conn), Some(backend)) = (self.conns.get_mut(slot), self.servers.get_mut(place)) {
-            (conn.server, backend.client) = (Some(place), Some(slot));
+    /// Gives a connection that is being opened for no session to this session.
+    pub(super) fn claim(&mut self, slot: Slot, server_slot: Slot) {
+        if let (Some(conn), Some(server)) = (self.clients.get_mut(slot), self.servers.get_mut(server_slot)) {
+            (conn.server, server.client) = (Some(server_slot), Some(slot));
         }
     }
 
-    /// A session is on a connection from now on.
-    pub(super) fn attach(&mut self, slot: Slot, place: Slot, context: &mut Context) {
-        let (Some(conn), Some(backend)) = (self.conns.get_mut(slot), self.servers.get_mut(place)) else {
+    /// Attaches a session to a connection.
+    pub(super) fn attach(&mut self, slot: Slot, server_slot: Slot, context: &mut Context) {
+        let (Some(conn), Some(server)) = (self.clients.get_mut(slot), self.servers.get_mut(server_slot))
+        else {
             return;
         };
-        let (Some(job), Some(session)) = (&mut conn.assignment, &mut conn.session) else { return };
-        let primary = backend.remote.as_ref().and_then(reported_role);
-        if conn.pending_request.as_ref().is_some_and(|wanted| wanted.primary) && primary == Some(false) {
-            // Turned away untouched: a write would only be refused there.
+        let (Some(assignment), Some(session)) = (&mut conn.assignment, &mut conn.session) else { return };
+        let primary = server.session_state.as_ref().and_then(reported_role);
+        if conn.pending_request.as_ref().is_some_and(|request| request.primary) && primary == Some(false) {
+            // Released without sending anything: the replica would only refuse a write.
             conn.server = None;
             self.detach(slot, Outcome::Miss, primary, context);
-            return self.return_connection(place, context);
+            return self.return_connection(server_slot, context);
         }
-        (backend.state, backend.client, conn.server) = (ServerState::InUse, Some(slot), Some(place));
-        job.attached = true;
+        (server.state, server.client, conn.server) = (ServerState::InUse, Some(slot), Some(server_slot));
+        assignment.attached = true;
         conn.pending_request = None;
-        context.events.push_back(Event::SessionAttached(job.id.clone()));
+        context.events.push_back(Event::SessionAttached(assignment.id.clone()));
         let mut actions = Vec::new();
-        session.attach(backend.remote.take().unwrap_or_default(), &mut actions);
+        session.attach(server.session_state.take().unwrap_or_default(), &mut actions);
         if let Step::Closed = self.carry_out(slot, actions, context) {
             return self.remove_client(slot, context);
         }
         context.reactor.set_timer(context.reactor.now(), TimerKind::Session(slot));
     }
 
-    /// Nobody uses a connection any more; it waits for the next, or is closed.
-    pub(super) fn return_connection(&mut self, place: Slot, context: &mut Context) {
+    /// Returns a connection that no session uses to the pool, or closes it.
+    pub(super) fn return_connection(&mut self, server_slot: Slot, context: &mut Context) {
         let now = context.reactor.now();
-        let Some(backend) = self.servers.get_mut(place) else { return };
-        let state = backend.remote.as_ref().map_or(0, ServerSessionState::settings_hash);
-        let still = backend.link.is_flushed() && backend.link.inbox.is_empty();
-        let sound = !backend.tainted && backend.drain_until.is_none() && still;
-        (backend.state, backend.client) = (ServerState::Idle, None);
-        if !self.pools.release(now, &backend.key, place.number(), state) || !sound {
-            self.close_connection(place);
+        let Some(server) = self.servers.get_mut(server_slot) else { return };
+        let settings_hash = server.session_state.as_ref().map_or(0, ServerSessionState::settings_hash);
+        let no_data = server.transport.is_flushed() && server.transport.inbox.is_empty();
+        let reusable = !server.cancel_sent && server.drain_until.is_none() && no_data;
+        (server.state, server.client) = (ServerState::Idle, None);
+        if !self.pools.release(now, &server.key, server_slot.number(), settings_hash) || !reusable {
+            self.close_connection(server_slot);
         }
         self.serve_waiting_sessions(context);
     }
 
-    /// Those who wait for a connection, as long as there are any.
+    /// Serves the sessions that wait for a connection while any are available.
     pub(super) fn serve_waiting_sessions(&mut self, context: &mut Context) {
         while let Some(ticket) = self.pools.next_ticket(context.reactor.now()) {
             self.find_connection(Slot::from_number(ticket), context);
         }
     }
 
-    /// A session lets go of its connection.
+    /// A session releases its connection.
     pub(super) fn release(
         &mut self,
         slot: Slot,
-        ended: Disposition,
+        disposition: Disposition,
         outcome: Outcome,
         context: &mut Context,
     ) {
-        let Some(conn) = self.conns.get_mut(slot) else { return };
-        let remote = conn.session.as_mut().map(|session| session.take_server_state());
-        let place = conn.server.take();
+        let Some(conn) = self.clients.get_mut(slot) else { return };
+        let session_state = conn.session.as_mut().map(|session| session.take_server_state());
+        let server_slot = conn.server.take();
         self.update_busy_time(slot, context.reactor.now());
-        self.detach(slot, outcome, remote.as_ref().and_then(reported_role), context);
-        let Some(place) = place else { return };
-        if let Some(backend) = self.servers.get_mut(place) {
-            backend.remote = remote;
+        self.detach(slot, outcome, session_state.as_ref().and_then(reported_role), context);
+        let Some(server_slot) = server_slot else { return };
+        if let Some(server) = self.servers.get_mut(server_slot) {
+            server.session_state = session_state;
         }
-        match ended {
-            Disposition::Reuse => self.return_connection(place, context),
+        match disposition {
+            Disposition::Reuse => self.return_connection(server_slot, context),
             Disposition::Close => {
-                self.close_connection(place);
+                self.close_connection(server_slot);
                 self.serve_waiting_sessions(context);
             }
         }
     }
 
-    /// Tells how a session's use of a server ended.
+    /// Reports how a session's use of a server connection ended.
     pub(super) fn detach(&mut self, slot: Slot, outcome: Outcome, role: Option<bool>, context: &mut Context) {
-        let Some(conn) = self.conns.get_mut(slot) else { return };
-        let Some(job) = conn.assignment.take() else { return };
+        let Some(conn) = self.clients.get_mut(slot) else { return };
+        let Some(assignment) = conn.assignment.take() else { return };
         self.pools.cancel_wait(slot.number());
         let denied = conn.session.as_mut().is_some_and(|session| session.take_write_denied());
-        let ServerAssignment { id, attempt, member, busy_time: busy, .. } = job;
+        let ServerAssignment { id, attempt, member, busy_time: busy, .. } = assignment;
         let primary = if denied { Some(false) } else { role };
         match outcome {
-            // What it is after that is to be asked anew.
+            // The member's role has to be queried again after that.
             Outcome::ConnectFailed | Outcome::Reset => self.record_role(&member, None, context),
             _ if primary.is_some() => self.record_role(&member, primary, context),
             _ => {}
         }
-        let parted = Detachment { id, attempt, member, outcome, elapsed: busy, primary };
-        context.events.push_back(Event::SessionDetached(Box::new(parted)));
+        let detachment = Detachment { id, attempt, member, outcome, elapsed: busy, primary };
+        context.events.push_back(Event::SessionDetached(Box::new(detachment)));
     }
 
-    /// A session's connection is taken from it, or has ended.
+    /// Takes the connection from a session, or records that it has ended.
     pub(super) fn revoke_connection(
         &mut self,
         slot: Slot,
-        cut: DetachReason,
+        reason: DetachReason,
         outcome: Outcome,
         context: &mut Context,
     ) {
-        let Some(conn) = self.conns.get_mut(slot) else { return };
+        let Some(conn) = self.clients.get_mut(slot) else { return };
         let mut actions = Vec::new();
         if let Some(session) = &mut conn.session {
-            session.server_detached(cut, &mut actions);
+            session.server_detached(reason, &mut actions);
         }
         self.release(slot, Disposition::Close, outcome, context);
         match self.carry_out(slot, actions, context) {
@@ -255,24 +257,24 @@
         }
     }
 
-    /// No server is to be had for what a session wants.
+    /// No server is available for a session's request.
     pub fn refuse(&mut self, slot: Slot, answer: &Answer, context: &mut Context) {
         self.abandon_attempt(slot, context);
-        let Some(conn) = self.conns.get_mut(slot) else { return };
+        let Some(conn) = self.clients.get_mut(slot) else { return };
         conn.pending_request = None;
         let mut detail = None;
-        let (number, what) = match answer {
+        let (code, text) = match answer {
             Answer::Refused(backoff) => {
                 let millis = Some((backoff * 1000.0).ceil()).filter(|millis| *millis > 0.0);
                 detail = millis.map(|millis| (millis as u64).to_string());
                 (sqlstate::TOO_MANY_CONNECTIONS, "refused: try again later")
             }
-            Answer::Invalid(what) => (sqlstate::INVALID_PARAMETER_VALUE, *what),
+            Answer::Invalid(text) => (sqlstate::INVALID_PARAMETER_VALUE, *text),
             Answer::Failed | Answer::Served(_) => (sqlstate::SYSTEM_ERROR, "no server was reached"),
         };
         let mut actions = Vec::new();
         if let Some(session) = &mut conn.session {
-            session.server_refused(number, what, detail.as_deref(), &mut actions);
+            session.server_refused(code, text, detail.as_deref(), &mut actions);
         }
         match self.carry_out(slot, actions, context) {
             Step::Closed => self.remove_client(slot, context),
@@ -280,22 +282,23 @@
         }
     }
 
-    /// An attempt is withdrawn before anything was sent.
+    /// Withdraws an attempt before anything was sent.
     pub fn withdraw_attempt(&mut self, slot: Slot, attempt: usize, context: &mut Context) {
-        let job = self.conns.get_mut(slot).and_then(|conn| conn.assignment.as_ref());
-        if job.is_some_and(|job| job.attempt == attempt) {
+        let assignment = self.clients.get_mut(slot).and_then(|conn| conn.assignment.as_ref());
+        if assignment.is_some_and(|assignment| assignment.attempt == attempt) {
             self.abandon_attempt(slot, context);
         }
     }
 
-    /// What was begun for a session that has not got its connection yet goes on for nobody.
+    /// Detaches a session that has no connection yet; a connection that is being opened for it continues for
+    /// any session.
     pub(super) fn abandon_attempt(&mut self, slot: Slot, context: &mut Context) {
-        let Some(conn) = self.conns.get_mut(slot) else { return };
-        if conn.assignment.as_ref().is_none_or(|job| job.attached) {
+        let Some(conn) = self.clients.get_mut(slot) else { return };
+        if conn.assignment.as_ref().is_none_or(|assignment| assignment.attached) {
             return;
         }
-        if let Some(backend) = conn.server.take().and_then(|place| self.servers.get_mut(place)) {
-            backend.client = None;
+        if let Some(server) = conn.server.take().and_then(|server_slot| self.servers.get_mut(server_slot)) {
+            server.client = None;
         }
         self.detach(slot, Outcome::Cancelled, None, context);
     }
--- a/crates/daemon/src/net/sessions/login.rs
+++ b/crates/daemon/src/net/sessions/login.rs
@@ -1,4 +1,4 @@
-//! Clients that come: the listener, TLS, the login, and the session that is made of a client's options.
+//! New clients: the listener, TLS, authentication, and the creation of a session from the client's options.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,29 +17,29 @@
 use crate::net::Context;
 
 impl Sessions {
-    /// Takes in all that wait, as far as there are places.
+    /// Accepts waiting connections up to the limit.
     pub fn accept(&mut self, context: &mut Context) {
         if self.paused {
             return;
         }
-        while self.conns.len() < self.pool.clients as usize {
+        while self.clients.len() < self.pool.clients as usize {
             let Some(listener) = &self.listener else { return };
-            // What keeps a new one out is looked at again with the next sweep.
+            // After an error, waiting connections are accepted by the next check of time limits.
             let Ok((stream, address)) = listener.accept() else { return };
             let _ = stream.set_nodelay(true);
-            let link = Transport::new(None, &self.budget);
-            let nobody: Rc<str> = "".into();
-            let slot = self.conns.insert(ClientConnection {
+            let transport = Transport::new(None, &self.budget);
+            let unset: Rc<str> = "".into();
+            let slot = self.clients.insert(ClientConnection {
                 stream,
-                link,
+                transport,
                 stage: Stage::Startup,
                 session: None,
                 login: None,
                 options: Vec::new(),
                 peer_ip: address.ip(),
                 reject_at: 0.0,
-                user: nobody.clone(),
-                database: nobody,
+                user: unset.clone(),
+                database: unset,
                 secret: 0,
                 server: None,
                 pending_request: None,
@@ -47,36 +47,39 @@
                 state_since: context.reactor.now(),
                 busy: false,
             });
-            let Some(conn) = self.conns.get_mut(slot) else { return };
+            let Some(conn) = self.clients.get_mut(slot) else { return };
             let (token, both) = (Source::SessionClient(slot).into(), Interest::READABLE | Interest::WRITABLE);
             if context.reactor.registry.register(&mut conn.stream, token, both).is_err() {
-                self.conns.remove(slot);
+                self.clients.remove(slot);
             }
         }
     }
 
     pub(super) fn handle_startup(&mut self, slot: Slot, first: FirstMessage, context: &mut Context) -> Step {
-        let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
+        let Some(conn) = self.clients.get_mut(slot) else { return Step::Waiting };
         let pushed = match first {
             FirstMessage::Encryption => match &self.tls {
-                None => conn.link.outbox.push(b"N"),
-                // Whoever sends more before it is told that there is TLS, or asks for it twice, is no client.
-                Some(_) if !conn.link.inbox.is_empty() || conn.link.has_tls() => return Step::Closed,
+                None => conn.transport.outbox.push(b"N"),
+                // A client that sends data before the reply to its TLS request, or requests TLS twice,
+                // violates the protocol.
+                Some(_) if !conn.transport.inbox.is_empty() || conn.transport.has_tls() => {
+                    return Step::Closed
+                }
                 Some(server) => {
                     let Ok(session) = Session::accept(server, &self.budget) else { return Step::Closed };
-                    // Written without reading: what a quick client answers meanwhile is TLS already.
-                    let outbox = &mut conn.link.outbox;
-                    let told = outbox.push(b"S").is_ok() && outbox.drain(&mut conn.stream).is_ok();
-                    if !told || !conn.link.is_flushed() {
+                    // Written without reading: data that a fast client sends meanwhile is TLS already.
+                    let outbox = &mut conn.transport.outbox;
+                    let replied = outbox.push(b"S").is_ok() && outbox.drain(&mut conn.stream).is_ok();
+                    if !replied || !conn.transport.is_flushed() {
                         return Step::Closed;
                     }
-                    conn.link.start_tls(session, &self.budget);
+                    conn.transport.start_tls(session, &self.budget);
                     return Step::Progress;
                 }
             },
-            FirstMessage::Session(_) if self.pool.tls_required && !conn.link.has_tls() => {
+            FirstMessage::Session(_) if self.pool.tls_required && !conn.transport.has_tls() => {
                 conn.stage = Stage::Ending;
-                conn.link.outbox.push(&error_response(
+                conn.transport.outbox.push(&error_response(
                     "FATAL",
                     sqlstate::INVALID_AUTHORIZATION,
                     "only TLS is served here",
@@ -89,7 +92,7 @@
             }
             FirstMessage::Unknown => {
                 conn.stage = Stage::Ending;
-                conn.link.outbox.push(&error_response(
+                conn.transport.outbox.push(&error_response(
                     "FATAL",
                     sqlstate::FEATURE_NOT_SUPPORTED,
                     "unknown protocol",
@@ -97,28 +100,28 @@
                 ))
             }
             FirstMessage::Session(options) if self.users.is_some() => {
-                let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
+                let Some(conn) = self.clients.get_mut(slot) else { return Step::Waiting };
                 (conn.stage, conn.options) = (Stage::Login, options);
-                let offered: &[&str] = match conn.link.channel_binding() {
+                let offered: &[&str] = match conn.transport.channel_binding() {
                     Some(_) => &[MECHANISM_PLUS, MECHANISM],
                     None => &[MECHANISM],
                 };
-                conn.link.outbox.push(&wire::authentication_sasl(offered))
+                conn.transport.outbox.push(&wire::authentication_sasl(offered))
             }
             FirstMessage::Session(options) => {
                 let welcome = self.welcome(slot, &options);
-                let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
+                let Some(conn) = self.clients.get_mut(slot) else { return Step::Waiting };
                 match welcome {
                     Ok(bytes) => {
                         conn.stage = Stage::Running;
-                        conn.link.outbox.push(&bytes)
+                        conn.transport.outbox.push(&bytes)
                     }
-                    Err(what) => {
+                    Err(text) => {
                         conn.stage = Stage::Ending;
-                        conn.link.outbox.push(&error_response(
+                        conn.transport.outbox.push(&error_response(
                             "FATAL",
                             sqlstate::FEATURE_NOT_SUPPORTED,
-                            &what,
+                            &text,
                             None,
                         ))
                     }
@@ -132,57 +135,57 @@
         }
     }
 
-    /// A step of a client's login.
+    /// Processes an authentication message of a client.
     pub(super) fn handle_login(&mut self, slot: Slot, body: &[u8], context: &mut Context) -> Step {
         let now = context.reactor.now();
-        let Some(conn) = self.conns.get_mut(slot) else { return Step::Waiting };
+        let Some(conn) = self.clients.get_mut(slot) else { return Step::Waiting };
         let user =
             conn.options.iter().find(|(name, _)| name == "user").map_or("", |(_, user)| user).to_string();
         let result = match conn.login.take() {
             None => {
                 let verifier = self.users.as_ref().and_then(|users| users.get(&user));
                 let nonce = nonce(&mut self.rng);
-                let endpoint = conn.link.channel_binding();
+                let endpoint = conn.transport.channel_binding();
                 let chosen = match (wire::read_sasl_initial_response(body), &endpoint) {
                     (Some((MECHANISM_PLUS, step)), Some(bytes)) => Ok((step, ChannelBinding::Bound(bytes))),
                     (Some((MECHANISM, step)), Some(_)) => Ok((step, ChannelBinding::NotUsed)),
                     (Some((MECHANISM, step)), None) => Ok((step, ChannelBinding::Unsupported)),
                     _ => Err(scram::ScramError::Malformed),
                 };
-                let begun = chosen.and_then(|(step, channel)| {
-                    scram::Server::begin(step, &user, verifier, &nonce, &self.key, channel)
+                let result = chosen.and_then(|(step, channel)| {
+                    scram::Server::begin(step, &user, verifier, &nonce, &self.unknown_user_secret, channel)
                 });
-                begun.map(|(server, told)| {
+                result.map(|(server, challenge)| {
                     conn.login = Some(server);
-                    wire::authentication_sasl_step(false, &told)
+                    wire::authentication_sasl_step(false, &challenge)
                 })
             }
             Some(server) => {
                 let step = std::str::from_utf8(body).unwrap_or_default();
-                server.finish(step).map(|told| wire::authentication_sasl_step(true, &told))
+                server.finish(step).map(|last| wire::authentication_sasl_step(true, &last))
             }
         };
         let done = conn.login.is_none();
         match result {
             Ok(bytes) if !done => self.send_to_client(slot, &bytes),
             Ok(mut bytes) => {
-                let (options, from) = (std::mem::take(&mut conn.options), conn.peer_ip);
-                self.guesses.record_success(from);
+                let (options, peer_ip) = (std::mem::take(&mut conn.options), conn.peer_ip);
+                self.failed_logins.record_success(peer_ip);
                 match self.welcome(slot, &options) {
                     Ok(welcome) => {
                         bytes.extend(welcome);
-                        self.conns.get_mut(slot).into_iter().for_each(|conn| conn.stage = Stage::Running);
+                        self.clients.get_mut(slot).into_iter().for_each(|conn| conn.stage = Stage::Running);
                     }
-                    Err(what) => {
-                        bytes.extend(error_response("FATAL", sqlstate::FEATURE_NOT_SUPPORTED, &what, None));
-                        self.conns.get_mut(slot).into_iter().for_each(|conn| conn.stage = Stage::Ending);
+                    Err(text) => {
+                        bytes.extend(error_response("FATAL", sqlstate::FEATURE_NOT_SUPPORTED, &text, None));
+                        self.clients.get_mut(slot).into_iter().for_each(|conn| conn.stage = Stage::Ending);
                     }
                 }
                 self.send_to_client(slot, &bytes)
             }
             Err(fault) => {
                 context.counters.malformed += 1;
-                let wait = self.guesses.record_failure(now, conn.peer_ip);
+                let wait = self.failed_logins.record_failure(now, conn.peer_ip);
                 logging::warn!(event = "pool.login", user, "{fault}");
                 (conn.stage, conn.reject_at) = (Stage::Rejected, now + wait);
                 Step::Waiting
@@ -190,10 +193,10 @@
         }
     }
 
-    /// Makes a session of a client's options; what it is told.
+    /// Creates a session from a client's options; returns the messages that the client is sent.
     pub(super) fn welcome(&mut self, slot: Slot, options: &[(String, String)]) -> Result<Vec<u8>, String> {
         let secret = self.rng.u32(..);
-        let Some(conn) = self.conns.get_mut(slot) else { return Err("gone".into()) };
+        let Some(conn) = self.clients.get_mut(slot) else { return Err("gone".into()) };
         let (mut user, mut database, mut start) = (None, None, BTreeMap::new());
         for (name, value) in options {
             match name.as_str() {
@@ -203,7 +206,7 @@
                 "replication" => return Err("replication is not served".into()),
                 "options" if value.trim().is_empty() => {}
                 "options" => parse_options(value, &mut start).ok_or("options: accepted: -c name=value")?,
-                // Of the protocol's next versions: not known, and harmless to pass over.
+                // Options of later protocol versions, which can be ignored.
                 name if name.starts_with("_pq_.") => {}
                 name => drop(start.insert(name.to_lowercase(), setting_literal(name, value))),
             }
@@ -226,35 +229,35 @@
     }
 }
 
-/// A text that was never used in a login: printable and without commas, as the mechanism wants it.
+/// Returns a nonce: printable and without commas, as SCRAM requires.
 pub(super) fn nonce(rng: &mut fastrand::Rng) -> String {
     (0..24).map(|_| rng.alphanumeric()).collect()
 }
 
-/// Settings in the form of a command line: `-c name=value`, or `--name=value`.
+/// Parses settings in the form of a command line: `-c name=value`, or `--name=value`.
 pub(super) fn parse_options(options: &str, into: &mut BTreeMap<String, String>) -> Option<()> {
-    let mut words = options.split_whitespace();
-    while let Some(word) = words.next() {
+    let mut args = options.split_whitespace();
+    while let Some(word) = args.next() {
         let pair = match word.strip_prefix("--") {
             Some(pair) => pair,
             None => match word.strip_prefix("-c")? {
-                "" => words.next()?,
+                "" => args.next()?,
                 pair => pair,
             },
         };
         let (name, value) = pair.split_once('=')?;
         let name = name.replace('-', "_").to_lowercase();
-        let sound =
+        let valid_name =
             !name.is_empty() && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '_' || c == '.');
-        into.insert(name.clone(), sound.then(|| setting_literal(&name, value))?);
+        into.insert(name.clone(), valid_name.then(|| setting_literal(&name, value))?);
     }
     Some(())
 }
 
-/// A setting's value as SQL.
+/// Returns a setting's value as an SQL literal.
 pub(super) fn setting_literal(name: &str, value: &str) -> String {
     let plain = |c: char| c.is_ascii_alphanumeric() || "_$\", ".contains(c);
-    // A list of names: one quoted text would be one name.
+    // A list of names: a quoted string would be a single name.
     if name.eq_ignore_ascii_case("search_path") && !value.is_empty() && value.chars().all(plain) {
         return value.to_string();
     }
--- a/crates/daemon/src/net/sessions/members.rs
+++ b/crates/daemon/src/net/sessions/members.rs
@@ -1,4 +1,4 @@
-//! The servers as the list names them, and which of them is known to be the primary.
+//! The members as the list describes them, and their roles as far as they are known.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,20 +13,20 @@
 use crate::net::event_loop::Slot;
 use crate::net::{Context, Event};
 
-/// How often servers are asked for the primary that somebody waits for (seconds).
+/// Interval of the probes for a primary that a session waits for (seconds).
 pub(super) const PRIMARY_PROBE_INTERVAL: f64 = 0.5;
 
-/// A server as the list names it.
+/// A member as the list describes it.
 pub(super) struct Member {
     pub(super) address: SocketAddr,
     pub(super) active: bool,
     pub(super) group: u32,
-    /// Whether it is the primary, as far as it has said.
+    /// Whether it is the primary, as last reported by it.
     pub(super) primary: Option<bool>,
 }
 
 impl Sessions {
-    /// Takes in what the list says.
+    /// Applies an update of the list.
     pub fn apply_list(&mut self, kind: ListKind, listings: &[Listing], context: &mut Context) {
         if kind != ListKind::Incremental {
             self.members.values_mut().for_each(|member| member.active = false);
@@ -44,24 +44,24 @@
         if kind != ListKind::Incremental {
             self.members.retain(|name, _| listings.iter().any(|listing| listing.name == *name));
         }
-        let until = context.reactor.now() + self.pool.drain_s;
+        let drain_until = context.reactor.now() + self.pool.drain_s;
         let gone: Vec<Slot> = self
             .servers
             .iter()
-            .filter(|(_, backend)| {
-                let member = self.members.get(&backend.member);
-                !member.is_some_and(|member| member.active && member.address == backend.address)
+            .filter(|(_, server)| {
+                let member = self.members.get(&server.member);
+                !member.is_some_and(|member| member.active && member.address == server.address)
             })
-            .map(|(place, _)| place)
+            .map(|(server_slot, _)| server_slot)
             .collect();
-        for place in gone {
-            let Some(backend) = self.servers.get_mut(place) else { continue };
-            backend.drain_until = backend.drain_until.or(Some(until));
-            match (backend.state, backend.client) {
-                (ServerState::Idle, _) => self.close_connection(place),
+        for server_slot in gone {
+            let Some(server) = self.servers.get_mut(server_slot) else { continue };
+            server.drain_until = server.drain_until.or(Some(drain_until));
+            match (server.state, server.client) {
+                (ServerState::Idle, _) => self.close_connection(server_slot),
                 (ServerState::InUse, Some(slot)) => {
-                    let Some(conn) = self.conns.get_mut(slot) else { continue };
-                    // Between transactions the next one would be new to it.
+                    let Some(conn) = self.clients.get_mut(slot) else { continue };
+                    // Between transactions the session can continue on another member.
                     let open = conn.session.as_ref().is_some_and(|s| s.in_transaction() || s.awaits_reply());
                     if !open {
                         self.revoke_connection(slot, DetachReason::Drained, Outcome::Ok, context);
@@ -72,30 +72,31 @@
         }
     }
 
-    /// A server has said, or shown, what it is.
+    /// Records the role that a member has reported or shown.
     pub(super) fn record_role(&mut self, member: &MemberId, primary: Option<bool>, context: &mut Context) {
-        let Some(known) = self.members.get_mut(member) else { return };
-        if let Some(primary) = primary.filter(|_| known.primary != primary) {
+        let Some(entry) = self.members.get_mut(member) else { return };
+        if let Some(primary) = primary.filter(|_| entry.primary != primary) {
             context.events.push_back(Event::RoleReported(member.clone(), primary));
         }
-        known.primary = primary;
+        entry.primary = primary;
     }
 
-    /// Opens connections to servers that may be the primary which somebody waits for, where none is known to be: each
-    /// says what it is as it takes a connection. They can be used by whoever comes.
+    /// Opens connections to the members that may be the primary which a session waits for, if no primary is
+    /// known: each reports its role during startup. Any session can use these connections.
     pub(super) fn probe_for_primary(&mut self, context: &mut Context) {
         let now = context.reactor.now();
         if now < self.next_primary_probe {
             return;
         }
-        let known = |group: u32| {
+        let has_primary = |group: u32| {
             let mut members = self.members.values();
             members.any(|member| member.group == group && member.active && member.primary == Some(true))
         };
-        let waiting = self.conns.iter().filter_map(|(_, conn)| Some((conn, conn.pending_request.as_ref()?)));
-        let waiting = waiting.filter(|(_, wanted)| wanted.primary && !known(wanted.group));
+        let waiting =
+            self.clients.iter().filter_map(|(_, conn)| Some((conn, conn.pending_request.as_ref()?)));
+        let waiting = waiting.filter(|(_, pending)| pending.primary && !has_primary(pending.group));
         let Some((user, database, group)) = waiting
-            .map(|(conn, wanted)| (self.server_user(conn), conn.database.clone(), wanted.group))
+            .map(|(conn, pending)| (self.server_user(conn), conn.database.clone(), pending.group))
             .next()
         else {
             return;
@@ -105,20 +106,20 @@
         let members: Vec<_> = members.map(|(name, member)| (name.clone(), member.address)).collect();
         for (member, address) in members {
             let key = Key { member: (*member).into(), user: user.clone(), database: database.clone() };
-            let asked = self.servers.iter().any(|(_, b)| {
+            let already_opening = self.servers.iter().any(|(_, b)| {
                 b.key == key
                     && matches!(
                         b.state,
                         ServerState::Connecting | ServerState::NegotiatingTls | ServerState::Starting
                     )
             });
-            if !asked && self.pools.can_open(&key) {
+            if !already_opening && self.pools.can_open(&key) {
                 self.open_connection(None, key, member, address, context);
             }
         }
     }
 
-    /// As whom servers are connected to for a client.
+    /// Returns the user name with which servers are connected to for a client.
     pub(super) fn server_user(&self, conn: &ClientConnection) -> Rc<str> {
         self.pool.server_user.as_deref().map_or_else(|| conn.user.clone(), Into::into)
     }
--- a/crates/daemon/src/net/sessions/server.rs
+++ b/crates/daemon/src/net/sessions/server.rs
@@ -1,4 +1,4 @@
-//! A server's connection: how it is opened, TLS and the login there, and its end.
+//! A server connection: how it is opened, its TLS and authentication, and its end.
 
 use std::net::SocketAddr;
 
@@ -22,37 +22,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServerState {
     Connecting,
-    /// It was asked for TLS.
+    /// TLS was requested.
     NegotiatingTls,
     Starting,
     Idle,
     InUse,
-    /// Only asks for what another connection does to end.
+    /// The connection only carries a cancel request.
     Cancelling,
 }
 
 pub(super) struct ServerConnection {
     pub(super) stream: TcpStream,
-    pub(super) link: Transport,
-    pub(super) flow: ServerMessageReader,
+    pub(super) transport: Transport,
+    pub(super) reader: ServerMessageReader,
     pub(super) state: ServerState,
     pub(super) key: Key,
     pub(super) member: MemberId,
     pub(super) address: SocketAddr,
-    pub(super) remote: Option<ServerSessionState>,
-    /// A login at the server that has begun; what has been proved by its end.
+    pub(super) session_state: Option<ServerSessionState>,
+    /// An authentication at the server that is in progress.
     pub(super) login: Option<scram::Client>,
     pub(super) cancel_key: (u32, u32),
     pub(super) deadline: f64,
     pub(super) client: Option<Slot>,
-    /// It may be told to end what it does, at a time that nobody knows: nobody else may have it.
-    pub(super) tainted: bool,
-    /// Its server is drained: taken away then.
+    /// A cancel request for this connection is in flight and may take effect at any time: no other session
+    /// may use the connection.
+    pub(super) cancel_sent: bool,
+    /// The member is drained: until when the session may use the connection.
     pub(super) drain_until: Option<f64>,
 }
 
 impl Sessions {
-    /// Begins a connection, for a session or for whoever comes.
+    /// Opens a connection for a session, or for any.
     pub(super) fn open_connection(
         &mut self,
         slot: Option<Slot>,
@@ -67,16 +68,16 @@
                 .into_iter()
                 .for_each(|slot| self.detach(slot, Outcome::ConnectFailed, None, context));
         };
-        let until = now + self.connect_timeout;
-        let backend = self.new_connection(stream, key.clone(), member, address, until);
-        let backend = ServerConnection { client: slot, ..backend };
-        let place = self.servers.insert(backend);
-        self.pools.opened(now, &key, place.number());
-        if !self.register_connection(place, context) {
-            return self.fail_connection(place, Outcome::NotSent, context);
+        let deadline = now + self.connect_timeout;
+        let server = self.new_connection(stream, key.clone(), member, address, deadline);
+        let server = ServerConnection { client: slot, ..server };
+        let server_slot = self.servers.insert(server);
+        self.pools.opened(now, &key, server_slot.number());
+        if !self.register_connection(server_slot, context) {
+            return self.fail_connection(server_slot, Outcome::NotSent, context);
         }
-        if let Some(conn) = slot.and_then(|slot| self.conns.get_mut(slot)) {
-            conn.server = Some(place);
+        if let Some(conn) = slot.and_then(|slot| self.clients.get_mut(slot)) {
+            conn.server = Some(server_slot);
         }
     }
 
@@ -86,150 +87,162 @@
         key: Key,
         member: MemberId,
         address: SocketAddr,
-        until: f64,
+        deadline: f64,
     ) -> ServerConnection {
         let _ = stream.set_nodelay(true);
-        let link = Transport::new(None, &self.budget);
-        let remote = Some(ServerSessionState::new(self.pool.statements as usize));
-        let (state, flow, cancel) = (ServerState::Connecting, ServerMessageReader::default(), (0, 0));
-        let (client, tainted, drain) = (None, false, None);
+        let transport = Transport::new(None, &self.budget);
+        let session_state = Some(ServerSessionState::new(self.pool.statements as usize));
+        let (state, reader, cancel_key) = (ServerState::Connecting, ServerMessageReader::default(), (0, 0));
+        let (client, cancel_sent, drain_until) = (None, false, None);
         let login = None;
         ServerConnection {
             stream,
-            link,
-            flow,
+            transport,
+            reader,
             state,
             key,
             member,
             address,
-            remote,
+            session_state,
             login,
-            cancel_key: cancel,
-            deadline: until,
+            cancel_key,
+            deadline,
             client,
-            tainted,
-            drain_until: drain,
+            cancel_sent,
+            drain_until,
         }
     }
 
-    pub(super) fn register_connection(&mut self, place: Slot, context: &mut Context) -> bool {
-        let Some(backend) = self.servers.get_mut(place) else { return false };
-        let (token, both) = (Source::SessionServer(place).into(), Interest::READABLE | Interest::WRITABLE);
-        context.reactor.registry.register(&mut backend.stream, token, both).is_ok()
+    pub(super) fn register_connection(&mut self, server_slot: Slot, context: &mut Context) -> bool {
+        let Some(server) = self.servers.get_mut(server_slot) else { return false };
+        let (token, both) =
+            (Source::SessionServer(server_slot).into(), Interest::READABLE | Interest::WRITABLE);
+        context.reactor.registry.register(&mut server.stream, token, both).is_ok()
     }
 
-    /// A server's connection may be read from or written to, or has ended.
-    pub fn on_server_ready(&mut self, place: Slot, context: &mut Context) {
-        let Some(backend) = self.servers.get_mut(place) else { return };
-        match backend.state {
+    /// A server connection is readable or writable, or has ended.
+    pub fn on_server_ready(&mut self, server_slot: Slot, context: &mut Context) {
+        let Some(server) = self.servers.get_mut(server_slot) else { return };
+        match server.state {
             ServerState::InUse => {
-                if let Some(slot) = backend.client {
+                if let Some(slot) = server.client {
                     self.on_ready(slot, context);
                 }
             }
             ServerState::Connecting | ServerState::NegotiatingTls | ServerState::Starting => {
-                if let Err(outcome) = self.advance_handshake(place, context) {
-                    self.fail_connection(place, outcome, context);
+                if let Err(outcome) = self.advance_handshake(server_slot, context) {
+                    self.fail_connection(server_slot, outcome, context);
                 }
             }
-            // Nothing is owed on it: what comes is its end, or makes it of no use.
+            // No reply is pending: any data is the end of the connection or makes it unusable.
             ServerState::Idle => {
-                if !self.is_alive(place) {
-                    self.close_connection(place);
+                if !self.is_alive(server_slot) {
+                    self.close_connection(server_slot);
                     self.serve_waiting_sessions(context);
                 }
             }
             ServerState::Cancelling => {
-                let connected = backend.stream.peer_addr().is_ok();
-                if connected && !matches!(backend.link.process_io(&mut backend.stream), Ok(Fill::Drained)) {
-                    self.servers.remove(place);
+                let connected = server.stream.peer_addr().is_ok();
+                if connected && !matches!(server.transport.process_io(&mut server.stream), Ok(Fill::Drained))
+                {
+                    self.servers.remove(server_slot);
                 }
             }
         }
     }
 
-    /// Goes on with the beginning of a connection; how that failed.
-    pub(super) fn advance_handshake(&mut self, place: Slot, context: &mut Context) -> Result<(), Outcome> {
-        let Some(backend) = self.servers.get_mut(place) else { return Ok(()) };
-        if backend.state == ServerState::Connecting {
-            if backend.stream.peer_addr().is_err() {
-                return match backend.stream.take_error() {
+    /// Continues the handshake of a connection; returns the outcome if it failed.
+    pub(super) fn advance_handshake(
+        &mut self,
+        server_slot: Slot,
+        context: &mut Context,
+    ) -> Result<(), Outcome> {
+        let Some(server) = self.servers.get_mut(server_slot) else { return Ok(()) };
+        if server.state == ServerState::Connecting {
+            if server.stream.peer_addr().is_err() {
+                return match server.stream.take_error() {
                     Ok(None) => Ok(()),
                     _ => Err(Outcome::ConnectFailed),
                 };
             }
             let first = match &self.server_tls {
                 Some(_) => wire::ssl_request(),
-                None => startup_message(backend),
+                None => startup_message(server),
             };
-            backend.state =
+            server.state =
                 if self.server_tls.is_some() { ServerState::NegotiatingTls } else { ServerState::Starting };
-            backend.link.outbox.push(&first).map_err(|_| Outcome::NotSent)?;
+            server.transport.outbox.push(&first).map_err(|_| Outcome::NotSent)?;
         }
-        let told = |fault: &tls::TlsError, backend: &ServerConnection| {
+        let tls_failure = |fault: &tls::TlsError, server: &ServerConnection| {
             if !matches!(fault, tls::TlsError::Io(_)) {
-                logging::warn!(event = "pool.server_tls", member = &*backend.member, "no TLS: {fault}");
+                logging::warn!(
+                    event = "pool.server_tls",
+                    member = &*server.member,
+                    "TLS negotiation failed: {fault}"
+                );
             }
             Outcome::ConnectFailed
         };
-        let turned = backend.link.process_io(&mut backend.stream);
-        let mut fill = turned.map_err(|fault| told(&fault, backend))?;
-        if backend.state == ServerState::NegotiatingTls {
-            match &*backend.link.inbox.take(2) {
+        let io_result = server.transport.process_io(&mut server.stream);
+        let mut fill = io_result.map_err(|fault| tls_failure(&fault, server))?;
+        if server.state == ServerState::NegotiatingTls {
+            match &*server.transport.inbox.take(2) {
                 [] if fill == Fill::Drained => return Ok(()),
                 [b'S'] => {}
-                // Turned down, or something in the clear behind it, which somebody else may have put there.
-                _ => return Err(told(&tls::TlsError::NotTls, backend)),
+                // TLS was refused, or plain text follows the reply, which somebody else may have inserted.
+                _ => return Err(tls_failure(&tls::TlsError::NotTls, server)),
             }
             let Some(client) = &self.server_tls else { return Err(Outcome::NotSent) };
-            let address = backend.address.ip().to_string();
+            let address = server.address.ip().to_string();
             let name = self.pool.server_tls_name.as_ref().unwrap_or(&address);
-            let session = Session::new(client, name, &self.budget).map_err(|fault| told(&fault, backend))?;
-            backend.link.start_tls(session, &self.budget);
-            backend.state = ServerState::Starting;
-            let first = startup_message(backend);
-            backend.link.outbox.push(&first).map_err(|_| Outcome::NotSent)?;
-            let turned = backend.link.process_io(&mut backend.stream);
-            fill = turned.map_err(|fault| told(&fault, backend))?;
+            let session =
+                Session::new(client, name, &self.budget).map_err(|fault| tls_failure(&fault, server))?;
+            server.transport.start_tls(session, &self.budget);
+            server.state = ServerState::Starting;
+            let first = startup_message(server);
+            server.transport.outbox.push(&first).map_err(|_| Outcome::NotSent)?;
+            let io_result = server.transport.process_io(&mut server.stream);
+            fill = io_result.map_err(|fault| tls_failure(&fault, server))?;
         }
         while let Some(piece) =
-            backend.flow.next(&mut backend.link.inbox).map_err(|_| Outcome::ConnectFailed)?
+            server.reader.next(&mut server.transport.inbox).map_err(|_| Outcome::ConnectFailed)?
         {
             let Piece::Message(message) = piece else { return Err(Outcome::ConnectFailed) };
             match message.kind {
                 b'R' => {
-                    if let Err(fault) = authenticate(backend, &message.body, &self.pool, &mut self.rng) {
-                        let member = &*backend.member;
-                        logging::warn!(event = "pool.password", member, "the server's login: {fault}");
+                    if let Err(fault) = authenticate(server, &message.body, &self.pool, &mut self.rng) {
+                        let member = &*server.member;
+                        logging::warn!(
+                            event = "pool.password",
+                            member,
+                            "authentication at the server failed: {fault}"
+                        );
                         return Err(Outcome::ConnectFailed);
                     }
-                    let turned = backend.link.process_io(&mut backend.stream);
-                    fill = turned.map_err(|fault| told(&fault, backend))?;
+                    let io_result = server.transport.process_io(&mut server.stream);
+                    fill = io_result.map_err(|fault| tls_failure(&fault, server))?;
                 }
                 b'S' => {
-                    if let (Some((name, value)), Some(remote)) =
-                        (pgwire::read_parameter_status(&message.body), &mut backend.remote)
+                    if let (Some((name, value)), Some(session_state)) =
+                        (pgwire::read_parameter_status(&message.body), &mut server.session_state)
                     {
-                        remote.parameters.insert(name.into(), value.into());
+                        session_state.parameters.insert(name.into(), value.into());
                     }
                 }
-                b'K' => backend.cancel_key = wire::read_backend_key(&message.body).unwrap_or_default(),
+                b'K' => server.cancel_key = wire::read_backend_key(&message.body).unwrap_or_default(),
                 b'N' => {}
                 b'Z' => {
-                    let told = backend.remote.as_ref().map(|remote| remote.parameters.clone());
-                    self.server_settings.extend(told.unwrap_or_default());
-                    self.finish_handshake(place, context);
+                    let parameters =
+                        server.session_state.as_ref().map(|session_state| session_state.parameters.clone());
+                    self.server_settings.extend(parameters.unwrap_or_default());
+                    self.finish_handshake(server_slot, context);
                     return Ok(());
                 }
                 b'E' => {
-                    let (number, _) = pgwire::error_code(&message.body);
-                    let (member, words) = (&*backend.member, wire::read_error_text(&message.body));
-                    logging::warn!(
-                        event = "pool.refused",
-                        member,
-                        "the server turns a connection away: {words}"
-                    );
-                    let full = number == sqlstate::TOO_MANY_CONNECTIONS;
+                    let (code, _) = pgwire::error_code(&message.body);
+                    let (member, text) = (&*server.member, wire::read_error_text(&message.body));
+                    logging::warn!(event = "pool.refused", member, "the server refused a connection: {text}");
+                    let full = code == sqlstate::TOO_MANY_CONNECTIONS;
                     return Err(if full { Outcome::Full } else { Outcome::ConnectFailed });
                 }
                 _ => return Err(Outcome::ConnectFailed),
@@ -242,37 +255,38 @@
         }
     }
 
-    /// A connection can be used.
-    pub(super) fn finish_handshake(&mut self, place: Slot, context: &mut Context) {
-        let Some(backend) = self.servers.get_mut(place) else { return };
-        let (member, primary) = (backend.member.clone(), backend.remote.as_ref().and_then(reported_role));
+    /// The handshake of a connection is complete.
+    pub(super) fn finish_handshake(&mut self, server_slot: Slot, context: &mut Context) {
+        let Some(server) = self.servers.get_mut(server_slot) else { return };
+        let (member, primary) =
+            (server.member.clone(), server.session_state.as_ref().and_then(reported_role));
         self.record_role(&member, primary, context);
-        let Some(backend) = self.servers.get_mut(place) else { return };
-        match backend.client {
-            Some(slot) if backend.drain_until.is_none() => self.attach(slot, place, context),
+        let Some(server) = self.servers.get_mut(server_slot) else { return };
+        match server.client {
+            Some(slot) if server.drain_until.is_none() => self.attach(slot, server_slot, context),
             Some(slot) => {
-                // Its server was drained meanwhile.
-                self.close_connection(place);
+                // The member was drained meanwhile.
+                self.close_connection(server_slot);
                 self.detach(slot, Outcome::NotSent, None, context);
             }
-            None => self.return_connection(place, context),
+            None => self.return_connection(server_slot, context),
         }
     }
 
-    /// Whether an idle connection has not ended meanwhile without that having been looked at.
+    /// Returns true if an idle connection has not ended, reading what has arrived on it.
     pub(super) fn is_alive(&mut self, slot: Slot) -> bool {
-        let Some(backend) = self.servers.get_mut(slot) else { return false };
-        let same = self.members.get(&backend.member).is_some_and(|member| member.address == backend.address);
-        same && matches!(backend.link.process_io(&mut backend.stream), Ok(Fill::Drained))
-            && backend.link.inbox.is_empty()
+        let Some(server) = self.servers.get_mut(slot) else { return false };
+        let same = self.members.get(&server.member).is_some_and(|member| member.address == server.address);
+        same && matches!(server.transport.process_io(&mut server.stream), Ok(Fill::Drained))
+            && server.transport.inbox.is_empty()
     }
 
-    /// A connection could not be made.
-    pub(super) fn fail_connection(&mut self, place: Slot, outcome: Outcome, context: &mut Context) {
-        let client = self.servers.get_mut(place).and_then(|backend| backend.client);
-        self.close_connection(place);
-        if let Some(slot) = client {
-            if let Some(conn) = self.conns.get_mut(slot) {
+    /// A connection could not be opened.
+    pub(super) fn fail_connection(&mut self, server_slot: Slot, outcome: Outcome, context: &mut Context) {
+        let session_slot = self.servers.get_mut(server_slot).and_then(|server| server.client);
+        self.close_connection(server_slot);
+        if let Some(slot) = session_slot {
+            if let Some(conn) = self.clients.get_mut(slot) {
                 conn.server = None;
             }
             self.detach(slot, outcome, None, context);
@@ -280,61 +294,67 @@
         self.serve_waiting_sessions(context);
     }
 
-    pub(super) fn close_connection(&mut self, place: Slot) {
-        if let Some(backend) = self.servers.remove(place) {
-            self.pools.closed(&backend.key, place.number());
+    pub(super) fn close_connection(&mut self, server_slot: Slot) {
+        if let Some(server) = self.servers.remove(server_slot) {
+            self.pools.closed(&server.key, server_slot.number());
         }
     }
 }
 
-/// Takes a step of the login at a server.
+/// Processes an authentication message of a server.
 pub(super) fn authenticate(
-    backend: &mut ServerConnection,
+    server: &mut ServerConnection,
     body: &[u8],
     pool: &Pool,
     rng: &mut fastrand::Rng,
 ) -> Result<(), String> {
-    let words = |fault: scram::ScramError| fault.to_string();
+    let describe = |fault: scram::ScramError| fault.to_string();
     let answer = match wire::read_authentication(body) {
-        // A server that skips the proof that it knows the password is not the one that was meant.
-        Authentication::Complete if backend.login.is_none() => return Ok(()),
-        asked @ Authentication::Mechanisms(_) if asked.offers(MECHANISM) || asked.offers(MECHANISM_PLUS) => {
-            let endpoint = backend.link.channel_binding();
+        // A server that skips the proof that it knows the password may be an impostor.
+        Authentication::Complete if server.login.is_none() => return Ok(()),
+        requested @ Authentication::Mechanisms(_)
+            if requested.offers(MECHANISM) || requested.offers(MECHANISM_PLUS) =>
+        {
+            let endpoint = server.transport.channel_binding();
             let (mechanism, channel) = match &endpoint {
-                Some(bytes) if asked.offers(MECHANISM_PLUS) => (MECHANISM_PLUS, ChannelBinding::Bound(bytes)),
-                // The server finds out whether its offer was struck out on the way.
+                Some(bytes) if requested.offers(MECHANISM_PLUS) => {
+                    (MECHANISM_PLUS, ChannelBinding::Bound(bytes))
+                }
+                // The server can detect whether its offer of channel binding was removed on the way.
                 Some(_) => (MECHANISM, ChannelBinding::NotUsed),
                 None => (MECHANISM, ChannelBinding::Unsupported),
             };
             let (login, first) = scram::Client::begin(&nonce(rng), channel);
-            backend.login = Some(login);
+            server.login = Some(login);
             wire::sasl_initial_response(mechanism, &first)
         }
         Authentication::SaslContinue(step) => {
-            let file =
-                pool.server_password_file.as_ref().ok_or("it asks for a password, and none is kept here")?;
-            let login = backend.login.as_mut().ok_or("a step before the first")?;
+            let file = pool
+                .server_password_file
+                .as_ref()
+                .ok_or("the server requests a password, and none is configured")?;
+            let login = server.login.as_mut().ok_or("SASL message out of order")?;
             wire::message_of_strings(
                 b'p',
                 &[],
-                login.answer(step, &files::read_password(file)?).map_err(words)?.as_bytes(),
+                login.answer(step, &files::read_password(file)?).map_err(describe)?.as_bytes(),
             )
         }
         Authentication::SaslFinal(last) => {
-            let login = backend.login.take().ok_or("a step before the first")?;
-            return login.finish(last).map_err(words);
+            let login = server.login.take().ok_or("SASL message out of order")?;
+            return login.finish(last).map_err(describe);
         }
-        _ => return Err("it asks for what is not spoken here".into()),
+        _ => return Err("the server requests an unsupported authentication method".into()),
     };
-    backend.link.outbox.push(&answer).map_err(|_| "no memory left".to_string())
+    server.transport.outbox.push(&answer).map_err(|_| "no memory".to_string())
 }
 
-/// The first message of a session at a server.
-pub(super) fn startup_message(backend: &ServerConnection) -> Vec<u8> {
-    wire::startup_message(&[("user", &backend.key.user), ("database", &backend.key.database)])
+/// The startup message to a server.
+pub(super) fn startup_message(server: &ServerConnection) -> Vec<u8> {
+    wire::startup_message(&[("user", &server.key.user), ("database", &server.key.database)])
 }
 
-/// Whether a server is the primary, as far as it has told; it does so from PostgreSQL 14 on.
-pub(super) fn reported_role(remote: &ServerSessionState) -> Option<bool> {
-    remote.parameters.get("in_hot_standby").map(|standby| standby == "off")
+/// Returns whether a server is the primary, if it reports that; PostgreSQL does so from version 14 on.
+pub(super) fn reported_role(session_state: &ServerSessionState) -> Option<bool> {
+    session_state.parameters.get("in_hot_standby").map(|standby| standby == "off")
 }
