--- a/crates/daemon/src/net/clients.rs
+++ b/crates/daemon/src/net/clients.rs
@@ -315,7 +315,7 @@
                     "connection closed with a pending reply"
                 );
             }
-            // A query that the pooler has not looked at yet is not begun.
+            // A query that has not been processed yet is not begun.
             context
                 .events
                 .retain(|event| !matches!(event, Event::QueryReceived(client, ..) if *client == slot));
--- a/crates/daemon/src/net/clients/connection.rs
+++ b/crates/daemon/src/net/clients/connection.rs
@@ -240,7 +240,7 @@
                 return Ok(false);
             }
             let Some(reply) = self.pipeline.next_reply() else { return Ok(true) };
-            // If memory is short, the client is told at least that its query failed.
+            // If memory is short, the client at least receives an error.
             if self.outbox.push_over_budget(&reply.bytes).is_err() {
                 self.outbox.push_over_budget(&error(
                     sqlstate::SYSTEM_ERROR,
--- a/crates/daemon/src/net/clients/pipeline/tests.rs
+++ b/crates/daemon/src/net/clients/pipeline/tests.rs
@@ -9,11 +9,11 @@
 fn replies_wait_for_those_of_earlier_commands() {
     let mut pipeline = Pipeline::default();
     let (first, second) = (pipeline.begin(), pipeline.begin());
-    pipeline.reply(b"known at once".to_vec());
+    pipeline.reply(b"available at once".to_vec());
     assert!(pipeline.finish(second, b"second".to_vec(), None));
     assert_eq!(written(&mut pipeline), Vec::<Vec<u8>>::new());
     assert!(pipeline.finish(first, b"first".to_vec(), None));
-    assert_eq!(written(&mut pipeline), [&b"first"[..], b"second", b"known at once"]);
+    assert_eq!(written(&mut pipeline), [&b"first"[..], b"second", b"available at once"]);
     assert!(pipeline.is_empty());
 }
 
@@ -30,12 +30,12 @@
 }
 
 #[test]
-fn no_command_is_taken_beyond_the_bound_or_behind_the_last_reply() {
+fn no_command_is_read_beyond_the_limit_or_after_the_last_reply() {
     let mut pipeline = Pipeline::default();
     let numbers: Vec<CommandNumber> = (0..MAX_COMMANDS).map(|_| pipeline.begin()).collect();
     assert!(!pipeline.takes_commands());
     assert!(pipeline.finish(numbers[0], Vec::new(), None));
-    assert!(!pipeline.takes_commands(), "a reply that is not written holds its place");
+    assert!(!pipeline.takes_commands(), "a reply that is not written counts towards the limit");
     assert!(pipeline.next_reply().is_some());
     assert!(pipeline.takes_commands());
     pipeline.reply_last(Vec::new(), AfterReply::Close);
--- a/crates/daemon/src/net/sessions/members.rs
+++ b/crates/daemon/src/net/sessions/members.rs
@@ -45,7 +45,7 @@
             self.members.retain(|name, _| listings.iter().any(|listing| listing.name == *name));
         }
         let drain_until = context.reactor.now() + self.pool.drain_s;
-        let gone: Vec<Slot> = self
+        let drained: Vec<Slot> = self
             .servers
             .iter()
             .filter(|(_, server)| {
@@ -54,7 +54,7 @@
             })
             .map(|(server_slot, _)| server_slot)
             .collect();
-        for server_slot in gone {
+        for server_slot in drained {
             let Some(server) = self.servers.get_mut(server_slot) else { continue };
             server.drain_until = server.drain_until.or(Some(drain_until));
             match (server.state, server.client) {
--- a/crates/pgwire/src/session.rs
+++ b/crates/pgwire/src/session.rs
@@ -250,7 +250,8 @@
     pub fn offers(&self, mechanism: &str) -> bool {
         matches!(
             self,
-            Authentication::Mechanisms(list) if list.split(|byte| *byte == 0).any(|m| m == mechanism.as_bytes())
+            Authentication::Mechanisms(list)
+                if list.split(|byte| *byte == 0).any(|m| m == mechanism.as_bytes())
         )
     }
 }
