--- a/crates/daemon/src/net/clients.rs
+++ b/crates/daemon/src/net/clients.rs
@@ -24,7 +24,8 @@
 const MAX_LINGERING: usize = 4;
 /// Idle timeouts while more than a quarter and more than half of the permitted connections are open, and the
 /// interval of the check (seconds). Guards against clients that send one request and keep the connection open
-/// for good: they would use up the connection limit of a client host, which then cannot send another request.
+/// for good: if a client application keeps all the connections that it may open in this way, it has none left
+/// for further requests.
 const IDLE_TIMEOUT: f64 = 2.0;
 const IDLE_TIMEOUT_CROWDED: f64 = 0.2;
 const IDLE_CHECK_INTERVAL: f64 = 0.1;
