--- a/crates/daemon/src/net/sessions/assignment.rs
+++ b/crates/daemon/src/net/sessions/assignment.rs
@@ -178,7 +178,7 @@
         let Some(server) = self.servers.get_mut(server_slot) else { return };
         let settings_hash = server.session_state.as_ref().map_or(0, ServerSessionState::settings_hash);
         let no_data = server.transport.is_flushed() && server.transport.inbox.is_empty();
-        let reusable = !server.cancel_sent && server.drain_until.is_none() && no_data;
+        let reusable = !server.cancel_requested && server.drain_until.is_none() && no_data;
         (server.state, server.client) = (ServerState::Idle, None);
         if !self.pools.release(now, &server.key, server_slot.number(), settings_hash) || !reusable {
             self.close_connection(server_slot);
--- a/crates/daemon/src/net/sessions/cancel.rs
+++ b/crates/daemon/src/net/sessions/cancel.rs
@@ -25,7 +25,7 @@
             return;
         };
         let Some(server) = self.servers.get_mut(server_slot) else { return };
-        server.cancel_sent = true;
+        server.cancel_requested = true;
         let (bytes, address) = (wire::cancel_request(server.cancel_key), server.address);
         let (key, member) = (server.key.clone(), server.member.clone());
         let Ok(stream) = TcpStream::connect(address) else { return };
--- a/crates/daemon/src/net/sessions/server.rs
+++ b/crates/daemon/src/net/sessions/server.rs
@@ -45,9 +45,9 @@
     pub(super) cancel_key: (u32, u32),
     pub(super) deadline: f64,
     pub(super) client: Option<Slot>,
-    /// A cancel request for this connection is in flight and may take effect at any time: no other session
-    /// may use the connection.
-    pub(super) cancel_sent: bool,
+    /// The cancellation of this connection's query has been requested and may take effect at any time: no other
+    /// session may use the connection.
+    pub(super) cancel_requested: bool,
     /// The member is drained: until when the session may use the connection.
     pub(super) drain_until: Option<f64>,
 }
@@ -93,7 +93,7 @@
         let transport = Transport::new(None, &self.budget);
         let session_state = Some(ServerSessionState::new(self.pool.statements as usize));
         let (state, reader, cancel_key) = (ServerState::Connecting, ServerMessageReader::default(), (0, 0));
-        let (client, cancel_sent, drain_until) = (None, false, None);
+        let (client, cancel_requested, drain_until) = (None, false, None);
         let login = None;
         ServerConnection {
             stream,
@@ -108,7 +108,7 @@
             cancel_key,
             deadline,
             client,
-            cancel_sent,
+            cancel_requested,
             drain_until,
         }
     }
