--- a/crates/daemon/src/net/sessions/server.rs
+++ b/crates/daemon/src/net/sessions/server.rs
@@ -45,8 +45,8 @@
     pub(super) cancel_key: (u32, u32),
     pub(super) deadline: f64,
     pub(super) client: Option<Slot>,
-    /// The cancellation of this connection's query has been requested and may take effect at any time: no other
-    /// session may use the connection.
+    /// The cancellation of this connection's query has been requested and may take effect at any time: no
+    /// other session may use the connection.
     pub(super) cancel_requested: bool,
     /// The member is drained: until when the session may use the connection.
     pub(super) drain_until: Option<f64>,
