--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -92,7 +92,7 @@
         /// The members.
         views: Vec<View>,
         /// What tenants use of him.
-        uses: Vec<TenantUsage>,
+        usage: Vec<TenantUsage>,
     },
     /// Membership's own.
     Swim(Vec<u8>),
@@ -131,7 +131,7 @@
         /// See above.
         upto: u64,
         /// They.
-        who: Vec<Identity>,
+        instances: Vec<Identity>,
     },
 }
 
--- a/crates/replication/src/node.rs
+++ b/crates/replication/src/node.rs
@@ -552,7 +552,7 @@
                 if taken.is_empty() && uses.is_empty() {
                     break;
                 }
-                let body = Body::Views { round, views: taken, uses: std::mem::take(&mut uses) };
+                let body = Body::Views { round, views: taken, usage: std::mem::take(&mut uses) };
                 if !self.send(now, &name, &body, true) || done {
                     break;
                 }
--- a/crates/replication/src/node/roster.rs
+++ b/crates/replication/src/node/roster.rs
@@ -108,7 +108,7 @@
             before = *place;
             who.push(peer.who.clone());
         }
-        self.send(now, name, &Body::Roster { from, upto, who }, true);
+        self.send(now, name, &Body::Roster { from, upto, instances: who }, true);
     }
 
     /// Another has told whom it knows.
@@ -277,7 +277,7 @@
                 self.knows(now, &name, own);
                 self.granted(now, &name, question, (upto, own.upto, lease_ms, long_ms), covers);
             }
-            Body::Roster { from, upto, who } => self.told_whom(now, &name, from, upto, &who),
+            Body::Roster { from, upto, instances: who } => self.told_whom(now, &name, from, upto, &who),
             Body::Push { from, upto, end, facts } => {
                 self.read(now, &name, (from, upto, end), facts);
                 if let Some(peer) = self.peers.get_mut(&name) {
@@ -296,7 +296,7 @@
                 self.knows(now, &name, own);
                 self.has_read(now, &name, read, own.upto);
             }
-            Body::Views { round, views, uses } => {
+            Body::Views { round, views, usage: uses } => {
                 let start = head.from.start;
                 self.views.record(now, &name, start, round, views);
                 self.views.record_usage(now, &name, start, round, uses);
--- a/crates/scale/src/traffic/tests.rs
+++ b/crates/scale/src/traffic/tests.rs
@@ -16,8 +16,8 @@
     let keys = Keys::parse([crate::settings::KEY]).expect("a key");
     let kind = |body: Body| Kind::of_datagram(&keys.seal(encode(&head, &body)));
     assert_eq!(kind(Body::Swim(vec![1, 2])), Kind::Swim);
-    assert_eq!(kind(Body::Views { round: 1, views: Vec::new(), uses: Vec::new() }), Kind::Views);
-    assert_eq!(kind(Body::Roster { from: 0, upto: 1, who: Vec::new() }), Kind::Roster);
+    assert_eq!(kind(Body::Views { round: 1, views: Vec::new(), usage: Vec::new() }), Kind::Views);
+    assert_eq!(kind(Body::Roster { from: 0, upto: 1, instances: Vec::new() }), Kind::Roster);
     assert_eq!(kind(Body::Leave { upto: 1 }), Kind::Other);
     assert_eq!(Kind::of_datagram(b"no datagram"), Kind::Other);
 }
