--- a/crates/membership/tests/cluster.rs
+++ b/crates/membership/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Clusters of machines on a virtual network, without sockets or sleeping.
+//! Clusters on a virtual network, without sockets or sleeping.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use membership::{Identity, Notice, State, Swim};
 use rstest::rstest;
 
-fn who(n: usize, start: u64) -> Identity {
+fn identity(n: usize, start: u64) -> Identity {
     let address = ([127, 0, 0, 1], 7000 + n as u16).into();
     Identity { name: format!("n{n}").into(), zone: "here".into(), address, start, renewal: 0 }
 }
@@ -14,27 +14,37 @@
 struct Cluster {
     now: f64,
     all: Vec<Option<Swim>>,
-    /// Those that hear and say nothing.
-    cut: Vec<bool>,
-    /// Those whose loop stands still.
+    /// Instances in the isolated part of the network.
+    isolated: Vec<bool>,
+    /// Instances whose event loop does not run.
     stopped: Vec<bool>,
-    on_the_way: Vec<(f64, usize, Vec<u8>)>,
+    in_transit: Vec<(f64, usize, Vec<u8>)>,
     loss: f64,
     rng: u64,
-    downs: Vec<(f64, usize, Arc<str>)>,
+    declared_dead: Vec<(f64, usize, Arc<str>)>,
 }
 
 impl Cluster {
     fn new(count: usize, loss: f64) -> Cluster {
-        let mut all: Vec<Option<Swim>> = (0..count).map(|n| Some(Swim::new(who(n, 1), n as u64))).collect();
+        let mut all: Vec<Option<Swim>> =
+            (0..count).map(|n| Some(Swim::new(identity(n, 1), n as u64))).collect();
         for swim in all.iter_mut().flatten().skip(1) {
-            swim.announce_to(0.0, &who(0, 1));
+            swim.announce_to(0.0, &identity(0, 1));
+        }
+        let (isolated, stopped) = (vec![false; count], vec![false; count]);
+        Cluster {
+            now: 0.0,
+            all,
+            isolated,
+            stopped,
+            in_transit: Vec::new(),
+            loss,
+            rng: 1,
+            declared_dead: Vec::new(),
         }
-        let (cut, stopped) = (vec![false; count], vec![false; count]);
-        Cluster { now: 0.0, all, cut, stopped, on_the_way: Vec::new(), loss, rng: 1, downs: Vec::new() }
     }
 
-    fn draw(&mut self) -> f64 {
+    fn random(&mut self) -> f64 {
         self.rng = self.rng.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         (self.rng >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -45,40 +55,40 @@
             self.now += 0.01;
             if ((self.now * 100.0).round() as u64).is_multiple_of(100) {
                 let now = self.now;
-                self.all.iter_mut().flatten().skip(1).for_each(|swim| swim.announce_to(now, &who(0, 1)));
+                self.all.iter_mut().flatten().skip(1).for_each(|swim| swim.announce_to(now, &identity(0, 1)));
             }
             for n in 0..self.all.len() {
                 if self.stopped[n] {
                     continue;
                 }
                 let arrived: Vec<Vec<u8>> = self
-                    .on_the_way
+                    .in_transit
                     .iter()
                     .filter(|(at, to, _)| *to == n && *at <= self.now)
                     .map(|(_, _, bytes)| bytes.clone())
                     .collect();
                 let now = self.now;
-                self.on_the_way.retain(|(at, to, _)| *to != n || *at > now);
+                self.in_transit.retain(|(at, to, _)| *to != n || *at > now);
                 let Some(swim) = &mut self.all[n] else { continue };
                 arrived.iter().for_each(|bytes| swim.receive(now, bytes));
                 swim.tick(now);
-                let (out, notices) = swim.take_output();
+                let (outgoing, notices) = swim.take_output();
                 for notice in notices {
-                    if let Notice::Down(who) = notice {
-                        self.downs.push((now, n, who.name));
+                    if let Notice::Down(identity) = notice {
+                        self.declared_dead.push((now, n, identity.name));
                     }
                 }
-                for (to, bytes) in out {
+                for (to, bytes) in outgoing {
                     let to: usize = to.name[1..].parse().unwrap();
-                    if self.cut[n] == self.cut[to] && self.draw() >= self.loss {
-                        self.on_the_way.push((now + 0.002, to, bytes));
+                    if self.isolated[n] == self.isolated[to] && self.random() >= self.loss {
+                        self.in_transit.push((now + 0.002, to, bytes));
                     }
                 }
             }
         }
     }
 
-    fn seen(&self, by: usize) -> BTreeMap<Arc<str>, State> {
+    fn states_seen_by(&self, by: usize) -> BTreeMap<Arc<str>, State> {
         let known = self.all[by].as_ref().unwrap().instances();
         known.into_iter().map(|(name, (_, state))| (name, state)).collect()
     }
@@ -87,52 +97,60 @@
 #[rstest]
 #[case(0.0)]
 #[case(0.1)]
-fn all_find_each_other_and_nobody_is_called_dead(#[case] loss: f64) {
+fn all_instances_join_and_none_is_declared_dead(#[case] loss: f64) {
     let mut cluster = Cluster::new(12, loss);
     cluster.run(20.0);
     for n in 0..12 {
-        assert_eq!(cluster.seen(n).values().filter(|state| **state != State::Dead).count(), 11, "by {n}");
+        assert_eq!(
+            cluster.states_seen_by(n).values().filter(|state| **state != State::Dead).count(),
+            11,
+            "by {n}"
+        );
     }
-    assert!(cluster.downs.is_empty(), "{:?}", cluster.downs);
+    assert!(cluster.declared_dead.is_empty(), "{:?}", cluster.declared_dead);
 }
 
 #[test]
-fn one_that_dies_is_called_dead_by_all_and_a_cut_heals() {
+fn isolated_instance_is_declared_dead_and_rejoins() {
     let mut cluster = Cluster::new(6, 0.0);
     cluster.run(5.0);
-    cluster.cut[5] = true;
+    cluster.isolated[5] = true;
     cluster.run(15.0);
     for n in 0..5 {
-        assert_eq!(cluster.seen(n)["n5"], State::Dead, "by {n}");
+        assert_eq!(cluster.states_seen_by(n)["n5"], State::Dead, "by {n}");
     }
-    cluster.cut[5] = false;
+    cluster.isolated[5] = false;
     cluster.run(20.0);
     for n in 0..6 {
-        assert!(cluster.seen(n).values().all(|state| *state == State::Alive), "{:?}", cluster.seen(n));
+        assert!(
+            cluster.states_seen_by(n).values().all(|state| *state == State::Alive),
+            "{:?}",
+            cluster.states_seen_by(n)
+        );
     }
 }
 
 #[test]
-fn one_that_was_stopped_doubts_itself_first() {
+fn stopped_instance_does_not_declare_others_dead() {
     let mut cluster = Cluster::new(6, 0.0);
     cluster.run(5.0);
     cluster.stopped[2] = true;
     cluster.run(10.0);
     cluster.stopped[2] = false;
-    let before = cluster.downs.len();
+    let before = cluster.declared_dead.len();
     cluster.run(3.0);
-    let by_itself: Vec<_> = cluster.downs[before..].iter().filter(|(_, by, _)| *by == 2).collect();
-    assert!(by_itself.is_empty(), "it calls others dead for its own sleep: {by_itself:?}");
+    let by_itself: Vec<_> = cluster.declared_dead[before..].iter().filter(|(_, by, _)| *by == 2).collect();
+    assert!(by_itself.is_empty(), "it declared others dead after its own pause: {by_itself:?}");
     assert!(cluster.all[2].as_ref().unwrap().slowness() > 0);
 }
 
 #[test]
-fn a_later_start_takes_the_place_of_an_earlier_one() {
+fn later_start_replaces_an_earlier_one() {
     let mut cluster = Cluster::new(4, 0.0);
     cluster.run(5.0);
-    let mut again = Swim::new(who(3, 2), 77);
-    again.announce_to(cluster.now, &who(0, 1));
-    cluster.all[3] = Some(again);
+    let mut restarted = Swim::new(identity(3, 2), 77);
+    restarted.announce_to(cluster.now, &identity(0, 1));
+    cluster.all[3] = Some(restarted);
     cluster.run(10.0);
     for n in 0..3 {
         let known = cluster.all[n].as_ref().unwrap().instances();
@@ -141,12 +159,12 @@
 }
 
 #[test]
-fn of_two_under_one_name_the_earlier_start_stands_down() {
-    let mut earlier = Swim::new(who(1, 5), 1);
-    earlier.resolve_name_conflict(1.0, &Identity { address: ([127, 0, 0, 1], 9).into(), ..who(1, 6) });
+fn earlier_start_steps_down_on_a_name_conflict() {
+    let mut earlier = Swim::new(identity(1, 5), 1);
+    earlier.resolve_name_conflict(1.0, &Identity { address: ([127, 0, 0, 1], 9).into(), ..identity(1, 6) });
     assert!(earlier.has_stepped_down());
     assert_eq!(earlier.take_output().1, [Notice::Conflict]);
-    let mut later = Swim::new(who(1, 6), 1);
-    later.resolve_name_conflict(1.0, &who(1, 5));
+    let mut later = Swim::new(identity(1, 6), 1);
+    later.resolve_name_conflict(1.0, &identity(1, 5));
     assert!(!later.has_stepped_down());
 }
