--- a/crates/replication/src/auth.rs
+++ b/crates/replication/src/auth.rs
@@ -1,25 +1,25 @@
-//! Who may speak: every message under HMAC-SHA-256 with a key that all instances hold. What is not authentic is dropped
-//! unread.
+//! Authentication of messages: HMAC-SHA-256 with a key that all instances share. Unauthentic messages are
+//! dropped before they are parsed.
 
 use std::fmt;
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a key: what a file holds as 64 hexadecimal digits.
+/// Length of a key (bytes); a key file has it as 64 hexadecimal digits.
 pub const KEY_BYTES: usize = 32;
-/// Most keys that hold at a time: the old and the new one in a rotation.
+/// Maximum number of valid keys: the old and the new one during a rotation.
 pub const MAX_KEYS: usize = 2;
-/// Bytes that a seal adds: what names the key, and the code.
+/// Bytes that sealing adds to a message: the key id and the HMAC.
 pub const SEAL_BYTES: usize = 4 + 32;
 
 struct Key {
     mac: Hmac<Sha256>,
-    /// Names the key without telling of it.
+    /// Prefix of the key's hash: identifies the key without revealing it.
     id: [u8; 4],
 }
 
-/// The keys that hold; the first seals.
+/// The valid keys; the first one seals.
 pub struct Keys(Vec<Key>);
 
 impl fmt::Debug for Keys {
@@ -29,8 +29,8 @@
 }
 
 impl Keys {
-    /// Reads the texts of one or two key files, each of 64 hexadecimal digits on one line; the number of the text at
-    /// fault, from 0, where one is not.
+    /// Parses the contents of one or two key files, each with 64 hexadecimal digits on one line. The error is
+    /// the index of the invalid file.
     pub fn parse<'a>(texts: impl IntoIterator<Item = &'a str>) -> Result<Keys, usize> {
         let mut keys = Vec::new();
         for (number, text) in texts.into_iter().enumerate() {
@@ -57,15 +57,15 @@
         message
     }
 
-    /// The message in a sealed one; none where no key that holds has sealed it.
+    /// Returns the message inside a sealed one, or `None` if no valid key sealed it.
     pub fn open<'a>(&self, sealed: &'a [u8]) -> Option<&'a [u8]> {
-        let (signed, code) = sealed.split_at_checked(sealed.len().checked_sub(SEAL_BYTES - 4)?)?;
+        let (signed, tag) = sealed.split_at_checked(sealed.len().checked_sub(SEAL_BYTES - 4)?)?;
         let (message, id) = signed.split_at_checked(signed.len().checked_sub(4)?)?;
         let key = self.0.iter().find(|key| key.id == id)?;
         let mut mac = key.mac.clone();
         mac.update(signed);
-        // Compared in constant time.
-        mac.verify_slice(code).ok().map(|()| message)
+        // Compares in constant time.
+        mac.verify_slice(tag).ok().map(|()| message)
     }
 }
 
@@ -77,20 +77,20 @@
     const NEW: &str = "f00102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f\n";
 
     #[test]
-    fn what_was_sealed_opens_and_nothing_else_does() {
+    fn sealed_message_opens_and_corrupted_or_truncated_does_not() {
         let old = Keys::parse([OLD]).unwrap();
         let sealed = old.seal(b"word".to_vec());
         assert_eq!(old.open(&sealed), Some(&b"word"[..]));
         for n in 0..sealed.len() {
-            let mut spoilt = sealed.clone();
-            spoilt[n] ^= 1;
-            assert_eq!(old.open(&spoilt), None, "byte {n}");
+            let mut corrupted = sealed.clone();
+            corrupted[n] ^= 1;
+            assert_eq!(old.open(&corrupted), None, "byte {n}");
             assert_eq!(old.open(&sealed[..n]), None, "cut to {n}");
         }
     }
 
     #[test]
-    fn two_keys_hold_in_a_rotation() {
+    fn two_keys_are_valid_during_rotation() {
         let (old, new) = (Keys::parse([OLD]).unwrap(), Keys::parse([NEW]).unwrap());
         let both = Keys::parse([NEW, OLD]).unwrap();
         assert!(both.open(&old.seal(vec![1])).is_some());
@@ -99,7 +99,7 @@
     }
 
     #[test]
-    fn a_key_that_is_none_is_told_by_its_number() {
+    fn invalid_key_is_reported_by_its_index() {
         assert_eq!(Keys::parse(["12"]).unwrap_err(), 0);
         assert_eq!(Keys::parse([OLD, "zz"]).unwrap_err(), 1);
         assert_eq!(Keys::parse([]).unwrap_err(), 0);
--- a/crates/replication/src/fact.rs
+++ b/crates/replication/src/fact.rs
@@ -1,84 +1,87 @@
-//! What an instance states. Each fact has a key, and the newest statement of a key is the one that holds of its author.
+//! Facts that an instance publishes. Each fact has a key; the newest fact of a key replaces the author's
+//! earlier ones.
 
 use std::sync::Arc;
 
 use membership::Identity;
 use serde::{Deserialize, Serialize};
 
-/// Longest name of a session that is stated as it is (bytes); a longer one is stated by its hash.
+/// Maximum length of a session's name (bytes); longer names are replaced by a hash.
 pub const MAX_SESSION_BYTES: usize = 64;
 
-/// Where a member is told to stand; the later in this order is the stricter.
+/// Status of a member according to the list; variants are ordered by strictness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberStatus {
-    /// It takes work.
+    /// The member takes requests.
     Serving,
-    /// It finishes what it has.
+    /// The member finishes its requests and gets no new ones.
     Draining,
-    /// It is off the list.
+    /// The member is off the list.
     Gone,
 }
 
-/// A fact, with its key. New kinds are added at the end, new fields at a kind's end: who does not know a kind passes over
-/// it, who does not know a field does not read it.
+/// A fact. New kinds are added at the end of the enum, new fields at the end of a kind: an instance skips
+/// kinds that it doesn't know and ignores trailing fields that it doesn't know.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Fact {
-    /// A session writes through this instance, or has written.
+    /// A session is writing, or has written, through this instance.
     Written {
         /// The session.
         session: Arc<str>,
-        /// Whether writes of it are under way: their answers may come at any moment.
+        /// Whether writes of the session are in progress, so that their answers may be given at any moment.
         open: bool,
-        /// The latest commit that was answered (seconds, as positions are told).
+        /// Position of the latest commit that was answered (seconds, as positions are reported).
         position: Option<f64>,
     },
-    /// Facts of numbers up to this one are no longer stated; sessions not stated wrote at this position at the latest.
+    /// Facts up to a number are no longer published; sessions without a fact wrote at this position at the
+    /// latest.
     Floor {
-        /// The number.
+        /// The highest number of the removed facts.
         below: u64,
-        /// The position.
+        /// The latest position of writes of the removed sessions.
         position: f64,
     },
-    /// This start of another instance is over: left, followed by a later start, or forgotten by an operator. Who is there
-    /// is no fact but told by sums, [`crate::message::RosterDigest`].
+    /// This start of another instance has ended: it left, was followed by a later start, or was forgotten by
+    /// an operator. The set of running instances is not published as facts but compared by digest,
+    /// [`crate::message::RosterDigest`].
     Ended {
-        /// Who.
-        who: Identity,
+        /// The instance that has ended.
+        identity: Identity,
     },
-    /// What the list says of a member that does not simply serve.
+    /// What the list says about a member, if it does not simply serve.
     MemberStatus {
         /// The member.
         member: Arc<str>,
-        /// Its start that this is said of (Unix seconds; 0 for long ago).
+        /// Start of the member to which the status applies (Unix seconds; 0 if long ago).
         since: f64,
-        /// Which list says so.
+        /// Identifies the list.
         source: u64,
-        /// Its version of the list.
+        /// Version of that list.
         version: u64,
-        /// Where it stands.
-        stand: MemberStatus,
+        /// Status of the member.
+        status: MemberStatus,
     },
-    /// A member has said itself that it is the primary of its group.
+    /// A member has reported that it is the primary of its group.
     Role {
         /// The group.
         group: u32,
         /// The member.
         member: Arc<str>,
-        /// Its position in the log when it said so: claims are held against each other by it.
+        /// Log position of the member when it reported; claims are compared by it.
         position: f64,
     },
-    /// What this instance works by.
+    /// Versions of list, configuration and program that this instance uses.
     Versions {
-        /// The version of the list.
+        /// Version of the list.
         list: u64,
-        /// The generation of the operator's file.
+        /// Generation of the operator's file.
         generation: u64,
-        /// The program's version.
+        /// Version of the program.
         program: Arc<str>,
     },
 }
 
-/// What a fact is about.
+/// Key of a fact.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[allow(missing_docs)]
 pub enum Key {
@@ -91,27 +94,29 @@
 }
 
 impl Fact {
-    /// What it is about.
+    /// Returns the key of the fact.
     pub fn key(&self) -> Key {
         match self {
             Fact::Written { session, .. } => Key::Written(session.clone()),
             Fact::Floor { .. } => Key::Floor,
-            Fact::Ended { who } => Key::Ended(who.name.clone()),
+            Fact::Ended { identity } => Key::Ended(identity.name.clone()),
             Fact::MemberStatus { member, .. } => Key::MemberStatus(member.clone()),
             Fact::Role { group, .. } => Key::Role(*group),
             Fact::Versions { .. } => Key::Versions,
         }
     }
 
-    /// Its bytes, which stand behind their length so that who does not know the kind can pass over it.
+    /// Encodes the fact. The encoding is sent with its length, so that a receiver can skip a kind that it
+    /// doesn't know.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads the bytes of a fact; none where its kind is not known here. Fields behind the known ones are not read.
+    /// Decodes a fact. Returns `None` if its kind is unknown or a value is invalid; bytes after the known
+    /// fields are ignored.
     pub fn decode(bytes: &[u8]) -> Option<Fact> {
         let (fact, _) = postcard::take_from_bytes::<Fact>(bytes).ok()?;
-        let sound = match &fact {
+        let valid = match &fact {
             Fact::Written { session, position, .. } => {
                 session.len() <= MAX_SESSION_BYTES && position.is_none_or(f64::is_finite)
             }
@@ -120,16 +125,16 @@
             Fact::Role { position, .. } => position.is_finite(),
             Fact::Ended { .. } | Fact::Versions { .. } => true,
         };
-        sound.then_some(fact)
+        valid.then_some(fact)
     }
 }
 
-/// A session's name as it is stated.
-pub fn session(name: &str) -> Arc<str> {
+/// Returns a session's name as it is published: the name itself, or its hash if it is too long.
+pub fn published_session(name: &str) -> Arc<str> {
     use sha2::Digest;
     if name.len() <= MAX_SESSION_BYTES {
         return name.into();
     }
-    // A name as long as any is cut to what tells it apart from others.
+    // The first 16 bytes of the hash are enough to tell sessions apart.
     hex::encode(&sha2::Sha256::digest(name.as_bytes())[..16]).into()
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,9 +1,10 @@
-//! What one instance knows and others need, kept among the instances (docs/replication.md). A state machine without
-//! I/O: datagrams, what this instance does and the time go in; datagrams and answers come out.
+//! State that instances share about sessions, members and each other (docs/replication.md). A state machine
+//! without I/O: datagrams, local events and the time go in; datagrams and answers come out.
 //!
-//! Each instance states facts in a log of its own, numbered by itself, and every other keeps a copy of it. Nobody
-//! passes on what another has stated, so that who states a fact is always who knows it. All times are seconds on one
-//! clock that the caller supplies and that never goes back.
+//! Each instance publishes facts in a log of its own, with its own numbering, and every other instance keeps
+//! a copy of that log. No instance publishes another's facts in its own log, so the author of a fact is
+//! always the instance that observed it. All times are seconds on one monotonic clock that the caller
+//! supplies.
 #![warn(missing_docs)]
 
 pub mod auth;
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -1,9 +1,10 @@
-//! The facts of one author: his own log, or another's copy of it. What matters is the newest statement of each key, so a
-//! copy is brought up to date by the facts of higher numbers than it has seen, however many were overtaken meanwhile:
-//! there is no log to be behind of, and the whole is the difference from nothing.
+//! The facts of one author: the author's own log, or another instance's copy of it. Only the newest fact of
+//! each key matters, so a copy is updated with the facts that have higher numbers than it has seen, however
+//! many earlier ones were replaced meanwhile. No log is ever too far behind for this: the full log is the
+//! difference from an empty one.
 //!
-//! A copy that has got a part of such a difference lacks the keys that were stated anew beyond that part: it is sound
-//! only once it has come as far as the log had come when the part was made.
+//! A copy that has received only part of such a difference lacks keys that were published again beyond that
+//! part. It is complete only once it has reached the number that the log had when the part was made.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -12,85 +13,87 @@
 
 use crate::fact::{Fact, Key};
 
-/// Facts by number, and the number of each key's newest.
+/// A log, or a copy of one: facts by number, and the number of the newest fact of each key.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     facts: BTreeMap<u64, Fact>,
     newest: HashMap<Key, u64>,
-    /// All numbers up to this one have been stated, or seen.
+    /// All numbers up to this one have been published, or received.
     upto: u64,
-    /// How far the log had come when what was taken in last was made: not sound before.
-    needs: u64,
-    /// All that was stated up to this number is known, or what has taken its place since.
-    sound: u64,
-    /// Sessions that are not stated wrote at this position at the latest.
+    /// End of the author's log when the last received range was made; the copy is incomplete before it
+    /// reaches this number.
+    required_upto: u64,
+    /// All facts published up to this number are known, or facts that have replaced them.
+    complete_upto: u64,
+    /// Sessions without a fact wrote at this position at the latest.
     floor: Option<f64>,
 }
 
 impl Log {
-    /// The highest number.
+    /// Returns the highest number.
     pub fn upto(&self) -> u64 {
         self.upto
     }
 
-    /// All that was stated up to this number is known, or what has taken its place since.
-    pub fn sound(&self) -> u64 {
-        self.sound
+    /// Returns the number up to which all published facts, or facts that have replaced them, are known.
+    pub fn complete_upto(&self) -> u64 {
+        self.complete_upto
     }
 
-    /// How far its author's log had come, as far as known here.
+    /// Returns the end of the author's log, as far as known here.
     pub fn end(&self) -> u64 {
-        self.needs.max(self.upto)
+        self.required_upto.max(self.upto)
     }
 
-    /// The position at which a session that is not stated wrote at the latest; none where all are stated.
+    /// Returns the position at which a session without a fact wrote at the latest; `None` if every session
+    /// has its fact.
     pub fn floor(&self) -> Option<f64> {
         self.floor
     }
 
-    /// How many facts hold.
+    /// Returns the number of current facts.
     pub fn len(&self) -> usize {
         self.facts.len()
     }
 
-    /// Whether no fact holds.
+    /// Returns true if there are no facts.
     pub fn is_empty(&self) -> bool {
         self.facts.is_empty()
     }
 
-    /// The fact of a key.
+    /// Returns the current fact of a key.
     pub fn get(&self, key: &Key) -> Option<&Fact> {
         self.facts.get(self.newest.get(key)?)
     }
 
-    /// The number of a key's fact.
+    /// Returns the number of the current fact of a key.
     pub fn number(&self, key: &Key) -> Option<u64> {
         self.newest.get(key).copied()
     }
 
-    /// All that holds, the oldest first.
+    /// Returns all current facts, the oldest first.
     pub fn facts(&self) -> impl Iterator<Item = (u64, &Fact)> {
         self.facts.iter().map(|(number, fact)| (*number, fact))
     }
 
-    /// Facts of higher numbers than this one, in their order.
+    /// Returns the facts with numbers above `number`, in order.
     pub fn after(&self, number: u64) -> impl Iterator<Item = (u64, &Fact)> {
         self.facts.range(number.saturating_add(1)..).map(|(number, fact)| (*number, fact))
     }
 
-    /// States a fact under the next number, which it returns. What an earlier floor has closed is not stated again by
-    /// itself: facts that shall go on are stated anew before the floor is raised over them.
-    pub fn state(&mut self, fact: Fact) -> u64 {
+    /// Appends a fact and returns its number. A fact that an earlier floor has removed is not restored: facts
+    /// that remain valid are appended again before the floor is raised above them.
+    pub fn append(&mut self, fact: Fact) -> u64 {
         let number = self.upto + 1;
-        self.put(number, fact);
-        (self.upto, self.sound) = (number, number);
+        self.insert(number, fact);
+        (self.upto, self.complete_upto) = (number, number);
         number
     }
 
-    /// Takes in facts of another's log: those of the numbers from `from`, not included, to `upto`, as they were when it had
-    /// come to `end`. Whether they follow on what was seen; where they do not, nothing is taken. The keys that have
-    /// changed are handed on.
-    pub fn take(
+    /// Applies facts of another instance's log: those with numbers above `from` up to `upto`, taken when the
+    /// log ended at `end`. Returns false, without applying any, if there is a gap between `from` and what has
+    /// been received. Calls `changed` for each changed key.
+    pub fn apply(
         &mut self,
         (from, upto, end): (u64, u64, u64),
         facts: impl IntoIterator<Item = (u64, Fact)>,
@@ -104,28 +107,28 @@
                 continue;
             }
             changed(fact.key());
-            for key in self.put(number, fact) {
+            for key in self.insert(number, fact) {
                 changed(key);
             }
         }
         if upto > self.upto {
-            (self.upto, self.needs) = (upto, self.needs.max(end));
+            (self.upto, self.required_upto) = (upto, self.required_upto.max(end));
         }
-        if self.upto >= self.needs {
-            self.sound = self.upto;
+        if self.upto >= self.required_upto {
+            self.complete_upto = self.upto;
         }
         true
     }
 
-    /// Puts a fact in its place; the keys of those that a floor has closed.
-    fn put(&mut self, number: u64, fact: Fact) -> Vec<Key> {
+    /// Inserts a fact; returns the keys of the facts that a floor has removed.
+    fn insert(&mut self, number: u64, fact: Fact) -> Vec<Key> {
         let key = fact.key();
-        let mut closed = Vec::new();
+        let mut removed = Vec::new();
         if let Fact::Floor { below, position } = fact {
             let above = self.facts.split_off(&below.saturating_add(1));
             for fact in std::mem::replace(&mut self.facts, above).into_values() {
                 self.newest.remove(&fact.key());
-                closed.push(fact.key());
+                removed.push(fact.key());
             }
             self.floor = Some(self.floor.map_or(position, |floor| floor.max(position)));
         }
@@ -133,15 +136,15 @@
             self.facts.remove(&old);
         }
         self.facts.insert(number, fact);
-        closed
+        removed
     }
 
-    /// What tells whether two copies hold the same, whatever their numbers are: a sum over the facts, whose order it does
-    /// not depend on.
+    /// Returns a digest that is equal for two copies with equal facts: a sum over the facts, independent of
+    /// their order and numbers.
     pub fn digest(&self, author: &Arc<str>) -> [u8; 8] {
         let mut sum = 0u64;
         for fact in self.facts.values() {
-            // Numbers are told by floors too, and are their author's own affair.
+            // A floor contains a number; numbers are left out of the digest.
             let fact = match fact {
                 Fact::Floor { position, .. } => Fact::Floor { below: 0, position: *position },
                 other => other.clone(),
@@ -150,9 +153,9 @@
             hash.update(author.as_bytes());
             hash.update([0]);
             hash.update(fact.encode());
-            let mut eight = [0; 8];
-            eight.copy_from_slice(&hash.finalize()[..8]);
-            sum = sum.wrapping_add(u64::from_be_bytes(eight));
+            let mut prefix = [0; 8];
+            prefix.copy_from_slice(&hash.finalize()[..8]);
+            sum = sum.wrapping_add(u64::from_be_bytes(prefix));
         }
         sum.to_be_bytes()
     }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages among instances. A message is a head, which every version reads, and a body of a numbered kind; who does not
-//! know a kind passes over it. All of it is sealed ([`crate::auth`]).
+//! Messages between instances. A message is a header, which every version can read, and a body with a kind
+//! number; receivers skip kinds that they don't know. Every message is sealed ([`crate::auth`]).
 
 use std::sync::Arc;
 
@@ -11,109 +11,114 @@
 use crate::fact::Fact;
 use crate::view::{TenantUsage, View};
 
-/// The version of the head. Bodies change by new kinds and by fields at their ends. Of version 1, which stated who is
-/// there as facts, nothing was released.
+/// Version of the header. Bodies change by new kinds and by additional trailing fields. Version 1, which
+/// published the running instances as facts, was never released.
 pub const VERSION: u8 = 2;
-/// Longest datagram (bytes), its seal included.
+/// Maximum size of a datagram (bytes), including its seal.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Longest message on a stream (bytes), its seal included.
+/// Maximum size of a message on a stream (bytes), including its seal.
 pub const MAX_STREAM_MESSAGE_BYTES: usize = 32 * 1024;
-/// Bytes that a head takes at the most: names of 64 bytes, an address, numbers.
+/// Maximum size of a header (bytes): names of 64 bytes, an address, numbers.
 pub const MAX_HEADER_BYTES: usize = 200;
-/// Room for a body in a datagram.
+/// Space for a body in a datagram (bytes).
 pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - SEAL_BYTES - MAX_HEADER_BYTES;
 
-/// Who speaks, and to which start of whom.
+/// Sender of a message, and the recipient's start that it is meant for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
     /// [`VERSION`].
     pub version: u8,
-    /// Who speaks.
+    /// The sender.
     pub from: Identity,
-    /// The number of his message; only rises.
+    /// Number of the message; the sender only increases it.
     pub number: u64,
-    /// The start of whom it is to; 0 where that is not known.
+    /// Start number of the recipient; 0 if unknown.
     pub to: u64,
 }
 
-/// What is said.
+/// Body of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// May I go by what I have of your log? Answered by [`Body::LeaseGrant`].
+    /// Asks for a lease on the recipient's log, as far as the sender has read it. Answered by
+    /// [`Body::LeaseGrant`].
     LeaseRequest {
-        /// The asker's number of this question.
-        question: u64,
-        /// How far he has read the log of whom he asks; 0 for another start of it.
+        /// Identifies the request; chosen by the sender.
+        request: u64,
+        /// How far the sender has read the recipient's log; 0 if it has read another start's log.
         read: ReadProgress,
-        /// Whom he knows: what he says to have read counts once they are known.
-        own: RosterDigest,
-        /// Whether he wants a lease: without one it is only to hear of each other.
+        /// Digest of the instances that the sender knows: its read progress counts once the recipient knows
+        /// them too.
+        roster: RosterDigest,
+        /// Whether the sender asks for a lease; without one the request is only a heartbeat.
         lease: bool,
-        /// Instances that do not answer him, their starts, and how far he has read their logs.
-        missing: Vec<(Arc<str>, u64, u64)>,
+        /// Instances that do not answer the sender, with their start numbers and how far the sender has read
+        /// their logs.
+        unreachable: Vec<(Arc<str>, u64, u64)>,
     },
-    /// What you have of my log may be gone by for so long from the moment you asked, once it reaches this far.
+    /// Allows the recipient to rely on its copy of the sender's log for a time that begins when the request
+    /// was sent, once the copy has reached `upto`.
     LeaseGrant {
-        /// The question.
-        question: u64,
-        /// The highest number of the log.
+        /// The answered request.
+        request: u64,
+        /// The highest number of the sender's log.
         upto: u64,
-        /// Whom the speaker knows: the lease counts once they are known.
-        own: RosterDigest,
-        /// How long (milliseconds); 0 for not at all.
+        /// Digest of the instances that the sender knows: the lease counts once the recipient knows them too.
+        roster: RosterDigest,
+        /// Duration of the lease (milliseconds); 0 if none is granted.
         lease_ms: u32,
-        /// For so long (milliseconds) after that moment the speaker answers no write without a majority.
-        long_ms: u32,
-        /// Of those missing, the ones that do not answer the speaker either.
-        covers: Vec<Coverage>,
+        /// The sender answers no write without a majority for so long (milliseconds) after the request was
+        /// sent.
+        majority_only_ms: u32,
+        /// Coverage of the unreachable instances that do not answer the sender either.
+        coverage: Vec<Coverage>,
     },
-    /// Facts of the speaker's log, of the numbers from `from`, not included, to `upto`.
+    /// Facts of the sender's log with numbers above `from` up to `upto`.
     Push {
-        /// See above.
+        /// Number after which the range begins.
         from: u64,
-        /// See above.
+        /// Last number of the range.
         upto: u64,
-        /// How far the log had come.
+        /// The highest number of the log.
         end: u64,
-        /// With their numbers, as bytes.
+        /// The encoded facts with their numbers.
         facts: Vec<(u64, Vec<u8>)>,
     },
-    /// The log of whom it is to has been read so far.
+    /// Acknowledges how far the recipient's log has been read.
     ReadAck {
-        /// How far.
+        /// How far the log has been read.
         read: ReadProgress,
         /// As in [`Body::LeaseRequest`].
-        own: RosterDigest,
+        roster: RosterDigest,
     },
-    /// How members look to the speaker.
+    /// How the sender sees members.
     Views {
-        /// The number of his round.
+        /// Number of the sender's round.
         round: u64,
         /// The members.
         views: Vec<View>,
-        /// What tenants use of him.
+        /// Usage by tenants at the sender.
         usage: Vec<TenantUsage>,
     },
-    /// Membership's own.
+    /// A message of the membership protocol.
     Swim(Vec<u8>),
-    /// The speaker ends; his log ends there.
+    /// The sender shuts down; its log ends here.
     Leave {
         /// The highest number of the log.
         upto: u64,
     },
-    /// On a stream: the log from this number on, in pieces.
+    /// On a stream: requests the log after this number, in pieces.
     Fetch {
-        /// The number that the asker has read.
+        /// The number up to which the sender has read.
         from: u64,
     },
-    /// This start of whom it is to has been called over.
+    /// This start of the recipient has been declared ended.
     Ended {
-        /// The start.
+        /// The start number.
         start: u64,
     },
-    /// Facts of another's log, who does not answer the speaker either.
+    /// Facts of another instance's log that answers neither the sender nor the recipient.
     Relayed {
-        /// Whose log.
+        /// The author of the log.
         author: Identity,
         /// As in [`Body::Push`].
         from: u64,
@@ -124,63 +129,63 @@
         /// As in [`Body::Push`].
         facts: Vec<(u64, Vec<u8>)>,
     },
-    /// Instances that the speaker knows and that are there, of the numbers from `from`, not included, to `upto`.
+    /// Running instances that the sender knows, with roster numbers above `from` up to `upto`.
     Roster {
-        /// See above.
+        /// Number after which the range begins.
         from: u64,
-        /// See above.
+        /// Last number of the range.
         upto: u64,
-        /// They.
+        /// The instances.
         instances: Vec<Identity>,
     },
 }
 
-/// Whom the speaker knows, himself included, as far as they are there. Where the sums of two are equal they know the same,
-/// and nobody has to be named.
+/// Digest of the running instances that the sender knows, including itself. Two instances with equal sums
+/// know the same instances and need not exchange names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterDigest {
-    /// How many he has come to know so far; rises by one with each.
+    /// Number of instances that have been added to the sender's roster so far; never decreases.
     pub upto: u64,
-    /// A sum over their names and starts.
+    /// Sum of the hashes of names and start numbers.
     pub sum: u64,
 }
 
-/// What one instance adds to a sum.
-pub fn identity_hash(who: &Identity) -> u64 {
+/// Returns the hash that one instance adds to [`RosterDigest::sum`].
+pub fn identity_hash(identity: &Identity) -> u64 {
     let mut hash = Sha256::new();
-    hash.update(who.name.as_bytes());
+    hash.update(identity.name.as_bytes());
     hash.update([0]);
-    hash.update(who.start.to_be_bytes());
-    let mut eight = [0; 8];
-    eight.copy_from_slice(&hash.finalize()[..8]);
-    u64::from_be_bytes(eight)
+    hash.update(identity.start.to_be_bytes());
+    let mut prefix = [0; 8];
+    prefix.copy_from_slice(&hash.finalize()[..8]);
+    u64::from_be_bytes(prefix)
 }
 
-/// How far a log has been read.
+/// How far a log and its author's roster have been read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadProgress {
-    /// All up to this number is known.
-    pub sound: u64,
-    /// The next piece begins here.
-    pub got: u64,
-    /// Those whom its author knows are known up to this number of his.
-    pub whom: u64,
-    /// The next of them begin here.
-    pub met: u64,
+    /// All facts up to this number are acknowledged as known.
+    pub acked_upto: u64,
+    /// The log has been received up to this number; the next range begins after it.
+    pub received_upto: u64,
+    /// All instances up to this number of the author's roster are acknowledged as known.
+    pub acked_roster: u64,
+    /// The roster has been received up to this number; the next range begins after it.
+    pub received_roster: u64,
 }
 
-/// What the speaker knows of one who answers neither him nor the asker. While it lasts, the speaker acknowledges nothing
-/// further of that one's log.
+/// What the sender knows of an instance that answers neither the sender nor the recipient. While the coverage
+/// lasts, the sender acknowledges no further facts of that instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Coverage {
-    /// Who.
+    /// Name of the instance.
     pub name: Arc<str>,
-    /// His start.
+    /// Start number of the instance.
     pub start: u64,
-    /// How far the speaker has read his log.
+    /// How far the sender has read the log of the instance.
     pub upto: u64,
-    /// For how much longer (milliseconds) he answers no write without a majority.
-    pub long_ms: u32,
+    /// Remaining time (milliseconds) during which the instance answers no write without a majority.
+    pub majority_only_ms: u32,
 }
 
 impl Body {
@@ -201,33 +206,34 @@
     }
 }
 
-/// A message's bytes, not sealed yet.
-pub fn encode(head: &Header, body: &Body) -> Vec<u8> {
-    let mut bytes = postcard::to_stdvec(head).unwrap_or_default();
+/// Encodes a message; the result is not sealed.
+pub fn encode(header: &Header, body: &Body) -> Vec<u8> {
+    let mut bytes = postcard::to_stdvec(header).unwrap_or_default();
     bytes.push(body.kind());
     bytes.extend(postcard::to_stdvec(body).unwrap_or_default());
     bytes
 }
 
-/// Reads a message: its head, and its body where the kind is known here. None where it is not of this form.
+/// Decodes a message: the header, and the body if its kind is known. Returns `None` if the bytes are
+/// malformed.
 pub fn decode(bytes: &[u8]) -> Option<(Header, Option<Body>)> {
-    let (head, rest) = postcard::take_from_bytes::<Header>(bytes).ok()?;
-    if head.version != VERSION || head.from.name.is_empty() || head.from.name.len() > 64 {
+    let (header, rest) = postcard::take_from_bytes::<Header>(bytes).ok()?;
+    if header.version != VERSION || header.from.name.is_empty() || header.from.name.len() > 64 {
         return None;
     }
     let (kind, body) = rest.split_first()?;
     if !(1..=11).contains(kind) {
-        return Some((head, None));
+        return Some((header, None));
     }
     let (body, _) = postcard::take_from_bytes::<Body>(body).ok()?;
-    Some((head, Some(body)))
+    Some((header, Some(body)))
 }
 
-/// Facts with their numbers, as bytes.
+/// Encoded facts with their numbers.
 pub type Facts = Vec<(u64, Vec<u8>)>;
 
-/// The facts of a log after a number, as many as fit into so many bytes, and up to which number they go. None where
-/// there are none.
+/// Takes the facts after number `from` that fit into `room` bytes; returns the last number that they cover
+/// and the encoded facts. Returns `None` if there are none.
 pub fn piece<'a>(
     from: u64,
     end: u64,
@@ -252,12 +258,12 @@
     Some((upto, taken))
 }
 
-/// The facts of a push that are known here.
-pub fn facts(pushed: Vec<(u64, Vec<u8>)>) -> impl Iterator<Item = (u64, Fact)> {
-    pushed.into_iter().filter_map(|(number, bytes)| Fact::decode(&bytes).map(|fact| (number, fact)))
+/// Decodes pushed facts and skips those of unknown kinds.
+pub fn facts(encoded: Vec<(u64, Vec<u8>)>) -> impl Iterator<Item = (u64, Fact)> {
+    encoded.into_iter().filter_map(|(number, bytes)| Fact::decode(&bytes).map(|fact| (number, fact)))
 }
 
-/// A name within what a head has room for.
+/// Truncates a name to the length for which a header has space.
 pub fn truncated_name(name: &str) -> Arc<str> {
     let end = name.char_indices().map(|(at, c)| at + c.len_utf8()).take_while(|end| *end <= 64).last();
     name[..end.unwrap_or(0)].into()
--- a/crates/replication/src/node/leases.rs
+++ b/crates/replication/src/node/leases.rs
@@ -1,192 +1,221 @@
-//! Who may go by whose log, and for how long: questions, grants, coverage of those that answer nobody, majorities.
+//! Leases on logs: requests, grants, coverage of unreachable instances, majorities.
 
 use std::sync::Arc;
 
 use super::*;
 
 impl Node {
-    /// Why reads of sessions may not go by what is known here; none where they may.
-    pub(super) fn not_whole(&mut self, now: f64) -> Option<PrimaryReason> {
-        if now < self.whole_until {
+    /// Returns why reads of sessions may not rely on the logs known here; `None` if they may.
+    pub(super) fn incomplete_reason(&mut self, now: f64) -> Option<PrimaryReason> {
+        if now < self.complete_until {
             return None;
         }
-        let why = self.look_whole(now);
-        let whole = why.is_none();
-        if whole != self.was_whole {
-            self.was_whole = whole;
-            self.notices.push(Notice::Complete(whole));
+        let reason = self.check_complete(now);
+        let complete = reason.is_none();
+        if complete != self.was_complete {
+            self.was_complete = complete;
+            self.notices.push(Notice::Complete(complete));
         }
-        why
+        reason
     }
 
-    pub(super) fn look_whole(&mut self, now: f64) -> Option<PrimaryReason> {
-        if !self.unmet.is_empty() {
+    pub(super) fn check_complete(&mut self, now: f64) -> Option<PrimaryReason> {
+        if !self.unanswered_seeds.is_empty() {
             return Some(PrimaryReason::SeedUnanswered);
         }
         let mut until = f64::INFINITY;
-        for peer in self.here() {
-            if now < peer.lease {
-                until = until.min(peer.lease);
+        for peer in self.active_peers() {
+            if now < peer.lease_until {
+                until = until.min(peer.lease_until);
                 continue;
             }
-            if !self.covered(now, peer) {
-                return Some(if peer.missing {
+            if !self.is_covered(now, peer) {
+                return Some(if peer.unreachable {
                     PrimaryReason::Unreachable
                 } else {
                     PrimaryReason::CatchingUp
                 });
             }
-            let ends = peer.covers.values().flat_map(|cover| [cover.until, cover.long]).chain([peer.long]);
+            let ends = peer
+                .coverage
+                .values()
+                .flat_map(|cover| [cover.until, cover.majority_only_until])
+                .chain([peer.majority_only_until]);
             until = ends.filter(|end| *end > now).fold(until, f64::min);
         }
-        // What holds now holds until the first of these ends.
-        self.whole_until = until;
+        // The result is valid until the first of these leases or promises ends.
+        self.complete_until = until;
         None
     }
 
-    /// Whether all that an instance can have answered by now is known here: it says so itself, or all others that
-    /// answer say that it answers nobody.
-    pub(super) fn known_whole(&self, now: f64, name: &str) -> bool {
+    /// Returns true if all that an instance can have answered by now is known here: its own lease is valid,
+    /// or all instances with a valid lease cover it.
+    pub(super) fn log_is_complete(&self, now: f64, name: &str) -> bool {
         let Some(peer) = self.peers.get(name) else { return true };
-        now < peer.lease || self.covered(now, peer)
+        now < peer.lease_until || self.is_covered(now, peer)
     }
 
-    /// Whether all that answer cover one that does not, and they are a majority. [R3]
-    pub(crate) fn covered(&self, now: f64, missing: &Peer) -> bool {
-        if !missing.met || !self.unmet.is_empty() {
+    /// Returns true if every instance with a valid lease covers the unreachable one, these instances are a
+    /// majority, and the unreachable instance still answers no write without a majority. [R3]
+    pub(crate) fn is_covered(&self, now: f64, unreachable: &Peer) -> bool {
+        if !unreachable.has_granted || !self.unanswered_seeds.is_empty() {
             return false;
         }
-        let (mut lost, mut all, mut long) = (0, 1, missing.long);
-        for other in self.here() {
-            all += 1;
-            if now >= other.lease {
-                lost += 1;
+        let (mut without_lease, mut total, mut majority_only_until) = (0, 1, unreachable.majority_only_until);
+        for other in self.active_peers() {
+            total += 1;
+            if now >= other.lease_until {
+                without_lease += 1;
                 continue;
             }
-            // Whoever it may have told of others has been told of them by the one who covers. [R4]
-            let holds = |cover: &&Covering| {
-                now < cover.until && missing.copy.sound() >= cover.upto && other.whom >= cover.whom
+            // The roster of the covering instance has to be known here, so that instances that only the
+            // unreachable one may have announced are known too. [R4]
+            let is_valid = |cover: &&PeerCoverage| {
+                now < cover.until
+                    && unreachable.copy.complete_upto() >= cover.upto
+                    && other.known_roster >= cover.roster
             };
-            match missing.covers.get(&other.who.name).filter(holds) {
-                Some(cover) => long = long.max(cover.long),
+            match unreachable.coverage.get(&other.identity.name).filter(is_valid) {
+                Some(cover) => majority_only_until = majority_only_until.max(cover.majority_only_until),
                 None => return false,
             }
         }
-        2 * lost < all && now < long
+        2 * without_lease < total && now < majority_only_until
     }
 
-    /// Looks whether all who go by leases from here know of another by now.
+    /// Admits a peer once all lessees of this instance know of it, or their leases have ended.
     pub(super) fn admit(&mut self, now: f64, name: &Arc<str>) {
         let Some(ticket) = self.peers.get(name).and_then(|peer| peer.admission) else { return };
-        if self.all_know(now, ticket) {
-            self.waiting.remove(&ticket);
+        if self.known_to_lessees(now, ticket) {
+            self.pending.remove(&ticket);
             if let Some(peer) = self.peers.get_mut(name) {
-                (peer.admission, peer.owed) = (None, true);
+                (peer.admission, peer.ack_pending) = (None, true);
             }
         }
     }
 
-    pub(super) fn ask(&mut self, now: f64, name: &Arc<str>) {
+    pub(super) fn request_lease(&mut self, now: f64, name: &Arc<str>) {
         self.admit(now, name);
-        let jitter = 0.85 + 0.3 * self.draw();
-        let (lease, count) = (self.terms.lease, self.peers.len() as f64);
-        let wanted = now - self.wanted < WANTED || !self.admitted;
-        // Leases that end soon: whoever does not answer is to be covered before.
-        let missing: Vec<(Arc<str>, u64, u64)> = self
-            .here()
-            .filter(|p| wanted && p.who.name != *name && p.met && p.lease - now < lease * 0.6)
-            .map(|p| (p.who.name.clone(), p.who.start, p.copy.upto()))
-            .take(MOST_MISSING + 1)
+        let jitter = 0.85 + 0.3 * self.random();
+        let (lease, count) = (self.config.lease, self.peers.len() as f64);
+        let wants_lease = now - self.last_read_at < READ_ACTIVITY_TIMEOUT || !self.admitted;
+        // Leases that end soon: coverage is requested before they end, in case the lessor does not answer.
+        let unreachable: Vec<(Arc<str>, u64, u64)> = self
+            .active_peers()
+            .filter(|p| {
+                wants_lease && p.identity.name != *name && p.has_granted && p.lease_until - now < lease * 0.6
+            })
+            .map(|p| (p.identity.name.clone(), p.identity.start, p.copy.upto()))
+            .take(MAX_UNREACHABLE + 1)
             .collect();
-        let missing = if missing.len() > MOST_MISSING { Vec::new() } else { missing };
-        self.question += 1;
-        let (question, own) = (self.question, self.whom());
+        let unreachable = if unreachable.len() > MAX_UNREACHABLE { Vec::new() } else { unreachable };
+        self.last_request += 1;
+        let (request, roster) = (self.last_request, self.roster_digest());
         let Some(peer) = self.peers.get_mut(name) else { return };
-        let every = (lease / ASKS_PER_LEASE).max(count / ASKS_PER_S);
-        // One that has not answered for long is asked at the idle pace.
-        let gone = peer.heard.is_finite() && now - peer.heard > 10.0 * lease.max(1.0);
-        peer.next_ask = now + jitter * if wanted && !gone { every } else { IDLE_ASK };
-        peer.asked.push_back((question, now));
-        if peer.asked.len() > 32 {
-            peer.asked.pop_front();
+        let interval = (lease / REQUESTS_PER_LEASE).max(count / MAX_REQUESTS_PER_S);
+        // A peer that has been silent for ten leases, and at least 10 s, is asked at the idle interval.
+        let long_silent = peer.last_heard_at.is_finite() && now - peer.last_heard_at > 10.0 * lease.max(1.0);
+        peer.next_request_at =
+            now + jitter * if wants_lease && !long_silent { interval } else { IDLE_REQUEST_INTERVAL };
+        peer.pending_requests.push_back((request, now));
+        if peer.pending_requests.len() > 32 {
+            peer.pending_requests.pop_front();
         }
-        let silent = peer.heard.is_finite() && now - peer.heard > MISSING;
-        if silent && !gone && peer.asked.len() > 1 {
-            peer.next_ask = peer.next_ask.min(now + jitter * ASK_AGAIN.max(count / ASKS_PER_S));
+        let silent = peer.last_heard_at.is_finite() && now - peer.last_heard_at > UNREACHABLE_TIMEOUT;
+        if silent && !long_silent && peer.pending_requests.len() > 1 {
+            peer.next_request_at = peer
+                .next_request_at
+                .min(now + jitter * REQUEST_RETRY_INTERVAL.max(count / MAX_REQUESTS_PER_S));
         }
-        if !peer.missing && silent && peer.asked.len() > UNANSWERED {
-            peer.missing = true;
+        if !peer.unreachable && silent && peer.pending_requests.len() > MAX_UNANSWERED {
+            peer.unreachable = true;
             self.notices.push(Notice::Unreachable(name.clone()));
         }
         let Some(peer) = self.peers.get(name) else { return };
-        let read = peer.reading(now);
-        self.send(now, name, &Body::LeaseRequest { question, read, own, lease: wanted, missing }, false);
+        let read = peer.read_progress(now);
+        self.send(
+            now,
+            name,
+            &Body::LeaseRequest { request, read, roster, lease: wants_lease, unreachable },
+            false,
+        );
     }
 
-    pub(super) fn grant(
+    pub(super) fn answer_request(
         &mut self,
         now: f64,
         name: &Arc<str>,
-        question: u64,
-        lease: bool,
-        missing: &[(Arc<str>, u64, u64)],
+        request: u64,
+        wants_lease: bool,
+        unreachable: &[(Arc<str>, u64, u64)],
     ) {
         let upto = self.log.upto();
         self.admit(now, name);
-        let own = self.whom();
+        let roster = self.roster_digest();
         let admitted = self.peers.get(name).is_some_and(|peer| peer.admission.is_none());
-        let behind = self.peers.get(name).map_or(u64::MAX, |peer| upto - peer.read.min(upto));
-        let lends = lease && admitted && behind <= LEASE_BEHIND && !self.stood_down;
-        // [R5] Without a majority nothing is promised beyond the lease: nobody here can go by it.
-        let long = if self.has_majority(now) { self.long() } else { 0.0 };
-        let term = self.terms.lease;
-        let mut covers = Vec::new();
-        if lends {
-            let until = lessor_end(now, term);
-            self.free_at = self.free_at.max(lessor_end(now, long));
+        let lag = self.peers.get(name).map_or(u64::MAX, |peer| upto - peer.acked_upto.min(upto));
+        let grants = wants_lease && admitted && lag <= MAX_LEASE_LAG && !self.stepped_down;
+        // [R5] Without a majority nothing is promised beyond the lease: no peer could rely on it.
+        let majority_only = if self.has_majority(now) { self.majority_only_time() } else { 0.0 };
+        let duration = self.config.lease;
+        let mut coverage = Vec::new();
+        if grants {
+            let until = lessor_end(now, duration);
+            self.majority_required_until = self.majority_required_until.max(lessor_end(now, majority_only));
             if let Some(peer) = self.peers.get_mut(name) {
-                peer.lent = peer.lent.max(until);
+                peer.granted_until = peer.granted_until.max(until);
             }
-            for (other, start, read) in missing.iter().take(MOST_MISSING) {
-                covers.extend(self.cover(now, other, *start, until));
-                self.pass_on(now, name, other, *start, *read);
+            for (other, start, read) in unreachable.iter().take(MAX_UNREACHABLE) {
+                coverage.extend(self.cover(now, other, *start, until));
+                self.relay(now, name, other, *start, *read);
             }
         }
-        let milliseconds = |s: f64| (s * 1_000.0).clamp(0.0, f64::from(u32::MAX)) as u32;
-        let lease_ms = if lends { milliseconds(term) } else { 0 };
-        let body = Body::LeaseGrant { question, upto, own, lease_ms, long_ms: milliseconds(long), covers };
+        let millis = |s: f64| (s * 1_000.0).clamp(0.0, f64::from(u32::MAX)) as u32;
+        let lease_ms = if grants { millis(duration) } else { 0 };
+        let body = Body::LeaseGrant {
+            request,
+            upto,
+            roster,
+            lease_ms,
+            majority_only_ms: millis(majority_only),
+            coverage,
+        };
         self.send(now, name, &body, false);
     }
 
-    /// Says of one that does not answer here either how far its log has been read, and holds to it: for as long as the asker
-    /// goes by that, nothing further of it is acknowledged. [R3]
+    /// Reports how far the log of an instance that does not answer here either has been read. As long as the
+    /// requester may rely on that, no further facts of that log are acknowledged. [R3]
     pub(super) fn cover(&mut self, now: f64, name: &Arc<str>, start: u64, until: f64) -> Option<Coverage> {
-        let peer = self.peers.get_mut(name).filter(|peer| peer.here() && peer.who.start == start)?;
-        // One that was never met here may have stated anything.
-        if !peer.met {
+        let peer =
+            self.peers.get_mut(name).filter(|peer| peer.is_active() && peer.identity.start == start)?;
+        // An instance that has never granted a lease here may have published facts that are unknown here.
+        if !peer.has_granted {
             return None;
         }
-        if now - peer.heard > MISSING / 2.0 && peer.asked.is_empty() {
-            peer.next_ask = now;
+        if now - peer.last_heard_at > UNREACHABLE_TIMEOUT / 2.0 && peer.pending_requests.is_empty() {
+            peer.next_request_at = now;
         }
-        let unanswered = peer.asked.front().is_some_and(|(_, at)| now - at > MISSING * 2.0 / 3.0);
-        if now - peer.heard <= MISSING || !unanswered {
+        let unanswered =
+            peer.pending_requests.front().is_some_and(|(_, at)| now - at > UNREACHABLE_TIMEOUT * 2.0 / 3.0);
+        if now - peer.last_heard_at <= UNREACHABLE_TIMEOUT || !unanswered {
             return None;
         }
-        let (upto, whom) = peer.read_so_far(now);
-        let kept = peer.held.map_or(until, |(held, _, _)| held.max(until));
-        peer.held = Some((kept, upto, whom));
-        let long_ms = ((peer.long - now).max(0.0) * 1_000.0) as u32;
-        // One that has a part only does not know how far it knows.
-        let sound = peer.copy.sound() == peer.copy.upto();
-        sound.then(|| Coverage { name: name.clone(), start, upto: peer.copy.upto(), long_ms })
+        let (upto, roster) = peer.ackable_upto(now);
+        let limit_until = peer.ack_limit.map_or(until, |(current, _, _)| current.max(until));
+        peer.ack_limit = Some((limit_until, upto, roster));
+        let majority_only_ms = ((peer.majority_only_until - now).max(0.0) * 1_000.0) as u32;
+        // An incomplete copy does not show up to which number it is complete.
+        let complete = peer.copy.complete_upto() == peer.copy.upto();
+        complete.then(|| Coverage { name: name.clone(), start, upto: peer.copy.upto(), majority_only_ms })
     }
 
-    /// Passes on what the asker lacks of one that answers neither.
-    pub(super) fn pass_on(&mut self, now: f64, to: &Arc<str>, of: &Arc<str>, start: u64, read: u64) {
-        let missing = |peer: &&Peer| peer.here() && peer.who.start == start && now - peer.heard > MISSING;
-        let Some(peer) = self.peers.get(of).filter(missing) else { return };
-        let author = peer.who.clone();
+    /// Relays facts that the requester lacks of an instance that answers neither.
+    pub(super) fn relay(&mut self, now: f64, to: &Arc<str>, author_name: &Arc<str>, start: u64, read: u64) {
+        let unreachable = |peer: &&Peer| {
+            peer.is_active() && peer.identity.start == start && now - peer.last_heard_at > UNREACHABLE_TIMEOUT
+        };
+        let Some(peer) = self.peers.get(author_name).filter(unreachable) else { return };
+        let author = peer.identity.clone();
         let Some((upto, facts)) =
             message::piece(read, peer.copy.upto(), peer.copy.after(read), MAX_BODY_BYTES - 64)
         else {
@@ -196,103 +225,110 @@
         self.send(now, to, &Body::Relayed { author, from: read, upto, end, facts }, true);
     }
 
-    /// Whether all who go by an older copy know of a fact, or go by it no more.
-    pub(super) fn all_know(&mut self, now: f64, ticket: Ticket) -> bool {
-        let Some(waiting) = self.waiting.get_mut(&ticket) else { return true };
-        let awaited = waiting.awaited;
-        // Who knows it, or whose lease is over, need not be looked at again: each is passed once.
-        while let Some((name, until)) = waiting.lessees.last() {
-            let knows = self.peers.get(name).is_none_or(|peer| !peer.here() || awaited.known_to(peer));
+    /// Returns true if every peer that relied on an older copy knows the entry, or its lease has ended.
+    pub(super) fn known_to_lessees(&mut self, now: f64, ticket: Ticket) -> bool {
+        let Some(pending) = self.pending.get_mut(&ticket) else { return true };
+        let awaited = pending.awaited;
+        // A peer that knows the entry, or whose lease has ended, is removed and not checked again.
+        while let Some((name, until)) = pending.lessees.last() {
+            let knows = self.peers.get(name).is_none_or(|peer| !peer.is_active() || awaited.known_to(peer));
             if now < *until && !knows {
                 return false;
             }
-            waiting.lessees.pop();
+            pending.lessees.pop();
         }
         true
     }
 
-    pub(super) fn granted(
+    pub(super) fn handle_grant(
         &mut self,
         now: f64,
         name: &Arc<str>,
-        question: u64,
-        (upto, whom, lease_ms, long_ms): (u64, u64, u32, u32),
-        covers: Vec<Coverage>,
+        request: u64,
+        (upto, roster, lease_ms, majority_only_ms): (u64, u64, u32, u32),
+        coverage: Vec<Coverage>,
     ) {
-        if let Some(at) = self.seed_asked.iter().position(|(asked, _)| *asked == question) {
-            // Who answers at a seed takes its place among those that count.
-            if let Some((_, seed)) = self.seed_asked.remove(at) {
-                if self.unmet.remove(&seed) {
+        if let Some(at) = self.seed_requests.iter().position(|(number, _)| *number == request) {
+            // The instance that answers at a seed's address replaces the seed in the electorate.
+            if let Some((_, seed)) = self.seed_requests.remove(at) {
+                if self.unanswered_seeds.remove(&seed) {
                     if let Some(peer) = self.peers.get_mut(name) {
                         peer.counted = true;
-                        peer.next_ask = now;
+                        peer.next_request_at = now;
                     }
                 }
             }
             return;
         }
         let seconds = |ms: u32| f64::from(ms) / 1_000.0;
-        let own = self.terms.lease;
+        let own_lease = self.config.lease;
         let Some(peer) = self.peers.get_mut(name) else { return };
-        let Some(at) = peer.asked.iter().position(|(asked, _)| *asked == question) else { return };
-        let Some((_, asked)) = peer.asked.remove(at) else { return };
-        // Older questions are answered by this as well: only the newest counts for being missing.
-        peer.asked.drain(..at);
-        peer.contact = peer.contact.max(asked);
-        peer.told = peer.told.max(upto);
+        let Some(at) = peer.pending_requests.iter().position(|(number, _)| *number == request) else {
+            return;
+        };
+        let Some((_, sent_at)) = peer.pending_requests.remove(at) else { return };
+        // This also answers all older requests: only newer ones count for failure detection.
+        peer.pending_requests.drain(..at);
+        peer.confirmed_at = peer.confirmed_at.max(sent_at);
+        peer.announced_upto = peer.announced_upto.max(upto);
         if lease_ms == 0 {
             return;
         }
-        // [R2] From the moment of the question, by this one's own clock.
-        let until = asked + seconds(lease_ms).min(own);
-        peer.promised.push((upto, whom, until, asked + seconds(long_ms)));
-        if peer.promised.len() > 8 {
-            peer.promised.remove(0);
+        // [R2] The lease is counted from the time of the request, on this instance's own clock.
+        let until = sent_at + seconds(lease_ms).min(own_lease);
+        peer.pending_grants.push((upto, roster, until, sent_at + seconds(majority_only_ms)));
+        if peer.pending_grants.len() > 8 {
+            peer.pending_grants.remove(0);
         }
-        for Coverage { name: other, start, upto, long_ms } in covers {
-            let fits = |p: &&mut Peer| p.who.start == start && p.here();
-            if let Some(missing) = self.peers.get_mut(&other).filter(fits) {
-                let long = asked + seconds(long_ms);
-                missing.covers.insert(name.clone(), Covering { upto, whom, until, long });
-                missing.told = missing.told.max(upto);
+        for Coverage { name: other, start, upto, majority_only_ms } in coverage {
+            let matches = |p: &&mut Peer| p.identity.start == start && p.is_active();
+            if let Some(unreachable) = self.peers.get_mut(&other).filter(matches) {
+                let majority_only_until = sent_at + seconds(majority_only_ms);
+                unreachable
+                    .coverage
+                    .insert(name.clone(), PeerCoverage { upto, roster, until, majority_only_until });
+                unreachable.announced_upto = unreachable.announced_upto.max(upto);
             }
         }
-        self.count_leases(name);
+        self.apply_grants(name);
     }
 
-    pub(super) fn count_leases(&mut self, name: &Arc<str>) {
+    pub(super) fn apply_grants(&mut self, name: &Arc<str>) {
         let Some(peer) = self.peers.get_mut(name) else { return };
-        let (read, known) = (peer.copy.sound(), peer.whom);
-        let (counts, waits): (Vec<_>, Vec<_>) = std::mem::take(&mut peer.promised)
+        let (read, known) = (peer.copy.complete_upto(), peer.known_roster);
+        let (effective, pending): (Vec<_>, Vec<_>) = std::mem::take(&mut peer.pending_grants)
             .into_iter()
-            .partition(|(upto, whom, _, _)| read >= *upto && known >= *whom);
-        peer.promised = waits;
-        for (_, _, until, long) in counts {
-            peer.met = true;
-            peer.lease = peer.lease.max(until);
-            // Only with what it had stated by then: what it answered alone before is no part of the promise.
-            peer.long = peer.long.max(long);
-            // Whom that one knows of is known here by now. [R4]
-            (self.admitted, self.fresh) = (true, false);
+            .partition(|(upto, roster, _, _)| read >= *upto && known >= *roster);
+        peer.pending_grants = pending;
+        for (_, _, until, majority_only_until) in effective {
+            peer.has_granted = true;
+            peer.lease_until = peer.lease_until.max(until);
+            // Valid only with the facts of that time: the promise does not cover writes that the peer had
+            // answered without a majority before.
+            peer.majority_only_until = peer.majority_only_until.max(majority_only_until);
+            // All instances on the peer's roster are known here by now. [R4]
+            (self.admitted, self.never_admitted) = (true, false);
         }
     }
 
-    /// Whether a majority has been heard lately.
+    /// Returns true if a majority has been heard recently.
     pub(super) fn has_majority(&self, now: f64) -> bool {
-        1 + self.here().filter(|p| p.counted && now - p.heard < HEARD).count() >= self.majority()
+        1 + self.active_peers().filter(|p| p.counted && now - p.last_heard_at < HEARD_TIMEOUT).count()
+            >= self.majority()
     }
 
-    /// Whether writes may be answered without a majority: nobody has been promised otherwise. [R5]
-    pub(super) fn free(&self, now: f64) -> bool {
-        now >= self.free_at
+    /// Returns true if writes may be answered without a majority: no promise to a peer is valid any more.
+    /// [R5]
+    pub(super) fn needs_no_majority(&self, now: f64) -> bool {
+        now >= self.majority_required_until
     }
 
-    /// Tells when a majority is lost for good, and when it is back.
-    pub(super) fn notice_alone(&mut self, now: f64) {
-        let alone = self.free(now) && !self.has_majority(now);
-        if alone != self.alone {
-            self.alone = alone;
-            self.notices.push(Notice::WithoutMajority(alone));
+    /// Adds a notice when writes begin to be answered without a majority, and when a majority is back.
+    pub(super) fn notice_majority(&mut self, now: f64) {
+        let without_majority = self.needs_no_majority(now) && !self.has_majority(now);
+        if without_majority != self.without_majority {
+            self.without_majority = without_majority;
+            self.notices.push(Notice::WithoutMajority(without_majority));
         }
     }
 }
--- a/crates/replication/src/node/logs.rs
+++ b/crates/replication/src/node/logs.rs
@@ -1,123 +1,130 @@
-//! Logs on their way: what is pushed, read, acknowledged, streamed, and swept once it has aged.
+//! Replication of logs: pushes, acknowledgements, streams, and the sweep of expired facts.
 
 use std::sync::Arc;
 
 use super::*;
 
 impl Node {
-    /// Instances whose logs are better read from a stream than by datagrams, and where they are.
+    /// Returns the peers whose logs are too far ahead to read by datagrams, with their addresses; the caller
+    /// opens streams to them.
     pub fn streams_to_open(&mut self, now: f64) -> Vec<(Arc<str>, SocketAddr)> {
-        let terms = &self.terms;
-        let far = |p: &&mut Peer| {
-            p.here()
-                && !p.streams
-                && !p.missing
-                && now - p.heard < MISSING
-                && p.told > p.copy.upto() + MIN_FACTS_TO_STREAM
+        let config = &self.config;
+        let far_behind = |p: &&mut Peer| {
+            p.is_active()
+                && !p.has_stream
+                && !p.unreachable
+                && now - p.last_heard_at < UNREACHABLE_TIMEOUT
+                && p.announced_upto > p.copy.upto() + MIN_FACTS_TO_STREAM
         };
         let mut all = Vec::new();
-        for peer in self.peers.values_mut().filter(far) {
-            peer.streams = true;
-            let to = terms.routes.get(&peer.who.name).copied().unwrap_or(peer.who.address);
-            all.push((peer.who.name.clone(), to));
+        for peer in self.peers.values_mut().filter(far_behind) {
+            peer.has_stream = true;
+            let to = config.routes.get(&peer.identity.name).copied().unwrap_or(peer.identity.address);
+            all.push((peer.identity.name.clone(), to));
         }
         all
     }
 
-    /// The first message on a stream to an instance: it goes on from what has been read.
+    /// Returns the first message on a stream to a peer: it requests the log after what has been read.
     pub fn stream_request(&mut self, name: &str) -> Option<Vec<u8>> {
-        let (start, from) = self.peers.get(name).map(|peer| (peer.who.start, peer.copy.upto()))?;
-        let head = self.head(start);
-        Some(self.keys.seal(message::encode(&head, &Body::Fetch { from })))
+        let (start, from) = self.peers.get(name).map(|peer| (peer.identity.start, peer.copy.upto()))?;
+        let header = self.next_header(start);
+        Some(self.keys.seal(message::encode(&header, &Body::Fetch { from })))
     }
 
-    /// The stream to an instance has ended; what came of it stays.
+    /// The stream to a peer has ended; what was received is retained.
     pub fn stream_ended(&mut self, name: &str) {
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.streams = false;
+            peer.has_stream = false;
         }
     }
 
-    /// A message on a stream that another has opened: from which number on it wants the log. None where it is not
-    /// authentic, or asks for something else.
+    /// Parses the first message on a stream that a peer has opened: its name and the number after which it
+    /// requests the log. Returns `None` if the message is not authentic or is no such request.
     pub fn parse_stream_request(&mut self, now: f64, bytes: &[u8]) -> Option<(Arc<str>, u64)> {
         let Some(opened) = self.keys.open(bytes) else {
             self.counts.forged += 1;
             return None;
         };
-        let (head, body) = message::decode(opened)?;
-        // A replayed one would make this one write its log to a stranger who can't make use of it.
-        let fresh = head.to == self.me.start && self.numbered(now, &head);
+        let (header, body) = message::decode(opened)?;
+        // A replayed request would make this instance send its log to a host that has no use for it.
+        let valid = header.to == self.identity.start && self.accept_header(now, &header);
         match body {
-            Some(Body::Fetch { from }) if fresh => Some((head.from.name, from)),
+            Some(Body::Fetch { from }) if valid => Some((header.from.name, from)),
             _ => None,
         }
     }
 
-    /// The next piece of the own log for a stream, and up to which number it goes; none where it has all, or where the
-    /// bound of bytes has no room for now.
+    /// Returns the next piece of the own log for a stream, and the last number that it covers. Returns `None`
+    /// if the peer has the full log, or the byte budget is used up.
     pub fn stream_piece(&mut self, now: f64, name: &str, from: u64) -> Option<(Vec<u8>, u64)> {
-        let start = self.peers.get(name).filter(|peer| peer.here())?.who.start;
-        if !self.room(now, MAX_STREAM_MESSAGE_BYTES) {
+        let start = self.peers.get(name).filter(|peer| peer.is_active())?.identity.start;
+        if !self.take_from_budget(now, MAX_STREAM_MESSAGE_BYTES) {
             return None;
         }
         let room = MAX_STREAM_MESSAGE_BYTES - SEAL_BYTES - message::MAX_HEADER_BYTES;
         let (upto, facts) = message::piece(from, self.log.upto(), self.log.after(from), room)?;
-        let head = self.head(start);
+        let header = self.next_header(start);
         let sealed =
-            self.keys.seal(message::encode(&head, &Body::Push { from, upto, end: self.log.upto(), facts }));
+            self.keys.seal(message::encode(&header, &Body::Push { from, upto, end: self.log.upto(), facts }));
         self.counts.sent_bytes += sealed.len() as u64;
         Some((sealed, upto))
     }
 
-    /// The highest number of the own log.
+    /// Returns the highest number of the own log.
     pub fn upto(&self) -> u64 {
         self.log.upto()
     }
 
-    /// Pushes what is new to those who have not read it, and says how far they have been read.
+    /// Pushes new facts to peers that have not read them, and sends pending acknowledgements.
     pub fn flush(&mut self, now: f64) {
-        (self.next_flush, self.flushed) = (None, now);
-        let (end, last) = (self.log.upto(), self.roster);
-        let wants = |peer: &&Peer| {
-            let untold = peer.met_got < last && now >= peer.tell_whom;
-            peer.got < end || untold || peer.admission.is_some() || peer.owed || peer.held.is_some()
+        (self.next_flush, self.last_flush_at) = (None, now);
+        let (end, last) = (self.log.upto(), self.roster_upto);
+        let needs_flush = |peer: &&Peer| {
+            let roster_pending = peer.received_roster < last && now >= peer.next_roster_at;
+            peer.received_upto < end
+                || roster_pending
+                || peer.admission.is_some()
+                || peer.ack_pending
+                || peer.ack_limit.is_some()
         };
-        let names: Vec<Arc<str>> = self.here().filter(wants).map(|peer| peer.who.name.clone()).collect();
+        let names: Vec<Arc<str>> =
+            self.active_peers().filter(needs_flush).map(|peer| peer.identity.name.clone()).collect();
         for name in names {
             self.admit(now, &name);
             self.push(now, &name);
-            self.tell_whom(now, &name);
-            let own = self.whom();
+            self.send_roster(now, &name);
+            let roster = self.roster_digest();
             let Some(peer) = self.peers.get_mut(&name) else { continue };
-            if peer.held.is_some_and(|(until, _, _)| now >= until) {
-                (peer.held, peer.owed) = (None, true);
+            if peer.ack_limit.is_some_and(|(until, _, _)| now >= until) {
+                (peer.ack_limit, peer.ack_pending) = (None, true);
             }
-            if std::mem::take(&mut peer.owed) {
-                let read = peer.reading(now);
-                self.send(now, &name, &Body::ReadAck { read, own }, false);
+            if std::mem::take(&mut peer.ack_pending) {
+                let read = peer.read_progress(now);
+                self.send(now, &name, &Body::ReadAck { read, roster }, false);
             }
         }
     }
 
-    /// Pushes what has gathered for long enough.
+    /// Flushes if the collection delay is over.
     pub fn flush_due(&mut self, now: f64) {
         if self.next_flush.is_some_and(|at| at <= now) {
             self.flush(now);
         }
     }
 
-    /// Facts gather for a moment, so that many writes go in few datagrams.
+    /// Schedules a flush. Facts are collected for [`FLUSH_DELAY`], so that many writes share few datagrams.
     pub(super) fn flush_soon(&mut self, now: f64) {
-        self.flush_by(now.max(self.flushed + GATHER));
+        self.flush_by(now.max(self.last_flush_at + FLUSH_DELAY));
     }
 
-    /// Word of who is there may gather for longer among many: where many start together each changes what all know.
+    /// Schedules a flush after a roster change. In larger installations such changes are collected for
+    /// longer, since many instances that start together each change the roster of all.
     pub(super) fn flush_later(&mut self, now: f64) {
-        if self.peers.len() <= FEW {
+        if self.peers.len() <= SMALL_INSTALLATION {
             self.flush_soon(now);
         } else {
-            self.flush_by(now + GATHER_WHOM);
+            self.flush_by(now + ROSTER_FLUSH_DELAY);
         }
     }
 
@@ -128,146 +135,157 @@
     pub(super) fn push(&mut self, now: f64, name: &Arc<str>) {
         let end = self.log.upto();
         let Some(peer) = self.peers.get_mut(name) else { return };
-        if peer.got >= end || peer.heard == f64::NEG_INFINITY {
+        if peer.received_upto >= end || peer.last_heard_at == f64::NEG_INFINITY {
             return;
         }
-        // To one that does not answer a piece is sent now and then; questions go on beside it.
-        let lost = peer.missing || now - peer.heard > 1.0;
-        if peer.pushed > peer.got && now >= peer.pushed_at + peer.again {
-            peer.again = (peer.again * 2.0).min(if lost { AGAIN_LOST } else { AGAIN_MOST });
-            peer.pushed = peer.got;
-        } else if lost && now < peer.pushed_at + AGAIN_LOST {
+        // A silent peer is sent one piece at a time at long intervals; requests to it continue separately.
+        let silent = peer.unreachable || now - peer.last_heard_at > 1.0;
+        if peer.pushed_upto > peer.received_upto && now >= peer.pushed_at + peer.retransmit_delay {
+            peer.retransmit_delay = (peer.retransmit_delay * 2.0).min(if silent {
+                UNREACHABLE_RETRANSMIT_DELAY
+            } else {
+                MAX_RETRANSMIT_DELAY
+            });
+            peer.pushed_upto = peer.received_upto;
+        } else if silent && now < peer.pushed_at + UNREACHABLE_RETRANSMIT_DELAY {
             return;
         }
-        // Far behind: it reads from a stream, and is asked of nothing here but what keeps a lease.
-        let far = end - peer.got > MIN_FACTS_TO_STREAM;
-        let window = if lost || far { 1 } else { WINDOW };
-        let mut from = peer.pushed.max(peer.got);
+        // A peer that lags far reads from a stream; one datagram at a time is enough here.
+        let far_behind = end - peer.received_upto > MIN_FACTS_TO_STREAM;
+        let window = if silent || far_behind { 1 } else { PUSH_WINDOW };
+        let mut from = peer.pushed_upto.max(peer.received_upto);
         let mut sent = false;
         for _ in 0..window {
             let Some((upto, facts)) = message::piece(from, end, self.log.after(from), MAX_BODY_BYTES) else {
                 break;
             };
-            // What is strict and new goes at once; what is caught up with keeps to the bound.
-            let old = end - from > LEASE_BEHIND;
-            if !self.send(now, name, &Body::Push { from, upto, end, facts }, old) {
+            // New facts are sent at once; catch-up traffic is charged to the byte budget.
+            let catching_up = end - from > MAX_LEASE_LAG;
+            if !self.send(now, name, &Body::Push { from, upto, end, facts }, catching_up) {
                 break;
             }
             (from, sent) = (upto, true);
         }
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.pushed = from;
+            peer.pushed_upto = from;
             if sent {
                 peer.pushed_at = now;
             }
         }
     }
 
-    /// Another has read this one's log so far.
-    pub(super) fn has_read(&mut self, now: f64, name: &Arc<str>, read: ReadProgress, knew: u64) {
-        let (end, last) = (self.log.upto(), self.roster);
+    /// Records how far a peer has read this instance's log.
+    pub(super) fn record_ack(&mut self, now: f64, name: &Arc<str>, read: ReadProgress, required_roster: u64) {
+        let (end, last) = (self.log.upto(), self.roster_upto);
         let Some(peer) = self.peers.get_mut(name) else { return };
-        peer.met_got = peer.met_got.max(read.met.min(last));
-        if read.got.min(end) > peer.got {
-            (peer.got, peer.again) = (read.got.min(end), AGAIN);
-            peer.pushed = peer.pushed.max(peer.got);
+        peer.received_roster = peer.received_roster.max(read.received_roster.min(last));
+        if read.received_upto.min(end) > peer.received_upto {
+            (peer.received_upto, peer.retransmit_delay) = (read.received_upto.min(end), RETRANSMIT_DELAY);
+            peer.pushed_upto = peer.pushed_upto.max(peer.received_upto);
         }
-        peer.claims.push(Claimed { sound: read.sound.min(end), whom: read.whom.min(last), knew });
-        if peer.claims.len() > 64 {
-            peer.claims.remove(0);
+        peer.pending_acks.push(PendingAck {
+            log: read.acked_upto.min(end),
+            roster: read.acked_roster.min(last),
+            required_roster,
+        });
+        if peer.pending_acks.len() > 64 {
+            peer.pending_acks.remove(0);
         }
-        self.count_reads(now, name);
+        self.apply_acks(now, name);
     }
 
-    /// What another says to have read counts once this one knows whom that one knows of. [R4]
-    pub(super) fn count_reads(&mut self, now: f64, name: &Arc<str>) {
+    /// Counts the acknowledgements of a peer once this instance knows the peer's roster of that time. [R4]
+    pub(super) fn apply_acks(&mut self, now: f64, name: &Arc<str>) {
         let Some(peer) = self.peers.get_mut(name) else { return };
-        let known = peer.whom;
-        let (mut read, mut knows) = (peer.read, peer.knows);
-        peer.claims.retain(|claim| {
-            if known >= claim.knew {
-                (read, knows) = (read.max(claim.sound), knows.max(claim.whom));
+        let known = peer.known_roster;
+        let (mut acked_upto, mut acked_roster) = (peer.acked_upto, peer.acked_roster);
+        peer.pending_acks.retain(|ack| {
+            if known >= ack.required_roster {
+                (acked_upto, acked_roster) = (acked_upto.max(ack.log), acked_roster.max(ack.roster));
             }
-            known < claim.knew
+            known < ack.required_roster
         });
-        if (read, knows) == (peer.read, peer.knows) {
+        if (acked_upto, acked_roster) == (peer.acked_upto, peer.acked_roster) {
             return;
         }
-        let reads = read > std::mem::replace(&mut peer.read, read);
-        peer.knows = knows;
-        if reads {
+        let log_advanced = acked_upto > std::mem::replace(&mut peer.acked_upto, acked_upto);
+        peer.acked_roster = acked_roster;
+        if log_advanced {
             self.flush_soon(now);
         } else {
             self.flush_later(now);
         }
-        self.count_joined();
+        self.extend_electorate();
     }
 
-    /// Who has joined counts for majorities once one knows of him, one after another. [R4]
-    pub(super) fn count_joined(&mut self) {
-        while self.here().any(|peer| !peer.counted) {
-            let mut knows: Vec<u64> =
-                self.here().filter(|peer| peer.counted).map(|peer| peer.knows).collect();
-            knows.sort_unstable_by(|a, b| b.cmp(a));
-            // This one knows them all.
+    /// Counts new instances for majorities, one after another, once a majority knows of each. [R4]
+    pub(super) fn extend_electorate(&mut self) {
+        while self.active_peers().any(|peer| !peer.counted) {
+            let mut acked: Vec<u64> =
+                self.active_peers().filter(|peer| peer.counted).map(|peer| peer.acked_roster).collect();
+            acked.sort_unstable_by(|a, b| b.cmp(a));
+            // This instance knows every entry of its own roster.
             let others = self.majority() - 1;
-            let Some(most) = others.checked_sub(1).map_or(Some(u64::MAX), |last| knows.get(last).copied())
+            let Some(known_to_majority) =
+                others.checked_sub(1).map_or(Some(u64::MAX), |last| acked.get(last).copied())
             else {
                 return;
             };
-            let known = |peer: &&mut Peer| peer.here() && !peer.counted && peer.place <= most;
+            let known = |peer: &&mut Peer| {
+                peer.is_active() && !peer.counted && peer.roster_number <= known_to_majority
+            };
             let Some(peer) = self.peers.values_mut().find(known) else { return };
             peer.counted = true;
         }
     }
 
-    /// Takes in facts of another's log.
-    pub(super) fn read(
+    /// Applies facts of a peer's log.
+    pub(super) fn apply_facts(
         &mut self,
         now: f64,
         name: &Arc<str>,
         (from, upto, end): (u64, u64, u64),
         facts: message::Facts,
     ) {
-        let Some(peer) = self.peers.get_mut(name).filter(|peer| peer.here()) else { return };
-        peer.told = peer.told.max(end);
+        let Some(peer) = self.peers.get_mut(name).filter(|peer| peer.is_active()) else { return };
+        peer.announced_upto = peer.announced_upto.max(end);
         let mut changed = BTreeSet::new();
         let mut copy = std::mem::take(&mut peer.copy);
-        let taken = copy.take((from, upto, end), message::facts(facts), |key| {
+        let applied = copy.apply((from, upto, end), message::facts(facts), |key| {
             changed.insert(key);
         });
         if let Some(floor) = copy.floor() {
             self.floor = self.floor.max(floor);
         }
-        let (mut over, mut roles) = (Vec::new(), false);
+        let (mut ended, mut claims_changed) = (Vec::new(), false);
         for key in &changed {
             match (key, copy.get(key)) {
                 (Key::Written(session), Some(Fact::Written { open, position, .. })) => {
                     let mark = WriteMark { open: *open, position: *position };
-                    self.unlist(session, name);
-                    self.sessions.entry(session.clone()).or_default().push((name.clone(), mark));
+                    self.remove_mark(session, name);
+                    self.write_marks.entry(session.clone()).or_default().push((name.clone(), mark));
                 }
-                (Key::Written(session), _) => self.unlist(session, name),
-                (Key::Ended(_), Some(Fact::Ended { who })) => over.push(who.clone()),
+                (Key::Written(session), _) => self.remove_mark(session, name),
+                (Key::Ended(_), Some(Fact::Ended { identity })) => ended.push(identity.clone()),
                 (Key::MemberStatus(member), fact) => {
-                    let word = match fact {
-                        Some(Fact::MemberStatus { since, source, version, stand, .. }) => {
-                            Some(MergedStatus::of(*source, *since, *version, *stand))
+                    let report = match fact {
+                        Some(Fact::MemberStatus { since, source, version, status, .. }) => {
+                            Some(MergedStatus::from_list(*source, *since, *version, *status))
                         }
                         _ => None,
                     };
-                    place(&mut self.standings, member.clone(), name, word);
-                    self.news = true;
+                    set_report(&mut self.member_statuses, member.clone(), name, report);
+                    self.changed = true;
                 }
                 (Key::Role(group), fact) => {
-                    let word = match fact {
+                    let report = match fact {
                         Some(Fact::Role { member, position, .. }) => {
-                            Some(PrimaryClaim::of(member.clone(), *position))
+                            Some(PrimaryClaim::new(member.clone(), *position))
                         }
                         _ => None,
                     };
-                    place(&mut self.roles, *group, name, word);
-                    (self.news, roles) = (true, true);
+                    set_report(&mut self.claims, *group, name, report);
+                    (self.changed, claims_changed) = (true, true);
                 }
                 _ => {}
             }
@@ -275,28 +293,29 @@
         if let Some(peer) = self.peers.get_mut(name) {
             peer.copy = copy;
         }
-        for who in over {
-            if who.name == self.me.name && who.start == self.me.start {
+        for identity in ended {
+            if identity.name == self.identity.name && identity.start == self.identity.start {
                 self.renew(now);
-            } else if who.name != self.me.name {
-                let earlier = self.peers.get(&who.name).is_some_and(|peer| peer.who.start <= who.start);
+            } else if identity.name != self.identity.name {
+                let earlier =
+                    self.peers.get(&identity.name).is_some_and(|peer| peer.identity.start <= identity.start);
                 if earlier {
-                    let start = self.peers.get(&who.name).map_or(0, |peer| peer.who.start);
-                    self.end(now, &who.name, start, Over::Ended);
+                    let start = self.peers.get(&identity.name).map_or(0, |peer| peer.identity.start);
+                    self.end_instance(now, &identity.name, start, EndReason::Ended);
                 }
             }
         }
-        if taken {
-            self.count_leases(name);
-            self.count_reads(now, name);
+        if applied {
+            self.apply_grants(name);
+            self.apply_acks(now, name);
         }
-        if roles {
-            self.conflicts();
+        if claims_changed {
+            self.notice_conflicts();
         }
     }
 
-    /// Two members that claim to be one group's primary are told of.
-    pub(super) fn conflicts(&mut self) {
+    /// Adds a notice for each group of which two members claim to be the primary.
+    pub(super) fn notice_conflicts(&mut self) {
         for (group, claim) in self.primary_claims() {
             if let [(first, _), (second, _), ..] = claim.all()[..] {
                 let notice = Notice::TwoPrimaries(group, first.clone(), second.clone());
@@ -307,19 +326,19 @@
         }
     }
 
-    /// Facts that have aged: sessions are no longer stated, what still holds is stated anew.
+    /// Removes expired facts: sessions are no longer published, facts that still hold are published again.
     pub(super) fn sweep(&mut self, now: f64) {
         self.views.expire(now);
-        let known: Vec<Identity> = self.here().map(|peer| peer.who.clone()).collect();
+        let known: Vec<Identity> = self.active_peers().map(|peer| peer.identity.clone()).collect();
         self.swim.announce_to_unknown(now, &known);
         let mut position = f64::NEG_INFINITY;
         let mut below = 0;
-        while let Some((number, at)) = self.stated.front().copied() {
+        while let Some((number, at)) = self.published.front().copied() {
             let crowded = self.log.len() > MAX_SESSIONS + MAX_INSTANCES;
-            if now - at < LIFE && !crowded {
+            if now - at < WRITE_MARK_RETENTION && !crowded {
                 break;
             }
-            self.stated.pop_front();
+            self.published.pop_front();
             let fact =
                 self.log.after(number - 1).next().filter(|(n, _)| *n == number).map(|(_, f)| f.clone());
             below = number;
@@ -327,34 +346,34 @@
                 Some(Fact::Written { open: false, position: written, .. }) => {
                     position = written.map_or(position, |written| position.max(written));
                 }
-                Some(Fact::MemberStatus { stand: MemberStatus::Serving, .. })
+                Some(Fact::MemberStatus { status: MemberStatus::Serving, .. })
                 | Some(Fact::Floor { .. })
                 | None => {}
-                Some(Fact::Ended { who }) if !self.shown(now, &who.name) => {}
+                Some(Fact::Ended { identity }) if !self.is_listed(now, &identity.name) => {}
                 Some(fact) => {
-                    self.state(now, fact);
+                    self.publish(now, fact);
                 }
             }
         }
         if below > 0 {
             let known = self.log.floor().unwrap_or(f64::NEG_INFINITY);
-            self.state(now, Fact::Floor { below, position: position.max(known) });
+            self.publish(now, Fact::Floor { below, position: position.max(known) });
             self.floor = self.floor.max(position);
         }
         let old: Vec<Arc<str>> = self
             .peers
             .values()
-            .filter(|peer| peer.over.is_some_and(|(_, at)| now - at > SHOWN))
-            .map(|peer| peer.who.name.clone())
+            .filter(|peer| peer.ended.is_some_and(|(_, at)| now - at > ENDED_RETENTION))
+            .map(|peer| peer.identity.name.clone())
             .collect();
         for name in old {
             if let Some(peer) = self.peers.remove(&name) {
-                self.places.remove(&peer.place);
+                self.roster_names.remove(&peer.roster_number);
             }
         }
     }
 
-    pub(super) fn shown(&self, now: f64, name: &str) -> bool {
-        self.peers.get(name).is_some_and(|peer| peer.over.is_some_and(|(_, at)| now - at <= SHOWN))
+    pub(super) fn is_listed(&self, now: f64, name: &str) -> bool {
+        self.peers.get(name).is_some_and(|peer| peer.ended.is_some_and(|(_, at)| now - at <= ENDED_RETENTION))
     }
 }
--- a/crates/replication/src/node/peer.rs
+++ b/crates/replication/src/node/peer.rs
@@ -1,168 +1,182 @@
-//! Another instance, as this one keeps it.
+//! State about a peer.
 
 use super::*;
 
 /// How an instance ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Over {
+pub(crate) enum EndReason {
     Left,
     Ended,
 }
 
-/// What one says of another that answers neither him nor this one.
+/// What a peer reports about an instance that answers neither that peer nor this instance.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Covering {
-    /// How far he has read its log.
+pub(super) struct PeerCoverage {
+    /// How far the peer has read the instance's log.
     pub upto: u64,
-    /// How many he knew when he said so.
-    pub whom: u64,
-    /// The end of it, and of the longer promise that he has from it.
+    /// Number of entries on the peer's roster when it reported.
+    pub roster: u64,
+    /// When the coverage ends, and when the instance's promise to the peer, to answer writes only with a
+    /// majority, ends.
     pub until: f64,
-    pub long: f64,
+    pub majority_only_until: f64,
 }
 
-/// What another says to have read, under the condition that those whom it knew are known here.
+/// Progress that a peer has acknowledged; it counts once this instance knows the peer's roster up to
+/// `required_roster`.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Claimed {
-    pub sound: u64,
-    pub whom: u64,
-    pub knew: u64,
+pub(super) struct PendingAck {
+    pub log: u64,
+    pub roster: u64,
+    pub required_roster: u64,
 }
 
-/// Another instance.
+/// A peer.
 #[derive(Debug)]
 pub(crate) struct Peer {
-    pub who: Identity,
-    /// Its log, as far as it has been read.
+    pub identity: Identity,
+    /// Copy of the peer's log.
     pub copy: Log,
-    /// Promises that count once the copy and whom it knows have come so far: the numbers, the lease's end, the end of the
-    /// longer promise.
-    pub(super) promised: Vec<(u64, u64, f64, f64)>,
-    /// End of the lease that counts.
-    pub lease: f64,
-    /// Until then it answers no write without a majority.
-    pub long: f64,
-    /// Coverage by others while it is missing.
-    pub(super) covers: BTreeMap<Arc<str>, Covering>,
-    /// It has once granted this one a lease: what it stated since is known here, or known to be missing.
-    pub met: bool,
-    /// The highest number that it is known to have stated.
-    pub told: u64,
-    /// When it was last heard, and when what it said last was asked for.
-    pub heard: f64,
-    pub contact: f64,
-    /// Questions without an answer: number, time, whether a lease was asked for.
-    pub(super) asked: VecDeque<(u64, f64)>,
-    pub(super) next_ask: f64,
-    pub(super) missing: bool,
-    /// How far it has read this one's log, where the next piece for it begins, and what it says under conditions.
-    pub read: u64,
-    pub(super) got: u64,
-    pub(super) claims: Vec<Claimed>,
-    /// Its place among those that this one knows.
-    pub(super) place: u64,
-    /// Up to which number those that it knows are known here; and those that this one knows to it, as far as that counts
-    /// and as far as it has been told.
-    pub(super) whom: u64,
-    pub(super) knows: u64,
-    pub(super) met_got: u64,
-    /// When it is told next whom this one knows, where it does not know it by itself.
-    pub(super) tell_whom: f64,
-    /// End of the lease that it has from this one, by this one's clock.
-    pub(super) lent: f64,
-    pub(super) pushed: u64,
+    /// Grants that take effect once the copy and the known roster have reached the given numbers: log number,
+    /// roster number, end of the lease, end of the promise to answer writes only with a majority.
+    pub(super) pending_grants: Vec<(u64, u64, f64, f64)>,
+    /// End of the lease in effect.
+    pub lease_until: f64,
+    /// Until this time the peer answers no write without a majority.
+    pub majority_only_until: f64,
+    /// Coverage of this peer by others while it is unreachable.
+    pub(super) coverage: BTreeMap<Arc<str>, PeerCoverage>,
+    /// Whether the peer has ever granted a lease: facts that it has published since are known here, or known
+    /// to be missing.
+    pub has_granted: bool,
+    /// The highest number that the peer is known to have published.
+    pub announced_upto: u64,
+    /// When a message last arrived, and when the latest answered request was sent.
+    pub last_heard_at: f64,
+    pub confirmed_at: f64,
+    /// Unanswered requests: number and time.
+    pub(super) pending_requests: VecDeque<(u64, f64)>,
+    pub(super) next_request_at: f64,
+    pub(super) unreachable: bool,
+    /// How far the peer has read this instance's log: acknowledged and counted, received, and
+    /// acknowledgements that do not count yet.
+    pub acked_upto: u64,
+    pub(super) received_upto: u64,
+    pub(super) pending_acks: Vec<PendingAck>,
+    /// Number of the peer on this instance's roster.
+    pub(super) roster_number: u64,
+    /// Number up to which the peer's roster is known here; number up to which the peer knows this instance's
+    /// roster, as acknowledged and counted, and as received.
+    pub(super) known_roster: u64,
+    pub(super) acked_roster: u64,
+    pub(super) received_roster: u64,
+    /// When the peer is next sent the entries of the roster that it does not know.
+    pub(super) next_roster_at: f64,
+    /// End of the lease granted to the peer, on this instance's clock.
+    pub(super) granted_until: f64,
+    pub(super) pushed_upto: u64,
     pub(super) pushed_at: f64,
-    pub(super) again: f64,
-    /// It is owed word of how far it has been read.
-    pub(super) owed: bool,
-    /// While this lasts its log counts as read only so far: others go by it.
-    pub(super) held: Option<(f64, u64, u64)>,
-    /// The ticket by which others get to know of it before it gets a lease.
+    pub(super) retransmit_delay: f64,
+    /// Whether an acknowledgement is to be sent to the peer.
+    pub(super) ack_pending: bool,
+    /// While this lasts, the peer's log is acknowledged only up to these numbers, since other peers rely on
+    /// coverage: end time, log number, roster number.
+    pub(super) ack_limit: Option<(f64, u64, u64)>,
+    /// Ticket that delays leases to the peer until the lessees of this instance know of it.
     pub(super) admission: Option<Ticket>,
-    /// It counts for majorities.
+    /// Whether the peer counts for majorities.
     pub counted: bool,
-    pub over: Option<(Over, f64)>,
-    /// Numbers of its messages: the highest, and which of the 64 below have come.
-    pub(super) number: u64,
-    pub(super) window: u64,
-    pub(super) views_at: usize,
-    /// Its log is read from a stream.
-    pub(super) streams: bool,
+    pub ended: Option<(EndReason, f64)>,
+    /// Replay protection: the highest message number, and a bitmap of the 64 numbers up to it that have
+    /// arrived.
+    pub(super) last_number: u64,
+    pub(super) replay_window: u64,
+    pub(super) next_view: usize,
+    /// Whether the peer's log is read from a stream.
+    pub(super) has_stream: bool,
 }
 
 impl Peer {
-    pub(super) fn new(who: Identity, now: f64) -> Peer {
+    pub(super) fn new(identity: Identity, now: f64) -> Peer {
         let never = f64::NEG_INFINITY;
         Peer {
-            who,
+            identity,
             copy: Log::default(),
-            promised: Vec::new(),
-            lease: never,
-            long: never,
-            covers: BTreeMap::new(),
-            met: false,
-            told: 0,
-            heard: never,
-            contact: never,
-            asked: VecDeque::new(),
-            next_ask: now,
-            missing: false,
-            read: 0,
-            got: 0,
-            claims: Vec::new(),
-            place: 0,
-            whom: 0,
-            knows: 0,
-            met_got: 0,
-            tell_whom: never,
-            lent: never,
-            pushed: 0,
+            pending_grants: Vec::new(),
+            lease_until: never,
+            majority_only_until: never,
+            coverage: BTreeMap::new(),
+            has_granted: false,
+            announced_upto: 0,
+            last_heard_at: never,
+            confirmed_at: never,
+            pending_requests: VecDeque::new(),
+            next_request_at: now,
+            unreachable: false,
+            acked_upto: 0,
+            received_upto: 0,
+            pending_acks: Vec::new(),
+            roster_number: 0,
+            known_roster: 0,
+            acked_roster: 0,
+            received_roster: 0,
+            next_roster_at: never,
+            granted_until: never,
+            pushed_upto: 0,
             pushed_at: never,
-            again: AGAIN,
-            owed: false,
-            held: None,
+            retransmit_delay: RETRANSMIT_DELAY,
+            ack_pending: false,
+            ack_limit: None,
             admission: None,
             counted: false,
-            over: None,
-            number: 0,
-            window: 0,
-            views_at: 0,
-            streams: false,
+            ended: None,
+            last_number: 0,
+            replay_window: 0,
+            next_view: 0,
+            has_stream: false,
         }
     }
 
-    pub fn here(&self) -> bool {
-        self.over.is_none()
+    pub fn is_active(&self) -> bool {
+        self.ended.is_none()
     }
 
-    /// How far it may be told that its log has been read, and that those whom it knows are known.
-    pub(super) fn read_so_far(&self, now: f64) -> (u64, u64) {
-        match self.held {
-            // [R3] Who goes by leases from here has to know of it before its writes count on this one.
+    /// Returns the numbers up to which the peer's log and roster may be acknowledged.
+    pub(super) fn ackable_upto(&self, now: f64) -> (u64, u64) {
+        match self.ack_limit {
+            // [R3] The lessees of this instance have to know of the peer before its writes may count on this
+            // instance.
             _ if self.admission.is_some() => (0, 0),
-            Some((until, upto, whom)) if now < until => (upto.min(self.copy.sound()), whom.min(self.whom)),
-            _ => (self.copy.sound(), self.whom),
+            Some((until, upto, roster)) if now < until => {
+                (upto.min(self.copy.complete_upto()), roster.min(self.known_roster))
+            }
+            _ => (self.copy.complete_upto(), self.known_roster),
         }
     }
 
-    pub(super) fn reading(&self, now: f64) -> ReadProgress {
-        let (sound, whom) = self.read_so_far(now);
-        ReadProgress { sound, got: self.copy.upto(), whom, met: self.whom }
+    pub(super) fn read_progress(&self, now: f64) -> ReadProgress {
+        let (acked_upto, acked_roster) = self.ackable_upto(now);
+        ReadProgress {
+            acked_upto,
+            received_upto: self.copy.upto(),
+            acked_roster,
+            received_roster: self.known_roster,
+        }
     }
 
-    /// Whether a message of this number has not come before.
-    pub(super) fn fresh(&mut self, number: u64) -> bool {
-        if number > self.number {
-            let by = number - self.number;
-            self.window = if by >= 64 { 0 } else { self.window << by } | 1;
-            self.number = number;
+    /// Returns true if no message with this number has arrived before, and records it.
+    pub(super) fn accept_number(&mut self, number: u64) -> bool {
+        if number > self.last_number {
+            let shift = number - self.last_number;
+            self.replay_window = if shift >= 64 { 0 } else { self.replay_window << shift } | 1;
+            self.last_number = number;
             return true;
         }
-        let back = self.number - number;
-        if back >= 64 || self.window & (1 << back) != 0 {
+        let age = self.last_number - number;
+        if age >= 64 || self.replay_window & (1 << age) != 0 {
             return false;
         }
-        self.window |= 1 << back;
+        self.replay_window |= 1 << age;
         true
     }
 }
--- a/crates/replication/src/node/roster.rs
+++ b/crates/replication/src/node/roster.rs
@@ -1,367 +1,401 @@
-//! Who is there: what comes of messages, joins, ends, names that are taken, this one's own end.
+//! The roster of instances: incoming messages, joins, ends, name conflicts and the shutdown of this instance.
 
 use std::sync::Arc;
 
 use super::*;
 
 impl Node {
-    /// Takes in who is there: from himself, or from what others have stated.
-    pub(super) fn know(&mut self, now: f64, who: &Identity) {
-        if who.name == self.me.name {
-            self.namesake(now, who);
+    /// Adds an instance, or a later start of one, to the roster: it was heard from directly, or reported by
+    /// another instance.
+    pub(super) fn add_instance(&mut self, now: f64, identity: &Identity) {
+        if identity.name == self.identity.name {
+            self.handle_name_conflict(now, identity);
             return;
         }
-        if let Some(peer) = self.peers.get_mut(&who.name) {
-            if who.start < peer.who.start || (who.start == peer.who.start && !peer.here()) {
+        if let Some(peer) = self.peers.get_mut(&identity.name) {
+            if identity.start < peer.identity.start
+                || (identity.start == peer.identity.start && !peer.is_active())
+            {
                 return;
             }
-            if who.start == peer.who.start {
-                peer.who = who.clone();
+            if identity.start == peer.identity.start {
+                peer.identity = identity.clone();
                 return;
             }
-            let start = peer.who.start;
-            self.end(now, &who.name, start, Over::Ended);
+            let start = peer.identity.start;
+            self.end_instance(now, &identity.name, start, EndReason::Ended);
         } else if self.peers.len() >= MAX_INSTANCES {
             return;
         }
-        let counted = self.peers.get(&who.name).is_some_and(|old| old.counted) || self.fresh;
-        let place = self.place(now, who);
-        let mut peer = Peer::new(who.clone(), now);
-        (peer.place, peer.tell_whom) = (place, now + self.wait_to_tell());
-        // [R4] Who joins counts once a majority knows of him; who has just started himself counts all that he hears
-        // of. One that comes back under its name takes its own place.
+        let counted =
+            self.peers.get(&identity.name).is_some_and(|previous| previous.counted) || self.never_admitted;
+        let number = self.add_to_roster(now, identity);
+        let mut peer = Peer::new(identity.clone(), now);
+        (peer.roster_number, peer.next_roster_at) = (number, now + self.roster_delay());
+        // [R4] A new instance counts once a majority knows of it. An instance that has just started counts
+        // all that it hears of. A restarted instance keeps its place in the electorate.
         peer.counted = counted;
-        if let Some(old) = self.peers.insert(who.name.clone(), peer) {
-            self.places.remove(&old.place);
+        if let Some(previous) = self.peers.insert(identity.name.clone(), peer) {
+            self.roster_names.remove(&previous.roster_number);
         }
-        self.due = self.due.min(now);
-        self.whole_until = f64::NEG_INFINITY;
+        self.next_tick = self.next_tick.min(now);
+        self.complete_until = f64::NEG_INFINITY;
         self.flush_later(now);
         // [R3]
-        let admission = self.wait_for(now, Awaited::Place(place), None);
-        if let Some(peer) = self.peers.get_mut(&who.name) {
+        let admission = self.issue_ticket(now, Awaited::RosterEntry(number), None);
+        if let Some(peer) = self.peers.get_mut(&identity.name) {
             peer.admission = Some(admission);
         }
-        self.notices.push(Notice::Joined(who.clone()));
-        if self.keeps {
-            self.records.push(crate::disk::Record::Seen(who.clone()));
+        self.notices.push(Notice::Joined(identity.clone()));
+        if self.stores_records {
+            self.records.push(crate::disk::Record::Seen(identity.clone()));
         }
-        self.swim.announce_to(now, who);
+        self.swim.announce_to(now, identity);
     }
 
-    /// Gives one that has become known the next place among those that this one knows.
-    fn place(&mut self, now: f64, who: &Identity) -> u64 {
-        let (before, wait) = (self.roster, self.wait_to_tell());
-        self.roster += 1;
-        self.sum = self.sum.wrapping_add(message::identity_hash(who));
-        self.places.insert(self.roster, who.name.clone());
-        for peer in self.peers.values_mut().filter(|peer| peer.met_got >= before) {
-            peer.tell_whom = now + wait;
-        }
-        self.roster
+    /// Gives an instance the next number on the roster.
+    fn add_to_roster(&mut self, now: f64, identity: &Identity) -> u64 {
+        let (before, wait) = (self.roster_upto, self.roster_delay());
+        self.roster_upto += 1;
+        self.roster_sum = self.roster_sum.wrapping_add(message::identity_hash(identity));
+        self.roster_names.insert(self.roster_upto, identity.name.clone());
+        for peer in self.peers.values_mut().filter(|peer| peer.received_roster >= before) {
+            peer.next_roster_at = now + wait;
+        }
+        self.roster_upto
     }
 
-    /// How long others have to come to know by themselves whom this one knows, before they are told by name. Where many
-    /// start together all would name all to all; there membership spreads the word, and equal sums show that it has.
-    fn wait_to_tell(&self) -> f64 {
+    /// Returns the delay before peers are sent new roster entries by name (seconds). If many instances start
+    /// together, each would name all others to all; within the delay the membership protocol spreads them,
+    /// and equal digests show that it has.
+    fn roster_delay(&self) -> f64 {
         match self.peers.len() {
-            few if few <= FEW => 0.0,
-            many => WAIT_TO_TELL + WAIT_EACH * many as f64,
+            few if few <= SMALL_INSTALLATION => 0.0,
+            many => ROSTER_DELAY + ROSTER_DELAY_PER_PEER * many as f64,
         }
     }
 
-    /// Whom this one knows.
-    pub(super) fn whom(&self) -> RosterDigest {
-        RosterDigest { upto: self.roster, sum: self.sum }
+    /// Returns the digest of the roster.
+    pub(super) fn roster_digest(&self) -> RosterDigest {
+        RosterDigest { upto: self.roster_upto, sum: self.roster_sum }
     }
 
-    /// Another has said whom it knows: with an equal sum they are the same.
-    pub(super) fn knows(&mut self, now: f64, name: &Arc<str>, theirs: RosterDigest) {
-        let same = theirs.sum == self.sum;
-        if let Some(peer) = self.peers.get_mut(name).filter(|peer| same && peer.whom < theirs.upto) {
-            peer.whom = theirs.upto;
-            peer.owed = true;
+    /// Handles the roster digest of a peer: with equal sums both know the same instances.
+    pub(super) fn compare_roster(&mut self, now: f64, name: &Arc<str>, theirs: RosterDigest) {
+        let same = theirs.sum == self.roster_sum;
+        if let Some(peer) = self.peers.get_mut(name).filter(|peer| same && peer.known_roster < theirs.upto) {
+            peer.known_roster = theirs.upto;
+            peer.ack_pending = true;
             self.flush_later(now);
-            self.count_leases(name);
-            self.count_reads(now, name);
+            self.apply_grants(name);
+            self.apply_acks(now, name);
         }
     }
 
-    /// Tells another whom this one knows, as far as it does not know them.
-    pub(super) fn tell_whom(&mut self, now: f64, name: &Arc<str>) {
-        let last = self.roster;
+    /// Sends a peer the entries of the roster that it does not know.
+    pub(super) fn send_roster(&mut self, now: f64, name: &Arc<str>) {
+        let last = self.roster_upto;
         let Some(peer) = self.peers.get_mut(name) else { return };
-        if peer.met_got >= last || peer.heard == f64::NEG_INFINITY || now < peer.tell_whom {
+        if peer.received_roster >= last
+            || peer.last_heard_at == f64::NEG_INFINITY
+            || now < peer.next_roster_at
+        {
             return;
         }
-        let from = peer.met_got;
-        peer.tell_whom = now + if peer.missing { AGAIN_LOST } else { AGAIN_MOST };
-        let (mut who, mut upto, mut used) = (Vec::new(), last, 32);
+        let from = peer.received_roster;
+        peer.next_roster_at =
+            now + if peer.unreachable { UNREACHABLE_RETRANSMIT_DELAY } else { MAX_RETRANSMIT_DELAY };
+        let (mut instances, mut upto, mut used) = (Vec::new(), last, 32);
         let mut before = from;
-        for (place, known) in self.places.range(from + 1..) {
-            let Some(peer) = self.peers.get(known).filter(|peer| peer.here()) else { continue };
-            used += peer.who.name.len() + peer.who.zone.len() + 40;
+        for (number, name) in self.roster_names.range(from + 1..) {
+            let Some(peer) = self.peers.get(name).filter(|peer| peer.is_active()) else { continue };
+            used += peer.identity.name.len() + peer.identity.zone.len() + 40;
             if used > MAX_BODY_BYTES {
                 upto = before;
                 break;
             }
-            before = *place;
-            who.push(peer.who.clone());
+            before = *number;
+            instances.push(peer.identity.clone());
         }
-        self.send(now, name, &Body::Roster { from, upto, instances: who }, true);
+        self.send(now, name, &Body::Roster { from, upto, instances }, true);
     }
 
-    /// Another has told whom it knows.
-    fn told_whom(&mut self, now: f64, name: &Arc<str>, from: u64, upto: u64, who: &[Identity]) {
-        if self.peers.get(name).is_none_or(|peer| peer.whom < from) {
+    /// Handles roster entries from a peer.
+    fn handle_roster(&mut self, now: f64, name: &Arc<str>, from: u64, upto: u64, instances: &[Identity]) {
+        if self.peers.get(name).is_none_or(|peer| peer.known_roster < from) {
             return;
         }
-        who.iter().for_each(|who| self.know(now, who));
+        instances.iter().for_each(|identity| self.add_instance(now, identity));
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.whom = peer.whom.max(upto);
-            peer.owed = true;
+            peer.known_roster = peer.known_roster.max(upto);
+            peer.ack_pending = true;
         }
         self.flush_later(now);
-        self.count_leases(name);
-        self.count_reads(now, name);
+        self.apply_grants(name);
+        self.apply_acks(now, name);
     }
 
-    /// Somebody has this one's name. Of an earlier start it is old word; a later one, elsewhere, has taken the name.
-    pub(super) fn namesake(&mut self, now: f64, who: &Identity) {
-        if who.start == self.me.start {
+    /// Handles an identity with this instance's name. An earlier start is outdated information; a later start
+    /// has taken over the name.
+    pub(super) fn handle_name_conflict(&mut self, now: f64, identity: &Identity) {
+        if identity.start == self.identity.start {
             return;
         }
-        if who.start > self.me.start && !self.stood_down {
-            self.swim.resolve_name_conflict(now, who);
-            self.stood_down = true;
-            self.notices.push(Notice::Conflict(who.address));
+        if identity.start > self.identity.start && !self.stepped_down {
+            self.swim.resolve_name_conflict(now, identity);
+            self.stepped_down = true;
+            self.notices.push(Notice::Conflict(identity.address));
         }
     }
 
-    /// An instance, or an earlier start of it, is over.
-    pub(super) fn end(&mut self, now: f64, name: &Arc<str>, start: u64, how: Over) {
-        // Looked at first: what is known now of what it stated decides what becomes of it.
-        let known = self.known_whole(now, name);
-        let Some(peer) = self.peers.get_mut(name).filter(|peer| peer.here() && peer.who.start == start)
+    /// Ends an instance, or an earlier start of it.
+    pub(super) fn end_instance(&mut self, now: f64, name: &Arc<str>, start: u64, reason: EndReason) {
+        // Evaluated first: what is known of the instance's log now decides how its writes are retained.
+        let complete = self.log_is_complete(now, name);
+        let Some(peer) =
+            self.peers.get_mut(name).filter(|peer| peer.is_active() && peer.identity.start == start)
         else {
             return;
         };
-        peer.over = Some((how, now));
+        peer.ended = Some((reason, now));
         let copy = std::mem::take(&mut peer.copy);
-        let who = peer.who.clone();
-        // [R7] What it may have answered and this one has not read raises the floor: for the sessions that it had
-        // writes of under way, where all that it stated is known, else for all.
-        let until_now = now + self.terms.clock_error;
-        let mut unread = !known;
+        let identity = peer.identity.clone();
+        // [R7] Writes that it may have answered and that have not been read here raise the floor. If its log
+        // is completely known, that is limited to the sessions with writes in progress there; else it applies
+        // to all sessions.
+        let until_now = now + self.config.clock_error;
+        let mut raise_floor = !complete;
         for (_, fact) in copy.facts() {
             if let Fact::Written { session, open, position } = fact {
-                self.unlist(session, name);
+                self.remove_mark(session, name);
                 let position = if *open { Some(until_now) } else { *position };
-                if let (true, Some(position)) = (known, position) {
-                    unread |= !self.remember_past(now, session.clone(), position);
+                if let (true, Some(position)) = (complete, position) {
+                    raise_floor |= !self.retain_mark(now, session.clone(), position);
                 }
             }
         }
-        for words in self.standings.values_mut() {
-            words.remove(name);
+        for reports in self.member_statuses.values_mut() {
+            reports.remove(name);
         }
-        for words in self.roles.values_mut() {
-            words.remove(name);
+        for reports in self.claims.values_mut() {
+            reports.remove(name);
         }
-        self.standings.retain(|_, words| !words.is_empty());
-        self.roles.retain(|_, words| !words.is_empty());
+        self.member_statuses.retain(|_, reports| !reports.is_empty());
+        self.claims.retain(|_, reports| !reports.is_empty());
         if let Some(floor) = copy.floor() {
             self.floor = self.floor.max(floor);
         }
-        if unread {
+        if raise_floor {
             self.floor = self.floor.max(until_now);
         }
-        self.whole_until = f64::NEG_INFINITY;
+        self.complete_until = f64::NEG_INFINITY;
         self.views.remove_observer(name);
-        self.news = true;
-        self.sum = self.sum.wrapping_sub(message::identity_hash(&who));
-        self.state(now, Fact::Ended { who: who.clone() });
-        if self.keeps {
-            self.records.push(crate::disk::Record::Ended(who.clone()));
-        }
-        self.notices.push(if how == Over::Left { Notice::Left(who) } else { Notice::Ended(who, !unread) });
+        self.changed = true;
+        self.roster_sum = self.roster_sum.wrapping_sub(message::identity_hash(&identity));
+        self.publish(now, Fact::Ended { identity: identity.clone() });
+        if self.stores_records {
+            self.records.push(crate::disk::Record::Ended(identity.clone()));
+        }
+        self.notices.push(if reason == EndReason::Left {
+            Notice::Left(identity)
+        } else {
+            Notice::Ended(identity, !raise_floor)
+        });
     }
 
-    pub(super) fn remember_past(&mut self, now: f64, session: Arc<str>, position: f64) -> bool {
-        while self.past_order.front().is_some_and(|(until, _)| *until <= now) {
-            let Some((until, old)) = self.past_order.pop_front() else { break };
-            if self.past.get(&old).is_some_and(|(_, kept)| *kept <= until) {
-                self.past.remove(&old);
+    pub(super) fn retain_mark(&mut self, now: f64, session: Arc<str>, position: f64) -> bool {
+        while self.ended_marks_expiry.front().is_some_and(|(until, _)| *until <= now) {
+            let Some((until, session_key)) = self.ended_marks_expiry.pop_front() else { break };
+            if self.ended_marks.get(&session_key).is_some_and(|(_, mark)| *mark <= until) {
+                self.ended_marks.remove(&session_key);
             }
         }
-        if self.past.len() >= PAST {
+        if self.ended_marks.len() >= MAX_ENDED_MARKS {
             return false;
         }
-        let until = now + LIFE;
-        let kept = self.past.entry(session.clone()).or_insert((position, until));
-        *kept = (kept.0.max(position), until);
-        self.past_order.push_back((until, session));
+        let until = now + WRITE_MARK_RETENTION;
+        let mark = self.ended_marks.entry(session.clone()).or_insert((position, until));
+        *mark = (mark.0.max(position), until);
+        self.ended_marks_expiry.push_back((until, session));
         true
     }
 
-    pub(super) fn unlist(&mut self, session: &Arc<str>, author: &Arc<str>) {
-        if let Some(marks) = self.sessions.get_mut(session) {
+    pub(super) fn remove_mark(&mut self, session: &Arc<str>, author: &Arc<str>) {
+        if let Some(marks) = self.write_marks.get_mut(session) {
             marks.retain(|(name, _)| name != author);
             if marks.is_empty() {
-                self.sessions.remove(session);
+                self.write_marks.remove(session);
             }
         }
     }
 
-    /// Whether a message's number is new; takes in who speaks.
-    pub(super) fn numbered(&mut self, now: f64, head: &Header) -> bool {
-        if head.from.name == self.me.name {
-            self.namesake(now, &head.from);
+    /// Returns true if the number of a message is new; adds the sender to the roster.
+    pub(super) fn accept_header(&mut self, now: f64, header: &Header) -> bool {
+        if header.from.name == self.identity.name {
+            self.handle_name_conflict(now, &header.from);
             return false;
         }
-        let earlier = self.peers.get(&head.from.name).is_some_and(|peer| {
-            head.from.start < peer.who.start || (head.from.start == peer.who.start && !peer.here())
+        let earlier = self.peers.get(&header.from.name).is_some_and(|peer| {
+            header.from.start < peer.identity.start
+                || (header.from.start == peer.identity.start && !peer.is_active())
         });
         if earlier {
-            // One that has been written off and lives has to hear of it: it goes on under a new start.
+            // An instance that was declared ended but is running has to be notified, so that it continues
+            // under a new start.
             let ended = |p: &&Peer| {
-                p.who.start == head.from.start && p.over.is_some_and(|(how, _)| how == Over::Ended)
+                p.identity.start == header.from.start
+                    && p.ended.is_some_and(|(reason, _)| reason == EndReason::Ended)
             };
-            if self.peers.get(&head.from.name).filter(ended).is_some() && head.number.is_multiple_of(4) {
-                let name = head.from.name.clone();
-                self.send(now, &name, &Body::Ended { start: head.from.start }, true);
+            if self.peers.get(&header.from.name).filter(ended).is_some() && header.number.is_multiple_of(4) {
+                let name = header.from.name.clone();
+                self.send(now, &name, &Body::Ended { start: header.from.start }, true);
             }
             return false;
         }
-        self.know(now, &head.from);
-        let Some(peer) = self.peers.get_mut(&head.from.name) else { return false };
-        if !peer.fresh(head.number) {
+        self.add_instance(now, &header.from);
+        let Some(peer) = self.peers.get_mut(&header.from.name) else { return false };
+        if !peer.accept_number(header.number) {
             return false;
         }
-        peer.heard = now;
-        if std::mem::take(&mut peer.missing) {
-            self.notices.push(Notice::Reachable(head.from.name.clone()));
-            if let Some(peer) = self.peers.get_mut(&head.from.name) {
-                (peer.again, peer.next_ask) = (AGAIN, peer.next_ask.min(now));
+        peer.last_heard_at = now;
+        if std::mem::take(&mut peer.unreachable) {
+            self.notices.push(Notice::Reachable(header.from.name.clone()));
+            if let Some(peer) = self.peers.get_mut(&header.from.name) {
+                (peer.retransmit_delay, peer.next_request_at) =
+                    (RETRANSMIT_DELAY, peer.next_request_at.min(now));
             }
         }
         true
     }
 
-    pub(super) fn hear(&mut self, now: f64, head: Header, body: Body) {
-        // A seed that is this one itself answers to no question.
-        if head.from.name == self.me.name && head.from.start == self.me.start {
-            if let Body::LeaseRequest { question, .. } = body {
-                if let Some((_, seed)) = self.seed_asked.iter().find(|(asked, _)| *asked == question).copied()
+    pub(super) fn handle_message(&mut self, now: f64, header: Header, body: Body) {
+        // A seed that is this instance's own address answers no request.
+        if header.from.name == self.identity.name && header.from.start == self.identity.start {
+            if let Body::LeaseRequest { request, .. } = body {
+                if let Some((_, seed)) =
+                    self.seed_requests.iter().find(|(number, _)| *number == request).copied()
                 {
-                    self.unmet.remove(&seed);
-                    self.admitted |= self.unmet.is_empty() && self.peers.is_empty();
+                    self.unanswered_seeds.remove(&seed);
+                    self.admitted |= self.unanswered_seeds.is_empty() && self.peers.is_empty();
                 }
             }
             return;
         }
-        if (head.to != 0 && head.to != self.me.start) || !self.numbered(now, &head) {
+        if (header.to != 0 && header.to != self.identity.start) || !self.accept_header(now, &header) {
             self.counts.replayed += 1;
             return;
         }
-        let name = head.from.name.clone();
+        let name = header.from.name.clone();
         match body {
-            Body::LeaseRequest { question, read, own, lease, missing } => {
-                self.knows(now, &name, own);
-                if head.to == self.me.start {
-                    self.has_read(now, &name, read, own.upto);
+            Body::LeaseRequest { request, read, roster, lease, unreachable } => {
+                self.compare_roster(now, &name, roster);
+                if header.to == self.identity.start {
+                    self.record_ack(now, &name, read, roster.upto);
                 }
-                self.grant(now, &name, question, lease, &missing);
+                self.answer_request(now, &name, request, lease, &unreachable);
             }
-            Body::LeaseGrant { question, upto, own, lease_ms, long_ms, covers } => {
-                self.knows(now, &name, own);
-                self.granted(now, &name, question, (upto, own.upto, lease_ms, long_ms), covers);
+            Body::LeaseGrant { request, upto, roster, lease_ms, majority_only_ms, coverage } => {
+                self.compare_roster(now, &name, roster);
+                self.handle_grant(
+                    now,
+                    &name,
+                    request,
+                    (upto, roster.upto, lease_ms, majority_only_ms),
+                    coverage,
+                );
             }
-            Body::Roster { from, upto, instances: who } => self.told_whom(now, &name, from, upto, &who),
+            Body::Roster { from, upto, instances } => self.handle_roster(now, &name, from, upto, &instances),
             Body::Push { from, upto, end, facts } => {
-                self.read(now, &name, (from, upto, end), facts);
+                self.apply_facts(now, &name, (from, upto, end), facts);
                 if let Some(peer) = self.peers.get_mut(&name) {
-                    peer.owed = true;
+                    peer.ack_pending = true;
                 }
                 self.flush_soon(now);
             }
             Body::Relayed { author, from, upto, end, facts } => {
-                // Only of the start that is known, and never what this one could read itself.
-                let fits = |p: &Peer| p.who.start == author.start && p.here() && now >= p.lease;
-                if self.peers.get(&author.name).is_some_and(fits) {
-                    self.read(now, &author.name, (from, upto, end), facts);
+                // Only for the known start, and only while this instance has no valid lease on that log itself.
+                let usable =
+                    |p: &Peer| p.identity.start == author.start && p.is_active() && now >= p.lease_until;
+                if self.peers.get(&author.name).is_some_and(usable) {
+                    self.apply_facts(now, &author.name, (from, upto, end), facts);
                 }
             }
-            Body::ReadAck { read, own } => {
-                self.knows(now, &name, own);
-                self.has_read(now, &name, read, own.upto);
+            Body::ReadAck { read, roster } => {
+                self.compare_roster(now, &name, roster);
+                self.record_ack(now, &name, read, roster.upto);
             }
-            Body::Views { round, views, usage: uses } => {
-                let start = head.from.start;
+            Body::Views { round, views, usage } => {
+                let start = header.from.start;
                 self.views.record(now, &name, start, round, views);
-                self.views.record_usage(now, &name, start, round, uses);
+                self.views.record_usage(now, &name, start, round, usage);
             }
             Body::Swim(bytes) => self.swim.receive(now, &bytes),
             Body::Leave { upto } => {
-                let whole = self.peers.get(&name).is_some_and(|peer| peer.copy.sound() >= upto);
-                // It says so again until all is read; who goes without waiting leaves the rest to the floor.
-                if whole {
-                    let start = head.from.start;
+                let complete = self.peers.get(&name).is_some_and(|peer| peer.copy.complete_upto() >= upto);
+                // The leaving instance repeats this until its log has been read; if it exits without waiting,
+                // the floor covers the rest.
+                if complete {
+                    let start = header.from.start;
                     if let Some(peer) = self.peers.get_mut(&name) {
-                        peer.lease = f64::INFINITY;
+                        peer.lease_until = f64::INFINITY;
                     }
-                    let own = self.whom();
-                    let read = ReadProgress { sound: upto, got: upto, ..ReadProgress::default() };
-                    self.send(now, &name, &Body::ReadAck { read, own }, false);
-                    self.end(now, &name, start, Over::Left);
+                    let roster = self.roster_digest();
+                    let read =
+                        ReadProgress { acked_upto: upto, received_upto: upto, ..ReadProgress::default() };
+                    self.send(now, &name, &Body::ReadAck { read, roster }, false);
+                    self.end_instance(now, &name, start, EndReason::Left);
                 }
             }
-            Body::Ended { start } if start == self.me.start => self.renew(now),
+            Body::Ended { start } if start == self.identity.start => self.renew(now),
             Body::Ended { .. } | Body::Fetch { .. } => {}
         }
     }
 
-    /// Others have called this start over: it goes on as a new one, whose writes wait until they know of it.
+    /// Continues under a new start after peers have declared this one ended. Its writes wait until peers know
+    /// the new start.
     pub(super) fn renew(&mut self, now: f64) {
-        self.sum = self.sum.wrapping_sub(message::identity_hash(&self.me));
-        self.me.start += 1;
-        self.sum = self.sum.wrapping_add(message::identity_hash(&self.me));
-        let own = Identity { renewal: 0, ..self.me.clone() };
+        self.roster_sum = self.roster_sum.wrapping_sub(message::identity_hash(&self.identity));
+        self.identity.start += 1;
+        self.roster_sum = self.roster_sum.wrapping_add(message::identity_hash(&self.identity));
+        let own = Identity { renewal: 0, ..self.identity.clone() };
         self.swim = Swim::new(own, self.rng);
-        (self.admitted, self.admit_by) = (false, now + self.terms.lease);
-        self.free_at = self.free_at.max(lessor_end(now, self.long()));
+        (self.admitted, self.admit_by) = (false, now + self.config.lease);
+        self.majority_required_until =
+            self.majority_required_until.max(lessor_end(now, self.majority_only_time()));
         for peer in self.peers.values_mut() {
-            (peer.read, peer.got, peer.pushed) = (0, 0, 0);
-            (peer.knows, peer.met_got) = (0, 0);
-            (peer.lent, peer.next_ask) = (f64::NEG_INFINITY, now);
-            peer.claims.clear();
-            peer.asked.clear();
-        }
-        let until = lessor_end(now, self.terms.lease);
-        let lessees: Vec<(Arc<str>, f64)> = self.here().map(|p| (p.who.name.clone(), until)).collect();
-        // All that is under way is stated anew: who knew it of the earlier start has dropped it.
-        let open: Vec<Arc<str>> = self.open.keys().cloned().collect();
+            (peer.acked_upto, peer.received_upto, peer.pushed_upto) = (0, 0, 0);
+            (peer.acked_roster, peer.received_roster) = (0, 0);
+            (peer.granted_until, peer.next_request_at) = (f64::NEG_INFINITY, now);
+            peer.pending_acks.clear();
+            peer.pending_requests.clear();
+        }
+        let until = lessor_end(now, self.config.lease);
+        let lessees: Vec<(Arc<str>, f64)> =
+            self.active_peers().map(|p| (p.identity.name.clone(), until)).collect();
+        // All writes in progress are published again, since peers have dropped the facts of the earlier
+        // start.
+        let open: Vec<Arc<str>> = self.open_writes.keys().cloned().collect();
         for session in open {
             let position = self.own_mark(&Key::Written(session.clone())).position;
-            let number = self.state(now, Fact::Written { session: session.clone(), open: true, position });
-            for waiting in self.waiting.values_mut().filter(|w| w.session.as_ref() == Some(&session)) {
-                waiting.awaited = Awaited::Fact(number);
-                // Who knew it of the earlier start has to read it of this one.
-                waiting.lessees = lessees.clone();
+            let number = self.publish(now, Fact::Written { session: session.clone(), open: true, position });
+            for pending in self.pending.values_mut().filter(|w| w.session.as_ref() == Some(&session)) {
+                pending.awaited = Awaited::Fact(number);
+                // Peers that knew the fact from the earlier start have to read it from this one.
+                pending.lessees = lessees.clone();
             }
         }
-        let known: Vec<Identity> = self.here().map(|peer| peer.who.clone()).collect();
+        let known: Vec<Identity> = self.active_peers().map(|peer| peer.identity.clone()).collect();
         self.swim.announce_to_unknown(now, &known);
-        self.notices.push(Notice::Renewed(self.me.start));
-        if self.keeps {
-            self.records.push(crate::disk::Record::Start(self.me.start));
+        self.notices.push(Notice::Renewed(self.identity.start));
+        if self.stores_records {
+            self.records.push(crate::disk::Record::Start(self.identity.start));
         }
     }
 
-    /// Carries out what membership wants.
-    pub(super) fn settle(&mut self, now: f64) {
-        let (out, notices) = self.swim.take_output();
-        for (to, bytes) in out {
+    /// Carries out the output of the membership protocol.
+    pub(super) fn apply_membership_output(&mut self, now: f64) {
+        let (datagrams, notices) = self.swim.take_output();
+        for (to, bytes) in datagrams {
             let name = to.name.clone();
             if self.peers.contains_key(&name) {
                 self.send(now, &name, &Body::Swim(bytes), false);
@@ -369,47 +403,47 @@
         }
         for notice in notices {
             match notice {
-                membership::Notice::Up(who) => self.know(now, &who),
-                membership::Notice::Down(who) => self.notices.push(Notice::Suspected(who.name)),
+                membership::Notice::Up(identity) => self.add_instance(now, &identity),
+                membership::Notice::Down(identity) => self.notices.push(Notice::Suspected(identity.name)),
                 membership::Notice::Rejoined => {}
                 membership::Notice::Conflict => {}
             }
         }
     }
 
-    /// An operator says that an instance is over and does not come back: by its name, or the address of a seed that never
-    /// answered. Whether there is one.
+    /// Declares an instance ended for good on behalf of an operator: by its name, or by the address of a seed
+    /// that never answered. Returns false if there is none.
     pub fn forget_instance(&mut self, now: f64, name: &str) -> bool {
-        if let Some(seed) = name.parse().ok().filter(|seed| self.unmet.contains(seed)) {
-            self.unmet.remove(&seed);
+        if let Some(seed) = name.parse().ok().filter(|seed| self.unanswered_seeds.contains(seed)) {
+            self.unanswered_seeds.remove(&seed);
             return true;
         }
-        match self.peers.get(name).filter(|peer| peer.here()) {
+        match self.peers.get(name).filter(|peer| peer.is_active()) {
             Some(peer) => {
-                let (name, start) = (peer.who.name.clone(), peer.who.start);
-                self.end(now, &name, start, Over::Ended);
+                let (name, start) = (peer.identity.name.clone(), peer.identity.start);
+                self.end_instance(now, &name, start, EndReason::Ended);
                 true
             }
             None => false,
         }
     }
 
-    /// This instance ends: all its writes are answered. Said to all, and to be called again until it returns true or
-    /// patience ends.
+    /// Announces to all peers that this instance shuts down after all its writes have been answered. To be
+    /// called repeatedly until it returns true or the caller's time limit is over.
     pub fn leave(&mut self, now: f64) -> bool {
-        self.turn(now);
+        self.begin_call(now);
         let upto = self.log.upto();
-        let names: Vec<Arc<str>> = self.here().map(|peer| peer.who.name.clone()).collect();
-        let mut all = true;
+        let names: Vec<Arc<str>> = self.active_peers().map(|peer| peer.identity.name.clone()).collect();
+        let mut all_read = true;
         for name in names {
-            let lags = self.peers.get(&name).is_some_and(|peer| peer.read < upto && !peer.missing);
-            all &= !lags;
+            let lags = self.peers.get(&name).is_some_and(|peer| peer.acked_upto < upto && !peer.unreachable);
+            all_read &= !lags;
             self.send(now, &name, &Body::Leave { upto }, false);
         }
         self.flush(now);
-        if all {
+        if all_read {
             self.swim.leave(now);
         }
-        all
+        all_read
     }
 }
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/status.rs
@@ -1,4 +1,4 @@
-//! What people are told of an instance and the others.
+//! Status of an instance and its peers as shown to operators.
 
 use std::sync::Arc;
 
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use crate::node::{Node, Over};
+use crate::node::{EndReason, Node};
 
-/// Another instance, or this one.
+/// A peer, or this instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub struct Instance {
@@ -18,20 +18,21 @@
     pub start: u64,
     /// `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// For how long nothing that it said has been known to be current (seconds); absent where it never was.
+    /// Time since the peer's state was last confirmed to be current (seconds); absent if it never was.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub behind_s: Option<f64>,
-    /// Facts of its log that have not been read here, and of this one's log that it has not read.
+    /// Number of facts of its log that have not been read here, and of this instance's log that it has not
+    /// read.
     pub to_read: u64,
     pub unread: u64,
     /// Whether it counts for majorities.
     pub counted: bool,
-    /// What it works by, as it says.
+    /// The versions that it reports to use.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub versions: Option<Versions>,
 }
 
-/// What an instance works by.
+/// Versions that an instance uses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub struct Versions {
@@ -40,22 +41,22 @@
     pub program: String,
 }
 
-/// Where an instance stands.
+/// Status of an instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub struct Status {
     #[serde(rename = "self")]
     pub own: String,
     pub instances: Vec<Instance>,
-    /// Equal where copies are equal.
+    /// Equal on two instances if they know the same facts.
     pub digest: String,
-    /// Whether reads of sessions go by what is known; else why they go to the primary.
+    /// Whether reads of sessions may use replicas; if false, `why` says why they go to the primary.
     pub whole: bool,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub why: Option<String>,
-    /// Seeds that nobody has answered at.
+    /// Seeds at which no instance has answered.
     pub unmet: Vec<String>,
-    /// Whether writes are answered though no majority is there.
+    /// Whether writes are answered without a majority.
     pub alone: bool,
     pub facts: usize,
     pub sessions: usize,
@@ -68,16 +69,16 @@
 }
 
 impl Node {
-    /// Where it stands.
+    /// Returns the status.
     pub fn status(&mut self, now: f64) -> Status {
         let why = self.primary_reason(now);
         let swim = self.swim.instances();
         let end = self.upto();
         let mut instances = vec![Instance {
-            name: self.me.name.to_string(),
-            zone: self.me.zone.to_string(),
-            address: self.me.address.to_string(),
-            start: self.me.start,
+            name: self.identity.name.to_string(),
+            zone: self.identity.zone.to_string(),
+            address: self.identity.address.to_string(),
+            start: self.identity.start,
             state: "alive".into(),
             behind_s: Some(0.0),
             to_read: 0,
@@ -86,39 +87,40 @@
             versions: versions(&self.log),
         }];
         for peer in self.peers.values() {
-            let known = swim.get(&peer.who.name).filter(|(who, _)| who.start >= peer.who.start);
-            let silent = now - peer.heard;
-            let state = match (peer.over, known.map(|(_, state)| *state)) {
-                (Some((Over::Left, _)), _) => "left",
-                (Some((Over::Ended, _)), _) => "dead",
-                // What has just been heard from itself goes before what others think.
-                (None, Some(State::Dead)) if silent > 2.0 => "dead",
-                (None, Some(State::Alive) | None) if silent < 5.0 => "alive",
+            let membership_state =
+                swim.get(&peer.identity.name).filter(|(identity, _)| identity.start >= peer.identity.start);
+            let silence = now - peer.last_heard_at;
+            let state = match (peer.ended, membership_state.map(|(_, state)| *state)) {
+                (Some((EndReason::Left, _)), _) => "left",
+                (Some((EndReason::Ended, _)), _) => "dead",
+                // A message that has just arrived from the peer outweighs what the membership protocol says.
+                (None, Some(State::Dead)) if silence > 2.0 => "dead",
+                (None, Some(State::Alive) | None) if silence < 5.0 => "alive",
                 (None, Some(State::Alive) | None) => "dead",
-                (None, _) if silent < 1.0 => "alive",
+                (None, _) if silence < 1.0 => "alive",
                 (None, _) => "suspect",
             };
             instances.push(Instance {
-                name: peer.who.name.to_string(),
-                zone: peer.who.zone.to_string(),
-                address: peer.who.address.to_string(),
-                start: peer.who.start,
+                name: peer.identity.name.to_string(),
+                zone: peer.identity.zone.to_string(),
+                address: peer.identity.address.to_string(),
+                start: peer.identity.start,
                 state: state.into(),
-                behind_s: peer.contact.is_finite().then_some(now - peer.contact),
-                to_read: peer.told.saturating_sub(peer.copy.upto()),
-                unread: end.saturating_sub(peer.read),
+                behind_s: peer.confirmed_at.is_finite().then_some(now - peer.confirmed_at),
+                to_read: peer.announced_upto.saturating_sub(peer.copy.upto()),
+                unread: end.saturating_sub(peer.acked_upto),
                 counted: peer.counted,
                 versions: versions(&peer.copy),
             });
         }
         let counts = self.counts;
         Status {
-            own: self.me.name.to_string(),
+            own: self.identity.name.to_string(),
             instances,
             digest: self.digest(),
             whole: why.is_none(),
             why: why.map(|why| why.description().into()),
-            unmet: self.unmet.iter().map(ToString::to_string).collect(),
+            unmet: self.unanswered_seeds.iter().map(ToString::to_string).collect(),
             alone: self.is_without_majority(),
             facts: self.log.len() + self.peers.values().map(|peer| peer.copy.len()).sum::<usize>(),
             sessions: self.tracked_sessions(),
@@ -131,31 +133,40 @@
         }
     }
 
-    /// Why a session's read goes where it goes, a line for each that has a say.
+    /// Explains the routing of a session's reads: a line for each author and each peer that affects it.
     pub fn explain(&self, now: f64, session: &str) -> Vec<String> {
-        let mut lines = vec![format!("any session may have written up to {:.3}", self.floor())];
+        let mut lines = vec![format!("any session may have written up to position {:.3}", self.floor())];
         for (author, mark) in self.session_marks(session) {
-            let position = mark.position.map_or("nothing".into(), |position| format!("{position:.3}"));
-            let open = if mark.open { ", and a write is under way" } else { "" };
-            lines.push(format!("{author}: has written at {position}{open}"));
+            let position = mark
+                .position
+                .map_or("no answered write".into(), |position| format!("last write at {position:.3}"));
+            let open = if mark.open { ", and a write is in progress" } else { "" };
+            lines.push(format!("{author}: {position}{open}"));
         }
         for peer in self.peers.values() {
-            let what = match peer.over {
-                Some((_, at)) => format!("over since {:.3} s", now - at),
-                None if now < peer.lease => format!("its log is current for {:.3} s more", peer.lease - now),
-                None if self.covered(now, peer) => "answers nobody, and all it stated is known".into(),
-                None => format!("nothing is known of it since {:.3} s", now - peer.contact),
+            let state = match peer.ended {
+                Some((_, at)) => format!("ended {:.3} s ago", now - at),
+                None if now < peer.lease_until => {
+                    format!("its log is current for another {:.3} s", peer.lease_until - now)
+                }
+                None if self.is_covered(now, peer) => {
+                    "unreachable, but all that it published is known".into()
+                }
+                None => format!("its log was last confirmed current {:.3} s ago", now - peer.confirmed_at),
             };
-            lines.push(format!("{} (start {}): {what}", peer.who.name, peer.who.start));
+            lines.push(format!("{} (start {}): {state}", peer.identity.name, peer.identity.start));
         }
         lines
     }
 
-    /// Tells whether two instances hold the same: over all facts of all that are there.
+    /// Returns a digest over the facts of all running instances; equal on two instances that know the same.
     pub fn digest(&self) -> String {
-        let mut all = vec![(self.me.name.clone(), self.me.start, self.log.digest(&self.me.name))];
-        let here = self.here();
-        all.extend(here.map(|p| (p.who.name.clone(), p.who.start, p.copy.digest(&p.who.name))));
+        let mut all =
+            vec![(self.identity.name.clone(), self.identity.start, self.log.digest(&self.identity.name))];
+        let peers = self.active_peers();
+        all.extend(
+            peers.map(|p| (p.identity.name.clone(), p.identity.start, p.copy.digest(&p.identity.name))),
+        );
         all.sort();
         let mut hash = Sha256::new();
         for (name, start, digest) in all {
@@ -167,11 +178,11 @@
         hex::encode(&hash.finalize()[..16])
     }
 
-    /// The digest of each author's facts: what differs between two instances is looked for by these.
+    /// Returns the digest of each author's facts, which shows in which logs two instances differ.
     pub fn digests(&self) -> Vec<(Arc<str>, String)> {
-        let mut all = vec![(self.me.name.clone(), hex::encode(self.log.digest(&self.me.name)))];
-        let here = self.here();
-        all.extend(here.map(|p| (p.who.name.clone(), hex::encode(p.copy.digest(&p.who.name)))));
+        let mut all = vec![(self.identity.name.clone(), hex::encode(self.log.digest(&self.identity.name)))];
+        let peers = self.active_peers();
+        all.extend(peers.map(|p| (p.identity.name.clone(), hex::encode(p.copy.digest(&p.identity.name)))));
         all.sort();
         all
     }
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -1,5 +1,5 @@
-//! How members look to one observer: evidence, told now and then and never acknowledged, that fades with its age and is gone
-//! with its observer.
+//! How observers see members: evidence that is sent periodically and never acknowledged, loses weight with
+//! age and is removed with its observer.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -8,153 +8,153 @@
 
 use crate::merge::{Join, Observed};
 
-/// How long a word of an observer is taken into account (seconds).
+/// How long an observer's report is used (seconds).
 pub const VIEW_TTL: f64 = 3.0;
-/// Half-life of what he says is in flight (seconds).
+/// Half-life of the reported requests in flight (seconds).
 const HALF_LIFE: f64 = 0.5;
-/// Most members of which an observer's words are kept.
+/// Maximum number of members for which an observer's reports are stored.
 pub const MAX_MEMBERS: usize = 10_000;
-/// Most tenants of which an observer's words are kept.
+/// Maximum number of tenants for which an observer's reports are stored.
 pub const MAX_TENANTS: usize = 256;
 
-/// A member, as one observer sees it. Ages are told, not times, since clocks differ.
+/// A member as one observer sees it. Contains ages instead of times, since clocks differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct View {
     /// The member.
     pub member: Arc<str>,
-    /// Its start that this is of.
+    /// Start of the member that the view is about.
     pub since: f64,
-    /// Its position as first heard from it, and how long ago (seconds).
+    /// Position that the member reported to the observer, and its age (seconds).
     pub position: Option<(f64, f32)>,
-    /// Whether it has said to be the primary, and how long ago (seconds).
+    /// Whether the member reported to be the primary, and the age of that report (seconds).
     pub primary: Option<(bool, f32)>,
-    /// The observer's requests there.
+    /// The observer's requests in flight to the member.
     pub in_flight: u16,
-    /// Whether the observer has found out by himself that it does not answer.
+    /// Whether the observer itself found that the member does not answer.
     pub suspected: bool,
-    /// How many times as long as others it takes.
+    /// Response time as a multiple of the other members'.
     pub slowness: f32,
-    /// For how long it has been up from cold (seconds), where that matters still.
+    /// Time since the member started cold (seconds), while that still matters.
     pub cold: Option<f32>,
 }
 
-/// A tenant's use, as one observer sees it: requests a second.
+/// Usage by a tenant at one observer: name and requests per second.
 pub type TenantUsage = (Arc<str>, f32);
 
-/// What all observers together say of a member.
+/// What all observers together report about a member.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AggregatedView {
-    /// The member's start that this is of.
+    /// Start of the member that the reports are about.
     pub since: f64,
-    /// Requests of others there, faded by age.
+    /// Requests in flight from other instances, discounted by age.
     pub in_flight: f64,
-    /// How many others have found out by themselves that it does not answer.
+    /// Number of other instances that found by themselves that the member does not answer.
     pub suspected_by: u32,
-    /// How many others have said anything of it within [`VIEW_TTL`].
+    /// Number of other instances that reported on the member within [`VIEW_TTL`].
     pub seen_by: u32,
-    /// The best position that anybody has heard, and how long ago at most (seconds).
+    /// The highest position that an observer reported, and the maximum age of it (seconds).
     pub position: Option<(f64, f64)>,
-    /// Since when it has been cold, by the caller's clock, as late as anybody says.
+    /// The latest reported start from cold, on the caller's clock.
     pub cold_since: Option<f64>,
 }
 
-/// An observer's words, by what they are of, with when each came.
-type Words<T> = HashMap<Arc<str>, (f64, Observed<T>)>;
+/// Reports of an observer by subject, with the time of arrival.
+type Reports<T> = HashMap<Arc<str>, (f64, Observed<T>)>;
 
-/// The words of all observers.
+/// The reports of all observers.
 #[derive(Debug, Default)]
 pub struct Views {
-    /// By observer: when his word came, and the word.
-    by: BTreeMap<Arc<str>, Words<View>>,
-    uses: BTreeMap<Arc<str>, Words<f32>>,
+    /// Views by observer.
+    views: BTreeMap<Arc<str>, Reports<View>>,
+    usage: BTreeMap<Arc<str>, Reports<f32>>,
 }
 
 impl Views {
-    /// Takes in an observer's words of a round.
+    /// Records an observer's views of a round.
     pub fn record(&mut self, now: f64, observer: &Arc<str>, start: u64, round: u64, views: Vec<View>) {
-        let kept = self.by.entry(observer.clone()).or_default();
+        let reports = self.views.entry(observer.clone()).or_default();
         for view in views {
-            let word = Observed { start, round, value: view };
-            let member = word.value.member.clone();
-            if kept.len() >= MAX_MEMBERS && !kept.contains_key(&member) {
+            let report = Observed { start, round, value: view };
+            let member = report.value.member.clone();
+            if reports.len() >= MAX_MEMBERS && !reports.contains_key(&member) {
                 continue;
             }
-            let known = kept.entry(member).or_insert_with(|| (now, word.clone()));
+            let known = reports.entry(member).or_insert_with(|| (now, report.clone()));
             let before = known.1.clone();
-            known.1.join(&word);
+            known.1.join(&report);
             if known.1 != before {
                 known.0 = now;
             }
         }
     }
 
-    /// Takes in an observer's words of what tenants use of him.
+    /// Records the usage by tenants that an observer reported in a round.
     pub fn record_usage(
         &mut self,
         now: f64,
         observer: &Arc<str>,
         start: u64,
         round: u64,
-        uses: Vec<TenantUsage>,
+        usage: Vec<TenantUsage>,
     ) {
-        let kept = self.uses.entry(observer.clone()).or_default();
-        for (tenant, rate) in uses {
-            if kept.len() >= MAX_TENANTS && !kept.contains_key(&tenant) {
+        let reports = self.usage.entry(observer.clone()).or_default();
+        for (tenant, rate) in usage {
+            if reports.len() >= MAX_TENANTS && !reports.contains_key(&tenant) {
                 continue;
             }
-            let word = Observed { start, round, value: rate };
-            let known = kept.entry(tenant).or_insert_with(|| (now, word.clone()));
-            if (word.start, word.round) > (known.1.start, known.1.round) {
-                *known = (now, word);
+            let report = Observed { start, round, value: rate };
+            let known = reports.entry(tenant).or_insert_with(|| (now, report.clone()));
+            if (report.start, report.round) > (known.1.start, known.1.round) {
+                *known = (now, report);
             }
         }
     }
 
-    /// An observer is gone, and his words with him.
+    /// Removes the reports of an instance that has ended.
     pub fn remove_observer(&mut self, observer: &str) {
-        self.by.remove(observer);
-        self.uses.remove(observer);
+        self.views.remove(observer);
+        self.usage.remove(observer);
     }
 
-    /// Forgets what is too old to be taken into account.
+    /// Removes reports that are too old to be used.
     pub fn expire(&mut self, now: f64) {
-        for words in self.by.values_mut() {
-            words.retain(|_, (came, _)| now - *came < VIEW_TTL);
+        for reports in self.views.values_mut() {
+            reports.retain(|_, (received_at, _)| now - *received_at < VIEW_TTL);
         }
-        for words in self.uses.values_mut() {
-            words.retain(|_, (came, _)| now - *came < VIEW_TTL);
+        for reports in self.usage.values_mut() {
+            reports.retain(|_, (received_at, _)| now - *received_at < VIEW_TTL);
         }
-        self.by.retain(|_, words| !words.is_empty());
-        self.uses.retain(|_, words| !words.is_empty());
+        self.views.retain(|_, reports| !reports.is_empty());
+        self.usage.retain(|_, reports| !reports.is_empty());
     }
 
-    /// What all observers together say of each member.
+    /// Returns what all observers together report about each member.
     pub fn aggregated_views(&self, now: f64) -> BTreeMap<Arc<str>, AggregatedView> {
         let mut all: BTreeMap<Arc<str>, AggregatedView> = BTreeMap::new();
-        for words in self.by.values() {
-            for (member, (came, Observed { value: word, .. })) in words {
-                let age = now - came;
+        for reports in self.views.values() {
+            for (member, (received_at, Observed { value: report, .. })) in reports {
+                let age = now - received_at;
                 if age >= VIEW_TTL {
                     continue;
                 }
                 let known = all.entry(member.clone()).or_default();
-                if word.since > known.since {
-                    // A later start: what was said of the one before is void.
-                    *known = AggregatedView { since: word.since, ..AggregatedView::default() };
-                } else if word.since < known.since {
+                if report.since > known.since {
+                    // A later start of the member: reports about earlier starts are dropped.
+                    *known = AggregatedView { since: report.since, ..AggregatedView::default() };
+                } else if report.since < known.since {
                     continue;
                 }
-                known.in_flight += f64::from(word.in_flight) * 0.5f64.powf(age / HALF_LIFE);
+                known.in_flight += f64::from(report.in_flight) * 0.5f64.powf(age / HALF_LIFE);
                 known.seen_by += 1;
-                known.suspected_by += u32::from(word.suspected);
-                if let Some((position, told)) = word.position {
-                    let told = f64::from(told) + age;
+                known.suspected_by += u32::from(report.suspected);
+                if let Some((position, position_age)) = report.position {
+                    let position_age = f64::from(position_age) + age;
                     if known.position.is_none_or(|(best, _)| position > best) {
-                        known.position = Some((position, told));
+                        known.position = Some((position, position_age));
                     }
                 }
-                if let Some(up) = word.cold {
-                    let since = came - f64::from(up);
+                if let Some(cold_age) = report.cold {
+                    let since = received_at - f64::from(cold_age);
                     known.cold_since = Some(known.cold_since.map_or(since, |known| known.max(since)));
                 }
             }
@@ -162,24 +162,26 @@
         all
     }
 
-    /// What each tenant uses of all others together (requests a second).
+    /// Returns the usage of each tenant at all observers together (requests per second).
     pub fn tenant_usage(&self, now: f64) -> BTreeMap<Arc<str>, f64> {
         let mut all = BTreeMap::new();
-        for words in self.uses.values() {
-            for (tenant, (came, word)) in words {
-                if now - came < VIEW_TTL {
-                    *all.entry(tenant.clone()).or_insert(0.0) += f64::from(word.value);
+        for reports in self.usage.values() {
+            for (tenant, (received_at, report)) in reports {
+                if now - received_at < VIEW_TTL {
+                    *all.entry(tenant.clone()).or_insert(0.0) += f64::from(report.value);
                 }
             }
         }
         all
     }
 
-    /// Each observer's word of a member, with its age (seconds).
-    pub fn of(&self, now: f64, member: &str) -> Vec<(Arc<str>, f64, View)> {
-        let word = |(observer, words): (&Arc<str>, &Words<View>)| {
-            words.get(member).map(|(came, word)| (observer.clone(), now - came, word.value.clone()))
+    /// Returns each observer's view of a member, with its age (seconds).
+    pub fn for_member(&self, now: f64, member: &str) -> Vec<(Arc<str>, f64, View)> {
+        let entry = |(observer, reports): (&Arc<str>, &Reports<View>)| {
+            reports
+                .get(member)
+                .map(|(received_at, entry)| (observer.clone(), now - received_at, entry.value.clone()))
         };
-        self.by.iter().filter_map(word).collect()
+        self.views.iter().filter_map(entry).collect()
     }
 }
--- a/crates/replication/tests/machine.rs
+++ b/crates/replication/tests/machine.rs
@@ -1,5 +1,5 @@
-//! Two or three instances by hand: what is not authentic, replayed or of a newer version, names that are taken, folders that
-//! are torn or old, logs that are far behind.
+//! Two or three instances driven step by step: unauthentic, replayed and newer messages, name conflicts, torn
+//! and outdated files, logs that are far behind.
 
 use std::net::SocketAddr;
 
@@ -15,17 +15,17 @@
     ([127, 0, 0, n], 7000).into()
 }
 
-fn who(name: &str, n: u8, start: u64) -> Identity {
+fn identity(name: &str, n: u8, start: u64) -> Identity {
     Identity { name: name.into(), zone: "z".into(), address: address(n), start, renewal: 0 }
 }
 
 fn node(name: &str, n: u8, start: u64, now: f64) -> Node {
-    let terms = NodeConfig { seeds: vec![address(1), address(2)], ..NodeConfig::default() };
-    Node::new(who(name, n, start), Keys::parse([KEY]).unwrap(), terms, u64::from(n), now, None)
+    let config = NodeConfig { seeds: vec![address(1), address(2)], ..NodeConfig::default() };
+    Node::new(identity(name, n, start), Keys::parse([KEY]).unwrap(), config, u64::from(n), now, None)
 }
 
-/// Lets two talk for so long, in steps of a millisecond; all that was sent.
-fn talk(a: &mut Node, b: &mut Node, now: &mut f64, seconds: f64) -> Vec<Vec<u8>> {
+/// Runs two nodes for `seconds` in steps of a millisecond; returns all datagrams sent.
+fn run(a: &mut Node, b: &mut Node, now: &mut f64, seconds: f64) -> Vec<Vec<u8>> {
     let until = *now + seconds;
     let mut sent = Vec::new();
     while *now < until {
@@ -43,43 +43,43 @@
     sent
 }
 
-fn pair() -> (Node, Node, f64) {
+fn connected_pair() -> (Node, Node, f64) {
     let (mut a, mut b, mut now) = (node("a", 1, 1, 100.0), node("b", 2, 2, 100.0), 100.0);
-    talk(&mut a, &mut b, &mut now, 0.5);
-    // Asked for, leases are there; before, nobody asks.
+    run(&mut a, &mut b, &mut now, 0.5);
+    // Leases are requested only while sessions read.
     for _ in 0..20 {
         a.read_requirement(now, "s");
         b.read_requirement(now, "s");
-        talk(&mut a, &mut b, &mut now, 0.1);
+        run(&mut a, &mut b, &mut now, 0.1);
     }
     (a, b, now)
 }
 
-/// A write through one, from its beginning to its answer.
-fn write(a: &mut Node, b: &mut Node, now: &mut f64, session: &str, position: f64) {
+/// Runs a write through `a` from its beginning to its answer.
+fn run_write(a: &mut Node, b: &mut Node, now: &mut f64, session: &str, position: f64) {
     let ticket = a.begin_write(*now, session);
     while !a.may_send(*now, ticket) {
-        talk(a, b, now, 0.002);
+        run(a, b, now, 0.002);
     }
     a.end_write(*now, ticket, Some(position));
     while !a.may_answer(*now, ticket) {
-        talk(a, b, now, 0.002);
+        run(a, b, now, 0.002);
     }
     a.forget(*now, ticket);
 }
 
 #[test]
-fn a_write_answered_by_one_is_known_to_the_other_at_once() {
-    let (mut a, mut b, mut now) = pair();
+fn answered_write_is_required_by_reads_at_the_peer_at_once() {
+    let (mut a, mut b, mut now) = connected_pair();
     for n in 0..50 {
         let position = now;
-        write(&mut a, &mut b, &mut now, "s", position);
-        // Whatever is still on its way: less than the write is never enough.
+        run_write(&mut a, &mut b, &mut now, "s", position);
+        // Even while messages are in flight, a requirement below the write's position must not be returned.
         match b.read_requirement(now, "s") {
             ReadRequirement::AtLeast(known) => assert!(known >= position, "{n}"),
             ReadRequirement::Primary(_) => {}
         }
-        talk(&mut a, &mut b, &mut now, 0.02);
+        run(&mut a, &mut b, &mut now, 0.02);
         assert_eq!(b.read_requirement(now, "s"), ReadRequirement::AtLeast(position), "{n}");
         assert!(
             matches!(b.read_requirement(now, "other"), ReadRequirement::AtLeast(floor) if floor < position)
@@ -88,60 +88,60 @@
 }
 
 #[test]
-fn one_that_is_silent_makes_reads_strict_before_writes_are_answered_without_it() {
-    let (mut a, mut b, mut now) = pair();
-    // b is stopped: nothing reaches it, nothing comes of it.
+fn silent_peer_reads_from_the_primary_before_writes_are_answered_without_it() {
+    let (mut a, mut b, mut now) = connected_pair();
+    // `b` is stopped: it receives and sends nothing.
     let ticket = a.begin_write(now, "s");
-    let begun = now;
+    let started_at = now;
     while !(a.may_send(now, ticket) && a.may_answer(now, ticket)) {
         now += 0.001;
         a.tick(now);
         a.take_datagrams();
-        assert!(now - begun < 5.0, "never answered");
+        assert!(now - started_at < 5.0, "the write is never answered");
     }
-    assert!(now - begun < 0.6, "waited {:.3} s", now - begun);
+    assert!(now - started_at < 0.6, "waited {:.3} s", now - started_at);
     assert_eq!(b.read_requirement(now, "s"), ReadRequirement::Primary(PrimaryReason::CatchingUp));
 }
 
 #[test]
-fn what_is_replayed_forged_or_of_a_newer_version_changes_nothing() {
-    let (mut a, mut b, mut now) = pair();
-    let sent = talk(&mut a, &mut b, &mut now, 2.0);
+fn replayed_forged_and_newer_messages_change_nothing() {
+    let (mut a, mut b, mut now) = connected_pair();
+    let sent = run(&mut a, &mut b, &mut now, 2.0);
     let (before, digest) = (a.counts(), a.digest());
     for bytes in &sent {
         a.receive(now, bytes);
-        let mut spoilt = bytes.clone();
-        let at = spoilt.len() / 2;
-        spoilt[at] ^= 4;
-        a.receive(now, &spoilt);
+        let mut corrupted = bytes.clone();
+        let at = corrupted.len() / 2;
+        corrupted[at] ^= 4;
+        a.receive(now, &corrupted);
     }
     a.receive(now, b"noise");
     let after = a.counts();
     assert_eq!(after.forged - before.forged, sent.len() as u64 + 1);
     assert_eq!(after.received - before.received, sent.len() as u64);
-    // Its own among them were never for it.
+    // The datagrams of `a` itself among them were not meant for it.
     assert!(after.replayed > before.replayed);
     assert_eq!(a.digest(), digest);
-    // A newer version has kinds, and fields behind the known ones, that this one does not know.
+    // A newer version has kinds, and trailing fields, that this one does not know.
     let keys = Keys::parse([KEY]).unwrap();
-    let head = Header { version: VERSION, from: who("b", 2, 2), number: 1 << 40, to: 1 };
-    let mut newer = encode(&head, &Body::Swim(Vec::new()));
-    let kind = newer.len() - encode(&head, &Body::Swim(Vec::new())).len();
-    let place = newer.iter().rposition(|byte| *byte == 6).unwrap() + kind;
-    newer[place] = 200;
+    let header = Header { version: VERSION, from: identity("b", 2, 2), number: 1 << 40, to: 1 };
+    let mut newer = encode(&header, &Body::Swim(Vec::new()));
+    let kind = newer.len() - encode(&header, &Body::Swim(Vec::new())).len();
+    let kind_at = newer.iter().rposition(|byte| *byte == 6).unwrap() + kind;
+    newer[kind_at] = 200;
     newer.extend_from_slice(b"more");
     assert!(matches!(decode(&newer), Some((_, None))));
     a.receive(now, &keys.seal(newer));
     assert_eq!(a.counts().unknown, after.unknown + 1);
     let mut fact = Fact::Versions { list: 1, generation: 2, program: "p".into() }.encode();
-    fact.extend_from_slice(b"a field of tomorrow");
+    fact.extend_from_slice(b"a later field");
     assert!(Fact::decode(&fact).is_some());
     assert_eq!(Fact::decode(&[99, 1, 2, 3]), None);
 }
 
 #[test]
-fn of_two_under_one_name_the_earlier_turns_writes_away() {
-    let (mut a, mut b, mut now) = pair();
+fn earlier_of_two_starts_with_one_name_rejects_writes() {
+    let (mut a, mut b, mut now) = connected_pair();
     let mut twin = node("a", 3, 50, now);
     for _ in 0..400 {
         now += 0.005;
@@ -167,17 +167,17 @@
 }
 
 #[test]
-fn one_that_was_written_off_and_lives_goes_on_under_a_new_start() {
-    let (mut a, mut b, mut now) = pair();
-    write(&mut b, &mut a, &mut now, "s", 77.0);
+fn instance_declared_ended_while_running_continues_under_a_new_start() {
+    let (mut a, mut b, mut now) = connected_pair();
+    run_write(&mut b, &mut a, &mut now, "s", 77.0);
     assert!(a.forget_instance(now, "b") && !a.forget_instance(now, "nobody"));
-    talk(&mut a, &mut b, &mut now, 3.0);
+    run(&mut a, &mut b, &mut now, 3.0);
     assert!(b.take_notices().iter().any(|notice| matches!(notice, Notice::Renewed(3))));
     assert_eq!(a.digest(), b.digest());
-    // What it wrote before is known, or the floor is above it.
+    // Its earlier write is known, or the floor is above it.
     for _ in 0..20 {
         a.read_requirement(now, "s");
-        talk(&mut a, &mut b, &mut now, 0.1);
+        run(&mut a, &mut b, &mut now, 0.1);
     }
     assert!(
         matches!(a.read_requirement(now, "s"), ReadRequirement::AtLeast(position) if position >= 77.0),
@@ -187,29 +187,29 @@
 }
 
 #[test]
-fn a_drain_told_to_one_holds_at_the_other_until_the_list_lifts_it() {
-    let (mut a, mut b, mut now) = pair();
+fn drain_reported_by_one_instance_applies_at_the_peer_until_lifted() {
+    let (mut a, mut b, mut now) = connected_pair();
     a.report_member_status(now, "s-1", 0.0, 1, 5, MemberStatus::Draining);
-    talk(&mut a, &mut b, &mut now, 0.02);
+    run(&mut a, &mut b, &mut now, 0.02);
     assert!(b.take_changed());
     assert_eq!(
         (b.member_status("s-1", 0.0), b.member_status("s-2", 0.0)),
         (MemberStatus::Draining, MemberStatus::Serving)
     );
-    // Started anew since: it is another machine.
+    // A later start of the member is not affected.
     assert_eq!(b.member_status("s-1", 9.0), MemberStatus::Serving);
     a.report_member_status(now, "s-1", 0.0, 1, 6, MemberStatus::Serving);
-    talk(&mut a, &mut b, &mut now, 0.02);
+    run(&mut a, &mut b, &mut now, 0.02);
     assert_eq!(b.member_status("s-1", 0.0), MemberStatus::Serving);
 }
 
 #[test]
-fn a_log_that_is_far_behind_is_read_from_a_stream_that_may_break_at_each_piece() {
-    let (mut a, mut b, mut now) = pair();
+fn lagging_copy_catches_up_from_a_stream_that_breaks_after_each_piece() {
+    let (mut a, mut b, mut now) = connected_pair();
     for n in 0..3 * MIN_FACTS_TO_STREAM {
         a.report_member_status(now, &format!("m-{n}"), 0.0, 1, n, MemberStatus::Draining);
     }
-    // One datagram is enough for it to see how far behind it is.
+    // One datagram shows `b` how far behind it is.
     a.flush(now + 0.01);
     let first = a.take_datagrams();
     first.iter().for_each(|(_, bytes)| b.receive(now + 0.01, bytes));
@@ -218,10 +218,10 @@
     assert_eq!(streams.len(), 1, "{streams:?}");
     let (mut pieces, mut breaks) = (0, 0);
     while b.status(now).instances.iter().any(|other| other.to_read > 0) {
-        // Each connection lasts for one piece: the next goes on behind it.
-        let (who, from) =
-            a.parse_stream_request(now, &b.stream_request("a").unwrap()).expect("its question is taken");
-        let Some((piece, upto)) = a.stream_piece(now, &who, from) else {
+        // Each connection breaks after one piece; the next one continues after it.
+        let (identity, from) =
+            a.parse_stream_request(now, &b.stream_request("a").unwrap()).expect("the request is accepted");
+        let Some((piece, upto)) = a.stream_piece(now, &identity, from) else {
             now += 0.01;
             continue;
         };
@@ -232,30 +232,34 @@
         assert!(pieces < 100);
     }
     assert!(breaks > 2, "{breaks}");
-    talk(&mut a, &mut b, &mut now, 1.0);
+    run(&mut a, &mut b, &mut now, 1.0);
     assert_eq!(a.digest(), b.digest());
 }
 
 #[test]
-fn a_file_that_is_torn_is_read_as_far_as_it_is_whole() {
+fn torn_or_corrupted_file_is_read_up_to_the_first_invalid_record() {
     let records = [
         Record::Start(5),
-        Record::Seen(who("b", 2, 9)),
-        Record::Seen(who("c", 3, 4)),
-        Record::Ended(who("c", 3, 4)),
+        Record::Seen(identity("b", 2, 9)),
+        Record::Seen(identity("c", 3, 4)),
+        Record::Ended(identity("c", 3, 4)),
     ];
     let bytes: Vec<u8> = records.iter().flat_map(Record::encode).collect();
-    let whole = parse(&bytes);
-    assert_eq!((whole.start, whole.seen.clone(), whole.torn_bytes), (5, vec![who("b", 2, 9)], 0));
-    assert_eq!(parse(&compacted(&whole)), whole);
+    let complete = parse(&bytes);
+    assert_eq!(
+        (complete.start, complete.seen.clone(), complete.torn_bytes),
+        (5, vec![identity("b", 2, 9)], 0)
+    );
+    assert_eq!(parse(&compacted(&complete)), complete);
     for cut in 0..bytes.len() {
         let part = parse(&bytes[..cut]);
         assert!(part.start <= 5 && part.seen.len() <= 2, "{cut}");
-        let mut spoilt = bytes.clone();
-        spoilt[cut] ^= 0x10;
-        assert!(parse(&spoilt).start <= 5, "{cut}");
+        let mut corrupted = bytes.clone();
+        corrupted[cut] ^= 0x10;
+        assert!(parse(&corrupted).start <= 5, "{cut}");
     }
-    // A clock that went back by an hour, and an old copy of the folder: a start is above all that is known.
-    assert_eq!(next_start(Some(&whole), 0.0), 6);
+    // The start number is above all stored ones, even with a clock set back by an hour or an old copy of the
+    // folder.
+    assert_eq!(next_start(Some(&complete), 0.0), 6);
     assert_eq!(next_start(None, 2.0), 2_000_000);
 }
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -1,6 +1,7 @@
-//! The rules of docs/replication.md, checked over all orders of what can happen to three instances: A, which takes writes of
-//! one session, B, which reads, and C. Messages are lost, come twice and in any order; C may lose its memory; time passes
-//! at any moment. Each rule is taken away in turn, and the check finds what it was for.
+//! Model check of the rules of docs/replication.md over the orders of events among three instances: A, which
+//! takes writes of one session, B, which reads, and C. Messages are lost, duplicated and reordered; C may
+//! lose its memory; time may pass at any moment. Each rule is disabled in turn, and the check must find the
+//! violation that the rule prevents.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,97 +9,101 @@
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property, UniformChooser};
 
-/// Ticks that a lease lasts for whoever has it, and for whoever gave it; the longer promise.
+/// Duration of a lease for the lessee and for the lessor, and of the lessor's promise to answer writes only
+/// with a majority (ticks).
 const LEASE: u8 = 2;
-const LENT: u8 = LEASE + 1;
-const PATIENCE: u8 = 4;
+const LESSOR_LEASE: u8 = LEASE + 1;
+const MAJORITY_PROMISE: u8 = 4;
 const B: usize = 0;
 const C: usize = 1;
 
-/// What is taken away.
+/// The rule that is disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// R2: an answer waits for nobody.
-    AnswersAtOnce,
-    /// R2: a lease is counted from its receipt.
-    FromReceipt,
-    /// R2: a lease counts before the log has been read as far as it says.
-    Unread,
-    /// R3: who covers acknowledges on.
-    AcknowledgesOn,
-    /// R3: one that lost its memory covers.
-    Forgot,
-    /// R5: A does not keep to its longer promise.
-    Impatient,
-    /// R5: the promise counts without what was stated by then.
-    PromiseUnread,
+    /// R2: answers do not wait for lessees.
+    AnswerWithoutWaiting,
+    /// R2: a lease is counted from the receipt of the grant.
+    LeaseFromReceipt,
+    /// R2: a lease counts before the log has been read up to the granted number.
+    LeaseWithoutReading,
+    /// R3: a covering instance continues to acknowledge.
+    AcknowledgeWhileCovering,
+    /// R3: an instance that has lost its memory covers.
+    CoverAfterMemoryLoss,
+    /// R5: A does not keep its majority promise.
+    NoMajorityPromise,
+    /// R5: the promise counts without the facts published by then.
+    PromiseWithoutReading,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
-    Ask { by: usize, asked: u8 },
-    Grant { to: usize, asked: u8, upto: u8 },
+    LeaseRequest { by: usize, sent_at: u8 },
+    Grant { to: usize, sent_at: u8, upto: u8 },
     Push { to: usize, upto: u8 },
-    Read { by: usize, upto: u8 },
-    AskC { asked: u8 },
-    Cover { asked: u8, upto: u8, long: u8 },
+    ReadAck { by: usize, upto: u8 },
+    CoverageRequest { sent_at: u8 },
+    Coverage { sent_at: u8, upto: u8, majority_only_until: u8 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u8,
-    /// A: writes begun, sent, answered; who must be waited for until when, by write; what has been acknowledged.
+    /// A: writes begun, sent and answered; by write, until when each peer must be awaited; what has been
+    /// acknowledged.
     begun: u8,
     sent: u8,
     answered: u8,
-    waits: [[u8; 2]; 2],
-    acknowledged: [u8; 2],
-    lent: [u8; 2],
-    free_at: u8,
-    /// B and C: how far they have read, whether they ever had a lease, until when, the longer promise.
+    awaited_until: [[u8; 2]; 2],
+    acked: [u8; 2],
+    granted_until: [u8; 2],
+    majority_required_until: u8,
+    /// B and C: how far they have read, whether they ever had a lease, its end, the end of A's majority
+    /// promise.
     copy: [u8; 2],
-    met: [bool; 2],
-    lease: [u8; 2],
-    long: [u8; 2],
-    /// C: until when it acknowledges no more than this.
-    held: (u8, u8),
-    /// B: how far C covers A, until when, the longer promise that C knows of.
-    cover: (u8, u8, u8),
-    forgot: bool,
-    /// All that was ever sent: each may be delivered again, or never.
-    net: BTreeSet<Message>,
+    had_lease: [bool; 2],
+    lease_until: [u8; 2],
+    majority_only_until: [u8; 2],
+    /// C: until when it acknowledges no more than this number.
+    ack_limit: (u8, u8),
+    /// B: how far C covers A, until when, and the end of the majority promise that C knows of.
+    coverage: (u8, u8, u8),
+    lost_memory: bool,
+    /// All messages ever sent: each may be delivered repeatedly, or never.
+    network: BTreeSet<Message>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    Time,
-    Begin,
-    Send,
-    Answer,
-    Ask(usize),
+    Tick,
+    BeginWrite,
+    SendWrite,
+    AnswerWrite,
+    RequestLease(usize),
     Push(usize),
-    AskC,
-    Pass,
-    Forget,
+    RequestCoverage,
+    Relay,
+    LoseMemory,
     Deliver(Message),
 }
 
 struct Rules {
     fault: Fault,
     writes: u8,
-    until: u8,
-    /// What was seen: the rule broken, and a write answered while B goes by its copy.
-    broken: AtomicBool,
-    useful: AtomicBool,
+    max_time: u8,
+    /// Observations of the run: the property was violated; a write was answered while B relied on its copy.
+    violated: AtomicBool,
+    made_progress: AtomicBool,
 }
 
 impl State {
-    /// Whether B goes by what it has read of A.
-    fn goes_by(&self) -> bool {
-        let (upto, until, long) = self.cover;
-        let covered = self.met[B] && self.now < until && self.copy[B] >= upto;
-        self.now < self.lease[B] || (covered && self.now < long.max(self.long[B]))
+    /// Returns true if B may rely on what it has read of A.
+    fn relies_on_copy(&self) -> bool {
+        let (upto, until, majority_only_until) = self.coverage;
+        let covered = self.had_lease[B] && self.now < until && self.copy[B] >= upto;
+        self.now < self.lease_until[B]
+            || (covered && self.now < majority_only_until.max(self.majority_only_until[B]))
     }
 }
 
@@ -112,111 +117,126 @@
             begun: 0,
             sent: 0,
             answered: 0,
-            waits: [[0; 2]; 2],
-            acknowledged: [0; 2],
-            lent: [0; 2],
-            free_at: 1 + PATIENCE + 1,
+            awaited_until: [[0; 2]; 2],
+            acked: [0; 2],
+            granted_until: [0; 2],
+            majority_required_until: 1 + MAJORITY_PROMISE + 1,
             copy: [0; 2],
-            met: [false; 2],
-            lease: [0; 2],
-            long: [0; 2],
-            held: (0, 0),
-            cover: (0, 0, 0),
-            forgot: false,
-            net: BTreeSet::new(),
+            had_lease: [false; 2],
+            lease_until: [0; 2],
+            majority_only_until: [0; 2],
+            ack_limit: (0, 0),
+            coverage: (0, 0, 0),
+            lost_memory: false,
+            network: BTreeSet::new(),
         }]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.now < self.until {
-            steps.push(Step::Time);
+        if state.now < self.max_time {
+            steps.push(Step::Tick);
         }
         if state.begun < self.writes && state.answered == state.begun {
-            steps.push(Step::Begin);
+            steps.push(Step::BeginWrite);
         }
-        steps.extend([Step::Send, Step::Answer, Step::Ask(B), Step::Ask(C), Step::AskC, Step::Pass]);
+        steps.extend([
+            Step::SendWrite,
+            Step::AnswerWrite,
+            Step::RequestLease(B),
+            Step::RequestLease(C),
+            Step::RequestCoverage,
+            Step::Relay,
+        ]);
         steps.extend([Step::Push(B), Step::Push(C)]);
-        if !state.forgot {
-            steps.push(Step::Forget);
+        if !state.lost_memory {
+            steps.push(Step::LoseMemory);
         }
-        steps.extend(state.net.iter().copied().map(Step::Deliver));
+        steps.extend(state.network.iter().copied().map(Step::Deliver));
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut s = last.clone();
         let fault = self.fault;
         match step {
-            Step::Time => s.now += 1,
-            Step::Begin => {
+            Step::Tick => s.now += 1,
+            Step::BeginWrite => {
                 let write = usize::from(s.begun);
                 s.begun += 1;
-                for who in [B, C] {
-                    s.waits[write][who] = if s.lent[who] > s.now { s.lent[who] } else { 0 };
+                for peer in [B, C] {
+                    s.awaited_until[write][peer] =
+                        if s.granted_until[peer] > s.now { s.granted_until[peer] } else { 0 };
                 }
             }
-            Step::Send => {
-                let majority = s.acknowledged.iter().any(|read| *read >= s.begun);
-                if s.sent == s.begun || !(majority || s.now >= s.free_at) {
+            Step::SendWrite => {
+                let majority = s.acked.iter().any(|read| *read >= s.begun);
+                if s.sent == s.begun || !(majority || s.now >= s.majority_required_until) {
                     return None;
                 }
                 s.sent = s.begun;
             }
-            Step::Answer => {
-                let waits = s.begun.checked_sub(1).map(|write| s.waits[usize::from(write)])?;
-                let known = |who: usize| s.now >= waits[who] || s.acknowledged[who] >= s.begun;
-                let may = fault == Fault::AnswersAtOnce || (known(B) && known(C));
+            Step::AnswerWrite => {
+                let awaited_until =
+                    s.begun.checked_sub(1).map(|write| s.awaited_until[usize::from(write)])?;
+                let known = |peer: usize| s.now >= awaited_until[peer] || s.acked[peer] >= s.begun;
+                let may = fault == Fault::AnswerWithoutWaiting || (known(B) && known(C));
                 if s.answered == s.sent || !may {
                     return None;
                 }
                 s.answered = s.sent;
             }
-            Step::Ask(by) => drop(s.net.insert(Message::Ask { by, asked: s.now })),
-            Step::Push(to) if s.begun > 0 => drop(s.net.insert(Message::Push { to, upto: s.begun })),
-            Step::AskC => drop(s.net.insert(Message::AskC { asked: s.now })),
-            Step::Pass if s.copy[C] > 0 => drop(s.net.insert(Message::Push { to: B, upto: s.copy[C] })),
-            Step::Push(_) | Step::Pass => return None,
-            Step::Forget => {
-                s.forgot = true;
-                (s.copy[C], s.met[C], s.lease[C], s.long[C], s.held) = (0, false, 0, 0, (0, 0));
+            Step::RequestLease(by) => drop(s.network.insert(Message::LeaseRequest { by, sent_at: s.now })),
+            Step::Push(to) if s.begun > 0 => drop(s.network.insert(Message::Push { to, upto: s.begun })),
+            Step::RequestCoverage => drop(s.network.insert(Message::CoverageRequest { sent_at: s.now })),
+            Step::Relay if s.copy[C] > 0 => drop(s.network.insert(Message::Push { to: B, upto: s.copy[C] })),
+            Step::Push(_) | Step::Relay => return None,
+            Step::LoseMemory => {
+                s.lost_memory = true;
+                (s.copy[C], s.had_lease[C], s.lease_until[C], s.majority_only_until[C], s.ack_limit) =
+                    (0, false, 0, 0, (0, 0));
             }
             Step::Deliver(message) => match message {
-                Message::Ask { by, asked } => {
-                    s.lent[by] = s.lent[by].max(s.now + LENT);
-                    if fault != Fault::Impatient {
-                        s.free_at = s.free_at.max(s.now + PATIENCE + 1);
+                Message::LeaseRequest { by, sent_at } => {
+                    s.granted_until[by] = s.granted_until[by].max(s.now + LESSOR_LEASE);
+                    if fault != Fault::NoMajorityPromise {
+                        s.majority_required_until =
+                            s.majority_required_until.max(s.now + MAJORITY_PROMISE + 1);
                     }
-                    s.net.insert(Message::Grant { to: by, asked, upto: s.begun });
+                    s.network.insert(Message::Grant { to: by, sent_at, upto: s.begun });
                 }
-                Message::Grant { to, asked, upto } => {
+                Message::Grant { to, sent_at, upto } => {
                     let read = s.copy[to] >= upto;
-                    if read || fault == Fault::Unread {
-                        let from = if fault == Fault::FromReceipt { s.now } else { asked };
-                        s.lease[to] = s.lease[to].max(from + LEASE);
-                        s.met[to] = true;
+                    if read || fault == Fault::LeaseWithoutReading {
+                        let from = if fault == Fault::LeaseFromReceipt { s.now } else { sent_at };
+                        s.lease_until[to] = s.lease_until[to].max(from + LEASE);
+                        s.had_lease[to] = true;
                     }
-                    if read || fault == Fault::PromiseUnread {
-                        s.long[to] = s.long[to].max(asked + PATIENCE);
+                    if read || fault == Fault::PromiseWithoutReading {
+                        s.majority_only_until[to] = s.majority_only_until[to].max(sent_at + MAJORITY_PROMISE);
                     }
                 }
                 Message::Push { to, upto } => {
                     s.copy[to] = s.copy[to].max(upto);
-                    let holds = to == C && s.now < s.held.0 && fault != Fault::AcknowledgesOn;
-                    let read = if holds { s.copy[to].min(s.held.1) } else { s.copy[to] };
-                    s.net.insert(Message::Read { by: to, upto: read });
+                    let holds = to == C && s.now < s.ack_limit.0 && fault != Fault::AcknowledgeWhileCovering;
+                    let read = if holds { s.copy[to].min(s.ack_limit.1) } else { s.copy[to] };
+                    s.network.insert(Message::ReadAck { by: to, upto: read });
                 }
-                Message::Read { by, upto } => s.acknowledged[by] = s.acknowledged[by].max(upto),
-                Message::AskC { asked } => {
-                    if !s.met[C] && fault != Fault::Forgot {
+                Message::ReadAck { by, upto } => s.acked[by] = s.acked[by].max(upto),
+                Message::CoverageRequest { sent_at } => {
+                    if !s.had_lease[C] && fault != Fault::CoverAfterMemoryLoss {
                         return None;
                     }
-                    let read = if s.now < s.held.0 { s.copy[C].min(s.held.1) } else { s.copy[C] };
-                    s.held = (s.held.0.max(s.now + LENT), read);
-                    let long = if fault == Fault::Forgot { s.long[C].max(asked + LEASE) } else { s.long[C] };
-                    s.net.insert(Message::Cover { asked, upto: s.copy[C], long });
+                    let read = if s.now < s.ack_limit.0 { s.copy[C].min(s.ack_limit.1) } else { s.copy[C] };
+                    s.ack_limit = (s.ack_limit.0.max(s.now + LESSOR_LEASE), read);
+                    let majority_only_until = if fault == Fault::CoverAfterMemoryLoss {
+                        s.majority_only_until[C].max(sent_at + LEASE)
+                    } else {
+                        s.majority_only_until[C]
+                    };
+                    s.network.insert(Message::Coverage { sent_at, upto: s.copy[C], majority_only_until });
                 }
-                Message::Cover { asked, upto, long } => {
-                    if asked + LEASE >= s.cover.1 {
-                        s.cover = (upto, asked + LEASE, long);
+                Message::Coverage { sent_at, upto, majority_only_until } => {
+                    if sent_at + LEASE >= s.coverage.1 {
+                        s.coverage = (upto, sent_at + LEASE, majority_only_until);
                     }
                 }
             },
@@ -225,56 +245,62 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always(RULE, |rules: &Rules, state: &State| {
-            let holds = !state.goes_by() || state.copy[B] >= state.answered;
-            rules.broken.fetch_or(!holds, Ordering::Relaxed);
-            rules.useful.fetch_or(state.goes_by() && state.answered > 0, Ordering::Relaxed);
+        vec![Property::always(PROPERTY, |rules: &Rules, state: &State| {
+            let holds = !state.relies_on_copy() || state.copy[B] >= state.answered;
+            rules.violated.fetch_or(!holds, Ordering::Relaxed);
+            rules.made_progress.fetch_or(state.relies_on_copy() && state.answered > 0, Ordering::Relaxed);
             holds
         })]
     }
 }
 
-/// States that the check in breadth looks at at the most, and steps that random runs take: one thread, so that every run of the
-/// test looks at the same.
-const STATES: usize = 2_000_000;
-const STEPS: usize = 3_000_000;
-const RULE: &str = "B knows of all that was answered";
+/// Limits on the states that the breadth-first search visits and on the steps of the random runs. Both use
+/// one thread, so that every run of the test visits the same states.
+const MAX_STATES: usize = 2_000_000;
+const MAX_STEPS: usize = 3_000_000;
+const PROPERTY: &str = "B knows all answered writes while it relies on its copy";
 
 fn rules(fault: Fault) -> Rules {
-    Rules { fault, writes: 2, until: 10, broken: AtomicBool::new(false), useful: AtomicBool::new(false) }
+    Rules {
+        fault,
+        writes: 2,
+        max_time: 10,
+        violated: AtomicBool::new(false),
+        made_progress: AtomicBool::new(false),
+    }
 }
 
-/// Whether the rule was broken.
-fn broken<C: Checker<Rules>>(checker: &C) -> bool {
-    checker.model().broken.load(Ordering::Relaxed)
+/// Returns true if the property was violated.
+fn violated<C: Checker<Rules>>(checker: &C) -> bool {
+    checker.model().violated.load(Ordering::Relaxed)
 }
 
 #[test]
-fn no_order_of_events_hides_an_answered_write() {
-    let checker = rules(Fault::None).checker().target_state_count(STATES).spawn_bfs().join();
+fn no_event_order_hides_an_answered_write() {
+    let checker = rules(Fault::None).checker().target_state_count(MAX_STATES).spawn_bfs().join();
     let (all, unique, depth) = (checker.state_count(), checker.unique_state_count(), checker.max_depth());
-    println!("in breadth: {all} states, {unique} different, all orders of up to {} steps", depth - 1);
-    assert!(!broken(&checker));
+    println!("breadth-first: {all} states, {unique} unique, all orders of up to {} steps", depth - 1);
+    assert!(!violated(&checker));
     let checker =
-        rules(Fault::None).checker().target_state_count(STEPS).spawn_simulation(7, UniformChooser).join();
-    println!("at random: {} steps, runs of up to {}", checker.state_count(), checker.max_depth());
-    assert!(!broken(&checker));
-    // The rules leave something to be seen: a write is answered while B goes by its copy.
-    assert!(checker.model().useful.load(Ordering::Relaxed));
+        rules(Fault::None).checker().target_state_count(MAX_STEPS).spawn_simulation(7, UniformChooser).join();
+    println!("random: {} steps, runs of up to {} steps", checker.state_count(), checker.max_depth());
+    assert!(!violated(&checker));
+    // The rules still permit progress: a write is answered while B relies on its copy.
+    assert!(checker.model().made_progress.load(Ordering::Relaxed));
 }
 
 #[rstest]
-#[case(Fault::AnswersAtOnce)]
-#[case(Fault::FromReceipt)]
-#[case(Fault::Unread)]
-#[case(Fault::AcknowledgesOn)]
-#[case(Fault::Forgot)]
-#[case(Fault::Impatient)]
-#[case(Fault::PromiseUnread)]
-fn without_a_rule_a_write_is_hidden(#[case] fault: Fault) {
+#[case(Fault::AnswerWithoutWaiting)]
+#[case(Fault::LeaseFromReceipt)]
+#[case(Fault::LeaseWithoutReading)]
+#[case(Fault::AcknowledgeWhileCovering)]
+#[case(Fault::CoverAfterMemoryLoss)]
+#[case(Fault::NoMajorityPromise)]
+#[case(Fault::PromiseWithoutReading)]
+fn disabling_a_rule_hides_an_answered_write(#[case] fault: Fault) {
     let checker =
-        rules(fault).checker().finish_when(HasDiscoveries::AnyFailures).target_state_count(10 * STEPS);
+        rules(fault).checker().finish_when(HasDiscoveries::AnyFailures).target_state_count(10 * MAX_STEPS);
     let checker = checker.spawn_simulation(7, UniformChooser).join();
     println!("{fault:?}: {} steps", checker.state_count());
-    assert!(broken(&checker), "{fault:?} is not found");
+    assert!(violated(&checker), "no violation found with {fault:?}");
 }
