--- a/crates/daemon/src/net/coordination.rs
+++ b/crates/daemon/src/net/coordination.rs
@@ -1,7 +1,8 @@
-//! How instances know what sessions wrote at each other: each shares with every other ([`Peers`]), or control instances keep
-//! who owns a session ([`Directory`]).
+//! Coordination of sessions between instances, so that a session's reads include its writes through other
+//! instances: either all instances exchange their state ([`Peers`]), or control instances store the owner of
+//! each session ([`Directory`]).
 
-use ::control::{PeersQuery as Question, Response};
+use ::control::{PeersQuery, Response};
 use config::Config;
 use operator::EffectiveConfig;
 
@@ -10,13 +11,13 @@
 use super::peers::Peers;
 use super::Context;
 
-/// The one in use.
+/// The configured kind of coordination.
 pub(crate) enum Coordination {
     Peers(Box<Peers>),
     Directory(Box<Directory>),
 }
 
-/// A write of a session that has begun.
+/// A write of a session in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum WriteTicket {
     Peers(replication::Ticket),
@@ -24,7 +25,7 @@
 }
 
 impl Coordination {
-    /// What the operator's file asks for; none where instances share nothing.
+    /// Starts the coordination that the operator's file configures; `None` if there is none.
     pub fn new(
         effective: &EffectiveConfig,
         config: &Config,
@@ -37,7 +38,7 @@
         Ok(peers.map(|peers| Coordination::Peers(Box::new(peers))))
     }
 
-    /// The others, where all share with all.
+    /// Returns the exchange between peers, if it is the configured kind.
     pub fn peers(&mut self) -> Option<&mut Peers> {
         match self {
             Coordination::Peers(peers) => Some(peers),
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Datagrams may be read.
+    /// Reads datagrams.
     pub fn on_ready(&mut self, context: &mut Context) {
         match self {
             Coordination::Peers(peers) => peers.on_ready(context),
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The time has come for something.
+    /// Runs what is due.
     pub fn on_timer(&mut self, context: &mut Context) {
         match self {
             Coordination::Peers(peers) => peers.on_timer(context),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// A stream may be taken in, or read from and written to.
+    /// Accepts streams of peers.
     pub fn accept(&mut self, context: &mut Context) {
         self.peers().into_iter().for_each(|peers| peers.accept(context));
     }
@@ -70,7 +71,7 @@
         self.peers().into_iter().for_each(|peers| peers.on_stream_ready(slot, context));
     }
 
-    /// Sends what there is to send.
+    /// Sends pending messages.
     pub fn send_pending(&mut self, context: &mut Context) {
         match self {
             Coordination::Peers(peers) => peers.send_pending(context),
@@ -78,7 +79,8 @@
         }
     }
 
-    /// What a session's read needs, as a position (Unix seconds); infinite where only the primary will do.
+    /// Returns the position (Unix seconds) that a session's read requires; infinite if only the primary may
+    /// serve it.
     pub fn required_position(&mut self, now: f64, session: &str) -> f64 {
         match self {
             Coordination::Peers(peers) => peers.required_position(now, session),
@@ -86,17 +88,18 @@
         }
     }
 
-    /// A write of a session has come, with so much time left (seconds). None at a bound: it must not be sent.
-    pub fn begin_write(&mut self, now: f64, session: &str, left: f64) -> Option<WriteTicket> {
+    /// Begins a write of a session with `time_left` (seconds). Returns `None` if a limit is reached: the
+    /// write must not be sent.
+    pub fn begin_write(&mut self, now: f64, session: &str, time_left: f64) -> Option<WriteTicket> {
         match self {
             Coordination::Peers(peers) => Some(WriteTicket::Peers(peers.node.begin_write(now, session))),
             Coordination::Directory(directory) => {
-                directory.begin_write(now, session, left).map(WriteTicket::Directory)
+                directory.begin_write(now, session, time_left).map(WriteTicket::Directory)
             }
         }
     }
 
-    /// How long a write waits for leave to be sent (seconds).
+    /// Returns the maximum time that a write is held until it may be sent (seconds).
     pub fn max_write_hold(&self) -> f64 {
         match self {
             Coordination::Peers(peers) => peers.max_write_hold(),
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Whether a write may be sent.
+    /// Returns true if a write may be sent.
     pub fn may_send(&mut self, now: f64, ticket: WriteTicket) -> bool {
         match (self, ticket) {
             (Coordination::Peers(peers), WriteTicket::Peers(ticket)) => peers.may_send(now, ticket),
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Whether to wait for leave to be sent is in vain.
+    /// Returns true if a held write has no prospect of being sent soon.
     pub fn cannot_be_sent(&mut self, now: f64, ticket: WriteTicket) -> bool {
         match (self, ticket) {
             (Coordination::Peers(peers), _) => peers.node.cannot_send_writes(now),
@@ -126,7 +129,7 @@
         }
     }
 
-    /// A write was committed at that position (Unix seconds).
+    /// Records that a write was committed at a position (Unix seconds).
     pub fn record_commit(&mut self, now: f64, ticket: WriteTicket, position: f64) {
         match (self, ticket) {
             (Coordination::Peers(peers), WriteTicket::Peers(ticket)) => {
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Whether a write that was committed may be answered.
+    /// Returns true if a committed write may be answered.
     pub fn may_answer(&mut self, now: f64, ticket: WriteTicket) -> bool {
         match (self, ticket) {
             (Coordination::Peers(peers), WriteTicket::Peers(ticket)) => peers.node.may_answer(now, ticket),
@@ -150,7 +153,7 @@
         }
     }
 
-    /// When a write can no longer be answered as served (Unix seconds).
+    /// Returns when a write can no longer be answered as served (Unix seconds).
     pub fn answer_deadline(&self, ticket: WriteTicket) -> f64 {
         match (self, ticket) {
             (Coordination::Directory(directory), WriteTicket::Directory(ticket)) => {
@@ -160,7 +163,7 @@
         }
     }
 
-    /// A write is done with.
+    /// Ends a write.
     pub fn end_write(&mut self, now: f64, ticket: WriteTicket) {
         match (self, ticket) {
             (Coordination::Peers(peers), WriteTicket::Peers(ticket)) => peers.node.forget(now, ticket),
@@ -171,15 +174,15 @@
         }
     }
 
-    /// Answers what people ask.
-    pub fn answer(&mut self, now: f64, question: &Question) -> Response {
+    /// Answers an operator's query.
+    pub fn answer(&mut self, now: f64, query: &PeersQuery) -> Response {
         match self {
-            Coordination::Peers(peers) => peers.answer(now, question),
-            Coordination::Directory(directory) => directory.answer(now, question),
+            Coordination::Peers(peers) => peers.answer(now, query),
+            Coordination::Directory(directory) => directory.answer(now, query),
         }
     }
 
-    /// This instance ends: the others are told.
+    /// Announces the shutdown to other instances.
     pub fn announce_shutdown(&mut self, now: impl Fn() -> f64) {
         match self {
             Coordination::Peers(peers) => peers.announce_shutdown(now),
--- a/crates/daemon/src/net/directory.rs
+++ b/crates/daemon/src/net/directory.rs
@@ -1,11 +1,11 @@
-//! The pooler's side of the session directory: a socket towards the control instances and towards the poolers that sessions
-//! come from. What is claimed, owned and proven is decided in the package `directory`.
+//! The pooler's side of the session directory: a socket for messages with the control instances and with
+//! other poolers that own sessions. The protocol itself is in the package `directory`.
 
 mod settings;
 
 use std::io;
 
-use ::control::{Code, PeersQuery as Question, Response};
+use ::control::{Code, PeersQuery, Response};
 use config::Config;
 use directory::{
     Client, PrimaryReason, ProcessId, ReadRequirement, SessionKey, Status, Ticket, Timing, WriteOutcome,
@@ -19,23 +19,23 @@
 use crate::files;
 pub(crate) use settings::{millis, placement, terms, DropLog, Routes};
 
-/// The session directory, as the daemon holds it.
+/// The client of the session directory.
 pub(crate) struct Directory {
     client: Client,
     socket: UdpSocket,
     routes: Routes,
     timer: EarliestTimer,
-    hold: f64,
-    begun: f64,
+    max_hold: f64,
+    started_at: f64,
     drops: DropLog,
     terms: Timing,
-    /// Groups of control instances, and how many of them had a quorum when that was last looked at.
+    /// Number of groups of control instances, and how many of them had a quorum at the last check.
     groups: usize,
     with_quorum: usize,
 }
 
 impl Directory {
-    /// Listens, where the operator's file names control instances.
+    /// Binds the socket, if the operator's file names control instances.
     pub fn new(
         effective: &EffectiveConfig,
         config: &Config,
@@ -46,29 +46,31 @@
         let keys = files::read_peer_keys(&settings.keys)?;
         let placement = placement(settings)?;
         let now = context.reactor.now();
-        let named = |error: io::Error| format!("peers.listen: {listen}: {error}");
-        let mut socket = UdpSocket::bind(listen).map_err(named)?;
+        let with_address = |error: io::Error| format!("peers.listen: {listen}: {error}");
+        let mut socket = UdpSocket::bind(listen).map_err(with_address)?;
         let registry = &context.reactor.registry;
-        registry.register(&mut socket, Source::PeerDatagrams.into(), Interest::READABLE).map_err(named)?;
-        let me = ProcessId::new(&config.name, millis(now));
+        registry
+            .register(&mut socket, Source::PeerDatagrams.into(), Interest::READABLE)
+            .map_err(with_address)?;
+        let process_id = ProcessId::new(&config.name, millis(now));
         let groups = placement.groups();
         logging::info!(
             event = "directory.following",
-            start = me.incarnation,
+            start = process_id.incarnation,
             control = settings.control.len(),
-            "sessions are kept by {} control instances; others reach {} at {listen}",
+            "{} control instances store the owners of sessions; other poolers reach {} at {listen}",
             settings.control.len(),
             config.name
         );
         let terms = terms(settings);
-        let client = Client::new(me, listen, keys, terms, placement, millis(now));
+        let client = Client::new(process_id, listen, keys, terms, placement, millis(now));
         let mut directory = Directory {
             client,
             socket,
             routes: Routes::new(settings),
             timer: EarliestTimer::default(),
-            hold: WRITE_HOLD_AIM_SHARE * effective.shortest_write_aim(),
-            begun: now,
+            max_hold: WRITE_HOLD_AIM_SHARE * effective.shortest_write_aim(),
+            started_at: now,
             drops: DropLog::default(),
             terms,
             groups,
@@ -78,27 +80,27 @@
         Ok(Some(directory))
     }
 
-    /// How long a write waits for leave to be sent (seconds).
+    /// Returns the maximum time that a write is held until it may be sent (seconds).
     pub fn max_write_hold(&self) -> f64 {
-        self.hold
+        self.max_hold
     }
 
-    /// Datagrams may be read.
+    /// Reads datagrams.
     pub fn on_ready(&mut self, context: &mut Context) {
         let client = &mut self.client;
         let now = || millis(context.reactor.now());
-        // What is dropped is counted by the client, and logged from there.
+        // The client counts dropped datagrams; `report` logs them.
         let mut take = |from, bytes: &[u8]| {
             let _ = client.receive(now(), from, bytes);
         };
         if datagrams::receive(&self.socket, &mut take) {
-            // The rest is read once the others have had their turn.
+            // The rest is read after other events have been handled.
             context.reactor.set_timer(context.reactor.now(), TimerKind::Peers);
         }
         self.send_pending(context);
     }
 
-    /// The time has come for something.
+    /// Runs what is due.
     pub fn on_timer(&mut self, context: &mut Context) {
         let now = context.reactor.now();
         self.timer.fired(now);
@@ -107,7 +109,7 @@
         self.on_ready(context);
     }
 
-    /// Sends what there is to send, and sets the timer.
+    /// Sends pending datagrams and sets the timer.
     pub fn send_pending(&mut self, context: &mut Context) {
         self.send();
         let due = self.client.next_due() as f64 / settings::MILLIS_PER_SECOND;
@@ -116,12 +118,13 @@
 
     fn send(&mut self) {
         for (to, bytes) in self.client.take_datagrams() {
-            // What does not go out is as lost as what does not arrive.
+            // A datagram that can't be sent is treated like a lost one.
             let _ = self.socket.send_to(&bytes, self.routes.resolve(to));
         }
     }
 
-    /// What a session's read needs, as a position (Unix seconds); infinite where only the primary will do.
+    /// Returns the position (Unix seconds) that a session's read requires; infinite if only the primary may
+    /// serve it.
     pub fn required_position(&mut self, now: f64, session: &str) -> f64 {
         match self.client.read_requirement(millis(now), SessionKey::new(session)) {
             ReadRequirement::AtLeast(position) => position as f64 / settings::MILLIS_PER_SECOND,
@@ -129,104 +132,109 @@
         }
     }
 
-    /// A write of a session has come, with so much time left (seconds). None at a bound: it must not be sent.
-    pub fn begin_write(&mut self, now: f64, session: &str, left: f64) -> Option<Ticket> {
-        self.client.begin_write(millis(now), SessionKey::new(session), millis(left))
+    /// Begins a write of a session with `time_left` (seconds). Returns `None` if a limit is reached: the
+    /// write must not be sent.
+    pub fn begin_write(&mut self, now: f64, session: &str, time_left: f64) -> Option<Ticket> {
+        self.client.begin_write(millis(now), SessionKey::new(session), millis(time_left))
     }
 
-    /// Whether a write may be sent.
+    /// Returns true if a write may be sent.
     pub fn may_send(&mut self, now: f64, ticket: Ticket) -> bool {
         self.client.may_send(millis(now), ticket)
     }
 
-    /// Whether a write that may not be sent will not be in a while: its session's group has had no quorum for longer than a
-    /// start takes.
+    /// Returns true if a held write has no prospect of being sent soon: the group of its session has no
+    /// quorum, and the time that a start takes is over.
     pub fn cannot_be_sent(&mut self, now: f64, ticket: Ticket) -> bool {
-        let starts = now < self.begun + self.terms.lease as f64 / settings::MILLIS_PER_SECOND;
-        !starts && self.client.write_blocked_by(millis(now), ticket) == Some(PrimaryReason::NoQuorum)
+        let starting = now < self.started_at + self.terms.lease as f64 / settings::MILLIS_PER_SECOND;
+        !starting && self.client.write_blocked_by(millis(now), ticket) == Some(PrimaryReason::NoQuorum)
     }
 
-    /// A write was committed at that position (Unix seconds).
+    /// Records that a write was committed at a position (Unix seconds).
     pub fn record_commit(&mut self, now: f64, ticket: Ticket, position: f64) {
-        // A position that is cut off to milliseconds would let a read see less than the write.
+        // Rounded up: with a position truncated to milliseconds a read could miss the write.
         let position = (position * settings::MILLIS_PER_SECOND).ceil() as u64;
         self.client.end_write(millis(now), ticket, WriteOutcome::Committed(position));
     }
 
-    /// Whether a write that was committed may be answered.
+    /// Returns true if a committed write may be answered.
     pub fn may_answer(&mut self, now: f64, ticket: Ticket) -> bool {
         self.client.may_answer(millis(now), ticket)
     }
 
-    /// When a write can no longer be answered (Unix seconds).
+    /// Returns when a write can no longer be answered (Unix seconds).
     pub fn answer_deadline(&self, ticket: Ticket) -> f64 {
         self.client.deadline(ticket) as f64 / settings::MILLIS_PER_SECOND
     }
 
-    /// A write is done with.
+    /// Ends a write.
     pub fn end_write(&mut self, now: f64, ticket: Ticket) {
         self.client.forget(millis(now), ticket);
     }
 
-    /// Answers what people ask.
-    pub fn answer(&mut self, now: f64, question: &Question) -> Response {
-        let told = |value: serde_json::Value, words: &str| Response {
+    /// Answers an operator's query.
+    pub fn answer(&mut self, now: f64, query: &PeersQuery) -> Response {
+        let response = |value: serde_json::Value, text: &str| Response {
             peers: Some(value),
-            ..Response::new(Code::Ok, words)
+            ..Response::new(Code::Ok, text)
         };
-        match question {
-            Question::Status => told(self.status(now), "the session directory"),
-            Question::Session(name) => {
-                let need = match self.client.read_requirement(millis(now), SessionKey::new(name)) {
+        match query {
+            PeersQuery::Status => response(self.status(now), "the session directory"),
+            PeersQuery::Session(name) => {
+                let requirement = match self.client.read_requirement(millis(now), SessionKey::new(name)) {
                     ReadRequirement::AtLeast(position) => {
-                        format!("a replica that has come to {:.3}", position as f64 / settings::MILLIS_PER_SECOND)
+                        format!(
+                            "a replica at position {:.3} or later",
+                            position as f64 / settings::MILLIS_PER_SECOND
+                        )
                     }
-                    ReadRequirement::Primary(why) => format!("the primary: {}", words(why)),
+                    ReadRequirement::Primary(reason) => format!("the primary: {}", describe(reason)),
                 };
                 let owner = self.client.is_owner(millis(now), SessionKey::new(name));
-                let value = serde_json::json!({ "session": name, "reads_need": need, "owned_here": owner });
-                told(value, "why")
+                let value =
+                    serde_json::json!({ "session": name, "reads_need": requirement, "owned_here": owner });
+                response(value, "routing of the session's reads")
             }
             _ => Response::new(
                 Code::Nothing,
-                "beside peers.control instances share only what sessions wrote; accepted: status, explain session",
+                "with peers.control only the state of sessions is shared; accepted: status, explain session",
             ),
         }
     }
 
     fn status(&self, now: f64) -> serde_json::Value {
-        let Status { sessions, claiming, writes, groups, instances: machines } =
-            self.client.status(millis(now));
+        let Status { sessions, claiming, writes, groups, instances } = self.client.status(millis(now));
         let counts = self.client.counts();
         let dropped: std::collections::BTreeMap<String, u64> =
             self.client.faults().iter().map(|(fault, count)| (fault.to_string(), *count)).collect();
         serde_json::json!({
             "sessions": sessions, "claiming": claiming, "writes": writes,
-            "groups_with_quorum": groups, "groups": self.groups, "control_instances": machines,
+            "groups_with_quorum": groups, "groups": self.groups, "control_instances": instances,
             "claims": counts.claims, "claims_completed": counts.completed, "claims_given_up": counts.failed,
             "handovers": counts.handovers, "outwaited": counts.expired_owners, "given": counts.handed_off,
             "revoked": counts.revoked, "dropped": dropped,
         })
     }
 
-    /// Tells the log of groups without a quorum, and of datagrams that were dropped.
+    /// Logs the loss and the return of quorums, and dropped datagrams.
     fn report(&mut self, now: f64) {
         let with_quorum = self.client.status(millis(now)).groups;
-        let before = std::mem::replace(&mut self.with_quorum, with_quorum);
-        if with_quorum < before {
+        let previous = std::mem::replace(&mut self.with_quorum, with_quorum);
+        if with_quorum < previous {
             logging::warn!(
                 event = "directory.lost",
                 groups = self.groups,
                 with_quorum,
-                "sessions of the other groups read at the primary, and their writes are refused"
+                "only {with_quorum} groups of control instances have a quorum: sessions of the other groups read \
+                 at the primary, and their writes are rejected"
             );
-        } else if with_quorum > before && with_quorum == self.groups {
+        } else if with_quorum > previous && with_quorum == self.groups {
             logging::info!(event = "directory.whole", "every group of control instances has a quorum");
         }
         self.drops.report(now, self.client.faults());
     }
 
-    /// This pooler ends: its leases are given back, unless a write is under way.
+    /// Releases the leases of this pooler at shutdown, unless a write is in progress.
     pub fn announce_shutdown(&mut self) {
         if self.client.leave() {
             self.send();
@@ -234,14 +242,14 @@
     }
 }
 
-/// Why a read goes to the primary, in words.
-fn words(why: PrimaryReason) -> &'static str {
-    match why {
+/// Describes why a read goes to the primary.
+fn describe(reason: PrimaryReason) -> &'static str {
+    match reason {
         PrimaryReason::Claiming => "the session's group has not answered yet",
-        PrimaryReason::FormerOwner => "a former owner has not answered yet, and its lease is not over",
-        PrimaryReason::OpenWrite => "a write that was sent may commit still",
+        PrimaryReason::FormerOwner => "a former owner has not answered yet, and its lease has not ended",
+        PrimaryReason::OpenWrite => "a write that was sent may still commit",
         PrimaryReason::NoQuorum => "there is no quorum of the session's group",
-        PrimaryReason::LimitReached => "a bound is reached",
-        PrimaryReason::Left => "this pooler ends",
+        PrimaryReason::LimitReached => "a limit of this pooler is reached",
+        PrimaryReason::Left => "this pooler shuts down",
     }
 }
--- a/crates/daemon/src/net/peers.rs
+++ b/crates/daemon/src/net/peers.rs
@@ -1,5 +1,5 @@
-//! The sockets towards other instances: datagrams for all that is small, streams for logs that are far behind, a folder
-//! for what outlasts a start. What is said and believed is decided in `replication`.
+//! Sockets for the exchange with peers: datagrams for small messages, streams for logs that are far behind,
+//! and the folder for state that outlasts a start. The protocol itself is in `replication`.
 
 mod disk;
 mod streams;
@@ -23,30 +23,31 @@
 use disk::Disk;
 use streams::Streams;
 
-/// Time between two tellings of how members look (seconds).
-const BEAT: f64 = 0.25;
-/// Share of the shortest aim of a write for which others go by what they have read: a write waits no longer for them.
-const LEASE_OF_AIM: f64 = 0.45;
-/// Longest lease (seconds).
-const LEASE: f64 = 0.5;
-/// Multiple of a lease for which a write waits for leave to be sent at the most.
-const HOLD_OF_LEASE: f64 = 1.2;
-/// How long an instance that ends waits until the others have read that it does.
-const FAREWELL: Duration = Duration::from_millis(300);
+/// Interval at which observations of members are sent to peers (seconds).
+const REPORT_INTERVAL: f64 = 0.25;
+/// Maximum lease as a share of the shortest latency aim of a write, since a write may wait that long for
+/// lessees.
+const LEASE_AIM_SHARE: f64 = 0.45;
+/// Maximum lease (seconds).
+const MAX_LEASE: f64 = 0.5;
+/// Maximum time that a write is held until it may be sent, as a multiple of a lease.
+const MAX_HOLD_LEASES: f64 = 1.2;
+/// How long the shutdown waits for peers to read the end of this instance's log.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Other instances, as the daemon holds them.
+/// The exchange of state with peers.
 pub(crate) struct Peers {
     pub node: Node,
     socket: UdpSocket,
     streams: Streams,
     disk: Option<Disk>,
     timer: EarliestTimer,
-    next_beat: f64,
-    hold: f64,
+    next_report: f64,
+    max_hold: f64,
 }
 
 impl Peers {
-    /// Listens, where the operator's file says so.
+    /// Binds the sockets, if the operator's file configures the exchange.
     pub fn new(
         effective: &EffectiveConfig,
         config: &Config,
@@ -55,33 +56,37 @@
         let settings = &effective.document.peers;
         let Some(listen) = settings.listen else { return Ok(None) };
         let keys = files::read_peer_keys(&settings.keys)?;
-        let named = |error: io::Error| format!("peers.listen: {listen}: {error}");
-        let mut socket = UdpSocket::bind(listen).map_err(named)?;
-        let mut listener = TcpListener::bind(listen).map_err(named)?;
+        let with_address = |error: io::Error| format!("peers.listen: {listen}: {error}");
+        let mut socket = UdpSocket::bind(listen).map_err(with_address)?;
+        let mut listener = TcpListener::bind(listen).map_err(with_address)?;
         let registry = &context.reactor.registry;
-        registry.register(&mut socket, Source::PeerDatagrams.into(), Interest::READABLE).map_err(named)?;
-        registry.register(&mut listener, Source::PeerListener.into(), Interest::READABLE).map_err(named)?;
+        registry
+            .register(&mut socket, Source::PeerDatagrams.into(), Interest::READABLE)
+            .map_err(with_address)?;
+        registry
+            .register(&mut listener, Source::PeerListener.into(), Interest::READABLE)
+            .map_err(with_address)?;
         let now = context.reactor.now();
-        let (mut disk, kept) = match settings.dir.as_deref().map(Disk::open) {
-            Some(Ok((disk, kept))) => (Some(disk), Some(kept)),
+        let (mut disk, stored) = match settings.dir.as_deref().map(Disk::open) {
+            Some(Ok((disk, stored))) => (Some(disk), Some(stored)),
             Some(Err(fault)) => return Err(format!("peers.dir: {fault}")),
             None => (None, None),
         };
-        let start = replication::disk::next_start(kept.as_ref(), now);
+        let start = replication::disk::next_start(stored.as_ref(), now);
         if let Some(disk) = &mut disk {
             disk.write(&[replication::disk::Record::Start(start)]);
         }
         let zone = config.zones.get(config.settings.zone as usize).map_or("", String::as_str);
-        let me = Identity {
+        let identity = Identity {
             name: replication::message::truncated_name(&config.name),
             zone: replication::message::truncated_name(zone),
             address: listen,
             start,
             renewal: 0,
         };
-        let aim = effective.shortest_write_aim();
-        let lease = (aim * LEASE_OF_AIM).clamp(0.01, LEASE);
-        let terms = NodeConfig {
+        let shortest_aim = effective.shortest_write_aim();
+        let lease = (shortest_aim * LEASE_AIM_SHARE).clamp(0.01, MAX_LEASE);
+        let node_config = NodeConfig {
             lease,
             majority_timeout: settings.patience_s,
             clock_error: settings.clock_error_s,
@@ -93,40 +98,40 @@
             start,
             seeds = settings.seeds.len(),
             "other instances reach {} at {listen}",
-            me.name
+            identity.name
         );
-        let node = Node::new(me, keys, terms, config.seed ^ start, now, kept);
-        let hold = (HOLD_OF_LEASE * lease).min(WRITE_HOLD_AIM_SHARE * aim);
+        let node = Node::new(identity, keys, node_config, config.seed ^ start, now, stored);
+        let max_hold = (MAX_HOLD_LEASES * lease).min(WRITE_HOLD_AIM_SHARE * shortest_aim);
         let mut peers = Peers {
             node,
             socket,
             streams: Streams::new(listener),
             disk,
             timer: EarliestTimer::default(),
-            next_beat: now,
-            hold,
+            next_report: now,
+            max_hold,
         };
         peers.on_timer(context);
         Ok(Some(peers))
     }
 
-    /// How long a write waits for leave to be sent (seconds).
+    /// Returns the maximum time that a write is held until it may be sent (seconds).
     pub fn max_write_hold(&self) -> f64 {
-        self.hold
+        self.max_hold
     }
 
-    /// Datagrams may be read.
+    /// Reads datagrams.
     pub fn on_ready(&mut self, context: &mut Context) {
         let node = &mut self.node;
         let now = || context.reactor.now();
         if datagrams::receive(&self.socket, |_, bytes| node.receive(now(), bytes)) {
-            // The rest is read once the others have had their turn.
+            // The rest is read after other events have been handled.
             context.reactor.set_timer(context.reactor.now(), TimerKind::Peers);
         }
         self.send_pending(context);
     }
 
-    /// The time has come for something.
+    /// Runs what is due.
     pub fn on_timer(&mut self, context: &mut Context) {
         let now = context.reactor.now();
         self.timer.fired(now);
@@ -144,14 +149,14 @@
         self.send_pending(context);
     }
 
-    /// Sends what there is to send, writes what there is to write, and sets the timer.
+    /// Sends pending datagrams, writes pending records and sets the timer.
     pub fn send_pending(&mut self, context: &mut Context) {
         for (name, to) in self.node.streams_to_open(context.reactor.now()) {
             self.streams.open(name, to, &mut self.node, context);
         }
         self.node.flush_due(context.reactor.now());
         for (to, bytes) in self.node.take_datagrams() {
-            // What does not go out is as lost as what does not arrive.
+            // A datagram that can't be sent is treated like a lost one.
             let _ = self.socket.send_to(&bytes, to);
         }
         let records = self.node.take_records();
@@ -159,22 +164,22 @@
             disk.write(&records);
         }
         for notice in self.node.take_notices() {
-            noticed(&notice);
+            log_notice(&notice);
         }
-        let due = self.node.next_due().min(self.next_beat);
+        let due = self.node.next_due().min(self.next_report);
         self.timer.set(due, TimerKind::Peers, &mut context.reactor);
     }
 
-    /// Whether it is time to tell how members look.
+    /// Returns true if observations of members are due to be sent.
     pub fn take_report_due(&mut self, now: f64) -> bool {
-        let beats = now >= self.next_beat;
-        if beats {
-            self.next_beat = now + BEAT;
+        let due = now >= self.next_report;
+        if due {
+            self.next_report = now + REPORT_INTERVAL;
         }
-        beats
+        due
     }
 
-    /// What the list says of members.
+    /// Publishes what the list says about members.
     pub fn report_list<'a>(
         &mut self,
         now: f64,
@@ -184,17 +189,17 @@
         reports::report_list(&mut self.node, now, (source, version), members);
     }
 
-    /// Tells how members look to this instance.
-    pub fn report_observations(&mut self, now: f64, found: &[Observation]) {
-        reports::report_views(&mut self.node, now, found);
+    /// Sends how members look to this instance.
+    pub fn report_observations(&mut self, now: f64, observations: &[Observation]) {
+        reports::report_views(&mut self.node, now, observations);
     }
 
-    /// What the others say of members, for the decisions.
-    pub fn peer_reports(&self, now: f64, found: &[Observation]) -> Vec<PeerReport> {
-        reports::peer_reports(&self.node, now, found)
+    /// Returns what peers report about members, for the routing policy.
+    pub fn peer_reports(&self, now: f64, observations: &[Observation]) -> Vec<PeerReport> {
+        reports::peer_reports(&self.node, now, observations)
     }
 
-    /// What a session's read needs, as a position; infinite where only the primary will do.
+    /// Returns the position that a session's read requires; infinite if only the primary may serve it.
     pub fn required_position(&mut self, now: f64, session: &str) -> f64 {
         match self.node.read_requirement(now, session) {
             ReadRequirement::AtLeast(position) => position,
@@ -202,29 +207,32 @@
         }
     }
 
-    /// Whether a write may be sent.
+    /// Returns true if a write may be sent.
     pub fn may_send(&mut self, now: f64, ticket: Ticket) -> bool {
         self.node.may_send(now, ticket)
     }
 
-    /// Answers what people ask.
-    pub fn answer(&mut self, now: f64, what: &::control::PeersQuery) -> Response {
-        use ::control::PeersQuery as Ask;
-        let told = |value: serde_json::Value, words: &str| Response {
+    /// Answers an operator's query.
+    pub fn answer(&mut self, now: f64, query: &::control::PeersQuery) -> Response {
+        use ::control::PeersQuery;
+        let response = |value: serde_json::Value, text: &str| Response {
             peers: Some(value),
-            ..Response::new(Code::Ok, words)
+            ..Response::new(Code::Ok, text)
         };
-        match what {
-            Ask::Status => {
+        match query {
+            PeersQuery::Status => {
                 let status = self.node.status(now);
-                told(serde_json::to_value(&status).unwrap_or_default(), "who is there")
+                response(serde_json::to_value(&status).unwrap_or_default(), "instances of this installation")
             }
-            Ask::Digests => {
+            PeersQuery::Digests => {
                 let digests: BTreeMap<String, String> =
                     self.node.digests().into_iter().map(|(name, sum)| (name.to_string(), sum)).collect();
-                told(serde_json::json!({ "digest": self.node.digest(), "authors": digests }), "by author")
+                response(
+                    serde_json::json!({ "digest": self.node.digest(), "authors": digests }),
+                    "digests by author",
+                )
             }
-            Ask::Members => {
+            PeersQuery::Members => {
                 let members: Vec<serde_json::Value> = self
                     .node
                     .aggregated_views(now)
@@ -237,50 +245,67 @@
                         })
                     })
                     .collect();
-                told(serde_json::json!({ "members": members }), "as the others see them")
+                response(serde_json::json!({ "members": members }), "members as seen by other instances")
             }
-            Ask::Member(name) => {
+            PeersQuery::Member(name) => {
                 let views: Vec<serde_json::Value> = self
                     .node
                     .views_of(now, name)
                     .into_iter()
-                    .map(|(by, age, view)| serde_json::json!({ "by": &*by, "age_s": age, "view": view }))
+                    .map(|(observer, age, view)| {
+                        serde_json::json!({ "by": &*observer, "age_s": age, "view": view })
+                    })
                     .collect();
-                let stand = format!("{:?}", self.node.member_status(name, 0.0)).to_lowercase();
-                told(
-                    serde_json::json!({ "name": name, "told": stand, "views": views }),
-                    "who says what of it",
+                let status = format!("{:?}", self.node.member_status(name, 0.0)).to_lowercase();
+                response(
+                    serde_json::json!({ "name": name, "told": status, "views": views }),
+                    "reports about the member",
                 )
             }
-            Ask::Session(name) => {
-                let need = match self.node.read_requirement(now, name) {
-                    ReadRequirement::AtLeast(position) => format!("a replica that has come to {position:.3}"),
-                    ReadRequirement::Primary(why) => format!("the primary: {}", why.description()),
+            PeersQuery::Session(name) => {
+                let requirement = match self.node.read_requirement(now, name) {
+                    ReadRequirement::AtLeast(position) => {
+                        format!("a replica at position {position:.3} or later")
+                    }
+                    ReadRequirement::Primary(reason) => format!("the primary: {}", reason.description()),
                 };
                 let lines = self.node.explain(now, name);
-                told(serde_json::json!({ "session": name, "reads_need": need, "because": lines }), "why")
+                response(
+                    serde_json::json!({ "session": name, "reads_need": requirement, "because": lines }),
+                    "routing of the session's reads",
+                )
             }
-            Ask::Forget(name) => {
+            PeersQuery::Forget(name) => {
                 if self.node.forget_instance(now, name) {
-                    logging::warn!(event = "peers.written_off", name, "written off by an operator");
-                    Response::new(Code::Ok, format!("{name} is over; should it live, it comes back anew"))
+                    logging::warn!(
+                        event = "peers.written_off",
+                        name,
+                        "{name} was declared ended by an operator"
+                    );
+                    Response::new(
+                        Code::Ok,
+                        format!("{name} is declared ended; if it still runs, it rejoins under a new start"),
+                    )
                 } else {
-                    Response::new(Code::Nothing, format!("no instance {name}, and no such seed, is missed"))
+                    Response::new(
+                        Code::Nothing,
+                        format!("{name} is neither a running instance nor an unanswered seed"),
+                    )
                 }
             }
         }
     }
 
-    /// This instance ends: the others are told, and given a moment to read what it stated last.
+    /// Announces the shutdown to peers and waits up to [`SHUTDOWN_TIMEOUT`] for them to read the last facts.
     pub fn announce_shutdown(&mut self, now: impl Fn() -> f64) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let mut bytes = [0; datagrams::MAX_DATAGRAM_BYTES];
         loop {
             let done = self.node.leave(now());
             for (to, bytes) in self.node.take_datagrams() {
                 let _ = self.socket.send_to(&bytes, to);
             }
-            if done || begun.elapsed() > FAREWELL {
+            if done || started_at.elapsed() > SHUTDOWN_TIMEOUT {
                 return;
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -291,53 +316,80 @@
     }
 }
 
-/// Tells the log what has happened.
-fn noticed(notice: &Notice) {
+/// Logs a notice.
+fn log_notice(notice: &Notice) {
     match notice {
-        Notice::Joined(who) => {
-            let (name, zone, start) = (&*who.name, &*who.zone, who.start);
-            logging::info!(event = "peers.joined", name, zone, start, "{name} is there");
+        Notice::Joined(identity) => {
+            let (name, zone, start) = (&*identity.name, &*identity.zone, identity.start);
+            logging::info!(event = "peers.joined", name, zone, start, "instance {name} has joined");
         }
-        Notice::Left(who) => logging::info!(event = "peers.left", name = &*who.name, "{} has left", who.name),
-        Notice::Ended(who, known) => {
-            let (name, start) = (&*who.name, who.start);
-            logging::info!(event = "peers.ended", name, start, known, "{name} is over at that start");
+        Notice::Left(identity) => {
+            logging::info!(
+                event = "peers.left",
+                name = &*identity.name,
+                "instance {} has left",
+                identity.name
+            )
+        }
+        Notice::Ended(identity, known) => {
+            let (name, start) = (&*identity.name, identity.start);
+            logging::info!(
+                event = "peers.ended",
+                name,
+                start,
+                known,
+                "start {start} of instance {name} has ended"
+            );
         }
         Notice::Unreachable(name) => {
-            logging::warn!(event = "peers.missing", name = &**name, "{name} does not answer")
+            logging::warn!(event = "peers.missing", name = &**name, "instance {name} does not answer")
         }
         Notice::Reachable(name) => {
-            logging::info!(event = "peers.back", name = &**name, "{name} answers again")
+            logging::info!(event = "peers.back", name = &**name, "instance {name} answers again")
         }
         Notice::Complete(true) => {
-            logging::debug!(event = "peers.whole", "sessions' reads go by what is known")
+            logging::debug!(
+                event = "peers.whole",
+                "the state of all peers is known: reads of sessions may use replicas"
+            )
         }
         Notice::Complete(false) => {
-            logging::debug!(event = "peers.strict", "sessions' reads go to the primary")
+            logging::debug!(
+                event = "peers.strict",
+                "the state of peers is not completely known: reads of sessions go to the primary"
+            )
         }
         Notice::WithoutMajority(true) => {
-            logging::warn!(event = "peers.alone", "no majority: writes are answered without it")
+            logging::warn!(
+                event = "peers.alone",
+                "no majority of instances is reachable: writes are answered without one"
+            )
         }
         Notice::WithoutMajority(false) => {
-            logging::info!(event = "peers.together", "a majority is there again")
+            logging::info!(event = "peers.together", "a majority of instances is reachable again")
         }
         Notice::Suspected(name) => {
-            logging::info!(event = "peers.suspected", name = &**name, "{name} is called dead")
+            logging::info!(
+                event = "peers.suspected",
+                name = &**name,
+                "membership declares instance {name} dead"
+            )
         }
         Notice::Conflict(address) => logging::error!(
             event = "peers.conflict",
-            "another process at {address} runs under this one's name: writes of sessions are turned away here"
+            "another process at {address} runs under this instance's name: writes of sessions are rejected here"
         ),
         Notice::TwoPrimaries(group, a, b) => logging::warn!(
             event = "peers.two_primaries",
             group,
-            "{a} and {b} both claim group {group}: neither is believed unasked"
+            "members {a} and {b} both claim to be the primary of group {group}: neither is used before it \
+             is asked"
         ),
         Notice::Renewed(start) => {
             logging::warn!(
                 event = "peers.renewed",
                 start,
-                "was called over by others: goes on as a new start"
+                "other instances declared this one ended: it continues under start {start}"
             );
         }
     }
