--- a/crates/daemon/src/net/control_instance.rs
+++ b/crates/daemon/src/net/control_instance.rs
@@ -12,7 +12,7 @@
 use signal_hook_mio::v1_0::Signals;
 
 use super::datagrams;
-use super::directory::{millis, placement, terms, DropLog, Routes};
+use super::directory::{millis, placement, timing, DropLog, Routes};
 use super::event_loop::Reactor;
 use crate::files;
 
@@ -55,7 +55,7 @@
     let now = millis(reactor.now());
     let me = ProcessId::new(name, now);
     let keys = files::read_peer_keys(&settings.keys)?;
-    let replica = Replica::new(me, keys, terms(settings), placement(settings)?, now);
+    let replica = Replica::new(me, keys, timing(settings), placement(settings)?, now);
     let replica = replica.ok_or_else(|| format!("--name {name}: not in peers.control"))?;
     logging::info!(
         event = "control.listening",
--- a/crates/daemon/src/net/directory.rs
+++ b/crates/daemon/src/net/directory.rs
@@ -17,7 +17,7 @@
 use super::event_loop::{EarliestTimer, Source, TimerKind};
 use super::{datagrams, Context, WRITE_HOLD_AIM_SHARE};
 use crate::files;
-pub(crate) use settings::{millis, placement, terms, DropLog, Routes};
+pub(crate) use settings::{millis, placement, timing, DropLog, Routes};
 
 /// The client of the session directory.
 pub(crate) struct Directory {
@@ -28,7 +28,7 @@
     max_hold: f64,
     started_at: f64,
     drops: DropLog,
-    terms: Timing,
+    timing: Timing,
     /// Number of groups of control instances, and how many of them had a quorum at the last check.
     groups: usize,
     with_quorum: usize,
@@ -62,8 +62,8 @@
             settings.control.len(),
             config.name
         );
-        let terms = terms(settings);
-        let client = Client::new(process_id, listen, keys, terms, placement, millis(now));
+        let timing = timing(settings);
+        let client = Client::new(process_id, listen, keys, timing, placement, millis(now));
         let mut directory = Directory {
             client,
             socket,
@@ -72,7 +72,7 @@
             max_hold: WRITE_HOLD_AIM_SHARE * effective.shortest_write_aim(),
             started_at: now,
             drops: DropLog::default(),
-            terms,
+            timing,
             groups,
             with_quorum: 0,
         };
@@ -146,7 +146,7 @@
     /// Returns true if a held write has no prospect of being sent soon: the group of its session has no
     /// quorum, and the time that a start takes is over.
     pub fn cannot_be_sent(&mut self, now: f64, ticket: Ticket) -> bool {
-        let starting = now < self.started_at + self.terms.lease as f64 / settings::MILLIS_PER_SECOND;
+        let starting = now < self.started_at + self.timing.lease as f64 / settings::MILLIS_PER_SECOND;
         !starting && self.client.write_blocked_by(millis(now), ticket) == Some(PrimaryReason::NoQuorum)
     }
 
--- a/crates/daemon/src/net/directory/settings.rs
+++ b/crates/daemon/src/net/directory/settings.rs
@@ -23,12 +23,12 @@
         region: instance.region.clone(),
         address: instance.address,
     });
-    Placement::new(instances.collect(), settings.control_group, &terms(settings))
+    Placement::new(instances.collect(), settings.control_group, &timing(settings))
         .map_err(|fault| format!("peers.control: {fault}"))
 }
 
 /// Returns the timing that all processes of the directory share.
-pub(crate) fn terms(settings: &Peers) -> Timing {
+pub(crate) fn timing(settings: &Peers) -> Timing {
     Timing {
         write_bound: millis(settings.write_bound_s),
         clock_error: millis(settings.clock_error_s),
