--- a/crates/daemon/src/net/peers.rs
+++ b/crates/daemon/src/net/peers.rs
@@ -284,12 +284,12 @@
                     );
                     Response::new(
                         Code::Ok,
-                        format!("{name} is declared ended; if it still runs, it rejoins under a new start"),
+                        format!("{name} is over; if it still runs, it rejoins under a new start"),
                     )
                 } else {
                     Response::new(
                         Code::Nothing,
-                        format!("{name} is neither a running instance nor an unanswered seed"),
+                        format!("no instance {name} is running, and no unanswered seed has this address"),
                     )
                 }
             }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -299,7 +299,7 @@
     }
 
     /// Handles another process with this instance's name. If its start is later, this instance steps down.
-    /// Otherwise this one continues, unless that has happened more than [`MAX_NAME_CONFLICTS`] times within a
+    /// Otherwise this one continues, unless that has happened more than `MAX_NAME_CONFLICTS` times within a
     /// minute.
     pub fn resolve_name_conflict(&mut self, now: f64, other: &Identity) {
         let identity = self.identity().clone();
--- a/crates/replication/src/merge.rs
+++ b/crates/replication/src/merge.rs
@@ -31,9 +31,9 @@
     }
 }
 
-/// What the lists say about a member. Within one list the later version counts, within one version the
-/// strictest status. Versions of different lists can't be compared, so the strictest status of all lists
-/// counts.
+/// What the lists say about a member. Within one list the report about the latest start of the member counts,
+/// then the latest version, then the strictest status. Versions of different lists can't be compared, so the
+/// strictest status of all lists counts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MergedStatus(BTreeMap<u64, (f64, u64, MemberStatus)>);
 
@@ -98,7 +98,7 @@
     }
 }
 
-/// Observer's newest report about one thing, ordered by the observer's start and round. Reports are stored
+/// An observer's newest report about one thing, ordered by the observer's start and round. Reports are stored
 /// per observer: they are evidence, not facts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observed<T> {
--- a/crates/replication/src/node.rs
+++ b/crates/replication/src/node.rs
@@ -65,7 +65,7 @@
 const MAX_RETRANSMIT_DELAY: f64 = 0.12;
 /// Maximum delay between retransmissions to a peer that does not answer (seconds).
 const UNREACHABLE_RETRANSMIT_DELAY: f64 = 0.5;
-/// Maximum number of unacknowledged datagrams pushed to one peer.
+/// Maximum number of datagrams pushed to one peer per flush.
 const PUSH_WINDOW: usize = 16;
 /// Facts are collected for this time before they are pushed (seconds).
 const FLUSH_DELAY: f64 = 0.000_5;
@@ -286,10 +286,13 @@
     roster_names: BTreeMap<u64, Arc<str>>,
     /// Sum of the hashes of the running instances, including this one.
     roster_sum: u64,
+    /// Number of the latest request.
     last_request: u64,
+    /// Number of the latest message.
     last_number: u64,
     /// Whether this start is known to peers; no write is answered before.
     admitted: bool,
+    /// When this start counts as admitted even without a grant: one lease after `admitted` was reset.
     admit_by: f64,
     /// Whether this instance has never been admitted; until then every instance it hears of counts for
     /// majorities.
@@ -300,10 +303,15 @@
     without_majority: bool,
     started_at: f64,
     last_call_at: f64,
+    /// When a session last read here.
     last_read_at: f64,
+    /// Until when the logs of all peers are known to be complete, unless the roster changes.
     complete_until: f64,
+    /// The state that the last [`Notice::Complete`] reported.
     was_complete: bool,
+    /// Whether another process has taken over the name.
     stepped_down: bool,
+    /// Bytes that may be sent, and when that was computed.
     byte_budget: (f64, f64),
     outgoing: Vec<(SocketAddr, Vec<u8>)>,
     notices: Vec<Notice>,
@@ -547,7 +555,7 @@
     }
 
     /// Sends how this instance sees members, and its usage by tenants: to peers of the own zone in each
-    /// round, to others in every [`REMOTE_ZONE_ROUNDS`]th.
+    /// round, to others in every fourth round.
     pub fn publish_views(&mut self, now: f64, views: Vec<View>, usage: Vec<TenantUsage>) {
         self.begin_call(now);
         (self.own_views, self.own_usage) = (views, usage);
--- a/crates/replication/src/node/peer.rs
+++ b/crates/replication/src/node/peer.rs
@@ -16,9 +16,9 @@
     pub upto: u64,
     /// Number of entries on the peer's roster when it reported.
     pub roster: u64,
-    /// When the coverage ends, and when the instance's promise to the peer, to answer writes only with a
-    /// majority, ends.
+    /// End of the coverage.
     pub until: f64,
+    /// End of the instance's promise to the peer to answer writes only with a majority.
     pub majority_only_until: f64,
 }
 
@@ -51,29 +51,33 @@
     pub has_granted: bool,
     /// The highest number that the peer is known to have published.
     pub announced_upto: u64,
-    /// When a message last arrived, and when the latest answered request was sent.
+    /// When a message last arrived.
     pub last_heard_at: f64,
+    /// When the latest answered request was sent.
     pub confirmed_at: f64,
     /// Unanswered requests: number and time.
     pub(super) pending_requests: VecDeque<(u64, f64)>,
     pub(super) next_request_at: f64,
     pub(super) unreachable: bool,
-    /// How far the peer has read this instance's log: acknowledged and counted, received, and
-    /// acknowledgements that do not count yet.
+    /// Number up to which the peer has acknowledged this instance's log, as far as that counts.
     pub acked_upto: u64,
+    /// Number up to which the peer has received this instance's log.
     pub(super) received_upto: u64,
+    /// Acknowledgements that do not count yet.
     pub(super) pending_acks: Vec<PendingAck>,
     /// Number of the peer on this instance's roster.
     pub(super) roster_number: u64,
-    /// Number up to which the peer's roster is known here; number up to which the peer knows this instance's
-    /// roster, as acknowledged and counted, and as received.
+    /// Number up to which the peer's roster is known here.
     pub(super) known_roster: u64,
+    /// Number up to which the peer has acknowledged this instance's roster, as far as that counts.
     pub(super) acked_roster: u64,
+    /// Number up to which the peer has received this instance's roster.
     pub(super) received_roster: u64,
     /// When the peer is next sent the entries of the roster that it does not know.
     pub(super) next_roster_at: f64,
     /// End of the lease granted to the peer, on this instance's clock.
     pub(super) granted_until: f64,
+    /// Number up to which this instance's log has been pushed to the peer.
     pub(super) pushed_upto: u64,
     pub(super) pushed_at: f64,
     pub(super) retransmit_delay: f64,
@@ -86,10 +90,11 @@
     pub(super) admission: Option<Ticket>,
     /// Whether the peer counts for majorities.
     pub counted: bool,
+    /// How and when the instance ended.
     pub ended: Option<(EndReason, f64)>,
-    /// Replay protection: the highest message number, and a bitmap of the 64 numbers up to it that have
-    /// arrived.
+    /// The highest message number that has arrived.
     pub(super) last_number: u64,
+    /// Replay protection: a bitmap of the 64 numbers up to `last_number` that have arrived.
     pub(super) replay_window: u64,
     pub(super) next_view: usize,
     /// Whether the peer's log is read from a stream.
--- a/crates/replication/src/node/roster.rs
+++ b/crates/replication/src/node/roster.rs
@@ -203,11 +203,12 @@
         });
     }
 
+    /// Retains a write mark of an ended instance; returns false if there is no space for it.
     pub(super) fn retain_mark(&mut self, now: f64, session: Arc<str>, position: f64) -> bool {
         while self.ended_marks_expiry.front().is_some_and(|(until, _)| *until <= now) {
-            let Some((until, session_key)) = self.ended_marks_expiry.pop_front() else { break };
-            if self.ended_marks.get(&session_key).is_some_and(|(_, mark)| *mark <= until) {
-                self.ended_marks.remove(&session_key);
+            let Some((until, expired)) = self.ended_marks_expiry.pop_front() else { break };
+            if self.ended_marks.get(&expired).is_some_and(|(_, expires_at)| *expires_at <= until) {
+                self.ended_marks.remove(&expired);
             }
         }
         if self.ended_marks.len() >= MAX_ENDED_MARKS {
@@ -220,6 +221,7 @@
         true
     }
 
+    /// Removes the write mark of an author for a session.
     pub(super) fn remove_mark(&mut self, session: &Arc<str>, author: &Arc<str>) {
         if let Some(marks) = self.write_marks.get_mut(session) {
             marks.retain(|(name, _)| name != author);
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/status.rs
@@ -21,9 +21,9 @@
     /// Time since the peer's state was last confirmed to be current (seconds); absent if it never was.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub behind_s: Option<f64>,
-    /// Number of facts of its log that have not been read here, and of this instance's log that it has not
-    /// read.
+    /// Number of facts of its log that have not been read here.
     pub to_read: u64,
+    /// Number of facts of this instance's log that it has not read.
     pub unread: u64,
     /// Whether it counts for majorities.
     pub counted: bool,
