--- a/crates/daemon/tests/changes.rs
+++ b/crates/daemon/tests/changes.rs
@@ -1,5 +1,5 @@
-//! Changes of configuration in the running program: what is refused, what stands, what is undone, and what a
-//! crash comes back to.
+//! Configuration changes in the running program: which are rejected, confirmed or rolled back, and which
+//! generation is in force after a crash.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -12,36 +12,33 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dewferry");
 const VALUE: &[u8] = b"\x9f\x00\x03";
-/// A probation that ends soon.
-const SOON: &str = "change.probation_s = 0.5";
-/// One that does not end during a test.
-const LONG: &str = "change.probation_s = 600";
+/// The probation ends during the test.
+const SHORT_PROBATION: &str = "change.probation_s = 0.5";
+/// The probation outlasts the test.
+const LONG_PROBATION: &str = "change.probation_s = 600";
 
-/// A primary and two replicas that answer by themselves.
-fn three() -> [AnsweringMember; 3] {
+/// A primary and two replicas that answer every request.
+fn three_members() -> [AnsweringMember; 3] {
     ["writer", "reader", "reader"].map(|role| AnsweringMember::new(move |_| answer_with_role(VALUE, role)))
 }
 
-fn known(machines: &[AnsweringMember]) -> String {
-    let lines: Vec<String> = machines
-        .iter()
-        .enumerate()
-        .map(|(n, machine)| machine.list_entry(&format!("s-{n}"), "here"))
-        .collect();
+fn saved_list(members: &[AnsweringMember]) -> String {
+    let lines: Vec<String> =
+        members.iter().enumerate().map(|(n, member)| member.list_entry(&format!("s-{n}"), "here")).collect();
     list(41, true, &lines)
 }
 
-/// A daemon over three machines, and discovery, which has nothing to say yet.
-fn operated(name: &str, settings: &str) -> (Pooler, OperatorFolder, [AnsweringMember; 3], Discovery) {
-    let (machines, discovery) = (three(), Discovery::listen());
+/// Starts a pooler whose saved list has three members; discovery has sent nothing yet.
+fn start_pooler(name: &str, settings: &str) -> (Pooler, OperatorFolder, [AnsweringMember; 3], Discovery) {
+    let (members, discovery) = (three_members(), Discovery::listen());
     let operator = OperatorFolder::new(name, settings);
-    let pooler = Pooler::start_with_operator(PROGRAM, &known(&machines), &discovery, &operator);
-    (pooler, operator, machines, discovery)
+    let pooler = Pooler::start_with_operator(PROGRAM, &saved_list(&members), &discovery, &operator);
+    (pooler, operator, members, discovery)
 }
 
-/// Waits until a change has ended; its line in the history.
-fn ended(pooler: &Pooler, number: u64) -> String {
-    let begun = Instant::now();
+/// Waits until a change has been confirmed or rolled back; returns its line in the history.
+fn wait_until_ended(pooler: &Pooler, number: u64) -> String {
+    let started = Instant::now();
     loop {
         let (_, text) = pooler.run_config(&["history"]);
         let line =
@@ -49,17 +46,21 @@
         if line.contains("confirmed") || line.contains("rolledback") {
             return line.to_string();
         }
-        assert!(begun.elapsed() < Duration::from_secs(20), "generation {number} does not end: {text}");
+        assert!(
+            started.elapsed() < Duration::from_secs(20),
+            "generation {number} was neither confirmed nor rolled back: {text}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// All that a control client can see of what is in force.
+/// The settings in force and the history, as a control client reads them.
 fn state(pooler: &Pooler) -> (String, String) {
     (pooler.run_config(&["show"]).1, pooler.run_config(&["history", "--json"]).1)
 }
 
-fn ask_many(pooler: &Pooler, class: &str, count: usize) -> usize {
+/// Sends `count` requests one after another; returns how many are served.
+fn count_served(pooler: &Pooler, class: &str, count: usize) -> usize {
     let mut wire = client(pooler);
     let served = |n: usize, wire: &mut Wire| {
         wire.send(&query(&request_sql(&format!("{class}{n}"), class)));
@@ -69,84 +70,91 @@
 }
 
 #[test]
-fn a_refused_change_leaves_everything_as_it_is() {
-    let (pooler, operator, _machines, _discovery) = operated("refused", SOON);
-    assert_eq!(ask_many(&pooler, "order-write", 3), 3);
+fn a_rejected_change_leaves_the_settings_in_force() {
+    let (pooler, operator, _members, _discovery) = start_pooler("refused", SHORT_PROBATION);
+    assert_eq!(count_served(&pooler, "order-write", 3), 3);
     let before = state(&pooler);
-    let all = "[override]\ns-0 = \"drain\"\ns-1 = \"drain\"\ns-2 = \"drain\"";
-    let all = operator.write("all.toml", &format!("{SOON}\n{all}"));
+    let drain_all = "[override]\ns-0 = \"drain\"\ns-1 = \"drain\"\ns-2 = \"drain\"";
+    let drain_all = operator.write("all.toml", &format!("{SHORT_PROBATION}\n{drain_all}"));
     for command in ["plan", "apply"] {
-        let (code, text) = pooler.run_config(&[command, &all]);
+        let (code, text) = pooler.run_config(&[command, &drain_all]);
         assert_eq!(code, 1, "{text}");
         assert!(text.contains("last-primary") && text.contains("3 requests lately"), "{text}");
-        // Nothing that is allowed by name lets it pass.
     }
+    // Allowing the findings by name does not let the change through.
     let (code, _) =
-        pooler.run_config(&["apply", &all, "--allow", "last-primary", "--allow", "members-share"]);
+        pooler.run_config(&["apply", &drain_all, "--allow", "last-primary", "--allow", "members-share"]);
     assert_eq!(code, 1);
-    // The same hidden in two changes, each harmless by itself.
-    let first = operator.write("first.toml", &format!("{SOON}\n[override]\ns-1 = \"drain\""));
+    // The same result reached in two changes, each of which is harmless by itself.
+    let first = operator.write("first.toml", &format!("{SHORT_PROBATION}\n[override]\ns-1 = \"drain\""));
     assert_eq!(pooler.run_config(&["apply", &first]).0, 0);
-    let second = format!("{SOON}\n[override]\ns-1 = \"drain\"\ns-2 = \"drain\"\ns-0 = \"exclude\"");
+    let second =
+        format!("{SHORT_PROBATION}\n[override]\ns-1 = \"drain\"\ns-2 = \"drain\"\ns-0 = \"exclude\"");
     let second = operator.write("second.toml", &second);
     let (code, text) = pooler.run_config(&["apply", &second]);
     assert!(code == 1 && text.contains("last-primary"), "{text}");
-    let back = operator.write("back.toml", SOON);
+    let back = operator.write("back.toml", SHORT_PROBATION);
     assert_eq!(pooler.run_config(&["apply", &back]).0, 0);
     assert_eq!(before.0, state(&pooler).0);
-    assert_eq!(ask_many(&pooler, "order-write", 3), 3);
+    assert_eq!(count_served(&pooler, "order-write", 3), 3);
 }
 
 #[test]
-fn a_rollback_during_a_drain_keeps_the_drain() {
-    let (pooler, operator, machines, discovery) = operated("drain", LONG);
+fn a_rollback_of_an_override_keeps_a_drain_from_discovery() {
+    let (pooler, operator, members, discovery) = start_pooler("drain", LONG_PROBATION);
     let (mut watch, _) = discovery.accept_request();
     watch.write_all(RESPONSE_HEAD.as_bytes()).unwrap();
-    let lines: Vec<String> = (0..3).map(|n| machines[n].list_entry(&format!("s-{n}"), "here")).collect();
+    let lines: Vec<String> = (0..3).map(|n| members[n].list_entry(&format!("s-{n}"), "here")).collect();
     watch.write_all(&encode_chunks([format!("{}\n", list(42, true, &lines)).as_bytes()])).unwrap();
-    ask_many(&pooler, "reports", 30);
-    assert!(machines[1].count() > 0 && machines[2].count() > 0);
-    // The operator drains s-1; while that is on probation the list tells that s-2 drains.
-    let one = operator.write("one.toml", &format!("{LONG}\n[override]\ns-1 = \"drain\""));
+    count_served(&pooler, "reports", 30);
+    assert!(members[1].count() > 0 && members[2].count() > 0);
+    // The operator drains s-1; while that change is on probation, discovery reports that s-2 drains.
+    let one = operator.write("one.toml", &format!("{LONG_PROBATION}\n[override]\ns-1 = \"drain\""));
     assert_eq!(pooler.run_config(&["apply", &one, "--no-wait"]).0, 0);
-    let drains = list_entry(machines[2].address, "s-2", "here", "DRAINING");
-    let told = format!("{}\n", list(43, false, &[drains]));
-    watch.write_all(&encode_chunks([told.as_bytes()])).unwrap();
-    let told = |pooler: &Pooler, lists: usize| {
-        let begun = Instant::now();
+    let draining = list_entry(members[2].address, "s-2", "here", "DRAINING");
+    let update = format!("{}\n", list(43, false, &[draining]));
+    watch.write_all(&encode_chunks([update.as_bytes()])).unwrap();
+    let wait_for_lists = |pooler: &Pooler, lists: usize| {
+        let started = Instant::now();
         while !pooler.counters().contains(&format!("lists={lists} ")) {
-            assert!(begun.elapsed() < Duration::from_secs(20));
+            assert!(started.elapsed() < Duration::from_secs(20));
         }
     };
-    // The saved list, discovery's, the operator's drain and the list's.
-    told(&pooler, 4);
-    let before: Vec<usize> = machines.iter().map(AnsweringMember::count).collect();
-    assert_eq!(ask_many(&pooler, "reports", 30), 30);
-    assert_eq!((machines[1].count(), machines[2].count()), (before[1], before[2]), "both drain");
-    // Undone: s-1 takes work again, s-2 does not.
+    // The saved list, the list from discovery, the operator's drain and the drain from discovery.
+    wait_for_lists(&pooler, 4);
+    let before: Vec<usize> = members.iter().map(AnsweringMember::count).collect();
+    assert_eq!(count_served(&pooler, "reports", 30), 30);
+    assert_eq!(
+        (members[1].count(), members[2].count()),
+        (before[1], before[2]),
+        "a draining member got new requests"
+    );
+    // After the rollback s-1 gets requests again and s-2 does not.
     assert_eq!(pooler.run_config(&["rollback"]).0, 0);
-    assert_eq!(ask_many(&pooler, "reports", 30), 30);
-    assert!(machines[1].count() > before[1], "the intent is undone");
-    assert_eq!(machines[2].count(), before[2], "the fact is kept");
+    assert_eq!(count_served(&pooler, "reports", 30), 30);
+    assert!(members[1].count() > before[1], "the operator's drain is still in force");
+    assert_eq!(members[2].count(), before[2], "the drain from discovery was dropped");
 }
 
 #[test]
-fn worse_health_rolls_a_change_back_by_itself() {
+fn a_change_that_raises_the_refused_share_is_rolled_back_automatically() {
     let discovery = Discovery::listen();
-    // The own zone's replica turns half of its requests away: with two attempts that is no harm.
-    let turn = std::sync::atomic::AtomicUsize::new(0);
-    let near =
-        AnsweringMember::new(move |_| match turn.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % 2 {
+    // The replica in the pooler's zone refuses half of its requests, which a second attempt makes up for.
+    let request_count = std::sync::atomic::AtomicUsize::new(0);
+    let near = AnsweringMember::new(move |_| {
+        match request_count.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % 2 {
             0 => refusal(),
             _ => answer_with_role(VALUE, "reader"),
-        });
+        }
+    });
     let far = AnsweringMember::new(|_| answer_with_role(VALUE, "reader"));
-    let known = list(41, true, &[near.list_entry("s-0", "here"), far.list_entry("s-1", "there")]);
-    let rules = "[change]\nprobation_s = 600\nleast_requests = 10\nworse_by = 0.05\nsignificance = 0.01";
-    let operator = OperatorFolder::new("worse", rules);
-    let pooler = Pooler::start_with_operator(PROGRAM, &known, &discovery, &operator);
-    // Asked for more slowly after the change than before it: a rise of load would explain what is refused.
-    let paced = |count: usize, pause: u64| {
+    let saved_list = list(41, true, &[near.list_entry("s-0", "here"), far.list_entry("s-1", "there")]);
+    let change_rules =
+        "[change]\nprobation_s = 600\nleast_requests = 10\nworse_by = 0.05\nsignificance = 0.01";
+    let operator = OperatorFolder::new("worse", change_rules);
+    let pooler = Pooler::start_with_operator(PROGRAM, &saved_list, &discovery, &operator);
+    // The load is lower after the change than before it, since a rise of load would explain the refusals.
+    let send_paced = |count: usize, pause: u64| {
         let mut wire = client(&pooler);
         for n in 0..count {
             wire.send(&query(&request_sql(&format!("p{n}"), "reports")));
@@ -154,99 +162,101 @@
             std::thread::sleep(Duration::from_millis(pause));
         }
     };
-    paced(200, 4);
-    let one = operator.write("one.toml", &format!("{rules}\n[limits]\nmax_attempts = 1"));
+    send_paced(200, 4);
+    let one = operator.write("one.toml", &format!("{change_rules}\n[limits]\nmax_attempts = 1"));
     let apply = std::thread::scope(|scope| {
         let apply = scope.spawn(|| pooler.run_config(&["apply", &one]));
-        let begun = Instant::now();
-        while !apply.is_finished() && begun.elapsed() < Duration::from_secs(30) {
-            paced(10, 20);
+        let started = Instant::now();
+        while !apply.is_finished() && started.elapsed() < Duration::from_secs(30) {
+            send_paced(10, 20);
         }
         apply.join().unwrap()
     });
     assert_eq!(apply.0, 3, "{}", apply.1);
     assert!(apply.1.contains("refused of class reports in group 2 went from 0.0000"), "{}", apply.1);
     pooler.wait_for_log("is undone, 1 holds again");
-    assert_eq!(ask_many(&pooler, "reports", 20), 20);
+    assert_eq!(count_served(&pooler, "reports", 20), 20);
 }
 
 #[test]
-fn without_the_operators_word_a_manual_change_is_undone_and_with_it_it_stands() {
-    let (pooler, operator, _machines, _discovery) = operated("manual", SOON);
-    let change = operator.write("change.toml", &format!("{SOON}\n[limits]\nmax_attempts = 3"));
+fn a_change_with_manual_confirmation_is_rolled_back_unless_it_is_confirmed_in_time() {
+    let (pooler, operator, _members, _discovery) = start_pooler("manual", SHORT_PROBATION);
+    let change = operator.write("change.toml", &format!("{SHORT_PROBATION}\n[limits]\nmax_attempts = 3"));
     let (code, text) = pooler.run_config(&["apply", &change, "--confirm-within", "0.3s", "--note", "try"]);
     assert!(code == 0 && text.contains("on probation"), "{text}");
-    assert!(ended(&pooler, 2).contains("not confirmed in time"));
+    assert!(wait_until_ended(&pooler, 2).contains("not confirmed in time"));
     assert_eq!(pooler.run_config(&["apply", &change, "--confirm-within", "60"]).0, 0);
-    // A second change waits for nobody: it is turned down while the first is not done with.
-    let other = operator.write("other.toml", &format!("{SOON}\n[limits]\nmax_attempts = 2"));
+    // A second change is rejected, not queued, while the first is pending.
+    let other = operator.write("other.toml", &format!("{SHORT_PROBATION}\n[limits]\nmax_attempts = 2"));
     let (code, text) = pooler.run_config(&["apply", &other]);
     assert!(code == 1 && text.contains("generation 3 is not done with"), "{text}");
     assert!(pooler.run_config(&["apply", &change]).1.contains("says the same already"));
     assert_eq!(pooler.run_config(&["confirm", "--generation", "2"]).0, 1);
     assert_eq!(pooler.run_config(&["confirm", "--generation", "3"]).0, 0);
     assert_eq!(pooler.run_config(&["confirm"]).0, 1);
-    assert!(ended(&pooler, 3).contains("confirmed"));
-    // Back to the first, by number, as a change of its own.
+    assert!(wait_until_ended(&pooler, 3).contains("confirmed"));
+    // A rollback to the first generation by number is a change of its own.
     assert_eq!(pooler.run_config(&["rollback", "--to", "1"]).0, 0);
-    assert!(ended(&pooler, 4).contains("back to 1"));
+    assert!(wait_until_ended(&pooler, 4).contains("back to 1"));
     assert_eq!(pooler.run_config(&["rollback", "--to", "77"]).0, 1);
 }
 
 #[test]
-fn a_new_address_is_bound_before_the_old_is_let_go() {
-    let (mut pooler, operator, _machines, _discovery) = operated("listen", LONG);
+fn a_new_listen_address_is_bound_before_the_old_one_is_closed() {
+    let (mut pooler, operator, _members, _discovery) = start_pooler("listen", LONG_PROBATION);
     let old = pooler.address;
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
+    let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = |listener: &TcpListener| listener.local_addr().unwrap();
-    let busy = operator.write("busy.toml", &format!("{LONG}\nlisten = \"{}\"", address(&taken)));
-    let (code, text) = pooler.run_config(&["apply", &busy]);
+    let changed_listen =
+        operator.write("busy.toml", &format!("{LONG_PROBATION}\nlisten = \"{}\"", address(&occupied)));
+    let (code, text) = pooler.run_config(&["apply", &changed_listen]);
     assert!(code == 1 && text.contains("listen") && text.contains("in use"), "{text}");
-    let mut early = client(&pooler);
-    let new = address(&taken);
-    drop(taken);
-    assert_eq!(pooler.run_config(&["apply", &busy, "--no-wait"]).0, 0);
-    // On probation both take in; once undone the old one alone does.
+    let mut early_client = client(&pooler);
+    let new = address(&occupied);
+    drop(occupied);
+    assert_eq!(pooler.run_config(&["apply", &changed_listen, "--no-wait"]).0, 0);
+    // During probation both addresses accept connections; after the rollback only the old one does.
     pooler.address = new;
-    assert_eq!(ask_many(&pooler, "reports", 2), 2);
+    assert_eq!(count_served(&pooler, "reports", 2), 2);
     assert_eq!(pooler.run_config(&["rollback"]).0, 0);
     assert!(std::net::TcpStream::connect(new).is_err());
     pooler.address = old;
-    assert_eq!(ask_many(&pooler, "reports", 2), 2);
-    assert_eq!(pooler.run_config(&["apply", &busy, "--no-wait"]).0, 0);
+    assert_eq!(count_served(&pooler, "reports", 2), 2);
+    assert_eq!(pooler.run_config(&["apply", &changed_listen, "--no-wait"]).0, 0);
     assert_eq!(pooler.run_config(&["confirm"]).0, 0);
     assert!(std::net::TcpStream::connect(old).is_err());
-    // A connection from before all that lives on.
-    early.send(&query(&request_sql("early", "reports")));
-    assert_eq!(early.answer()[0].0, b'T');
+    // A connection made before the changes is still served.
+    early_client.send(&query(&request_sql("early", "reports")));
+    assert_eq!(early_client.answer()[0].0, b'T');
 }
 
 #[test]
-fn requests_that_wait_end_under_the_generation_they_came_with() {
-    // No machine knows of being the primary, so writes wait for half of their 8.5 s, or of their class's less.
+fn waiting_requests_keep_the_settings_of_the_generation_they_arrived_under() {
+    // No member says that it is the primary, so writes wait for half of their 8.5 s, or half of the deadline
+    // of their class where that is shorter.
     let discovery = Discovery::listen();
-    let machine = AnsweringMember::new(|_| refusal());
-    let known = list(41, true, &[machine.list_entry("s-0", "here")]);
-    let short = |deadline: &str| {
-        format!("{LONG}\n[class.order-write]\naim_s = 0.1\ndeadline_s = {deadline}\n[limits]\nmax_retry_after_s = {deadline}")
+    let member = AnsweringMember::new(|_| refusal());
+    let saved_list = list(41, true, &[member.list_entry("s-0", "here")]);
+    let settings_with_deadline = |deadline: &str| {
+        format!("{LONG_PROBATION}\n[class.order-write]\naim_s = 0.1\ndeadline_s = {deadline}\n[limits]\nmax_retry_after_s = {deadline}")
     };
-    let operator = OperatorFolder::new("wait", &short("1.0"));
-    let pooler = Pooler::start_with_operator(PROGRAM, &known, &discovery, &operator);
+    let operator = OperatorFolder::new("wait", &settings_with_deadline("1.0"));
+    let pooler = Pooler::start_with_operator(PROGRAM, &saved_list, &discovery, &operator);
     let mut waiting: Vec<Wire> = (0..500).map(|_| client(&pooler)).collect();
-    // Ejected after its first refusals, the machine takes nothing; they wait.
-    let begun = Instant::now();
+    // After its first refusals the member is ejected and gets nothing more, so the requests wait.
+    let started = Instant::now();
     for (n, wire) in waiting.iter_mut().enumerate() {
         wire.send(&query(&request_sql(&format!("w{n}"), "order-write")));
     }
-    let change = operator.write("change.toml", &short("4.0"));
+    let change = operator.write("change.toml", &settings_with_deadline("4.0"));
     let (code, text) = pooler.run_config(&["apply", &change, "--no-wait"]);
     assert_eq!(code, 0, "{text}");
     for wire in &mut waiting {
         let (code, _) = wire.error();
         assert_eq!(code, "53300");
     }
-    // Under the new generation they would have waited for 2 s, and under neither are they lost.
-    assert!(begun.elapsed() < Duration::from_millis(1_900), "{:?}", begun.elapsed());
+    // Under the new generation the requests would have waited for 2 s. None is lost.
+    assert!(started.elapsed() < Duration::from_millis(1_900), "{:?}", started.elapsed());
     let counters = pooler.counters();
     assert!(counters.contains("taken=500") && counters.contains("refused=500"), "{counters}");
 }
@@ -254,31 +264,31 @@
 #[rstest]
 #[case::truncated(b"[limits\n".to_vec(), "line 1")]
 #[case::not_utf8(b"a = \xff".to_vec(), "0xff is not UTF-8")]
-#[case::deep([b"a = ".to_vec(), vec![b'['; 200_000]].concat(), "line 1")]
+#[case::deeply_nested([b"a = ".to_vec(), vec![b'['; 200_000]].concat(), "line 1")]
 #[case::sixty_megabytes(vec![b'#'; 60_000_000], "60000000 bytes")]
-#[case::empty_of_sense(b"lisen = 1".to_vec(), "did you mean listen?")]
-fn a_file_that_cannot_be_used_changes_nothing(#[case] bytes: Vec<u8>, #[case] words: &str) {
+#[case::unknown_key(b"lisen = 1".to_vec(), "did you mean listen?")]
+fn an_invalid_operator_file_changes_nothing(#[case] bytes: Vec<u8>, #[case] expected: &str) {
     let name = format!("bad-{}-{}", bytes.len(), bytes[0]);
-    let (pooler, operator, _machines, _discovery) = operated(&name, SOON);
+    let (pooler, operator, _members, _discovery) = start_pooler(&name, SHORT_PROBATION);
     let before = state(&pooler);
     std::fs::write(operator.file(), &bytes).unwrap();
     pooler.signal("HUP");
     let line = pooler.wait_for_log("operator file not taken");
-    assert!(line.contains(words) || pooler.wait_for_log(words).contains(words));
+    assert!(line.contains(expected) || pooler.wait_for_log(expected).contains(expected));
     assert_eq!(before, state(&pooler));
     assert_eq!(pooler.run_config(&["apply", operator.file().to_str().unwrap()]).0, 2);
-    assert_eq!(ask_many(&pooler, "reports", 2), 2);
+    assert_eq!(count_served(&pooler, "reports", 2), 2);
 }
 
 #[test]
-fn signals_that_come_together_do_no_harm() {
-    let (mut pooler, operator, _machines, _discovery) = operated("signals", SOON);
-    operator.write("dewferry.toml", &format!("{SOON}\n[log]\nlevel = \"debug\""));
+fn two_sighups_reload_once_and_sigterm_beside_a_sighup_drains_cleanly() {
+    let (mut pooler, operator, _members, _discovery) = start_pooler("signals", SHORT_PROBATION);
+    operator.write("dewferry.toml", &format!("{SHORT_PROBATION}\n[log]\nlevel = \"debug\""));
     pooler.signal("HUP");
     pooler.signal("HUP");
-    assert!(ended(&pooler, 2).contains("SIGHUP"));
+    assert!(wait_until_ended(&pooler, 2).contains("SIGHUP"));
     assert!(!pooler.run_config(&["history"]).1.contains("\n     3 "));
-    operator.write("dewferry.toml", SOON);
+    operator.write("dewferry.toml", SHORT_PROBATION);
     let mut wire = client(&pooler);
     wire.send(&query(&request_sql("last", "reports")));
     pooler.signal("HUP");
@@ -288,8 +298,8 @@
 }
 
 #[test]
-fn a_control_client_can_be_silent_or_rude_without_harm() {
-    let (pooler, operator, _machines, _discovery) = operated("rude", "control.idle_s = 0.5");
+fn idle_or_malformed_control_connections_are_closed_and_do_not_disturb_service() {
+    let (pooler, operator, _members, _discovery) = start_pooler("rude", "control.idle_s = 0.5");
     let connect = || {
         let stream = UnixStream::connect(operator.0.join("control")).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -300,77 +310,91 @@
         let _ = stream.read_to_string(&mut text);
         text
     };
-    let silent = connect();
+    let idle = connect();
     let mut garbage = connect();
     garbage.write_all(b"\xff\xfe garbage\n").unwrap();
     assert!(read(garbage).contains("not a call"));
-    let mut other = connect();
-    other.write_all(b"{\"v\":9,\"do\":\"status\"}\n").unwrap();
-    assert!(read(other).contains("version 9; accepted: 1"));
-    // One that leaves with its answer unread, and one that leaves before it.
+    let mut wrong_version = connect();
+    wrong_version.write_all(b"{\"v\":9,\"do\":\"status\"}\n").unwrap();
+    assert!(read(wrong_version).contains("version 9; accepted: 1"));
+    // One client leaves with its answer unread; another sends without end.
     let mut leaving = connect();
     leaving.write_all(b"{\"v\":1,\"do\":\"show\"}\n").unwrap();
     drop(leaving);
     let mut endless = connect();
     let piece = vec![b'a'; 1 << 20];
     while endless.write_all(&piece).is_ok() {}
-    assert!(read(silent).is_empty(), "closed without a word");
+    assert!(read(idle).is_empty(), "the idle connection got bytes before it was closed");
     let many: Vec<UnixStream> = (0..8).map(|_| connect()).collect();
     assert!(read(connect()).contains("8 control connections are open"));
     drop(many);
-    let begun = Instant::now();
+    let started = Instant::now();
     while pooler.run_config(&["status"]).0 != 0 {
-        assert!(begun.elapsed() < Duration::from_secs(20));
+        assert!(started.elapsed() < Duration::from_secs(20));
     }
-    assert_eq!(ask_many(&pooler, "reports", 2), 2);
+    assert_eq!(count_served(&pooler, "reports", 2), 2);
 }
 
-/// The bytes of a history with one confirmed change, and of one more that is on probation.
-fn history_of_two(operator: &OperatorFolder, known: &str, discovery: &Discovery) -> (Vec<u8>, usize) {
+/// Writes a history with one confirmed change and one on probation, and kills the pooler. Returns the bytes
+/// of the history and their length up to the end of the confirmed change.
+fn write_history_of_two_changes(
+    operator: &OperatorFolder,
+    saved_list: &str,
+    discovery: &Discovery,
+) -> (Vec<u8>, usize) {
     let log = operator.0.join("state/steps.log");
-    let mut pooler = Pooler::start_with_operator(PROGRAM, known, discovery, operator);
-    let one = operator.write("one.toml", &format!("{SOON}\n[limits]\nmax_attempts = 3"));
+    let mut pooler = Pooler::start_with_operator(PROGRAM, saved_list, discovery, operator);
+    let one = operator.write("one.toml", &format!("{SHORT_PROBATION}\n[limits]\nmax_attempts = 3"));
     assert_eq!(pooler.run_config(&["apply", &one]).0, 0);
-    let sound = std::fs::read(&log).unwrap().len();
-    let two = operator.write("two.toml", &format!("{SOON}\n[limits]\nmax_attempts = 2"));
+    let confirmed_length = std::fs::read(&log).unwrap().len();
+    let two = operator.write("two.toml", &format!("{SHORT_PROBATION}\n[limits]\nmax_attempts = 2"));
     let (code, text) = pooler.run_config(&["apply", &two, "--confirm-within", "600"]);
     assert_eq!(code, 0, "{text}");
     pooler.kill();
-    (std::fs::read(&log).unwrap(), sound)
+    (std::fs::read(&log).unwrap(), confirmed_length)
 }
 
 #[test]
-fn a_crash_in_any_step_comes_back_to_the_generation_before() {
-    let (machines, discovery) = (three(), Discovery::listen());
-    let known = known(&machines);
-    let operator = OperatorFolder::new("crash", SOON);
-    let (log, sound) = history_of_two(&operator, &known, &discovery);
-    assert!(log.len() > sound);
-    // Cut in the head, in the record that stages, in the one that applies, and at the ends of all.
-    let cuts = [sound, sound + 1, sound + 7, sound + 8, (sound + log.len()) / 2, log.len() - 1, log.len()];
+fn a_crash_at_any_step_of_a_change_restores_the_last_confirmed_generation() {
+    let (members, discovery) = (three_members(), Discovery::listen());
+    let saved_list = saved_list(&members);
+    let operator = OperatorFolder::new("crash", SHORT_PROBATION);
+    let (log, confirmed_length) = write_history_of_two_changes(&operator, &saved_list, &discovery);
+    assert!(log.len() > confirmed_length);
+    // Truncated in the header, in the record that stages, in the one that applies, and at the end of each.
+    let cuts = [
+        confirmed_length,
+        confirmed_length + 1,
+        confirmed_length + 7,
+        confirmed_length + 8,
+        (confirmed_length + log.len()) / 2,
+        log.len() - 1,
+        log.len(),
+    ];
     for cut in cuts {
         std::fs::write(operator.0.join("state/steps.log"), &log[..cut]).unwrap();
-        let mut pooler = Pooler::start_with_operator(PROGRAM, &known, &discovery, &operator);
+        let mut pooler = Pooler::start_with_operator(PROGRAM, &saved_list, &discovery, &operator);
         let (_, status) = pooler.run_config(&["status"]);
         assert!(status.contains("generation  2") && status.contains("stage       idle"), "{cut}: {status}");
         assert!(pooler.run_config(&["show"]).1.contains("max_attempts = 3"), "{cut}");
         pooler.kill();
     }
-    // A file that is bad at the start, and one that holds what was never confirmed: told loudly, and not used.
+    // An operator file that is invalid at the start, or that holds the unconfirmed change, is logged and not
+    // used.
     std::fs::write(operator.0.join("state/steps.log"), &log).unwrap();
     std::fs::write(operator.file(), "listen = 3").unwrap();
-    let mut pooler = Pooler::start_with_operator(PROGRAM, &known, &discovery, &operator);
+    let mut pooler = Pooler::start_with_operator(PROGRAM, &saved_list, &discovery, &operator);
     assert!(pooler.run_config(&["status"]).1.contains("generation  2"));
     pooler.kill();
     std::fs::copy(operator.0.join("two.toml"), operator.file()).unwrap();
-    let pooler = Pooler::start_with_operator(PROGRAM, &known, &discovery, &operator);
+    let pooler = Pooler::start_with_operator(PROGRAM, &saved_list, &discovery, &operator);
     assert!(pooler.run_config(&["status"]).1.contains("generation  2"));
-    assert_eq!(ask_many(&pooler, "reports", 2), 2);
+    assert_eq!(count_served(&pooler, "reports", 2), 2);
 }
 
 #[test]
-fn two_poolers_do_not_share_a_folder() {
-    let (pooler, operator, _machines, discovery) = operated("shared", SOON);
+fn a_second_pooler_cannot_use_the_same_state_folder() {
+    let (pooler, operator, _members, discovery) = start_pooler("shared", SHORT_PROBATION);
     let config = operator.0.join("platform.json");
     std::fs::copy(pooler.platform_file(), &config).unwrap();
     let second = operator.write("second.toml", "");
@@ -388,15 +412,15 @@
 }
 
 #[test]
-fn a_full_disk_refuses_the_change_and_leaves_the_history_sound() {
-    let (machines, discovery) = (three(), Discovery::listen());
-    let operator = OperatorFolder::new("full", SOON);
-    let known = known(&machines);
-    let mut first = Pooler::start_with_operator(PROGRAM, &known, &discovery, &operator);
+fn a_change_that_cannot_be_written_to_disk_is_rejected_and_the_history_stays_valid() {
+    let (members, discovery) = (three_members(), Discovery::listen());
+    let operator = OperatorFolder::new("full", SHORT_PROBATION);
+    let saved_list = saved_list(&members);
+    let mut pooler = Pooler::start_with_operator(PROGRAM, &saved_list, &discovery, &operator);
     let config = operator.0.join("platform.json");
-    std::fs::copy(first.platform_file(), &config).unwrap();
-    first.kill();
-    // The shell lets files grow to 8 KiB and no further; what would be written past that fails.
+    std::fs::copy(pooler.platform_file(), &config).unwrap();
+    pooler.kill();
+    // The shell limits files to 8 KiB; a write past that fails.
     let script = "trap '' XFSZ; ulimit -f 8; exec \"$0\" \"$@\"";
     let mut child = Command::new("bash")
         .args(["-c", script, PROGRAM, "serve", "--config", config.to_str().unwrap(), "--operator"])
@@ -412,52 +436,53 @@
             Command::new(PROGRAM).arg("config").args(args).env("DEWFERRY_CONTROL", socket).output().unwrap();
         (output.status.code().unwrap(), String::from_utf8([output.stdout, output.stderr].concat()).unwrap())
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     while run(&["status"]).0 != 0 {
-        assert!(begun.elapsed() < Duration::from_secs(20));
+        assert!(started.elapsed() < Duration::from_secs(20));
         std::thread::sleep(Duration::from_millis(20));
     }
-    let long: String = (0..400).map(|n| format!("member-{n} = \"drain\"\n")).collect();
-    let long = operator.write("long.toml", &format!("{SOON}\n[override]\n{long}"));
+    let long_change: String = (0..400).map(|n| format!("member-{n} = \"drain\"\n")).collect();
+    let long_change = operator.write("long.toml", &format!("{SHORT_PROBATION}\n[override]\n{long_change}"));
     let before = run(&["show"]);
-    let (code, text) = run(&["apply", &long]);
+    let (code, text) = run(&["apply", &long_change]);
     assert!(code == 1 && text.contains("the history cannot be written"), "{text}");
     assert_eq!(run(&["show"]), before);
-    // A short one still fits, and stands after a crash.
-    let short = operator.write("short.toml", &format!("{SOON}\n[limits]\nmax_attempts = 2"));
-    assert_eq!(run(&["apply", &short]).0, 0);
+    // A short change still fits, and is in force after a crash.
+    let short_change =
+        operator.write("short.toml", &format!("{SHORT_PROBATION}\n[limits]\nmax_attempts = 2"));
+    assert_eq!(run(&["apply", &short_change]).0, 0);
     child.kill().unwrap();
     child.wait().unwrap();
-    let again = Pooler::start_with_operator(PROGRAM, &known, &discovery, &operator);
-    assert!(again.run_config(&["show"]).1.contains("max_attempts = 2"));
+    let restarted = Pooler::start_with_operator(PROGRAM, &saved_list, &discovery, &operator);
+    assert!(restarted.run_config(&["show"]).1.contains("max_attempts = 2"));
 }
 
 #[test]
-fn unsigned_changes_are_turned_down_where_signatures_are_required() {
+fn unsigned_or_altered_changes_are_rejected_where_signatures_are_required() {
     let operator = OperatorFolder::new("signed", "");
     let key = operator.0.join("key");
     std::fs::write(&key, "a1".repeat(32)).unwrap();
     let key = key.to_str().unwrap();
     assert!(Command::new("chmod").args(["600", key]).status().unwrap().success());
-    let rules = format!("{SOON}\nchange.require_signature = true\nchange.keys = [\"{key}\"]");
+    let rules = format!("{SHORT_PROBATION}\nchange.require_signature = true\nchange.keys = [\"{key}\"]");
     let sign = |path: &str| {
         let output = Command::new(PROGRAM).args(["config", "sign", path, "--key", key]).output().unwrap();
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         std::fs::write(path, output.stdout).unwrap();
     };
     sign(&operator.write("dewferry.toml", &rules));
-    let (machines, discovery) = (three(), Discovery::listen());
-    let pooler = Pooler::start_with_operator(PROGRAM, &known(&machines), &discovery, &operator);
+    let (members, discovery) = (three_members(), Discovery::listen());
+    let pooler = Pooler::start_with_operator(PROGRAM, &saved_list(&members), &discovery, &operator);
     let change = operator.write("change.toml", &format!("{rules}\n[limits]\nmax_attempts = 2"));
     let (code, text) = pooler.run_config(&["apply", &change]);
     assert!(code == 2 && text.contains("not signed"), "{text}");
-    // Nor may an unsigned file lift the rule.
-    let lifted = operator.write("lifted.toml", SOON);
-    assert_eq!(pooler.run_config(&["apply", &lifted]).0, 2);
+    // An unsigned file cannot lift the rule either.
+    let unsigned = operator.write("lifted.toml", SHORT_PROBATION);
+    assert_eq!(pooler.run_config(&["apply", &unsigned]).0, 2);
     sign(&change);
     assert_eq!(pooler.run_config(&["apply", &change]).0, 0);
-    let spoilt = std::fs::read_to_string(&change).unwrap().replace("max_attempts = 2", "max_attempts = 5");
-    std::fs::write(&change, spoilt).unwrap();
+    let altered = std::fs::read_to_string(&change).unwrap().replace("max_attempts = 2", "max_attempts = 5");
+    std::fs::write(&change, altered).unwrap();
     let (code, text) = pooler.run_config(&["apply", &change]);
     assert!(code == 2 && text.contains("changed since it was signed"), "{text}");
     assert!(Command::new("chmod").args(["644", key]).status().unwrap().success());
@@ -466,23 +491,23 @@
 }
 
 #[test]
-fn an_own_list_takes_the_place_of_discoverys() {
-    let machines = three();
+fn a_list_in_the_operator_file_replaces_the_list_from_discovery() {
+    let members = three_members();
     let discovery = Discovery::listen();
-    let operator = OperatorFolder::new("own", SOON);
-    let pooler = Pooler::start_with_operator(PROGRAM, &known(&machines[..1]), &discovery, &operator);
-    let members: String = (0..3)
+    let operator = OperatorFolder::new("own", SHORT_PROBATION);
+    let pooler = Pooler::start_with_operator(PROGRAM, &saved_list(&members[..1]), &discovery, &operator);
+    let member_settings: String = (0..3)
         .map(|n| {
-            format!("[member.s-{n}]\naddress = \"{}\"\nzone = \"here\"\ngroup = 2\n", machines[n].address)
+            format!("[member.s-{n}]\naddress = \"{}\"\nzone = \"here\"\ngroup = 2\n", members[n].address)
         })
         .collect();
-    let own = operator.write("own.toml", &format!("{SOON}\n{members}"));
-    assert_eq!(pooler.run_config(&["apply", &own]).0, 0);
-    assert_eq!(ask_many(&pooler, "reports", 30), 30);
-    assert!(machines[1].count() > 0 && machines[2].count() > 0);
+    let with_members = operator.write("own.toml", &format!("{SHORT_PROBATION}\n{member_settings}"));
+    assert_eq!(pooler.run_config(&["apply", &with_members]).0, 0);
+    assert_eq!(count_served(&pooler, "reports", 30), 30);
+    assert!(members[1].count() > 0 && members[2].count() > 0);
     assert!(pooler.run_config(&["status"]).1.contains("members     3"));
-    // Away from it: nothing is known of what discovery's list will be.
-    let back = operator.write("back.toml", SOON);
+    // Changing back to discovery: its list is not known yet.
+    let back = operator.write("back.toml", SHORT_PROBATION);
     let (code, text) = pooler.run_config(&["apply", &back]);
     assert!(code == 1 && text.contains("list-unknown"), "{text}");
     assert_eq!(pooler.run_config(&["apply", &back, "--allow", "list-unknown"]).0, 0);
@@ -490,9 +515,9 @@
 }
 
 #[test]
-fn a_file_that_is_replaced_while_it_is_read_is_taken_as_one_or_the_other() {
+fn a_file_replaced_during_a_reload_is_read_as_one_complete_version() {
     let first = "change.probation_s = 0.1";
-    let (pooler, operator, _machines, _discovery) = operated("replaced", first);
+    let (pooler, operator, _members, _discovery) = start_pooler("replaced", first);
     let padding: String = (0..2_000).map(|n| format!("# {n}\n")).collect();
     let other = format!("{first}\n{padding}[limits]\nmax_attempts = 3\nmax_retry_after_s = 0.3");
     for n in 0..40 {
@@ -500,20 +525,21 @@
         pooler.signal("HUP");
         std::thread::sleep(Duration::from_millis(n % 7));
     }
-    // Whatever was taken on the way, it is one of the two files, by their digests.
+    // Each accepted generation has the digest of one of the two files.
     let digest = |settings: &str| {
         let path = operator.write("digest.toml", settings);
         let (code, text) = pooler.run_config(&["check", &path]);
         assert_eq!(code, 0, "{text}");
         text.split("digest ").nth(1).unwrap().trim().to_string()
     };
-    let known = [digest(first), digest(&other)];
+    let expected_digests = [digest(first), digest(&other)];
     let history = pooler.run_config(&["history"]).1;
-    let taken: Vec<&str> =
+    let accepted: Vec<&str> =
         history.lines().skip(1).filter_map(|line| line.split_whitespace().nth(1)).collect();
     assert!(
-        taken.len() > 1 && taken.iter().all(|digest| known.iter().any(|known| known == digest)),
+        accepted.len() > 1
+            && accepted.iter().all(|digest| expected_digests.iter().any(|expected| expected == digest)),
         "{history}"
     );
-    assert_eq!(ask_many(&pooler, "reports", 2), 2);
+    assert_eq!(count_served(&pooler, "reports", 2), 2);
 }
--- a/crates/daemon/tests/cli.rs
+++ b/crates/daemon/tests/cli.rs
@@ -7,20 +7,20 @@
 }
 
 #[test]
-fn version_is_that_of_the_crate() {
+fn version_prints_the_crate_s_version() {
     let output = run(&["version"]);
     assert!(output.status.success());
     assert_eq!(output.stdout, format!("dewferry {}\n", env!("CARGO_PKG_VERSION")).as_bytes());
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_named_with_its_fault() {
+fn an_invalid_configuration_is_reported_with_its_file_and_error() {
     let file = std::env::temp_dir().join(format!("dewferry-cli-{}.json", std::process::id()));
     let path = file.to_str().unwrap();
-    let whole = r#"{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7f","settings":{
+    let valid_config = r#"{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7f","settings":{
         "classes":[{"name":"a","aim":1,"deadline":2}],"specifics":{"consistency":["any"]},
         "invariants":{"tipMultiple":2}}}"#;
-    for (from, to, fault) in [
+    for (from, to, expected_error) in [
         ("", "", ""),
         ("127.0.0.1:1", "nowhere", "'listen' is not an address"),
         ("7f", "xyz", "'seed' is not hexadecimal"),
@@ -28,24 +28,27 @@
         (r#""deadline":2"#, r#""deadline":"soon""#, "'deadline' is not a number"),
         (r#"{"listen""#, "", "not JSON"),
     ] {
-        std::fs::write(&file, whole.replacen(from, to, 1)).unwrap();
+        std::fs::write(&file, valid_config.replacen(from, to, 1)).unwrap();
         let output = run(&["check-config", "--config", path]);
         let message = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(output.status.success(), fault.is_empty(), "{fault}: {message}");
-        assert!(fault.is_empty() || message.contains(path) && message.contains(fault), "{fault}: {message}");
+        assert_eq!(output.status.success(), expected_error.is_empty(), "{expected_error}: {message}");
+        assert!(
+            expected_error.is_empty() || message.contains(path) && message.contains(expected_error),
+            "{expected_error}: {message}"
+        );
     }
     std::fs::remove_file(&file).unwrap();
 }
 
 #[test]
-fn without_a_configuration_nothing_is_served() {
+fn serve_fails_without_a_configuration() {
     let output = run(&["serve"]);
     assert!(!output.status.success());
     assert!(String::from_utf8(output.stderr).unwrap().contains("LB_CONFIG"));
 }
 
-/// The platform's file of a deployment whose list is pushed and whose writes must never run twice.
-const PUSHED: &str = r#"{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7f","settings":{
+/// The platform's file of a deployment with a pushed list and a non-idempotent class.
+const PLATFORM_FILE: &str = r#"{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7f","settings":{
     "registryMode":"automatic","domainType":"replicas","fleetSize":4,
     "classes":[{"name":"tiles","aim":0.75,"deadline":3,"effect":"read_like"},
                {"name":"export","aim":1.2,"deadline":5,"effect":"non_idempotent"}],
@@ -54,12 +57,13 @@
     "specifics":{"consistency":["bounded","write"],"stalenessBound":[1.5,0],"tellsPosition":true,"writeMarks":"carried"},
     "invariants":{"tipMultiple":2.5,"drainGrace":1,"fall":1.5,"coldFrom":0.26,"warmUp":16}}}"#;
 
-/// Runs check-config on a platform's file in which one thing is another.
+/// Runs check-config on the platform's file with `from` replaced by `to`; returns the exit code and the
+/// output.
 fn check(from: &str, to: &str, json: bool) -> (Option<i32>, String) {
     let name = format!("dewferry-meaning-{}-{}.json", std::process::id(), to.len() + from.len() * 1000);
     let file = std::env::temp_dir().join(name);
-    assert!(PUSHED.contains(from));
-    std::fs::write(&file, PUSHED.replacen(from, to, 1)).unwrap();
+    assert!(PLATFORM_FILE.contains(from));
+    std::fs::write(&file, PLATFORM_FILE.replacen(from, to, 1)).unwrap();
     let mut args = vec!["check-config", "--config", file.to_str().unwrap()];
     args.extend(json.then_some("--json"));
     let output = run(&args);
@@ -68,9 +72,9 @@
 }
 
 #[test]
-fn a_platforms_file_is_told_in_words() {
-    let (code, words) = check("", "", false);
-    assert_eq!(code, Some(0), "{words}");
+fn check_config_describes_the_platform_s_file() {
+    let (code, output_text) = check("", "", false);
+    assert_eq!(code, Some(0), "{output_text}");
     for part in [
         "pushed: the agent at 127.0.0.1:2",
         "the grace is 1 s",
@@ -82,20 +86,20 @@
         "0.5 s at most; 6 attempts",
         "4 poolers together stay under 2.5 times",
     ] {
-        assert!(words.contains(part), "'{part}' is not in: {words}");
+        assert!(output_text.contains(part), "'{part}' is not in: {output_text}");
     }
-    assert!(!words.contains("look at"), "{words}");
+    assert!(!output_text.contains("look at"), "{output_text}");
     let (code, json) = check("", "", true);
-    let told: serde_json::Value = serde_json::from_str(&json).unwrap();
+    let summary: serde_json::Value = serde_json::from_str(&json).unwrap();
     assert_eq!(
-        (code, &told["usable"], &told["meaning"]["never sent twice"]),
+        (code, &summary["usable"], &summary["meaning"]["never sent twice"]),
         (Some(0), &true.into(), &"export".into())
     );
 }
 
 #[test]
-fn what_a_platforms_file_says_in_words_not_known_is_pointed_out_and_what_cannot_be_honoured_turned_away() {
-    for (from, to, fault, part) in [
+fn check_config_warns_of_unknown_values_and_rejects_unsupported_ones() {
+    for (from, to, rejected, part) in [
         (r#""replicas""#, r#""shards""#, true, "domainType is \"shards\"; accepted: \"replicas\""),
         (r#""automatic""#, r#""gossip""#, true, "accepted: \"subscribe\""),
         (
@@ -114,8 +118,8 @@
         (r#""probes":true"#, r#""probes":false"#, false, "probes are not allowed"),
         (r#""aim":1.2"#, r#""aim":6"#, false, "class export: its aim of 6 s is past its deadline"),
     ] {
-        let (code, words) = check(from, to, false);
-        assert_eq!(code, Some(if fault { 2 } else { 0 }), "{words}");
-        assert!(words.contains(part), "'{part}' is not in: {words}");
+        let (code, output_text) = check(from, to, false);
+        assert_eq!(code, Some(if rejected { 2 } else { 0 }), "{output_text}");
+        assert!(output_text.contains(part), "'{part}' is not in: {output_text}");
     }
 }
--- a/crates/daemon/tests/registry_secured.rs
+++ b/crates/daemon/tests/registry_secured.rs
@@ -1,4 +1,4 @@
-//! A registry that is called over TLS, with a login and from a view kept on disk, by the running program.
+//! The running program with a registry over TLS, with a login, and with a view stored on disk.
 
 use std::time::{Duration, Instant};
 
@@ -7,37 +7,37 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dewferry");
 const VALUE: &[u8] = b"\x9f\x00\x03";
-/// Calls of a pooler that logs in, reads the list and watches it.
+/// The number of calls of a pooler that logs in, reads the list and opens a watch.
 const LOGIN_LIST_AND_WATCH: usize = 3;
 
-/// A primary and two replicas, listed in a registry; its prefix's keys.
-struct World {
-    machines: [AnsweringMember; 3],
+/// A primary and two replicas, listed in a registry under `/dewferry/members/`.
+struct Fixture {
+    members: [AnsweringMember; 3],
     registry: Registry,
     discovery: Discovery,
     operator: OperatorFolder,
 }
 
-impl World {
-    fn new(name: &str, registry: Registry) -> World {
-        let machines = ["writer", "reader", "reader"]
+impl Fixture {
+    fn new(name: &str, registry: Registry) -> Fixture {
+        let members = ["writer", "reader", "reader"]
             .map(|role| AnsweringMember::new(move |_| answer_with_role(VALUE, role)));
-        let world = World {
-            machines,
+        let fixture = Fixture {
+            members,
             registry,
             discovery: Discovery::listen(),
             operator: OperatorFolder::new(name, ""),
         };
-        (0..3).for_each(|n| world.put(n, "SERVING"));
-        world
+        (0..3).for_each(|n| fixture.put(n, "SERVING"));
+        fixture
     }
 
     fn put(&self, name: usize, status: &str) {
-        let value = Registry::member_value(self.machines[name].address, 2, status);
+        let value = Registry::member_value(self.members[name].address, 2, status);
         self.registry.write(&[(&format!("/dewferry/members/s-{name}"), Some(&value))]);
     }
 
-    /// Settings of the registry with more of them.
+    /// The settings for the registry, followed by `more`.
     fn settings(&self, more: &str) -> String {
         let address = self.registry.address;
         format!("[change]\nprobation_s = 0.3\n[registry]\ncall_s = 0.5\nguard_s = 1\nendpoints = [\"{address}\"]\n{more}")
@@ -52,39 +52,39 @@
         Pooler::start_with_operator(PROGRAM, &list(0, true, &[]), &self.discovery, &self.operator)
     }
 
-    /// Waits until reads go to the one replica and not to the other.
-    fn until(&self, pooler: &Pooler, wanted: [bool; 2]) {
-        let begun = Instant::now();
+    /// Waits until exactly those replicas that `expected` marks get reads.
+    fn wait_for_replicas(&self, pooler: &Pooler, expected: [bool; 2]) {
+        let started = Instant::now();
         loop {
-            let before = [1, 2].map(|n: usize| self.machines[n].count());
+            let before = [1, 2].map(|n: usize| self.members[n].count());
             let mut wire = client(pooler);
             let mut served = 0;
             for n in 0..20 {
                 wire.send(&query(&request_sql(&format!("r{n}"), "reports")));
                 served += usize::from(wire.answer().first().is_some_and(|(kind, _)| *kind == b'T'));
             }
-            let used = [1, 2].map(|n: usize| self.machines[n].count() > before[n - 1]);
-            if served == 20 && used == wanted {
+            let used = [1, 2].map(|n: usize| self.members[n].count() > before[n - 1]);
+            if served == 20 && used == expected {
                 return;
             }
             assert!(
-                begun.elapsed() < Duration::from_secs(20),
-                "{served} served by {used:?}, not by {wanted:?}"
+                started.elapsed() < Duration::from_secs(20),
+                "{served} of 20 reads are served, by {used:?}; expected {expected:?}"
             );
         }
     }
 
-    /// Waits until the registry has taken so many calls.
-    fn until_called(&self, calls: usize) {
-        let begun = Instant::now();
+    /// Waits until the registry has received `calls` calls.
+    fn wait_for_calls(&self, calls: usize) {
+        let started = Instant::now();
         while self.registry.usage().0 < calls {
-            let made = self.registry.usage().0;
-            assert!(begun.elapsed() < Duration::from_secs(20), "{made} calls in place of {calls}");
+            let received = self.registry.usage().0;
+            assert!(started.elapsed() < Duration::from_secs(20), "{received} calls; expected {calls}");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Runs `dewferry registry`; its exit code and what it prints.
+    /// Runs `dewferry registry`; returns its exit code and its output.
     fn run(&self, args: &[&str]) -> (i32, String) {
         let mut command = std::process::Command::new(PROGRAM);
         let output =
@@ -94,190 +94,197 @@
     }
 }
 
-/// Settings for calls over TLS with a client's certificate.
-fn tls(world: &World, authority: &CertificateAuthority, until: i32, suffix: &str) -> String {
-    let (cert, key) = authority.issue("pooler", until);
-    let ca = world.file(&format!("ca{suffix}.pem"), &authority.pem);
-    let cert = world.file(&format!("cert{suffix}.pem"), &cert);
-    let key = world.file(&format!("key{suffix}.pem"), &key);
+/// Settings for calls over TLS with a client certificate valid until the year `valid_until`.
+fn tls(fixture: &Fixture, authority: &CertificateAuthority, valid_until: i32, suffix: &str) -> String {
+    let (cert, key) = authority.issue("pooler", valid_until);
+    let ca = fixture.file(&format!("ca{suffix}.pem"), &authority.pem);
+    let cert = fixture.file(&format!("cert{suffix}.pem"), &cert);
+    let key = fixture.file(&format!("key{suffix}.pem"), &key);
     format!("tls_ca = {ca}\ntls_cert = {cert}\ntls_key = {key}\n")
 }
 
 #[test]
-fn a_registry_is_followed_over_tls_and_certificates_change_by_a_transaction() {
+fn a_registry_is_followed_over_tls_and_certificates_are_renewed_by_a_configuration_change() {
     let authority = CertificateAuthority::default();
-    let world = World::new("tls", Registry::with_tls(authority.acceptor("127.0.0.1", 2040, true)));
-    let first = tls(&world, &authority, 2040, "");
-    let pooler = world.start(&first);
-    world.until(&pooler, [true, true]);
-    world.put(1, "DRAINING");
-    world.until(&pooler, [false, true]);
-    assert!(world.run(&["view"]).1.contains("3 members"));
-    // A renewed certificate goes into files of new names; what could not be used changes nothing.
-    let next = tls(&world, &authority, 2041, "-2");
+    let fixture = Fixture::new("tls", Registry::with_tls(authority.acceptor("127.0.0.1", 2040, true)));
+    let first = tls(&fixture, &authority, 2040, "");
+    let pooler = fixture.start(&first);
+    fixture.wait_for_replicas(&pooler, [true, true]);
+    fixture.put(1, "DRAINING");
+    fixture.wait_for_replicas(&pooler, [false, true]);
+    assert!(fixture.run(&["view"]).1.contains("3 members"));
+    // A renewed certificate is stored under new file names. A change with an unusable one is rejected.
+    let next = tls(&fixture, &authority, 2041, "-2");
     let broken = next.replace("key-2.pem", "key.pem");
-    let file = world.operator.write("next.toml", &world.settings(&broken));
+    let file = fixture.operator.write("next.toml", &fixture.settings(&broken));
     let (code, text) = pooler.run_config(&["apply", &file]);
     assert!(code == 1 && text.contains("registry-files") && text.contains("key.pem"), "{text}");
-    let run_out = tls(&world, &authority, 2024, "-3");
-    let file = world.operator.write("next.toml", &world.settings(&run_out));
+    let expired = tls(&fixture, &authority, 2024, "-3");
+    let file = fixture.operator.write("next.toml", &fixture.settings(&expired));
     let (code, text) = pooler.run_config(&["apply", &file]);
     assert!(code == 1 && text.contains("cert-3.pem: has run out"), "{text}");
-    let file = world.operator.write("next.toml", &world.settings(&next));
+    let file = fixture.operator.write("next.toml", &fixture.settings(&next));
     assert_eq!(pooler.run_config(&["apply", &file]).0, 0);
     pooler.wait_for_log("registry.following");
-    world.put(1, "SERVING");
-    world.until(&pooler, [true, true]);
-    // A key that others may read is no key.
-    let open = world.operator.0.join("key.pem");
-    std::fs::set_permissions(&open, std::os::unix::fs::PermissionsExt::from_mode(0o644)).unwrap();
-    let file = world.operator.write("next.toml", &world.settings(&first));
+    fixture.put(1, "SERVING");
+    fixture.wait_for_replicas(&pooler, [true, true]);
+    // A key file that others may read is rejected.
+    let key_file = fixture.operator.0.join("key.pem");
+    std::fs::set_permissions(&key_file, std::os::unix::fs::PermissionsExt::from_mode(0o644)).unwrap();
+    let file = fixture.operator.write("next.toml", &fixture.settings(&first));
     let (code, text) = pooler.run_config(&["apply", &file]);
     assert!(code == 1 && text.contains("0600"), "{text}");
 }
 
 #[rstest]
-#[case::run_out("out", "127.0.0.1", 2024, "has run out")]
-#[case::of_another_name("name", "registry.example", 2040, "another name")]
-fn a_registry_whose_certificate_is_wrong_is_not_followed(
-    #[case] story: &str,
+#[case::expired("out", "127.0.0.1", 2024, "has run out")]
+#[case::for_another_name("name", "registry.example", 2040, "another name")]
+fn a_registry_with_an_expired_or_mismatched_certificate_is_not_followed(
+    #[case] folder_suffix: &str,
     #[case] name: &str,
-    #[case] until: i32,
-    #[case] words: &str,
+    #[case] valid_until: i32,
+    #[case] expected: &str,
 ) {
     let authority = CertificateAuthority::default();
-    let world =
-        World::new(&format!("tls-{story}"), Registry::with_tls(authority.acceptor(name, until, false)));
-    let settings = tls(&world, &authority, 2040, "");
-    let pooler = world.start(&settings);
-    assert!(pooler.wait_for_log("registry.tls").contains(words));
-    let (code, text) = world.run(&["view"]);
-    assert!(code == 2 && text.contains(words), "{text}");
-    if story == "name" {
-        // The name that it has is asked for instead.
-        let file =
-            world.operator.write("next.toml", &world.settings(&format!("{settings}tls_name = \"{name}\"")));
+    let fixture = Fixture::new(
+        &format!("tls-{folder_suffix}"),
+        Registry::with_tls(authority.acceptor(name, valid_until, false)),
+    );
+    let settings = tls(&fixture, &authority, 2040, "");
+    let pooler = fixture.start(&settings);
+    assert!(pooler.wait_for_log("registry.tls").contains(expected));
+    let (code, text) = fixture.run(&["view"]);
+    assert!(code == 2 && text.contains(expected), "{text}");
+    if folder_suffix == "name" {
+        // With `tls_name` set to the name in the certificate, the registry is followed.
+        let file = fixture
+            .operator
+            .write("next.toml", &fixture.settings(&format!("{settings}tls_name = \"{name}\"")));
         assert_eq!(pooler.run_config(&["apply", &file]).0, 0);
-        world.until(&pooler, [true, true]);
+        fixture.wait_for_replicas(&pooler, [true, true]);
     }
 }
 
 #[test]
-fn who_is_vouched_for_by_nobody_or_speaks_no_tls_is_not_followed() {
+fn a_registry_of_an_unknown_authority_or_without_tls_is_not_followed() {
     let (authority, other) = (CertificateAuthority::default(), CertificateAuthority::default());
-    let world = World::new("tls-ca", Registry::with_tls(other.acceptor("127.0.0.1", 2040, false)));
-    let pooler = world.start(&tls(&world, &authority, 2040, ""));
+    let fixture = Fixture::new("tls-ca", Registry::with_tls(other.acceptor("127.0.0.1", 2040, false)));
+    let pooler = fixture.start(&tls(&fixture, &authority, 2040, ""));
     assert!(pooler.wait_for_log("registry.tls").contains("vouches"));
-    let world = World::new("tls-plain", Registry::default());
-    let settings = tls(&world, &authority, 2040, "");
-    let pooler = world.start(&settings);
-    // The registry waits for a request that never comes: that is a call not answered in time.
+    let fixture = Fixture::new("tls-plain", Registry::default());
+    let settings = tls(&fixture, &authority, 2040, "");
+    let pooler = fixture.start(&settings);
+    // The registry speaks no TLS and waits for a request in plain text, so the call times out.
     pooler.wait_for_log("registry.lost");
-    assert_eq!(world.run(&["view"]).0, 2);
+    assert_eq!(fixture.run(&["view"]).0, 2);
 }
 
 #[test]
-fn files_that_were_replaced_in_place_are_read_again_once_they_no_longer_serve() {
+fn tls_files_replaced_in_place_are_read_again_after_a_failed_handshake() {
     let (old, new) = (CertificateAuthority::default(), CertificateAuthority::default());
-    let world = World::new("tls-place", Registry::with_tls(new.acceptor("127.0.0.1", 2040, true)));
-    let settings = tls(&world, &old, 2040, "");
-    let pooler = world.start(&settings);
+    let fixture = Fixture::new("tls-place", Registry::with_tls(new.acceptor("127.0.0.1", 2040, true)));
+    let settings = tls(&fixture, &old, 2040, "");
+    let pooler = fixture.start(&settings);
     pooler.wait_for_log("registry.tls");
-    tls(&world, &new, 2040, "");
-    world.until(&pooler, [true, true]);
+    tls(&fixture, &new, 2040, "");
+    fixture.wait_for_replicas(&pooler, [true, true]);
 }
 
 #[test]
-fn a_login_is_renewed_when_its_token_runs_out_in_the_middle_of_the_watch() {
-    let world = World::new("login", Registry::default());
-    world.registry.require_login("pooler", "first");
-    let password = world.file("password", "first\n");
+fn a_login_is_renewed_when_its_token_expires_during_the_watch() {
+    let fixture = Fixture::new("login", Registry::default());
+    fixture.registry.require_login("pooler", "first");
+    let password = fixture.file("password", "first\n");
     let settings = format!("user = \"pooler\"\npassword_file = {password}\n");
-    let pooler = world.start(&settings);
-    world.until(&pooler, [true, true]);
-    // The list is there a moment before the registry has taken the call for the watch.
-    world.until_called(LOGIN_LIST_AND_WATCH);
-    world.registry.require_login("pooler", "first");
-    world.put(1, "DRAINING");
-    world.until(&pooler, [false, true]);
-    let wanted = LOGIN_LIST_AND_WATCH + 2;
-    assert_eq!(world.registry.usage().0, wanted, "a login and a watch, and no whole list");
-    // Another password is read from the same file.
-    world.file("password", "second\n");
-    world.registry.require_login("pooler", "second");
-    world.put(1, "SERVING");
-    world.until(&pooler, [true, true]);
-    assert!(world.run(&["view"]).1.contains("3 members"));
-    // A wrong one: the last list holds.
-    world.registry.require_login("pooler", "third");
+    let pooler = fixture.start(&settings);
+    fixture.wait_for_replicas(&pooler, [true, true]);
+    // The list arrives a moment before the registry has received the call for the watch.
+    fixture.wait_for_calls(LOGIN_LIST_AND_WATCH);
+    fixture.registry.require_login("pooler", "first");
+    fixture.put(1, "DRAINING");
+    fixture.wait_for_replicas(&pooler, [false, true]);
+    let expected_calls = LOGIN_LIST_AND_WATCH + 2;
+    assert_eq!(
+        fixture.registry.usage().0,
+        expected_calls,
+        "expected a login and a watch, without another full list"
+    );
+    // A new password is read from the same file.
+    fixture.file("password", "second\n");
+    fixture.registry.require_login("pooler", "second");
+    fixture.put(1, "SERVING");
+    fixture.wait_for_replicas(&pooler, [true, true]);
+    assert!(fixture.run(&["view"]).1.contains("3 members"));
+    // With a wrong password the last list stays in force.
+    fixture.registry.require_login("pooler", "third");
     assert!(pooler.wait_for_log("registry.lost").contains("authentication failed"));
-    world.until(&pooler, [true, true]);
-    let (code, text) = world.run(&["view"]);
+    fixture.wait_for_replicas(&pooler, [true, true]);
+    let (code, text) = fixture.run(&["view"]);
     assert!(code == 2 && text.contains("authentication failed"), "{text}");
 }
 
 #[test]
-fn a_password_in_the_clear_needs_the_operators_word() {
-    let world = World::new("clear", Registry::default());
-    let pooler = world.start("");
-    world.until(&pooler, [true, true]);
-    let password = world.file("password", "first\n");
+fn a_password_without_tls_needs_the_operator_s_permission() {
+    let fixture = Fixture::new("clear", Registry::default());
+    let pooler = fixture.start("");
+    fixture.wait_for_replicas(&pooler, [true, true]);
+    let password = fixture.file("password", "first\n");
     let settings = format!("user = \"pooler\"\npassword_file = {password}\n");
-    let file = world.operator.write("next.toml", &world.settings(&settings));
+    let file = fixture.operator.write("next.toml", &fixture.settings(&settings));
     let (code, text) = pooler.run_config(&["plan", &file]);
     assert!(code == 1 && text.contains("registry-clear"), "{text}");
 }
 
 #[test]
-fn a_restart_serves_from_the_kept_view_and_asks_for_no_whole_list() {
-    let world = World::new("kept", Registry::default());
-    let mut pooler = world.start("");
-    world.until(&pooler, [true, true]);
-    let view = world.operator.0.join("state/registry.view");
-    let begun = Instant::now();
+fn a_restart_serves_from_the_stored_view_and_requests_no_full_list() {
+    let fixture = Fixture::new("kept", Registry::default());
+    let mut pooler = fixture.start("");
+    fixture.wait_for_replicas(&pooler, [true, true]);
+    let view = fixture.operator.0.join("state/registry.view");
+    let started = Instant::now();
     while !view.exists() {
-        assert!(begun.elapsed() < Duration::from_secs(20), "the first view is kept");
+        assert!(started.elapsed() < Duration::from_secs(20), "the first view was not stored");
         std::thread::sleep(Duration::from_millis(10));
     }
     pooler.kill();
-    // While it is down the registry cannot be reached: it comes up on what was kept.
-    world.registry.set_close_at_once(true);
-    let mut pooler = world.start("");
-    world.until(&pooler, [true, true]);
+    // While the registry is unreachable, the pooler starts with the stored view.
+    fixture.registry.set_close_at_once(true);
+    let mut pooler = fixture.start("");
+    fixture.wait_for_replicas(&pooler, [true, true]);
     pooler.kill();
-    // What happened meanwhile comes with the watch alone.
-    world.put(1, "DRAINING");
-    world.registry.set_close_at_once(false);
-    let bytes = world.registry.usage().1;
-    let mut pooler = world.start("");
-    world.until(&pooler, [false, true]);
-    let bytes = world.registry.usage().1 - bytes;
+    // Changes made in the meantime arrive with the watch, without a full list.
+    fixture.put(1, "DRAINING");
+    fixture.registry.set_close_at_once(false);
+    let bytes = fixture.registry.usage().1;
+    let mut pooler = fixture.start("");
+    fixture.wait_for_replicas(&pooler, [false, true]);
+    let bytes = fixture.registry.usage().1 - bytes;
     assert!(bytes < 700, "{bytes} bytes for one change");
     pooler.kill();
-    // A spoilt one is passed over.
+    // A malformed view is not used.
     std::fs::write(&view, b"dewferry view 1\nand no more").unwrap();
-    let pooler = world.start("");
+    let pooler = fixture.start("");
     pooler.wait_for_log("not used");
-    world.until(&pooler, [false, true]);
+    fixture.wait_for_replicas(&pooler, [false, true]);
 }
 
 #[test]
-fn the_poolers_own_key_stands_while_it_lives() {
-    let world = World::new("own", Registry::default());
-    let mut pooler = world.start("register = \"/poolers\"\nlease_s = 2\n");
+fn the_key_of_a_pooler_is_registered_while_it_runs_and_removed_on_shutdown() {
+    let fixture = Fixture::new("own", Registry::default());
+    let mut pooler = fixture.start("register = \"/poolers\"\nlease_s = 2\n");
     pooler.wait_for_log("registry.registered");
-    let value = world.registry.value("/poolers/n0").unwrap();
+    let value = fixture.registry.value("/poolers/n0").unwrap();
     assert!(value.contains(r#""address":"127.0.0.1"#), "{value}");
-    // A lease that is gone, whatever the reason, is asked for anew.
-    world.registry.expire_leases();
-    assert_eq!(world.registry.value("/poolers/n0"), None);
+    // After its lease has ended for any reason, the pooler requests another.
+    fixture.registry.expire_leases();
+    assert_eq!(fixture.registry.value("/poolers/n0"), None);
     pooler.wait_for_log("registry.unregistered");
     pooler.wait_for_log("registry.registered");
-    assert!(world.registry.value("/poolers/n0").is_some());
+    assert!(fixture.registry.value("/poolers/n0").is_some());
     pooler.signal("TERM");
     assert!(pooler.wait_for_exit().success());
-    assert_eq!(world.registry.value("/poolers/n0"), None);
-    let file = world.operator.write("bad.toml", &world.settings("register = \"/dewferry/members\"\n"));
+    assert_eq!(fixture.registry.value("/poolers/n0"), None);
+    let file = fixture.operator.write("bad.toml", &fixture.settings("register = \"/dewferry/members\"\n"));
     let mut command = std::process::Command::new(PROGRAM);
     command.args(["config", "check", &file, "--config"]).arg(pooler.platform_file());
     let output = command.output().unwrap();
@@ -286,16 +293,20 @@
 }
 
 #[test]
-fn a_token_that_runs_out_between_the_list_and_the_watch_is_renewed_at_once() {
-    let world = World::new("login-late", Registry::default());
-    world.registry.require_login("pooler", "first");
-    // Each call is answered late enough for the token to end while the watch is asked for.
-    world.registry.change_faults(|faults| faults.delay = Duration::from_millis(150));
-    let password = world.file("password", "first\n");
-    let pooler = world.start(&format!("user = \"pooler\"\npassword_file = {password}\n"));
-    world.until_called(LOGIN_LIST_AND_WATCH);
-    world.registry.require_login("pooler", "first");
-    world.put(1, "DRAINING");
-    world.until(&pooler, [false, true]);
-    assert_eq!(world.registry.usage().0, LOGIN_LIST_AND_WATCH + 2, "a login and a watch, and no other calls");
+fn a_token_that_expires_between_the_list_and_the_watch_is_renewed_at_once() {
+    let fixture = Fixture::new("login-late", Registry::default());
+    fixture.registry.require_login("pooler", "first");
+    // Each answer is delayed, so that the token expires while the watch is requested.
+    fixture.registry.change_faults(|faults| faults.delay = Duration::from_millis(150));
+    let password = fixture.file("password", "first\n");
+    let pooler = fixture.start(&format!("user = \"pooler\"\npassword_file = {password}\n"));
+    fixture.wait_for_calls(LOGIN_LIST_AND_WATCH);
+    fixture.registry.require_login("pooler", "first");
+    fixture.put(1, "DRAINING");
+    fixture.wait_for_replicas(&pooler, [false, true]);
+    assert_eq!(
+        fixture.registry.usage().0,
+        LOGIN_LIST_AND_WATCH + 2,
+        "expected a login and a watch, and no other calls"
+    );
 }
