--- a/crates/daemon/tests/fleet.rs
+++ b/crates/daemon/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes under its supervisor: starts, crashes, a supervisor that is killed, rolls.
+//! A fleet of real processes under its supervisor: starts, crashes, a killed supervisor, rolling restarts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,48 +8,48 @@
 use peers::*;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dewferry");
-const COUNT: usize = 5;
+const INSTANCES: usize = 5;
 
-static ASKED: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
+static NEXT_ID: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
 
-/// A fleet before one machine.
-struct World {
+/// A fleet of poolers with one member.
+struct Fixture {
     folder: OperatorFolder,
     file: PathBuf,
     listen: SocketAddr,
     supervisor: Child,
     _discovery: Discovery,
-    _db: AnsweringMember,
+    _member: AnsweringMember,
 }
 
-impl World {
-    fn new(name: &str) -> World {
+impl Fixture {
+    fn new(name: &str) -> Fixture {
         let folder = OperatorFolder::new(name, "");
-        let (db, discovery) =
+        let (member, discovery) =
             (AnsweringMember::new(|_| answer_with_role(b"\x9f", "writer")), Discovery::listen());
-        let list = list(41, true, &[db.list_entry("s-1", "here")]);
+        let list = list(41, true, &[member.list_entry("s-1", "here")]);
         let platform = folder.0.join("platform.json");
         std::fs::write(&platform, platform_config(&list, &discovery)).unwrap();
-        // Ports that are free now, one behind the other, below those that clients get.
+        // Consecutive ports that are free now, below the range of ephemeral ports.
         let free = |from: u16| {
-            (from..from + COUNT as u16).all(|p| std::net::TcpListener::bind(("127.0.0.1", p)).is_ok())
+            (from..from + INSTANCES as u16).all(|p| std::net::TcpListener::bind(("127.0.0.1", p)).is_ok())
         };
         let first = 10_000 + (std::process::id() % 15_000) as u16 + name.len() as u16 * 100;
-        let port = (first..32_000).chain(10_000..first).step_by(COUNT).find(|port| free(*port)).unwrap();
+        let port = (first..32_000).chain(10_000..first).step_by(INSTANCES).find(|port| free(*port)).unwrap();
         let listen = SocketAddr::from(([127, 0, 0, 1], port));
         let (dir, operator) = (folder.0.join("fleet"), folder.0.join("dewferry.toml"));
         std::fs::write(&operator, "[daemon]\ndrain_for_s = 5.0\n").unwrap();
         let file = folder.0.join("fleet.toml");
         let text = format!(
-            "dir = {dir:?}\nplatform = {platform:?}\noperator = {operator:?}\nlisten = \"{listen}\"\ninstances = {COUNT}\n\
+            "dir = {dir:?}\nplatform = {platform:?}\noperator = {operator:?}\nlisten = \"{listen}\"\ninstances = {INSTANCES}\n\
              spread_s = 0.2\nbatch = 2\nsettle_s = 0.3\nready_within_s = 5.0\ncrash_within_s = 3.0\n"
         );
         std::fs::write(&file, text).unwrap();
         let supervisor = run(&file);
-        World { folder, file, listen, supervisor, _discovery: discovery, _db: db }
+        Fixture { folder, file, listen, supervisor, _discovery: discovery, _member: member }
     }
 
-    fn ask(&self, verb: &str) -> (i32, String) {
+    fn run_verb(&self, verb: &str) -> (i32, String) {
         let output = Command::new(PROGRAM).args(["fleet", verb]).arg(&self.file).output().unwrap();
         let text = [output.stdout, output.stderr].concat();
         (output.status.code().unwrap(), String::from_utf8(text).unwrap())
@@ -67,42 +67,42 @@
         self.rows().iter().map(|row| row["pid"].as_u64().unwrap_or_default()).collect()
     }
 
-    /// Waits until all are ready and this holds.
-    fn settled(&self, holds: impl Fn(&[serde_json::Value]) -> bool) {
-        let begun = Instant::now();
+    /// Waits until all instances are ready and `holds` is true.
+    fn wait_until_ready(&self, holds: impl Fn(&[serde_json::Value]) -> bool) {
+        let started = Instant::now();
         loop {
             let rows = self.rows();
-            let ready = rows.len() == COUNT
+            let ready = rows.len() == INSTANCES
                 && rows.iter().all(|row| row["state"] == "ready" && row["life"] == "ready");
             if ready && holds(&rows) {
                 return;
             }
-            assert!(begun.elapsed() < Duration::from_secs(30), "{rows:?}");
+            assert!(started.elapsed() < Duration::from_secs(30), "{rows:?}");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    fn rolled(&self) {
-        let begun = Instant::now();
-        while self.ask("status").1.contains("a roll is under way") {
+    fn wait_until_rolled(&self) {
+        let started = Instant::now();
+        while self.run_verb("status").1.contains("a roll is under way") {
             let log = || std::fs::read_to_string(self.folder.0.join("fleet/n0/log")).unwrap();
-            assert!(begun.elapsed() < Duration::from_secs(20), "{} {}", self.ask("status").1, log());
+            assert!(started.elapsed() < Duration::from_secs(20), "{} {}", self.run_verb("status").1, log());
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// A read through an instance.
-    fn reads(&self, n: usize) -> bool {
+    /// Sends a read to an instance; returns whether it is served.
+    fn read_is_served(&self, n: usize) -> bool {
         let address = SocketAddr::new(self.listen.ip(), self.listen.port() + n as u16);
         let Ok(stream) = std::net::TcpStream::connect(address) else { return false };
         let mut wire = Wire::from_stream(stream);
-        // One that ends between requests has taken nothing.
+        // An instance that closes the connection here has accepted no request.
         if !wire.try_send(&startup()) {
             return false;
         }
         wire.answer();
-        // No two requests of one id at a time.
-        let id = ASKED.fetch_add(1, std::sync::atomic::Ordering::SeqCst).to_string();
+        // Two concurrent requests must not have the same id.
+        let id = NEXT_ID.fetch_add(1, std::sync::atomic::Ordering::SeqCst).to_string();
         wire.try_send(&query(&request_sql(&id, "reports")))
             && wire.answer().first().is_some_and(|message| message.0 == b'T')
     }
@@ -112,7 +112,7 @@
     Command::new(PROGRAM).args(["fleet", "run"]).arg(file).stdout(Stdio::null()).spawn().unwrap()
 }
 
-impl Drop for World {
+impl Drop for Fixture {
     fn drop(&mut self) {
         let pids = self.pids();
         let _ = self.supervisor.kill();
@@ -124,50 +124,51 @@
 }
 
 #[test]
-fn instances_outlive_their_supervisor_and_are_found_again() {
-    let mut world = World::new("fleet-found");
-    world.settled(|_| true);
-    assert!((0..COUNT).all(|n| world.reads(n)));
-    // One that is killed comes back, and no other is touched.
-    let before = world.pids();
+fn instances_outlive_their_supervisor_and_are_adopted_by_the_next() {
+    let mut fixture = Fixture::new("fleet-found");
+    fixture.wait_until_ready(|_| true);
+    assert!((0..INSTANCES).all(|n| fixture.read_is_served(n)));
+    // A killed instance is restarted, and no other instance is.
+    let before = fixture.pids();
     Command::new("kill").args(["-9", &before[2].to_string()]).status().unwrap();
-    world.settled(|rows| rows[2]["pid"].as_u64() != Some(before[2]));
-    let after = world.pids();
-    assert!((0..COUNT).all(|n| (after[n] == before[n]) == (n != 2)), "{before:?} {after:?}");
-    // The supervisor is killed: they serve on; the next one finds them.
-    world.supervisor.kill().unwrap();
-    world.supervisor.wait().unwrap();
-    assert!((0..COUNT).all(|n| world.reads(n)));
-    assert_eq!(world.ask("status").0, 2);
-    world.supervisor = run(&world.file);
-    world.settled(|_| true);
-    assert_eq!(world.pids(), after);
-    // A second one beside it does not begin.
-    let second = Command::new(PROGRAM).args(["fleet", "run"]).arg(&world.file).output().unwrap();
+    fixture.wait_until_ready(|rows| rows[2]["pid"].as_u64() != Some(before[2]));
+    let after = fixture.pids();
+    assert!((0..INSTANCES).all(|n| (after[n] == before[n]) == (n != 2)), "{before:?} {after:?}");
+    // After the supervisor is killed the instances still serve, and the next supervisor adopts them.
+    fixture.supervisor.kill().unwrap();
+    fixture.supervisor.wait().unwrap();
+    assert!((0..INSTANCES).all(|n| fixture.read_is_served(n)));
+    assert_eq!(fixture.run_verb("status").0, 2);
+    fixture.supervisor = run(&fixture.file);
+    fixture.wait_until_ready(|_| true);
+    assert_eq!(fixture.pids(), after);
+    // A second supervisor beside it does not start.
+    let second = Command::new(PROGRAM).args(["fleet", "run"]).arg(&fixture.file).output().unwrap();
     assert_eq!(second.status.code(), Some(2));
-    assert_eq!(world.ask("stop").0, 0);
-    assert!(world.supervisor.wait().unwrap().success());
-    assert!(!(0..COUNT).any(|n| world.reads(n)));
+    assert_eq!(fixture.run_verb("stop").0, 0);
+    assert!(fixture.supervisor.wait().unwrap().success());
+    assert!(!(0..INSTANCES).any(|n| fixture.read_is_served(n)));
 }
 
 #[test]
-fn a_roll_loses_nothing_and_one_that_does_harm_is_undone() {
-    let world = World::new("fleet-roll");
-    world.settled(|_| true);
-    let operator = world.folder.0.join("dewferry.toml");
-    let good = "[daemon]\ndrain_for_s = 5.0\n[tenant.new]\nquota_per_s = 5\n";
-    let before = world.pids();
-    std::fs::write(&operator, good).unwrap();
-    // A client of each instance that asks as long as it is there, and goes elsewhere when its connection ends.
-    let over = std::sync::atomic::AtomicBool::new(false);
+fn a_roll_loses_no_request_and_a_failing_roll_is_rolled_back() {
+    let fixture = Fixture::new("fleet-roll");
+    fixture.wait_until_ready(|_| true);
+    let operator = fixture.folder.0.join("dewferry.toml");
+    let valid_settings = "[daemon]\ndrain_for_s = 5.0\n[tenant.new]\nquota_per_s = 5\n";
+    let before = fixture.pids();
+    std::fs::write(&operator, valid_settings).unwrap();
+    // One client for each instance sends reads to it, and to the next instance when the read is not served.
+    let stop = std::sync::atomic::AtomicBool::new(false);
     let served = std::thread::scope(|scope| {
-        let clients: Vec<_> = (0..COUNT)
+        let clients: Vec<_> = (0..INSTANCES)
             .map(|n| {
-                let (world, over) = (&world, &over);
+                let (fixture, stop) = (&fixture, &stop);
                 scope.spawn(move || {
                     let mut served = 0;
-                    while !over.load(std::sync::atomic::Ordering::SeqCst) {
-                        let found = (0..COUNT).any(|other| world.reads((n + other) % COUNT));
+                    while !stop.load(std::sync::atomic::Ordering::SeqCst) {
+                        let found =
+                            (0..INSTANCES).any(|other| fixture.read_is_served((n + other) % INSTANCES));
                         assert!(found, "no instance serves");
                         served += 1;
                     }
@@ -175,37 +176,42 @@
                 })
             })
             .collect();
-        assert_eq!(world.ask("roll").0, 0);
-        assert_eq!(world.ask("roll").0, 1, "one at a time");
-        world.rolled();
-        over.store(true, std::sync::atomic::Ordering::SeqCst);
+        assert_eq!(fixture.run_verb("roll").0, 0);
+        assert_eq!(fixture.run_verb("roll").0, 1, "a second roll was started beside the first");
+        fixture.wait_until_rolled();
+        stop.store(true, std::sync::atomic::Ordering::SeqCst);
         clients.into_iter().map(|client| client.join().unwrap()).sum::<usize>()
     });
-    assert!(served > COUNT);
-    world.settled(|rows| rows.iter().enumerate().all(|(n, row)| row["pid"].as_u64() != Some(before[n])));
-    // A file that does not fit alters nothing.
-    let rolled = world.pids();
+    assert!(served > INSTANCES);
+    fixture.wait_until_ready(|rows| {
+        rows.iter().enumerate().all(|(n, row)| row["pid"].as_u64() != Some(before[n]))
+    });
+    // An invalid file changes nothing.
+    let pids_before = fixture.pids();
     std::fs::write(&operator, "[pool]\nlisten = \"127.0.0.1:1\"\n").unwrap();
-    let (code, words) = world.ask("roll");
-    assert!(code == 1 && words.contains("pool.write_class"), "{words}");
-    assert_eq!(world.pids(), rolled);
-    // One that fits and with which a second instance cannot come up, since both want one port: undone.
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    std::fs::write(&operator, format!("{good}[pool]\nlisten = \"{taken}\"\nwrite_class = \"order-write\"\n"))
-        .unwrap();
-    assert_eq!(world.ask("roll").0, 0);
-    world.rolled();
-    world.settled(|_| true);
-    let after = world.pids();
-    assert_ne!((after[0], after[1]), (rolled[0], rolled[1]));
-    assert_eq!(after[2..], rolled[2..], "what the roll had not come to is left");
-    let text = std::fs::read_to_string(world.folder.0.join("fleet/n0/dewferry.toml")).unwrap();
+    let (code, output_text) = fixture.run_verb("roll");
+    assert!(code == 1 && output_text.contains("pool.write_class"), "{output_text}");
+    assert_eq!(fixture.pids(), pids_before);
+    // A valid file with which a second instance cannot start, since both use the same port, is rolled back.
+    let shared_port = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    std::fs::write(
+        &operator,
+        format!("{valid_settings}[pool]\nlisten = \"{shared_port}\"\nwrite_class = \"order-write\"\n"),
+    )
+    .unwrap();
+    assert_eq!(fixture.run_verb("roll").0, 0);
+    fixture.wait_until_rolled();
+    fixture.wait_until_ready(|_| true);
+    let after = fixture.pids();
+    assert_ne!((after[0], after[1]), (pids_before[0], pids_before[1]));
+    assert_eq!(after[2..], pids_before[2..], "instances that the roll had not reached were restarted");
+    let text = std::fs::read_to_string(fixture.folder.0.join("fleet/n0/dewferry.toml")).unwrap();
     assert!(text.contains("quota_per_s = 5") && !text.contains("write_class"), "{text}");
-    assert!((0..COUNT).all(|n| world.reads(n)));
+    assert!((0..INSTANCES).all(|n| fixture.read_is_served(n)));
 }
 
 #[test]
-fn a_fleet_s_file_that_cannot_be_used_is_told_by_its_key() {
+fn an_invalid_fleet_file_is_reported_with_its_key() {
     let folder = OperatorFolder::new("fleet-file", "");
     let file = folder.0.join("fleet.toml");
     let run = |text: &str| {
--- a/crates/daemon/tests/instances.rs
+++ b/crates/daemon/tests/instances.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program that talk, with faults between them: no session reads what is older than its own write,
-//! and copies meet again.
+//! Several instances that exchange state, with faults between them: no session reads data older than its own
+//! write, and the state of all instances converges.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dewferry");
 
-fn shape(instances: usize) -> RigConfig {
+fn rig_config(instances: usize) -> RigConfig {
     RigConfig {
         instances,
         exchange_state: true,
@@ -18,8 +18,8 @@
     }
 }
 
-fn places(rig: &Rig) -> Vec<std::net::SocketAddr> {
-    rig.instances.iter().map(|seat| seat.listen).collect()
+fn listen_addresses(rig: &Rig) -> Vec<std::net::SocketAddr> {
+    rig.instances.iter().map(|instance| instance.listen).collect()
 }
 
 fn pause(milliseconds: u64) {
@@ -27,10 +27,10 @@
 }
 
 #[test]
-fn sessions_that_move_read_their_own_writes_through_kills_stops_and_cuts() {
-    let mut rig = Rig::new(PROGRAM, shape(3));
+fn moving_sessions_read_their_own_writes_through_kills_stops_and_partitions() {
+    let mut rig = Rig::new(PROGRAM, rig_config(3));
     assert!(rig.wait_until_converged(Duration::from_secs(20)).is_some(), "{:#}", rig.status(0));
-    let load = Load::new(places(&rig), 8, Duration::from_millis(1_500), 1);
+    let load = Load::new(listen_addresses(&rig), 8, Duration::from_millis(1_500), 1);
     pause(1_000);
     for round in 0..4 {
         let n = round % 3;
@@ -58,21 +58,21 @@
         }
         pause(800);
     }
-    let sums = load.finish();
-    assert!(sums.reads > 200 && sums.writes > 200, "{} reads, {} writes", sums.reads, sums.writes);
+    let totals = load.finish();
+    assert!(totals.reads > 200 && totals.writes > 200, "{} reads, {} writes", totals.reads, totals.writes);
     assert_eq!(
-        (sums.stale_reads, sums.stale_delayed_reads),
+        (totals.stale_reads, totals.stale_delayed_reads),
         (0, 0),
         "of {} and {}",
-        sums.reads,
-        sums.delayed_reads
+        totals.reads,
+        totals.delayed_reads
     );
     assert!(rig.wait_until_converged(Duration::from_secs(30)).is_some(), "{:#}", rig.status(0));
 }
 
 #[test]
-fn one_alone_listens_and_one_with_another_key_is_not_heard() {
-    let mut rig = Rig::new(PROGRAM, shape(2));
+fn an_instance_without_peers_listens_and_datagrams_under_another_key_are_dropped() {
+    let mut rig = Rig::new(PROGRAM, rig_config(2));
     assert!(rig.wait_until_converged(Duration::from_secs(20)).is_some(), "{:#}", rig.status(0));
     rig.kill(1);
     rig.write_key("ff".repeat(32).as_str());
@@ -84,22 +84,24 @@
     assert!(rig.status(0)["forged"].as_u64() > Some(0), "{:#}", rig.status(0));
 }
 
-/// Sessions at work through what is done; nothing stale, and copies equal in the end.
-fn through(rig: &mut Rig, seed: u64, does: impl FnOnce(&mut Rig)) -> LoadTotals {
+/// Runs sessions under load during `action`. Checks that no read is stale and that the instances converge at
+/// the end.
+fn run_under_load(rig: &mut Rig, seed: u64, action: impl FnOnce(&mut Rig)) -> LoadTotals {
     assert!(rig.wait_until_converged(Duration::from_secs(20)).is_some(), "{:#}", rig.status(0));
-    rig.run_under_load(seed, Duration::from_secs(30), does)
+    rig.run_under_load(seed, Duration::from_secs(30), action)
 }
 
 #[test]
-fn three_against_two_with_writes_on_both_sides_and_then_all_of_a_zone_anew() {
-    let mut rig = Rig::new(PROGRAM, shape(5));
-    through(&mut rig, 2, |rig| {
+fn a_partition_with_writes_on_both_sides_and_a_zone_restart_leave_nothing_stale() {
+    let mut rig = Rig::new(PROGRAM, rig_config(5));
+    run_under_load(&mut rig, 2, |rig| {
         rig.change_faults_between(&[1, 3], |faults| faults.block = true);
-        // Past the patience of those that have no majority: both sides take writes.
+        // Longer than the time that instances without a majority wait before they accept writes, so both
+        // sides do.
         pause(5_000);
         rig.change_faults_between(&[1, 3], |faults| faults.block = false);
         pause(1_000);
-        // Those of the second zone, at once.
+        // Both instances of the second zone at once.
         for n in [1, 3] {
             rig.kill(n);
         }
@@ -111,22 +113,22 @@
 }
 
 #[test]
-fn a_roll_of_all_during_writes_and_starts_from_an_older_folder() {
-    let mut rig = Rig::new(PROGRAM, RigConfig { state_folders: true, ..shape(3) });
-    through(&mut rig, 3, |rig| {
-        let (kept, old) = (rig.state_folder(0).join("instances"), rig.state_folder(0).join("old"));
-        std::fs::copy(&kept, &old).unwrap();
+fn a_rolling_restart_and_starts_from_old_or_truncated_state_leave_nothing_stale() {
+    let mut rig = Rig::new(PROGRAM, RigConfig { state_folders: true, ..rig_config(3) });
+    run_under_load(&mut rig, 3, |rig| {
+        let (state_file, old_copy) = (rig.state_folder(0).join("instances"), rig.state_folder(0).join("old"));
+        std::fs::copy(&state_file, &old_copy).unwrap();
         for n in 0..3 {
             rig.terminate(n);
             rig.start(n);
             rig.wait_until_listening(n);
             pause(300);
         }
-        // Killed, and started with its folder as it was long ago, then with one that is cut off in the middle.
+        // Killed, then started with an older copy of its state file, and then with a truncated one.
         for length in [u64::MAX, 7] {
             rig.kill(0);
-            std::fs::copy(&old, &kept).unwrap();
-            let file = std::fs::OpenOptions::new().write(true).open(&kept).unwrap();
+            std::fs::copy(&old_copy, &state_file).unwrap();
+            let file = std::fs::OpenOptions::new().write(true).open(&state_file).unwrap();
             file.set_len(length.min(file.metadata().unwrap().len())).unwrap();
             rig.start(0);
             rig.wait_until_listening(0);
@@ -136,9 +138,9 @@
 }
 
 #[test]
-fn one_way_cuts_late_datagrams_and_noise_at_the_port() {
-    let mut rig = Rig::new(PROGRAM, shape(3));
-    through(&mut rig, 4, |rig| {
+fn one_way_partitions_delayed_datagrams_and_noise_leave_nothing_stale() {
+    let mut rig = Rig::new(PROGRAM, rig_config(3));
+    run_under_load(&mut rig, 4, |rig| {
         rig.relays[0].iter().flatten().for_each(|relay| relay.change_faults(|faults| faults.block = true));
         pause(1_500);
         rig.change_all_faults(|faults| {
@@ -162,8 +164,8 @@
 }
 
 #[test]
-fn what_people_ask_is_answered_and_the_written_off_comes_back() {
-    let mut rig = Rig::new(PROGRAM, shape(2));
+fn peers_commands_answer_and_a_forgotten_instance_can_rejoin() {
+    let mut rig = Rig::new(PROGRAM, rig_config(2));
     assert!(rig.wait_until_converged(Duration::from_secs(20)).is_some(), "{:#}", rig.status(0));
     let status = rig.status(0);
     assert_eq!((status["self"].as_str(), status["instances"][1]["name"].as_str()), (Some("n0"), Some("n1")));
@@ -171,10 +173,10 @@
     assert!(rig.run_peers_command(0, &["explain", "session", "k"]).contains("reads_need"));
     assert!(rig.run_peers_command(0, &["explain", "member", "s-replica"]).contains("told: serving"));
     assert!(rig.run_peers_command(0, &["explain", "colour", "k"]).contains("accepted: member, session"));
-    // Told now and then, to another zone less often.
-    let begun = std::time::Instant::now();
+    // Members are reported at intervals, which are longer between zones.
+    let started = std::time::Instant::now();
     while !rig.run_peers_command(0, &["members"]).contains("s-primary") {
-        assert!(begun.elapsed() < Duration::from_secs(20), "{}", rig.run_peers_command(0, &["members"]));
+        assert!(started.elapsed() < Duration::from_secs(20), "{}", rig.run_peers_command(0, &["members"]));
         pause(50);
     }
     rig.kill(1);
--- a/crates/daemon/tests/upgrade.rs
+++ b/crates/daemon/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A daemon handed over to its successor, both of them running programs, with clients that do not stop asking.
+//! Handover from a running pooler to its successor, under continuous load.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -9,9 +9,9 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dewferry");
 const VALUE: &[u8] = b"\x9f";
 
-/// A daemon that can be succeeded, before a machine of its own.
-struct World {
-    db: AnsweringMember,
+/// The configuration of a pooler with handover, with a primary and a replica.
+struct Fixture {
+    member: AnsweringMember,
     _replica: AnsweringMember,
     discovery: Discovery,
     operator: OperatorFolder,
@@ -19,18 +19,18 @@
     list: String,
 }
 
-impl World {
-    fn new(name: &str) -> World {
-        World::with(name, |_| answer_with_role(VALUE, "writer"), |_| answer_with_role(VALUE, "reader"))
+impl Fixture {
+    fn new(name: &str) -> Fixture {
+        Fixture::with(name, |_| answer_with_role(VALUE, "writer"), |_| answer_with_role(VALUE, "reader"))
     }
 
-    /// One whose primary and replica answer like this.
+    /// Like `new`, with the answers of the primary and the replica.
     fn with(
         name: &str,
         primary: impl Fn(&str) -> Vec<u8> + Send + Sync + 'static,
         replica: impl Fn(&str) -> Vec<u8> + Send + Sync + 'static,
-    ) -> World {
-        let db = AnsweringMember::new(primary);
+    ) -> Fixture {
+        let member = AnsweringMember::new(primary);
         let operator = OperatorFolder::new(name, "");
         let path = |name: &str| operator.0.join(name).to_str().unwrap().to_string();
         let (handover, pid) = (path("handover"), path("pid"));
@@ -38,18 +38,18 @@
             "[daemon]\nhandover = {handover:?}\npid_file = {pid:?}\ntrial_s = 0.5\ndrain_for_s = 5.0\n"
         );
         operator.write("dewferry.toml", &settings);
-        // A read that one of them is slow to answer has another to go to.
+        // With a replica, a read that the primary answers slowly has another member.
         let replica = AnsweringMember::new(replica);
-        let list = list(41, true, &[db.list_entry("s-1", "here"), replica.list_entry("s-2", "here")]);
-        World { db, _replica: replica, discovery: Discovery::listen(), operator, settings, list }
+        let list = list(41, true, &[member.list_entry("s-1", "here"), replica.list_entry("s-2", "here")]);
+        Fixture { member, _replica: replica, discovery: Discovery::listen(), operator, settings, list }
     }
 
     fn start(&self) -> Pooler {
         Pooler::start_with_operator(PROGRAM, &self.list, &self.discovery, &self.operator)
     }
 
-    /// A successor of the daemon that listens there.
-    fn succeed(&self, old: &Pooler) -> Pooler {
+    /// Starts a successor of `old` at the same address.
+    fn start_successor(&self, old: &Pooler) -> Pooler {
         let address = old.address.to_string();
         Pooler::start_successor(PROGRAM, &self.list, &self.discovery, &self.operator, &address)
     }
@@ -59,27 +59,28 @@
     }
 }
 
-/// Clients that ask without pause, each query on a connection of its own or on one that it keeps.
+/// Clients that send queries without a pause; half of them keep their connection, the others open one for
+/// each query.
 struct Load {
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     served: Arc<AtomicUsize>,
-    bad: Arc<Mutex<Vec<String>>>,
+    failures: Arc<Mutex<Vec<String>>>,
     threads: Vec<std::thread::JoinHandle<()>>,
 }
 
 impl Load {
     fn new(address: std::net::SocketAddr) -> Load {
-        let (over, served, bad) = (Arc::default(), Arc::default(), Arc::default());
-        let mut load = Load { over, served, bad, threads: Vec::new() };
+        let (stop, served, failures) = (Arc::default(), Arc::default(), Arc::default());
+        let mut load = Load { stop, served, failures, threads: Vec::new() };
         for thread in 0..4 {
-            let (over, served, bad) = (load.over.clone(), load.served.clone(), load.bad.clone());
+            let (stop, served, failures) = (load.stop.clone(), load.served.clone(), load.failures.clone());
             load.threads.push(std::thread::spawn(move || {
-                let mut kept: Option<Wire> = None;
+                let mut kept_wire: Option<Wire> = None;
                 for number in 0.. {
-                    if over.load(Ordering::SeqCst) {
+                    if stop.load(Ordering::SeqCst) {
                         return;
                     }
-                    let mut wire = kept.take().unwrap_or_else(|| {
+                    let mut wire = kept_wire.take().unwrap_or_else(|| {
                         let mut wire = Wire::from_stream(std::net::TcpStream::connect(address).unwrap());
                         wire.send(&startup());
                         wire.answer();
@@ -91,14 +92,18 @@
                     match answer.first() {
                         Some((b'T', _)) => {
                             served.fetch_add(1, Ordering::SeqCst);
-                            kept = (thread % 2 == 0).then_some(wire);
+                            kept_wire = (thread % 2 == 0).then_some(wire);
                         }
-                        // A kept connection that ended between requests: what was asked on it has not been taken.
+                        // A kept connection that ended between requests: the pooler has not accepted the
+                        // query.
                         None if number > 0 && thread % 2 == 0 => {}
-                        Some((_, words)) => {
-                            bad.lock().unwrap().push(format!("{number}: {}", String::from_utf8_lossy(words)));
+                        Some((_, message)) => {
+                            failures
+                                .lock()
+                                .unwrap()
+                                .push(format!("{number}: {}", String::from_utf8_lossy(message)));
                         }
-                        None => bad.lock().unwrap().push(format!("{number}: no answer")),
+                        None => failures.lock().unwrap().push(format!("{number}: no answer")),
                     }
                 }
             }));
@@ -106,56 +111,57 @@
         load
     }
 
-    /// Waits for so many more answers.
-    fn more(&self, count: usize) {
-        let (until, begun) = (self.served.load(Ordering::SeqCst) + count, Instant::now());
+    /// Waits for `count` more answers.
+    fn wait_for_answers(&self, count: usize) {
+        let (until, started) = (self.served.load(Ordering::SeqCst) + count, Instant::now());
         while self.served.load(Ordering::SeqCst) < until {
-            assert!(begun.elapsed() < Duration::from_secs(20), "nothing is served any more");
+            assert!(started.elapsed() < Duration::from_secs(20), "no request is served any more");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    fn end(self) -> Vec<String> {
-        self.over.store(true, Ordering::SeqCst);
+    fn finish(self) -> Vec<String> {
+        self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|thread| thread.join().unwrap());
-        Arc::try_unwrap(self.bad).unwrap().into_inner().unwrap()
+        Arc::try_unwrap(self.failures).unwrap().into_inner().unwrap()
     }
 }
 
 #[test]
-fn an_upgrade_under_load_loses_nothing() {
-    let world = World::new("upgrade-load");
-    let mut old = world.start();
+fn an_upgrade_under_load_loses_no_request() {
+    let fixture = Fixture::new("upgrade-load");
+    let mut old = fixture.start();
     let address = old.address;
     let load = Load::new(address);
-    load.more(100);
+    load.wait_for_answers(100);
     let first = old.pid();
-    assert_eq!(world.pid(), first);
-    let mut new = world.succeed(&old);
+    assert_eq!(fixture.pid(), first);
+    let mut new = fixture.start_successor(&old);
     assert!(new.wait_for_log("handover.known").contains("members=2"));
     new.wait_for_log("handover.stands");
     assert_eq!(old.wait_for_exit().code(), Some(0));
-    assert_eq!((new.address, world.pid()), (address, new.pid()));
-    load.more(100);
-    // What only one daemon may have is the successor's: it takes changes, and can be succeeded in turn.
+    assert_eq!((new.address, fixture.pid()), (address, new.pid()));
+    load.wait_for_answers(100);
+    // The successor owns the exclusive resources: it accepts changes, and can hand over in turn.
     assert_eq!(new.run_config(&["status"]).0, 0);
-    let third = world.succeed(&new);
+    let third = fixture.start_successor(&new);
     third.wait_for_log("handover.stands");
     assert_eq!(new.wait_for_exit().code(), Some(0));
-    load.more(100);
-    assert_eq!(load.end(), Vec::<String>::new());
+    load.wait_for_answers(100);
+    assert_eq!(load.finish(), Vec::<String>::new());
     assert_eq!(third.run_config(&["status"]).0, 0);
-    assert!(world.db.count() > 300);
+    assert!(fixture.member.count() > 300);
 }
 
-/// Commands of one connection that are owed when the successor takes over: the old daemon answers them all, in their order.
+/// The old process answers all commands of one connection that are pending when the successor takes over, in
+/// order.
 #[test]
-fn what_a_client_has_sent_ahead_is_answered_through_an_upgrade() {
+fn pipelined_commands_are_answered_in_order_during_an_upgrade() {
     const SLOW: Duration = Duration::from_millis(600);
     let answer = |role: &'static str| {
         move |sql: &str| {
             let id = sql.split("id=").nth(1).and_then(|rest| rest.split(',').next()).unwrap_or_default();
-            // The first takes longest: those behind it wait for their turn.
+            // The first takes longest, so the replies to the later ones wait.
             match id {
                 "owed-1" => std::thread::sleep(SLOW),
                 "owed-2" => std::thread::sleep(SLOW / 3),
@@ -164,12 +170,12 @@
             answer_with_role(id.as_bytes(), role)
         }
     };
-    let world = World::with("upgrade-owed", answer("writer"), answer("reader"));
-    let mut old = world.start();
+    let fixture = Fixture::with("upgrade-owed", answer("writer"), answer("reader"));
+    let mut old = fixture.start();
     let mut wire = Wire::from_stream(std::net::TcpStream::connect(old.address).unwrap());
     wire.send(&startup());
     wire.answer();
-    // The primary is known from then on.
+    // From this answer on the primary is known.
     wire.send(&query(&request_sql("first", "order-write")));
     wire.answer();
     let commands = [
@@ -181,11 +187,11 @@
     let on_row = |(id, class, row): (&str, &str, &str)| query(&request_sql(id, class).replace("7f3a", row));
     wire.send(&commands.map(on_row).concat());
     wait_for_counter(&old, "taken", 1 + commands.len() as u64);
-    let new = world.succeed(&old);
+    let new = fixture.start_successor(&old);
     new.wait_for_log("handover.taken");
     for (id, ..) in commands {
         if id == "waits-3" {
-            // It waits for the first, and has reached nobody: it is sent away, in its place.
+            // This command waits for the first and has not been sent, so it is refused, in order.
             assert_eq!(wire.error().0, "53300");
             continue;
         }
@@ -198,78 +204,78 @@
 }
 
 #[test]
-fn a_successor_that_is_killed_at_any_step_leaves_the_old_daemon_at_work() {
-    let world = World::new("upgrade-killed");
-    let old = world.start();
+fn the_old_process_resumes_if_its_successor_is_killed_at_any_step() {
+    let fixture = Fixture::new("upgrade-killed");
+    let old = fixture.start();
     let load = Load::new(old.address);
-    load.more(50);
-    // Once it has the descriptors, once it takes in clients, and at a time of chance in between.
+    load.wait_for_answers(50);
+    // Killed once it has the descriptors, once it accepts clients, and at an arbitrary time in between.
     for (step, line) in ["handover.known", "handover.taken", "listens on "].into_iter().enumerate() {
-        let mut new = world.succeed(&old);
+        let mut new = fixture.start_successor(&old);
         if line != "listens on " {
             new.wait_for_log(line);
         }
         new.kill();
         old.wait_for_log("handover.back");
-        load.more(50);
+        load.wait_for_answers(50);
         assert_eq!(old.run_config(&["status"]).0, 0, "after step {step}");
     }
-    // What the killed ones did to the history does no harm: a change is taken and outlasts the daemon.
-    let changed = format!("{}[tenant.new]\nquota_per_s = 5\n", world.settings);
-    let file = world.operator.write("changed.toml", &changed);
-    let (code, words) = old.run_config(&["apply", &file, "--confirm-within", "60"]);
-    assert_eq!(code, 0, "{words}");
+    // The killed successors have not damaged the history: a change is accepted and survives the handover.
+    let changed = format!("{}[tenant.new]\nquota_per_s = 5\n", fixture.settings);
+    let file = fixture.operator.write("changed.toml", &changed);
+    let (code, message) = old.run_config(&["apply", &file, "--confirm-within", "60"]);
+    assert_eq!(code, 0, "{message}");
     assert_eq!(old.run_config(&["confirm"]).0, 0);
-    let new = world.succeed(&old);
+    let new = fixture.start_successor(&old);
     new.wait_for_log("handover.stands");
     assert!(new.run_config(&["show"]).1.contains("quota_per_s = 5"));
-    // Answers under way in a process that is killed are lost with it, and no others.
-    let bad = load.end();
-    assert!(bad.len() <= 4, "{bad:?}");
+    // Only answers in flight in a killed process are lost.
+    let failures = load.finish();
+    assert!(failures.len() <= 4, "{failures:?}");
 }
 
 #[test]
-fn a_successor_that_fails_its_first_seconds_hands_back() {
-    let world = World::new("upgrade-bad");
-    let old = world.start();
+fn a_successor_that_fails_during_its_trial_hands_back() {
+    let fixture = Fixture::new("upgrade-bad");
+    let old = fixture.start();
     let load = Load::new(old.address);
-    load.more(50);
-    // A new configuration under which nothing can be served: all machines are drained.
-    let good = &world.settings;
-    world
+    load.wait_for_answers(50);
+    // A new configuration that drains all members, so that no request can be served.
+    let good = &fixture.settings;
+    fixture
         .operator
         .write("dewferry.toml", &format!("{good}[override]\n\"s-1\" = \"drain\"\n\"s-2\" = \"drain\"\n"));
-    let mut new = world.succeed(&old);
+    let mut new = fixture.start_successor(&old);
     new.wait_for_log("handover.yielded");
     assert_eq!(new.wait_for_exit().code(), Some(5));
     old.wait_for_log("handover.back");
-    world.operator.write("dewferry.toml", good);
-    load.more(100);
+    fixture.operator.write("dewferry.toml", good);
+    load.wait_for_answers(100);
     assert_eq!(old.run_config(&["status"]).0, 0);
-    drop(load.end());
+    drop(load.finish());
 }
 
 #[test]
-fn one_that_is_ending_or_does_not_listen_hands_nothing_over() {
-    let world = World::new("upgrade-denied");
-    let mut old = world.start();
-    let refused = |what: &str| {
+fn a_draining_process_is_not_taken_over_and_a_take_over_without_one_fails() {
+    let fixture = Fixture::new("upgrade-denied");
+    let mut old = fixture.start();
+    let expect_refusal = |reason: &str| {
         let output = std::process::Command::new(PROGRAM)
             .args(["serve", "--take-over", "--config"])
             .arg(old.platform_file())
             .arg("--operator")
-            .arg(world.operator.file())
+            .arg(fixture.operator.file())
             .output()
             .unwrap();
-        let words = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(output.status.code() == Some(2) && words.contains(what), "{words}");
+        let message = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(output.status.code() == Some(2) && message.contains(reason), "{message}");
     };
-    let mut held = client(&old);
-    held.send(&query(&request_sql("1", "reports")));
-    assert_eq!(held.answer()[0].0, b'T');
+    let mut open_client = client(&old);
+    open_client.send(&query(&request_sql("1", "reports")));
+    assert_eq!(open_client.answer()[0].0, b'T');
     old.signal("TERM");
     old.wait_for_log("asked to end");
-    refused("draining");
+    expect_refusal("draining");
     assert_eq!(old.wait_for_exit().code(), Some(0));
     let output = std::process::Command::new(PROGRAM)
         .args(["serve", "--take-over", "--config", "/nowhere", "--operator", "/nowhere"])
