--- a/crates/daemon/benches/changes.rs
+++ b/crates/daemon/benches/changes.rs
@@ -1,6 +1,6 @@
-//! Measures config transactions over loopback: rollbacks under load, plans of a long list, and requests under a
-//! steady stream of changes, each answer held against the generation that it was taken in under. Prints what it
-//! finds; run with `cargo bench -p dewferry --bench changes`.
+//! Measures configuration changes over loopback: rollbacks under load, plans of a long list, and requests
+//! during continuous changes, where each answer must match one generation. Prints the results; run with
+//! `cargo bench -p dewferry --bench changes`.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -15,11 +15,11 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dewferry");
 const MEMBERS: usize = 10_000;
-const OPEN: usize = 1_000;
+const WAITING_REQUESTS: usize = 1_000;
 const ROLLBACKS: usize = 1_000;
 const REQUESTS: usize = 100_000;
 const CLIENTS: usize = 16;
-const EVERY: Duration = Duration::from_millis(50);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A control connection that stays open.
 struct Control(BufReader<UnixStream>);
@@ -29,13 +29,13 @@
         Control(BufReader::new(UnixStream::connect(operator.0.join("control")).unwrap()))
     }
 
-    /// Makes a call; the answer and how long it took (microseconds).
+    /// Makes a call; returns the response and the elapsed time (microseconds).
     fn call(&mut self, call: Call) -> (Response, u64) {
-        let begun = Instant::now();
+        let started = Instant::now();
         self.0.get_mut().write_all(&Request::new(call).to_line()).unwrap();
         let mut line = String::new();
         self.0.read_line(&mut line).unwrap();
-        (serde_json::from_str(&line).unwrap(), begun.elapsed().as_micros() as u64)
+        (serde_json::from_str(&line).unwrap(), started.elapsed().as_micros() as u64)
     }
 }
 
@@ -43,14 +43,14 @@
     Call::Apply { text: text.into(), note: String::new(), confirm_within_s: Some(600.0), allow: Vec::new() }
 }
 
-fn print(what: &str, times: &Histogram<u64>) {
+fn print_times(what: &str, times: &Histogram<u64>) {
     let ms = |us: u64| us as f64 / 1000.0;
-    let at = |q| ms(times.value_at_quantile(q));
+    let quantile_ms = |q| ms(times.value_at_quantile(q));
     println!(
         "{what}: n={} p50={:.2} ms p99={:.2} ms max={:.2} ms",
         times.len(),
-        at(0.5),
-        at(0.99),
+        quantile_ms(0.5),
+        quantile_ms(0.99),
         ms(times.max())
     );
 }
@@ -59,104 +59,108 @@
     Histogram::new_with_bounds(1, 60_000_000, 3).unwrap()
 }
 
-/// A list of so many members that nobody listens at, in groups of five, with one at another address.
-fn members(address: &str) -> String {
+/// Settings for `MEMBERS` members in groups of five, where no process listens. The first member is at
+/// `address`.
+fn member_settings(address: &str) -> String {
     let mut text = String::new();
     for n in 0..MEMBERS {
         let (group, port) = (n / 5 + 10, 10_000 + n % 50_000);
-        let place = if n == 0 { address.to_string() } else { format!("127.9.{}.1:{port}", n / 50_000) };
-        text += &format!("[member.m-{n}]\naddress = \"{place}\"\nzone = \"here\"\ngroup = {group}\n");
+        let member_address =
+            if n == 0 { address.to_string() } else { format!("127.9.{}.1:{port}", n / 50_000) };
+        text +=
+            &format!("[member.m-{n}]\naddress = \"{member_address}\"\nzone = \"here\"\ngroup = {group}\n");
     }
     text
 }
 
 fn rollbacks() {
     let discovery = Discovery::listen();
-    // Nobody in group 2 knows of being the primary, so writes to it wait.
-    let waits = "[class.order-write]\naim_s = 1200\ndeadline_s = 1200\n";
-    let head = format!("change.probation_s = 600\n{waits}");
-    let list_text = members("127.8.0.1:9999");
-    let operator = OperatorFolder::new("bench-rollback", &format!("{head}{list_text}"));
-    let places = [(r#""sockets":1024"#, r#""sockets":4096"#)];
+    // No member of the group is known as the primary, so writes to it wait.
+    let class_settings = "[class.order-write]\naim_s = 1200\ndeadline_s = 1200\n";
+    let common_settings = format!("change.probation_s = 600\n{class_settings}");
+    let list_text = member_settings("127.8.0.1:9999");
+    let operator = OperatorFolder::new("bench-rollback", &format!("{common_settings}{list_text}"));
+    let edits = [(r#""sockets":1024"#, r#""sockets":4096"#)];
     let pooler =
-        Pooler::start_with_operator_and_edits(PROGRAM, &list(41, true, &[]), &discovery, &operator, &places);
+        Pooler::start_with_operator_and_edits(PROGRAM, &list(41, true, &[]), &discovery, &operator, &edits);
     let mut control = Control::new(&operator);
-    let mut open: Vec<Wire> = (0..OPEN).map(|_| client(&pooler)).collect();
-    for (n, wire) in open.iter_mut().enumerate() {
+    let mut waiting: Vec<Wire> = (0..WAITING_REQUESTS).map(|_| client(&pooler)).collect();
+    for (n, wire) in waiting.iter_mut().enumerate() {
         let id = format!("open{n}");
         let sql =
             request_sql(&id, "order-write").replace("cluster=2", "cluster=10").replace("d=8500", "d=1200000");
         wire.send(&query(&sql));
     }
     let changed: String = (0..100).map(|n| format!("m-{} = \"drain\"\n", n * 50)).collect();
-    let other = format!("{head}[limits]\nmax_attempts = 3\n[override]\n{changed}{list_text}");
+    let other = format!("{common_settings}[limits]\nmax_attempts = 3\n[override]\n{changed}{list_text}");
     let other = std::fs::read_to_string(operator.write("other.toml", &other)).unwrap();
-    let (mut plans, mut applies, mut undone) = (histogram(), histogram(), histogram());
+    let (mut plan_times, mut apply_times, mut rollback_times) = (histogram(), histogram(), histogram());
     for _ in 0..20 {
         let (response, took) = control.call(Call::Plan { text: other.clone() });
         assert_eq!(response.code, Code::Ok, "{response:?}");
-        plans.record(took).unwrap();
+        plan_times.record(took).unwrap();
     }
     for _ in 0..ROLLBACKS {
         let (response, took) = control.call(apply(&other));
         assert_eq!(response.code, Code::Applied, "{}", response.message);
-        applies.record(took).unwrap();
+        apply_times.record(took).unwrap();
         let (response, took) = control.call(Call::Rollback { to: None, allow: Vec::new() });
         assert_eq!(response.code, Code::RolledBack);
-        undone.record(took).unwrap();
+        rollback_times.record(took).unwrap();
     }
     let (status, _) = control.call(Call::Status {});
     println!("requests open: {}, members: {MEMBERS}", status.status.map_or(0, |status| status.requests));
-    print("plan (read, check and diff, over the socket)", &plans);
-    print("apply (until in force and answered)", &applies);
-    print("rollback (from the word to the answer that all is undone)", &undone);
+    print_times("plan (read, check and diff, over the socket)", &plan_times);
+    print_times("apply (until in force and answered)", &apply_times);
+    print_times("rollback (from the call to the answer)", &rollback_times);
 }
 
-/// Requests under changes. Three settings change together: how long a class waits, which the db machines see in
-/// each statement; the back-off of refusals, which the client sees; and the attempts that a request has. One
-/// request in ten is turned away by every machine: all that is seen of it must be of one generation.
+/// Sends requests during changes. Three settings change together: the deadline of a class, which the members
+/// see in each statement; the backoff in refusals, which the client sees; and the number of attempts of a
+/// request. Every member refuses one request in ten, and all values observed for that request must be of one
+/// generation.
 fn changes_under_load() {
     let discovery = Discovery::listen();
     let seen: &'static Mutex<BTreeMap<String, (u64, usize)>> = Box::leak(Box::default());
-    let machines: Vec<AnsweringMember> = (0..4)
+    let members: Vec<AnsweringMember> = (0..4)
         .map(|_| {
             AnsweringMember::new(move |sql| {
                 let field = |name: &str| {
-                    let at = sql.find(name).map_or(0, |at| at + name.len());
-                    sql[at..].split([',', ' ']).next().unwrap_or_default().to_string()
+                    let value_start = sql.find(name).map_or(0, |at| at + name.len());
+                    sql[value_start..].split([',', ' ']).next().unwrap_or_default().to_string()
                 };
                 let id = field("id=");
                 if !id.ends_with('0') {
                     return answer_with_role(b"value", "reader");
                 }
-                let waits = field(",d=").parse().unwrap_or(0);
-                seen.lock().unwrap().entry(id).or_insert((waits, 0)).1 += 1;
+                let time_limit = field(",d=").parse().unwrap_or(0);
+                seen.lock().unwrap().entry(id).or_insert((time_limit, 0)).1 += 1;
                 refusal()
             })
         })
         .collect();
     let lines: Vec<String> =
-        machines.iter().enumerate().map(|(n, m)| m.list_entry(&format!("s-{n}"), "here")).collect();
-    let known = list(41, true, &lines);
+        members.iter().enumerate().map(|(n, m)| m.list_entry(&format!("s-{n}"), "here")).collect();
+    let saved_list = list(41, true, &lines);
     let settings = |odd: bool| {
         let (deadline, backoff, attempts) = if odd { (4.0, 0.2, 2) } else { (2.0, 0.1, 1) };
-        let rules = "[change]\nprobation_s = 600\n";
-        format!("{rules}[limits]\nmax_attempts = {attempts}\nmax_retry_after_s = {backoff}\n[class.reports]\naim_s = {deadline}\ndeadline_s = {deadline}\n")
+        let change_rules = "[change]\nprobation_s = 600\n";
+        format!("{change_rules}[limits]\nmax_attempts = {attempts}\nmax_retry_after_s = {backoff}\n[class.reports]\naim_s = {deadline}\ndeadline_s = {deadline}\n")
     };
     let operator = OperatorFolder::new("bench-changes", &settings(false));
-    let pooler = Pooler::start_with_operator(PROGRAM, &known, &discovery, &operator);
+    let pooler = Pooler::start_with_operator(PROGRAM, &saved_list, &discovery, &operator);
     let texts = [false, true].map(|odd| {
         let path = operator.write("text.toml", &settings(odd));
         std::fs::read_to_string(path).unwrap()
     });
-    let done = AtomicBool::new(false);
+    let stop = AtomicBool::new(false);
     let [mixed, lost, served, changes] = [(); 4].map(|()| AtomicUsize::new(0));
-    let of = [AtomicUsize::new(0), AtomicUsize::new(0)];
-    let begun = Instant::now();
+    let refused = [AtomicUsize::new(0), AtomicUsize::new(0)];
+    let started = Instant::now();
     std::thread::scope(|scope| {
         let workers: Vec<_> = (0..CLIENTS)
             .map(|n| {
-                let (pooler, mixed, lost, served, of) = (&pooler, &mixed, &lost, &served, &of);
+                let (pooler, mixed, lost, served, refused) = (&pooler, &mixed, &lost, &served, &refused);
                 scope.spawn(move || {
                     let mut wire = client(pooler);
                     for k in 0..REQUESTS / CLIENTS {
@@ -168,15 +172,19 @@
                             Some((b'T', _)) => drop(served.fetch_add(1, Ordering::Relaxed)),
                             Some((_, body)) => {
                                 let text = String::from_utf8_lossy(body).into_owned();
-                                let back = text.split('\0').find_map(|f| f.strip_prefix('D'));
-                                let back: Option<u64> = back.and_then(|back| back.parse().ok());
-                                // One that no machine was asked shows one setting only.
-                                let Some((waits, tries)) = seen.lock().unwrap().remove(&id) else { continue };
-                                let odd = waits > 2_000;
-                                of[usize::from(odd)].fetch_add(1, Ordering::Relaxed);
-                                let whole = back == Some(if odd { 200 } else { 100 })
-                                    && tries <= 1 + usize::from(odd);
-                                mixed.fetch_add(usize::from(!whole), Ordering::Relaxed);
+                                let retry_delay = text.split('\0').find_map(|f| f.strip_prefix('D'));
+                                let retry_delay: Option<u64> =
+                                    retry_delay.and_then(|retry_delay| retry_delay.parse().ok());
+                                // A request that reached no member shows the backoff only.
+                                let Some((time_limit, attempts_seen)) = seen.lock().unwrap().remove(&id)
+                                else {
+                                    continue;
+                                };
+                                let odd = time_limit > 2_000;
+                                refused[usize::from(odd)].fetch_add(1, Ordering::Relaxed);
+                                let consistent = retry_delay == Some(if odd { 200 } else { 100 })
+                                    && attempts_seen <= 1 + usize::from(odd);
+                                mixed.fetch_add(usize::from(!consistent), Ordering::Relaxed);
                             }
                         }
                     }
@@ -186,28 +194,28 @@
         scope.spawn(|| {
             let mut control = Control::new(&operator);
             let mut odd = true;
-            while !done.load(Ordering::Relaxed) {
+            while !stop.load(Ordering::Relaxed) {
                 let (response, _) = control.call(apply(&texts[usize::from(odd)]));
                 assert_eq!(response.code, Code::Applied, "{}", response.message);
                 let (response, _) = control.call(Call::Confirm { generation: None });
                 assert_eq!(response.code, Code::Confirmed);
                 changes.fetch_add(1, Ordering::Relaxed);
                 odd = !odd;
-                std::thread::sleep(EVERY);
+                std::thread::sleep(CHANGE_INTERVAL);
             }
         });
         workers.into_iter().for_each(|worker| worker.join().unwrap());
-        done.store(true, Ordering::Relaxed);
+        stop.store(true, Ordering::Relaxed);
     });
     let count = |n: &AtomicUsize| n.load(Ordering::Relaxed);
     println!(
-        "{} requests under {} changes in {:.1} s: {} served, {} and {} turned away under either settings, {} mixed, {} lost",
+        "{} requests during {} changes in {:.1} s: {} served, {} and {} refused under the first and the second settings, {} mixed, {} lost",
         REQUESTS / CLIENTS * CLIENTS,
         count(&changes),
-        begun.elapsed().as_secs_f64(),
+        started.elapsed().as_secs_f64(),
         count(&served),
-        count(&of[0]),
-        count(&of[1]),
+        count(&refused[0]),
+        count(&refused[1]),
         count(&mixed),
         count(&lost)
     );
@@ -216,7 +224,7 @@
 }
 
 fn main() {
-    // What other harnesses pass on is not looked at.
+    // Arguments that cargo passes to a bench harness are ignored.
     changes_under_load();
     rollbacks();
 }
--- a/crates/daemon/benches/registry.rs
+++ b/crates/daemon/benches/registry.rs
@@ -1,6 +1,6 @@
-//! Measures the registry client over loopback at 10,000 members: the first view, a resume, and the time from a
-//! drain's writing to the last new attempt at the machine, within bursts of 1,000 changes and under load. Run with
-//! `cargo bench -p dewferry --bench registry`.
+//! Measures the registry client over loopback with 10,000 members: the first view, a resumed watch, and the
+//! time from writing a drain to the last new attempt at the member, within bursts of 1,000 changes and under
+//! load. Run with `cargo bench -p dewferry --bench registry`.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -16,11 +16,11 @@
 const CLIENTS: usize = 8;
 
 fn main() {
-    let begun = Instant::now();
-    let micros = move || begun.elapsed().as_micros() as u64;
-    // Each of three replicas notes when it was asked last.
-    let asked: Vec<Arc<AtomicU64>> = (0..3).map(|_| Arc::default()).collect();
-    let machines: Vec<AnsweringMember> = asked
+    let bench_started = Instant::now();
+    let micros = move || bench_started.elapsed().as_micros() as u64;
+    // Each of the three replicas stores the time of its last request.
+    let last_request_at: Vec<Arc<AtomicU64>> = (0..3).map(|_| Arc::default()).collect();
+    let replicas: Vec<AnsweringMember> = last_request_at
         .iter()
         .map(|last| {
             let last = last.clone();
@@ -31,7 +31,7 @@
         })
         .collect();
     let registry = Registry::default();
-    let mut step: Vec<(String, String)> = (0..MEMBERS)
+    let mut entries: Vec<(String, String)> = (0..MEMBERS)
         .map(|n| {
             let address = format!("127.9.{}.{}:{}", n / 250, n % 250 + 1, 20_000 + n);
             (
@@ -40,11 +40,12 @@
             )
         })
         .collect();
-    step.extend((0..3).map(|n| {
-        (format!("/dewferry/members/s-{n}"), Registry::member_value(machines[n].address, 2, "SERVING"))
+    entries.extend((0..3).map(|n| {
+        (format!("/dewferry/members/s-{n}"), Registry::member_value(replicas[n].address, 2, "SERVING"))
     }));
-    let step: Vec<(&str, Option<&str>)> = step.iter().map(|(k, v)| (k.as_str(), Some(v.as_str()))).collect();
-    registry.write(&step);
+    let entries: Vec<(&str, Option<&str>)> =
+        entries.iter().map(|(k, v)| (k.as_str(), Some(v.as_str()))).collect();
+    registry.write(&entries);
     let settings = format!("[registry]\nendpoints = [\"{}\"]\n", registry.address);
     let (operator, discovery) = (OperatorFolder::new("bench-registry", &settings), Discovery::listen());
     let started = Instant::now();
@@ -57,16 +58,16 @@
     registry.set_close_at_once(false);
     let before = registry.usage().1;
     pooler.wait_for_log("registry.following");
-    println!("a resume: {} bytes", registry.usage().1 - before);
-    let done = AtomicBool::new(false);
+    println!("a resumed watch: {} bytes", registry.usage().1 - before);
+    let stop = AtomicBool::new(false);
     let mut times: Histogram<u64> = Histogram::new_with_bounds(1, 60_000_000, 3).unwrap();
     std::thread::scope(|scope| {
         for c in 0..CLIENTS {
-            let (pooler, done) = (&pooler, &done);
+            let (pooler, stop) = (&pooler, &stop);
             scope.spawn(move || {
                 let mut wire = client(pooler);
                 let mut n = 0;
-                while !done.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     n += 1;
                     wire.send(&query(&request_sql(&format!("{c}x{n}"), "reports")));
                     wire.answer();
@@ -75,8 +76,8 @@
         }
         std::thread::sleep(Duration::from_millis(500));
         for round in 0..DRAINS {
-            let machine = round % 3;
-            let key = format!("/dewferry/drains/s-{machine}");
+            let replica = round % 3;
+            let key = format!("/dewferry/drains/s-{replica}");
             let mut written = 0;
             for n in 0..BURST {
                 if n == BURST / 2 {
@@ -93,17 +94,20 @@
                 registry.write(&[(&format!("/dewferry/members/m-{}", other % MEMBERS), Some(&value))]);
             }
             std::thread::sleep(Duration::from_millis(700));
-            let last = asked[machine].load(Ordering::SeqCst);
+            let last = last_request_at[replica].load(Ordering::SeqCst);
             times.record(last.saturating_sub(written).max(1)).unwrap();
             registry.write(&[(&key, None)]);
             std::thread::sleep(Duration::from_millis(300));
-            assert!(asked[machine].load(Ordering::SeqCst) > last, "it takes work again");
+            assert!(
+                last_request_at[replica].load(Ordering::SeqCst) > last,
+                "the member got no requests after its drain had ended"
+            );
         }
-        done.store(true, Ordering::Relaxed);
+        stop.store(true, Ordering::Relaxed);
     });
     let ms = |us: u64| us as f64 / 1000.0;
     println!(
-        "a drain, from its writing to the last new attempt, amid {BURST} changes: n={} p50={:.1} ms p99={:.1} ms max={:.1} ms",
+        "a drain, from writing it to the last new attempt, among {BURST} changes: n={} p50={:.1} ms p99={:.1} ms max={:.1} ms",
         times.len(),
         ms(times.value_at_quantile(0.5)),
         ms(times.value_at_quantile(0.99)),
