--- a/crates/soak/shim/faults.c
+++ b/crates/soak/shim/faults.c
@@ -1,5 +1,5 @@
-/* Makes system calls of one process fail for a moment, as Linux documents, and steps its wall clock. Loaded before the C library;
- * what it does is drawn from SOAK_SEED. Nothing is touched but calls of the process itself. */
+/* Preloaded library that makes system calls of its process fail with errors that Linux documents, and steps the process's wall
+ * clock. The failing calls are drawn from SOAK_SEED. Other processes are not affected. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -12,12 +12,12 @@
 #include <time.h>
 #include <unistd.h>
 
-static unsigned long long state;
+static unsigned long long random_state;
 static unsigned one_in;
 static double step_at, step_by, disk_from, disk_for;
-static struct timespec begun;
+static struct timespec started_at;
 
-static double number(const char *name) {
+static double env_number(const char *name) {
     const char *text = getenv(name);
     return text ? atof(text) : 0.0;
 }
@@ -26,27 +26,27 @@
 
 __attribute__((constructor)) static void start(void) {
     const char *seed = getenv("SOAK_SEED");
-    state = seed ? strtoull(seed, NULL, 10) * 2862933555777941757ULL + 3037000493ULL : 1;
-    one_in = (unsigned)number("SOAK_ONE_IN");
-    step_at = number("SOAK_STEP_AT");
-    step_by = number("SOAK_STEP_BY");
-    disk_from = number("SOAK_DISK_FROM");
-    disk_for = number("SOAK_DISK_FOR");
+    random_state = seed ? strtoull(seed, NULL, 10) * 2862933555777941757ULL + 3037000493ULL : 1;
+    one_in = (unsigned)env_number("SOAK_ONE_IN");
+    step_at = env_number("SOAK_STEP_AT");
+    step_by = env_number("SOAK_STEP_BY");
+    disk_from = env_number("SOAK_DISK_FROM");
+    disk_for = env_number("SOAK_DISK_FOR");
     real_clock = dlsym(RTLD_NEXT, "clock_gettime");
-    real_clock(CLOCK_MONOTONIC, &begun);
+    real_clock(CLOCK_MONOTONIC, &started_at);
 }
 
 static double age(void) {
     struct timespec now;
     real_clock(CLOCK_MONOTONIC, &now);
-    return (double)(now.tv_sec - begun.tv_sec) + (double)(now.tv_nsec - begun.tv_nsec) / 1e9;
+    return (double)(now.tv_sec - started_at.tv_sec) + (double)(now.tv_nsec - started_at.tv_nsec) / 1e9;
 }
 
-/* Whether this call is one of those that fail. A start is left alone. */
-static int fails(void) {
+/* Returns true if this call fails. No call fails in the first half second of the process. */
+static int should_fail(void) {
     if (one_in == 0 || age() < 0.5) return 0;
-    state = state * 6364136223846793005ULL + 1442695040888963407ULL;
-    return (state >> 33) % one_in == 0;
+    random_state = random_state * 6364136223846793005ULL + 1442695040888963407ULL;
+    return (random_state >> 33) % one_in == 0;
 }
 
 static int is_socket(int fd) {
@@ -74,9 +74,9 @@
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     static int (*real)(int, struct sockaddr *, socklen_t *, int);
     if (!real) real = dlsym(RTLD_NEXT, "accept4");
-    if (fails()) {
+    if (should_fail()) {
         int faults[] = {ENFILE, EMFILE, ENOBUFS, EINTR};
-        errno = faults[state % 4];
+        errno = faults[random_state % 4];
         return -1;
     }
     return real(fd, address, length, flags);
@@ -85,8 +85,8 @@
 int socket(int domain, int type, int protocol) {
     static int (*real)(int, int, int);
     if (!real) real = dlsym(RTLD_NEXT, "socket");
-    if (fails()) {
-        errno = state % 2 ? ENFILE : ENOBUFS;
+    if (should_fail()) {
+        errno = random_state % 2 ? ENFILE : ENOBUFS;
         return -1;
     }
     return real(domain, type, protocol);
@@ -95,20 +95,20 @@
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     static int (*real)(int, const struct sockaddr *, socklen_t);
     if (!real) real = dlsym(RTLD_NEXT, "connect");
-    if (fails()) {
+    if (should_fail()) {
         int faults[] = {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EHOSTUNREACH};
-        errno = faults[state % 4];
+        errno = faults[random_state % 4];
         return -1;
     }
     return real(fd, address, length);
 }
 
-/* Short reads and writes, interrupted ones. */
+/* recv and send are interrupted, or cut short to 3 bytes. */
 ssize_t recv(int fd, void *into, size_t size, int flags) {
     static ssize_t (*real)(int, void *, size_t, int);
     if (!real) real = dlsym(RTLD_NEXT, "recv");
-    if (fails()) {
-        if (state % 2) {
+    if (should_fail()) {
+        if (random_state % 2) {
             errno = EINTR;
             return -1;
         }
@@ -120,8 +120,8 @@
 ssize_t send(int fd, const void *from, size_t size, int flags) {
     static ssize_t (*real)(int, const void *, size_t, int);
     if (!real) real = dlsym(RTLD_NEXT, "send");
-    if (fails()) {
-        if (state % 2) {
+    if (should_fail()) {
+        if (random_state % 2) {
             errno = EINTR;
             return -1;
         }
@@ -137,7 +137,7 @@
         errno = ENOSPC;
         return -1;
     }
-    if (one_in && size > 3 && is_socket(fd) && fails()) size = 3;
+    if (one_in && size > 3 && is_socket(fd) && should_fail()) size = 3;
     return real(fd, from, size);
 }
 
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: one list, one line of callers, and two addresses for each pooler, so that it is known who was told what.
+//! Stand-in for discovery: one list, requests handled one at a time, and two addresses per pooler, so that
+//! the oracle knows which pooler received which version.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,65 +7,70 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
+use crate::addresses::{self, AddressKind};
 use crate::fleet::{Fleet, Phase};
-use crate::place::{self, Kind};
 use crate::record::{Event, Record};
 
-/// Port of all addresses.
+/// Port of all addresses of discovery.
 const PORT: u16 = 15_500;
-/// An empty line comes so often on a watch on which nothing changes (seconds).
-const EMPTY_LINE: f64 = 2.0;
-/// A call that has waited so long (seconds) is turned down.
-const LONGEST_WAIT: f64 = 8.0;
-/// What was written last is left to be read for so long before a reset (milliseconds): what never arrived was not told.
-const READ_BEFORE_RESET_MS: u64 = 60;
-/// How often a watch looks at what is wrong (milliseconds).
-const LOOK_MS: u64 = 20;
-const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
-const TURNED_DOWN: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+/// Interval of the empty lines on a watch without changes (seconds).
+const KEEP_ALIVE_INTERVAL: f64 = 2.0;
+/// A list request that has waited longer than this (seconds) is answered with 503.
+const MAX_REQUEST_TIME: f64 = 8.0;
+/// Delay between the last write and a reset (milliseconds), so that the pooler can read what was written: a
+/// reset discards unread data, which the record would still count as sent.
+const RESET_DELAY_MS: u64 = 60;
+/// How often a watch checks the faults (milliseconds).
+const FAULT_CHECK_INTERVAL_MS: u64 = 20;
+const RESPONSE_HEAD: &str =
+    "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
+const UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// Where a pooler finds discovery; the second address is that of another configuration.
+/// Returns the address of discovery for a pooler. A reload of the pooler switches between the first and the
+/// second.
 pub fn address(pooler: usize, second: bool) -> SocketAddr {
-    place::address(Kind::Discovery, pooler as u8, 1 + u8::from(second), PORT)
+    addresses::address(AddressKind::Discovery, pooler as u8, 1 + u8::from(second), PORT)
 }
 
-/// The list and what is wrong with discovery.
+/// The version of the list and the current faults of discovery.
 struct State {
     version: u64,
-    /// The machines changed by each version, from the first on.
+    /// The member that each version after the first changed.
     changes: Vec<usize>,
     down: bool,
     slow: f64,
-    /// Watches that are older than this are reset, or say nothing until then.
+    /// Watches opened before this time are reset (seconds of the run).
     reset_before: f64,
+    /// Watches that are open before this time send nothing more (seconds of the run).
     silent_until: f64,
 }
 
-/// The service.
+/// The stand-in.
 pub struct Discovery {
     state: Mutex<State>,
     changed: Condvar,
-    /// Calls are handled in turn.
-    line: Mutex<()>,
-    call_takes: f64,
-    /// Lines of machines that are listed and never asked.
+    /// Held while a list request is handled, so that one is handled at a time.
+    request_queue: Mutex<()>,
+    request_duration: f64,
+    /// Entries of members that are listed but receive no requests.
     padding: Vec<String>,
     fleet: Arc<Mutex<Fleet>>,
     record: Arc<Record>,
-    ends: AtomicBool,
+    stopping: AtomicBool,
 }
 
 impl Discovery {
-    /// A service that takes so long (seconds) for each call; `listed` more machines than there are stand in its list.
+    /// Creates a stand-in that takes `request_duration` (seconds) for each list request. `listed` is the
+    /// number of entries in its list beside the members of the fleet.
     pub fn new(
         fleet: Arc<Mutex<Fleet>>,
         record: Arc<Record>,
-        call_takes: f64,
+        request_duration: f64,
         listed: usize,
     ) -> Arc<Discovery> {
         let padding = |n: usize| {
             let (high, low, group) = ((n / 250) as u8, (n % 250 + 1) as u8, 1_000 + n / 4);
-            let address = place::address(Kind::Listed, high, low, PORT);
+            let address = addresses::address(AddressKind::ListedOnly, high, low, PORT);
             format!(
                 r#"{{"name":"p-{n}","address":"{address}","zone":"a","type":"m2","group":{group},"status":"SERVING","weight":1.0,"since_ms":0}}"#
             )
@@ -74,38 +80,38 @@
         Arc::new(Discovery {
             state: Mutex::new(state),
             changed: Condvar::new(),
-            line: Mutex::new(()),
-            call_takes,
+            request_queue: Mutex::new(()),
+            request_duration,
             padding: (0..listed).map(padding).collect(),
             fleet,
             record,
-            ends: AtomicBool::new(false),
+            stopping: AtomicBool::new(false),
         })
     }
 
-    /// Listens at both addresses of a pooler.
+    /// Listens on both addresses of a pooler.
     pub fn listen(self: &Arc<Discovery>, pooler: usize) -> std::io::Result<()> {
         for second in [false, true] {
             let listener = TcpListener::bind(address(pooler, second))?;
-            let own = self.clone();
-            std::thread::spawn(move || own.accept(pooler, &listener));
+            let discovery = self.clone();
+            std::thread::spawn(move || discovery.accept(pooler, &listener));
         }
         Ok(())
     }
 
     fn accept(self: Arc<Discovery>, pooler: usize, listener: &TcpListener) {
         for stream in listener.incoming().map_while(Result::ok) {
-            if self.ends.load(Ordering::Relaxed) {
+            if self.stopping.load(Ordering::Relaxed) {
                 return;
             }
-            let own = self.clone();
-            std::thread::spawn(move || own.serve(pooler, stream));
+            let discovery = self.clone();
+            std::thread::spawn(move || discovery.serve(pooler, stream));
         }
     }
 
-    /// Ends the service.
-    pub fn end(&self, poolers: usize) {
-        self.ends.store(true, Ordering::Relaxed);
+    /// Stops the stand-in.
+    pub fn stop(&self, poolers: usize) {
+        self.stopping.store(true, Ordering::Relaxed);
         self.changed.notify_all();
         for pooler in 0..poolers {
             let _ = [false, true].map(|second| TcpStream::connect(address(pooler, second)));
@@ -116,19 +122,19 @@
         self.state.lock().expect("no holder panics")
     }
 
-    /// Changes where a machine stands in the list.
-    pub fn list(&self, machine: usize, phase: Phase) {
-        self.fleet.lock().expect("no holder panics").machines[machine].phase = phase;
+    /// Changes the status of a member in the list.
+    pub fn set_status(&self, member: usize, phase: Phase) {
+        self.fleet.lock().expect("no holder panics").members[member].phase = phase;
         let mut state = self.state();
         state.version += 1;
-        state.changes.push(machine);
+        state.changes.push(member);
         let (version, usable) = (state.version, phase == Phase::Serving);
-        self.record.note(Event::Listed { machine, usable, version });
+        self.record.add(Event::ListChanged { member, usable, version });
         drop(state);
         self.changed.notify_all();
     }
 
-    /// Is down from now on, or up again.
+    /// Makes discovery unavailable or available.
     pub fn set_down(&self, down: bool) {
         let mut state = self.state();
         state.down = down;
@@ -136,36 +142,38 @@
             state.reset_before = self.record.now();
         }
         drop(state);
-        self.record.note(Event::Reachable(!down));
+        self.record.add(Event::DiscoveryReachable(!down));
         self.changed.notify_all();
     }
 
-    /// Answers begin so much later from now on (seconds).
+    /// Sets the additional delay of answers (seconds).
     pub fn set_slow(&self, by: f64) {
         self.state().slow = by;
     }
 
-    /// All open watches are reset.
+    /// Resets all open watches.
     pub fn reset_watches(&self) {
         self.state().reset_before = self.record.now();
         self.changed.notify_all();
     }
 
-    /// All open watches say nothing more; they stay open.
+    /// Silences all watches that are open before `until` (seconds of the run). They stay open and send
+    /// nothing more.
     pub fn silence_watches(&self, until: f64) {
         self.state().silent_until = until;
     }
 
-    /// The whole list of now, for a configuration, too.
-    pub fn whole(&self) -> (u64, String) {
+    /// Returns the full list and its version.
+    pub fn full_list(&self) -> (u64, String) {
         let version = self.state().version;
         let fleet = self.fleet.lock().expect("no holder panics");
-        let all = (0..fleet.machines.len()).filter(|n| fleet.machines[*n].phase != Phase::Deleted);
-        let lines: Vec<String> = all.map(|n| fleet.line(n)).chain(self.padding.iter().cloned()).collect();
-        (version, document(version, true, &lines))
+        let all = (0..fleet.members.len()).filter(|n| fleet.members[*n].phase != Phase::Deleted);
+        let entries: Vec<String> =
+            all.map(|n| fleet.list_entry(n)).chain(self.padding.iter().cloned()).collect();
+        (version, document(version, true, &entries))
     }
 
-    /// What has changed after a version.
+    /// Returns the entries that changed after a version, and the version up to which they go.
     fn changes(&self, since: u64) -> (u64, String) {
         let (version, mut changed) = {
             let state = self.state();
@@ -174,59 +182,60 @@
         changed.sort_unstable();
         changed.dedup();
         let fleet = self.fleet.lock().expect("no holder panics");
-        let lines: Vec<String> = changed.into_iter().map(|n| fleet.line(n)).collect();
-        (version, document(version, false, &lines))
+        let entries: Vec<String> = changed.into_iter().map(|n| fleet.list_entry(n)).collect();
+        (version, document(version, false, &entries))
     }
 
     fn serve(&self, pooler: usize, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let _ = stream.set_read_timeout(Some(Duration::from_secs(5)));
-        let Some(since) = asked(&mut stream) else { return };
-        let came = self.record.now();
+        let Some(since) = read_requested_version(&mut stream) else { return };
+        let received_at = self.record.now();
         if self.state().down {
-            let _ = stream.write_all(TURNED_DOWN.as_bytes());
+            let _ = stream.write_all(UNAVAILABLE.as_bytes());
             return;
         }
         {
-            let _turn = self.line.lock().expect("no holder panics");
-            std::thread::sleep(Duration::from_secs_f64(self.call_takes));
+            let _serving = self.request_queue.lock().expect("no holder panics");
+            std::thread::sleep(Duration::from_secs_f64(self.request_duration));
         }
         let slow = self.state().slow;
         std::thread::sleep(Duration::from_secs_f64(slow));
-        if self.record.now() - came > LONGEST_WAIT || self.state().down {
-            let _ = stream.write_all(TURNED_DOWN.as_bytes());
+        if self.record.now() - received_at > MAX_REQUEST_TIME || self.state().down {
+            let _ = stream.write_all(UNAVAILABLE.as_bytes());
             return;
         }
-        let _ = self.watch((pooler, came), &mut stream, since);
+        let _ = self.watch((pooler, received_at), &mut stream, since);
     }
 
-    /// Tells a caller what has changed, and goes on telling.
+    /// Answers a list request and sends changes until the watch ends.
     fn watch(
         &self,
-        (pooler, called): (usize, f64),
+        (pooler, opened_at): (usize, f64),
         stream: &mut TcpStream,
         since: u64,
     ) -> std::io::Result<()> {
-        stream.write_all(HEAD.as_bytes())?;
-        let known = self.state().version;
-        let (mut version, mut text) = if since == 0 { self.whole() } else { self.changes(since.min(known)) };
-        let opened = self.record.now();
-        let (mut told, mut silent) = (opened, false);
-        while !self.ends.load(Ordering::Relaxed) {
-            if !text.is_empty() && !silent {
-                self.write((pooler, called), stream, version, &text)?;
-                told = self.record.now();
+        stream.write_all(RESPONSE_HEAD.as_bytes())?;
+        let current = self.state().version;
+        let (mut version, mut text) =
+            if since == 0 { self.full_list() } else { self.changes(since.min(current)) };
+        let started_at = self.record.now();
+        let (mut last_write_at, mut silenced) = (started_at, false);
+        while !self.stopping.load(Ordering::Relaxed) {
+            if !text.is_empty() && !silenced {
+                self.send((pooler, opened_at), stream, version, &text)?;
+                last_write_at = self.record.now();
             }
             let state = self.state();
-            let wait = Duration::from_millis(LOOK_MS);
+            let wait = Duration::from_millis(FAULT_CHECK_INTERVAL_MS);
             let (state, _) = self.changed.wait_timeout(state, wait).expect("no holder panics");
             let now = self.record.now();
-            // Those that were opened before it fell silent stay so for good.
-            silent |= now < state.silent_until;
-            if state.down || state.reset_before > opened {
+            // A watch that was open during the silence stays silent.
+            silenced |= now < state.silent_until;
+            if state.down || state.reset_before > started_at {
                 drop(state);
-                // What was written is there to be read: a reset would take it away again.
-                std::thread::sleep(Duration::from_millis(READ_BEFORE_RESET_MS));
+                // Gives the pooler time to read what was written.
+                std::thread::sleep(Duration::from_millis(RESET_DELAY_MS));
                 reset(stream);
                 return Ok(());
             }
@@ -234,44 +243,44 @@
             drop(state);
             text = match newer {
                 true => {
-                    let (now_at, text) = self.changes(version);
-                    version = now_at;
+                    let (new_version, text) = self.changes(version);
+                    version = new_version;
                     text
                 }
-                false if now - told >= EMPTY_LINE => "\n".into(),
+                false if now - last_write_at >= KEEP_ALIVE_INTERVAL => "\n".into(),
                 false => String::new(),
             };
         }
         Ok(())
     }
 
-    fn write(
+    fn send(
         &self,
-        (pooler, opened): (usize, f64),
+        (pooler, opened_at): (usize, f64),
         stream: &mut TcpStream,
         version: u64,
         text: &str,
     ) -> std::io::Result<()> {
         let bytes = [format!("{:x}\r\n", text.len()).as_bytes(), text.as_bytes(), b"\r\n"].concat();
         stream.write_all(&bytes)?;
-        self.record.note(Event::Told { pooler, version, opened });
+        self.record.add(Event::ListSent { pooler, version, opened_at });
         Ok(())
     }
 }
 
-/// Has a stream end in a reset.
+/// Makes a stream end in a reset.
 fn reset(stream: &TcpStream) {
     let linger = Some(Duration::ZERO);
     let _ = rustix::net::sockopt::set_socket_linger(stream, linger);
 }
 
-/// One document of the list.
-fn document(version: u64, whole: bool, lines: &[String]) -> String {
-    format!("{{\"index\":{version},\"snapshot\":{whole},\"endpoints\":[{}]}}\n", lines.join(","))
+/// Encodes one document of the list.
+fn document(version: u64, is_full: bool, entries: &[String]) -> String {
+    format!("{{\"index\":{version},\"snapshot\":{is_full},\"endpoints\":[{}]}}\n", entries.join(","))
 }
 
-/// The version after which a caller asks.
-fn asked(stream: &mut TcpStream) -> Option<u64> {
+/// Reads a list request and returns the version after which it asks for changes.
+fn read_requested_version(stream: &mut TcpStream) -> Option<u64> {
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
         stream.read_exact(&mut byte).ok()?;
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Carries out the faults of a plan, each on a thread of its own from its time on.
+//! Carries out the faults of a plan, each on its own thread.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::poolers::Poolers;
 use crate::record::Record;
 
-/// What faults are done to.
+/// The targets of faults.
 #[derive(Clone)]
 pub struct Targets {
     pub fleet: Arc<Mutex<Fleet>>,
@@ -23,21 +23,21 @@
 }
 
 impl Targets {
-    /// Does what a fault says, and undoes it.
+    /// Carries out a fault and ends it after its time.
     pub fn carry_out(&self, fault: &Fault) {
         match *fault {
-            Fault::Drain { machine, gone_after, back_after, stays_up } => {
-                self.drain(machine, (gone_after, back_after), stays_up);
+            Fault::Drain { machine: member, gone_after, back_after, stays_up } => {
+                self.drain_member(member, (gone_after, back_after), stays_up);
             }
-            Fault::Crash { machine, lasts } => self.crash(machine, lasts),
-            Fault::Trouble { machine, trouble, lasts } => {
-                self.with(|fleet, _| fleet.machines[machine].trouble = trouble);
+            Fault::Crash { machine: member, lasts } => self.crash_member(member, lasts),
+            Fault::Trouble { machine: member, trouble, lasts } => {
+                self.with_fleet(|fleet, _| fleet.members[member].trouble = trouble);
                 pause(lasts);
-                self.with(|fleet, _| fleet.machines[machine].trouble = Trouble::None);
+                self.with_fleet(|fleet, _| fleet.members[member].trouble = Trouble::None);
             }
-            Fault::Lag { machine, lasts } => self.with(|fleet, now| {
-                if !fleet.machines[machine].primary {
-                    fleet.freeze(machine, now, lasts);
+            Fault::Lag { machine: member, lasts } => self.with_fleet(|fleet, now| {
+                if !fleet.members[member].primary {
+                    fleet.freeze(member, now, lasts);
                 }
             }),
             Fault::Failover { group, gap } => self.fail_over(group, gap),
@@ -56,13 +56,13 @@
             Fault::Reload { pooler } => self.poolers.reload(pooler),
             Fault::Stalls { pooler, times, lasts, between } => {
                 for _ in 0..times {
-                    self.poolers.stall(pooler, lasts);
+                    self.poolers.pause(pooler, lasts);
                     pause(between);
                 }
             }
             Fault::StallAll { lasts } => std::thread::scope(|scope| {
                 for pooler in 0..self.poolers.count() {
-                    scope.spawn(move || self.poolers.stall(pooler, lasts));
+                    scope.spawn(move || self.poolers.pause(pooler, lasts));
                 }
             }),
             Fault::Restart { pooler } => self.poolers.restart(pooler),
@@ -70,61 +70,61 @@
         }
     }
 
-    fn with<T>(&self, does: impl FnOnce(&mut Fleet, f64) -> T) -> T {
-        does(&mut self.fleet.lock().expect("no holder panics"), self.record.now())
+    fn with_fleet<T>(&self, action: impl FnOnce(&mut Fleet, f64) -> T) -> T {
+        action(&mut self.fleet.lock().expect("no holder panics"), self.record.now())
     }
 
-    /// Whether a machine is as usual; one that is not is left alone.
-    fn serves(&self, machine: usize) -> bool {
-        self.with(|fleet, _| fleet.machines[machine].up && fleet.machines[machine].phase == Phase::Serving)
+    /// Returns true if a member is up and listed as serving. Other members are left alone.
+    fn is_serving(&self, member: usize) -> bool {
+        self.with_fleet(|fleet, _| fleet.members[member].up && fleet.members[member].phase == Phase::Serving)
     }
 
-    fn drain(&self, machine: usize, (gone_after, back_after): (f64, f64), stays_up: bool) {
-        if !self.serves(machine) {
+    fn drain_member(&self, member: usize, (gone_after, back_after): (f64, f64), stays_up: bool) {
+        if !self.is_serving(member) {
             return;
         }
-        self.discovery.list(machine, Phase::Draining);
+        self.discovery.set_status(member, Phase::Draining);
         pause(gone_after);
-        self.discovery.list(machine, Phase::Deleted);
-        let group = self.with(|fleet, now| {
-            let machine = &mut fleet.machines[machine];
-            let (primary, group) = (machine.primary, machine.group);
-            machine.up = stays_up;
+        self.discovery.set_status(member, Phase::Deleted);
+        let group = self.with_fleet(|fleet, now| {
+            let member = &mut fleet.members[member];
+            let (primary, group) = (member.primary, member.group);
+            member.up = stays_up;
             primary.then(|| fleet.depose(group, now)).map(|_| group)
         });
         pause(back_after / 2.0);
-        self.with(|fleet, now| group.into_iter().for_each(|group| fleet.elect(group, now)));
+        self.with_fleet(|fleet, now| group.into_iter().for_each(|group| fleet.elect(group, now)));
         pause(back_after / 2.0);
-        self.come_back(machine);
+        self.restart_member(member);
     }
 
-    fn crash(&self, machine: usize, lasts: f64) {
-        if !self.serves(machine) {
+    fn crash_member(&self, member: usize, lasts: f64) {
+        if !self.is_serving(member) {
             return;
         }
-        let group = self.with(|fleet, now| {
-            let (primary, group) = (fleet.machines[machine].primary, fleet.machines[machine].group);
-            fleet.machines[machine].up = false;
+        let group = self.with_fleet(|fleet, now| {
+            let (primary, group) = (fleet.members[member].primary, fleet.members[member].group);
+            fleet.members[member].up = false;
             primary.then(|| fleet.depose(group, now)).map(|_| group)
         });
         pause(lasts / 2.0);
-        self.with(|fleet, now| group.into_iter().for_each(|group| fleet.elect(group, now)));
+        self.with_fleet(|fleet, now| group.into_iter().for_each(|group| fleet.elect(group, now)));
         pause(lasts / 2.0);
-        // One that drained meanwhile is brought back by whoever drained it.
-        if self.with(|fleet, _| fleet.machines[machine].phase == Phase::Serving) {
-            self.come_back(machine);
+        // A member that started to drain meanwhile is restarted by that fault.
+        if self.with_fleet(|fleet, _| fleet.members[member].phase == Phase::Serving) {
+            self.restart_member(member);
         }
     }
 
-    fn come_back(&self, machine: usize) {
-        self.with(|fleet, now| fleet.starts(machine, now));
-        self.discovery.list(machine, Phase::Serving);
+    fn restart_member(&self, member: usize) {
+        self.with_fleet(|fleet, now| fleet.restart(member, now));
+        self.discovery.set_status(member, Phase::Serving);
     }
 
     fn fail_over(&self, group: usize, gap: f64) {
-        if self.with(|fleet, now| fleet.depose(group, now)) {
+        if self.with_fleet(|fleet, now| fleet.depose(group, now)) {
             pause(gap);
-            self.with(|fleet, now| fleet.elect(group, now));
+            self.with_fleet(|fleet, now| fleet.elect(group, now));
         }
     }
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,24 +1,24 @@
-//! The db machines as they truly are: who is up, who is the primary, how far each has applied the log.
+//! The actual state of the members: whether each is up, whether it is the primary, and its log position.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Mutex;
 
-use crate::place::{self, Kind};
-use crate::plan::{Consistency, Plan, Trouble, COLD_FROM, TIP_MULTIPLE, WARM_UP};
+use crate::addresses::{self, AddressKind};
+use crate::plan::{Consistency, Plan, Trouble, COLD_START_CAPACITY, OVERLOAD_FACTOR, WARM_UP};
 
-/// How far a replica is behind when all is well (seconds).
-const USUAL_LAG: f64 = 0.01;
-/// How long a machine that was deposed or has come back applies nothing (seconds).
-const CATCHES_UP_AFTER: f64 = 1.5;
-/// What a warm machine can do (requests a second).
+/// How far a replica is behind without faults (seconds).
+const NORMAL_LAG: f64 = 0.01;
+/// How long a member that was deposed or restarted applies nothing (seconds).
+const CATCH_UP_DELAY: f64 = 1.5;
+/// Capacity of a warm member (requests per second).
 pub const CAPACITY: f64 = 150.0;
-/// Port of every machine; each has an address of its own.
+/// Port of every member. Each member has its own address.
 const PORT: u16 = 15_432;
-/// Time before the run at which unremarkable machines started, as lists tell it (Unix milliseconds).
-const LONG_AGO: u64 = 0;
+/// Start time in the list of members that have not restarted during the run (Unix milliseconds).
+const INITIAL_START_MS: u64 = 0;
 
-/// Where a machine stands in the list.
+/// The status of a member in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Serving,
@@ -27,8 +27,8 @@
 }
 
 impl Phase {
-    /// Its word in the list.
-    pub fn word(self) -> &'static str {
+    /// Returns the status as the list has it.
+    pub fn list_status(self) -> &'static str {
         match self {
             Phase::Serving => "SERVING",
             Phase::Draining => "DRAINING",
@@ -37,40 +37,40 @@
     }
 }
 
-/// A machine.
+/// A member.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct Member {
     pub group: usize,
     pub phase: Phase,
     pub up: bool,
     pub trouble: Trouble,
     pub primary: bool,
-    /// It applies nothing past this position until then (seconds of the run).
+    /// The position past which the member applies nothing, and until when (seconds of the run).
     frozen: Option<(f64, f64)>,
-    /// When it started last (seconds of the run); none for long ago.
-    pub started: Option<f64>,
+    /// When the member last restarted (seconds of the run). `None` if it has not restarted during the run.
+    pub started_at: Option<f64>,
 }
 
-impl Machine {
-    /// How far it has applied the log.
+impl Member {
+    /// Returns the member's log position (seconds of the run).
     pub fn position(&self, now: f64) -> f64 {
         match self.frozen {
             Some((at, until)) if now < until => at,
             _ if self.primary => now,
-            _ => now - USUAL_LAG,
+            _ => now - NORMAL_LAG,
         }
     }
 
-    /// How many requests a second it can do now, as a share.
-    pub fn warmth(&self, now: f64) -> f64 {
-        let age = self.started.map_or(WARM_UP, |at| now - at);
-        (COLD_FROM + (1.0 - COLD_FROM) * age / WARM_UP).clamp(COLD_FROM, 1.0)
+    /// Returns the share of its full capacity that the member has at `now`.
+    pub fn capacity_share(&self, now: f64) -> f64 {
+        let age = self.started_at.map_or(WARM_UP, |at| now - at);
+        (COLD_START_CAPACITY + (1.0 - COLD_START_CAPACITY) * age / WARM_UP).clamp(COLD_START_CAPACITY, 1.0)
     }
 
-    /// The most requests that it may be sent within so long (seconds) from now on while it is cold, as the terms of acceptance
-    /// count it.
+    /// Returns the maximum number of requests that may be sent to the member within `seconds` from `now`
+    /// while it is cold, as the acceptance criteria define it.
     pub fn cold_budget(&self, now: f64, seconds: f64) -> f64 {
-        let n = CAPACITY * self.warmth(now) * TIP_MULTIPLE * seconds;
+        let n = CAPACITY * self.capacity_share(now) * OVERLOAD_FACTOR * seconds;
         if n < 30.0 {
             n + 3.0 * n.sqrt() + 3.0
         } else {
@@ -79,93 +79,94 @@
     }
 }
 
-/// All machines, and what sessions have committed.
+/// All members, and the commits of sessions.
 pub struct Fleet {
-    pub machines: Vec<Machine>,
-    /// Last commit of each session (seconds of the run).
+    pub members: Vec<Member>,
+    /// The last commit of each session (seconds of the run).
     pub commits: HashMap<String, f64>,
     pub unix_at_start: f64,
     refuses_when_behind: bool,
 }
 
 impl Fleet {
-    /// The fleet of a plan at the beginning.
+    /// Creates the fleet of a plan as it is at the start.
     pub fn new(plan: &Plan) -> Mutex<Fleet> {
-        let machine = |n: usize| Machine {
+        let member = |n: usize| Member {
             group: n / plan.members,
             phase: Phase::Serving,
             up: true,
             trouble: Trouble::None,
             primary: n.is_multiple_of(plan.members),
             frozen: None,
-            started: None,
+            started_at: None,
         };
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         Mutex::new(Fleet {
-            machines: (0..plan.machines()).map(machine).collect(),
+            members: (0..plan.member_count()).map(member).collect(),
             commits: HashMap::new(),
             unix_at_start: unix.as_secs_f64(),
             refuses_when_behind: plan.refuses_when_behind,
         })
     }
 
-    /// The line of a machine in the list.
-    pub fn line(&self, n: usize) -> String {
-        let machine = &self.machines[n];
-        let since = machine.started.map_or(LONG_AGO, |at| ((self.unix_at_start + at) * 1000.0) as u64);
+    /// Returns a member's entry in the list.
+    pub fn list_entry(&self, n: usize) -> String {
+        let member = &self.members[n];
+        let started_ms =
+            member.started_at.map_or(INITIAL_START_MS, |at| ((self.unix_at_start + at) * 1000.0) as u64);
         let zone = if n.is_multiple_of(2) { "a" } else { "b" };
-        let (address, group, status) = (address(n), machine.group, machine.phase.word());
+        let (address, group, status) = (address(n), member.group, member.phase.list_status());
         format!(
-            r#"{{"name":"s-{n}","address":"{address}","zone":"{zone}","type":"m2","group":{group},"status":"{status}","weight":1.0,"since_ms":{since}}}"#
+            r#"{{"name":"s-{n}","address":"{address}","zone":"{zone}","type":"m2","group":{group},"status":"{status}","weight":1.0,"since_ms":{started_ms}}}"#
         )
     }
 
-    /// A replica, or one that was the primary, applies nothing for so long.
-    pub fn freeze(&mut self, n: usize, now: f64, lasts: f64) {
-        let position = self.machines[n].position(now);
-        self.machines[n].frozen = Some((position, now + lasts));
+    /// Stops a member from applying the log for `duration` (seconds).
+    pub fn freeze(&mut self, n: usize, now: f64, duration: f64) {
+        let position = self.members[n].position(now);
+        self.members[n].frozen = Some((position, now + duration));
     }
 
-    /// A machine starts anew: cold, and behind for a while.
-    pub fn starts(&mut self, n: usize, now: f64) {
-        self.freeze(n, now, CATCHES_UP_AFTER);
-        let machine = &mut self.machines[n];
-        machine.started = Some(now);
-        (machine.up, machine.phase, machine.primary) = (true, Phase::Serving, false);
+    /// Restarts a member: it is cold, and behind for a while.
+    pub fn restart(&mut self, n: usize, now: f64) {
+        self.freeze(n, now, CATCH_UP_DELAY);
+        let member = &mut self.members[n];
+        member.started_at = Some(now);
+        (member.up, member.phase, member.primary) = (true, Phase::Serving, false);
     }
 
-    /// The primary of a group is none any more. Whether there was one.
+    /// Deposes the primary of a group. Returns true if the group had one.
     pub fn depose(&mut self, group: usize, now: f64) -> bool {
-        let primary = self.machines.iter().position(|m| m.group == group && m.primary);
+        let primary = self.members.iter().position(|m| m.group == group && m.primary);
         if let Some(n) = primary {
-            self.freeze(n, now, CATCHES_UP_AFTER);
-            self.machines[n].primary = false;
+            self.freeze(n, now, CATCH_UP_DELAY);
+            self.members[n].primary = false;
         }
         primary.is_some()
     }
 
-    /// Another machine of a group takes over, the one that has most of the log.
+    /// Makes the serving member of a group with the highest position the primary, unless the group has a
+    /// primary.
     pub fn elect(&mut self, group: usize, now: f64) {
-        if self.machines.iter().any(|m| m.group == group && m.primary) {
+        if self.members.iter().any(|m| m.group == group && m.primary) {
             return;
         }
-        let able = |m: &Machine| m.group == group && m.up && m.phase == Phase::Serving;
-        let able = (0..self.machines.len()).filter(|n| able(&self.machines[*n]));
-        let most = |a: &usize, b: &usize| {
-            self.machines[*a].position(now).total_cmp(&self.machines[*b].position(now))
-        };
-        if let Some(n) = able.max_by(most) {
-            self.machines[n].primary = true;
-            self.machines[n].frozen = None;
+        let is_eligible = |m: &Member| m.group == group && m.up && m.phase == Phase::Serving;
+        let eligible = (0..self.members.len()).filter(|n| is_eligible(&self.members[*n]));
+        let by_position =
+            |a: &usize, b: &usize| self.members[*a].position(now).total_cmp(&self.members[*b].position(now));
+        if let Some(n) = eligible.max_by(by_position) {
+            self.members[n].primary = true;
+            self.members[n].frozen = None;
         }
     }
 
-    /// Whether a machine turns a request away untouched.
-    pub fn misses(&self, n: usize, consistency: Consistency, session: &str, now: f64) -> bool {
-        let machine = &self.machines[n];
-        let behind = |needed: f64| self.refuses_when_behind && machine.position(now) < needed;
+    /// Returns true if a member rejects a request without running it.
+    pub fn rejects(&self, n: usize, consistency: Consistency, session: &str, now: f64) -> bool {
+        let member = &self.members[n];
+        let behind = |required: f64| self.refuses_when_behind && member.position(now) < required;
         match consistency {
-            Consistency::Write => !machine.primary,
+            Consistency::Write => !member.primary,
             Consistency::Bounded(bound) => behind(now - bound),
             Consistency::Session => self.commits.get(session).is_some_and(|commit| behind(*commit)),
             Consistency::Fresh | Consistency::Any => false,
@@ -173,7 +174,7 @@
     }
 }
 
-/// Where a machine listens.
+/// Returns the address at which a member listens.
 pub fn address(n: usize) -> SocketAddr {
-    place::address(Kind::Databases, (n / 250) as u8, (n % 250 + 1) as u8, PORT)
+    addresses::address(AddressKind::Members, (n / 250) as u8, (n % 250 + 1) as u8, PORT)
 }
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,89 +1,93 @@
-//! The rules, held against what was seen of a run. What the oracle cannot tell from outside it excuses, and says so beside each
-//! rule.
+//! Checks the recorded events of a run against the rules. Each rule states the cases that it excuses because
+//! they cannot be told apart from outside of the poolers.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::fleet::Fleet;
-use crate::plan::{Consistency, Effect, Plan, FALL};
+use crate::plan::{Consistency, Effect, Plan, OVERLOAD_WINDOW};
 use crate::record::{Answer, Event, Id, Reply};
 
-/// All time limits are this much longer on sockets (seconds).
+/// Added to all time limits, for the transport over sockets (seconds).
 const SLACK: f64 = 0.05;
-/// An answer is lost so long after its time (seconds).
-const LATE: f64 = 0.5;
-/// A change counts as told so long after discovery had it and could be reached (seconds).
-const TOLD_AFTER: f64 = 6.0;
-/// After the client has left an attempt may begin for so long (seconds).
-const AFTER_LEAVING: f64 = 0.1;
-/// Slack of the deadline that is passed on (seconds).
-const PATIENCE_SLACK: f64 = 0.15;
-/// The pooler may be held up for so long between reading its clock and writing (seconds).
-const HELD_UP: f64 = 0.15;
-/// What an answer tells counts as known so long after it was written (seconds).
-const KNOWN_AFTER: f64 = 0.1;
-/// Bad clients are owed their error or the end within this (seconds).
-const BAD_CLIENTS: f64 = 3.0;
-const MOST_ATTEMPTS: usize = 6;
-/// A request that crosses the end of its connection is the client's to repeat, unless it was forwarded.
-const RECENT: f64 = 0.05;
-/// Share of the requests that are served at the least, however much goes wrong: who refuses all breaks no other rule.
-const LEAST_SERVED: f64 = 0.2;
+/// An answer counts as lost this long after the request's timeout (seconds).
+const LOST_AFTER: f64 = 0.5;
+/// A change of the list counts as known to all poolers once discovery has had it and been reachable for this
+/// long (seconds). Also the limit for a start.
+const NOTIFIED_AFTER: f64 = 6.0;
+/// An attempt may still begin this long after the client has left (seconds).
+const CLIENT_LEFT_SLACK: f64 = 0.1;
+/// Slack of the deadline that is passed on to members (seconds).
+const DEADLINE_SLACK: f64 = 0.15;
+/// How long a pooler may be delayed between reading its clock and writing (seconds).
+const WRITE_DELAY_SLACK: f64 = 0.15;
+/// The position in an answer counts as known to the pooler this long after the client received the answer
+/// (seconds).
+const OBSERVED_AFTER: f64 = 0.1;
+/// The connection of a client that sent a truncated message must end within this time (seconds).
+const TRUNCATED_MESSAGE_LIMIT: f64 = 3.0;
+const MAX_ATTEMPTS: usize = 6;
+/// A connection that closed without an answer is excused if its pooler was killed up to this long after
+/// (seconds).
+const KILL_SLACK: f64 = 0.05;
+/// Minimum share of requests that are served, whatever the faults: a pooler that refuses everything violates
+/// no other rule.
+const MIN_SERVED_SHARE: f64 = 0.2;
 
-/// An attempt, as its machine saw it.
+/// An attempt as the member received it. Times are in seconds of the run.
 #[derive(Clone, Debug)]
 struct Attempt {
     number: u64,
-    machine: usize,
-    began: f64,
-    arrived: f64,
-    patience: f64,
-    /// When it was answered or its connection ended, and what the machine said.
-    ended: Option<(f64, Option<Reply>)>,
+    member: usize,
+    first_byte_at: f64,
+    arrived_at: f64,
+    timeout: f64,
+    /// When the attempt was answered or its connection closed, and the answer if there was one.
+    outcome: Option<(f64, Option<Reply>)>,
 }
 
 impl Attempt {
-    fn never_ran(&self) -> bool {
-        matches!(self.ended, Some((_, Some(Reply::Missed | Reply::TurnedAway))))
+    fn did_not_run(&self) -> bool {
+        matches!(self.outcome, Some((_, Some(Reply::Miss | Reply::Full))))
     }
 }
 
-/// A request.
+/// A request. Times are in seconds of the run.
 #[derive(Clone, Debug)]
 struct Request {
     pooler: usize,
     class: usize,
     client: usize,
-    sent: f64,
-    patience: f64,
-    /// Its answer waits for those of others.
-    behind: bool,
+    sent_at: f64,
+    timeout: f64,
+    /// Whether its answer follows those of earlier requests on the connection.
+    pipelined: bool,
     answer: Option<(f64, Answer)>,
-    closed: Option<f64>,
-    silent: bool,
-    left: Option<f64>,
+    closed_at: Option<f64>,
+    unanswered: bool,
+    left_at: Option<f64>,
     attempts: Vec<Attempt>,
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct Verdict {
     pub requests: usize,
     pub served: usize,
     pub refused: usize,
     pub failed: usize,
-    /// Broken rules by name, with what was seen.
-    pub broken: BTreeMap<&'static str, Vec<String>>,
-    /// The longest that the soak itself was late (seconds).
-    pub lagged: f64,
+    /// The violations by the name of the rule, each with a description.
+    pub violations: BTreeMap<&'static str, Vec<String>>,
+    /// The longest delay of the soak process itself (seconds).
+    pub soak_delay: f64,
 }
 
 impl Verdict {
-    fn breaks(&mut self, rule: &'static str, what: String) {
-        self.broken.entry(rule).or_default().push(what);
+    fn record_violation(&mut self, rule: &'static str, description: String) {
+        self.violations.entry(rule).or_default().push(description);
     }
 }
 
-/// Spans of time by pooler.
+/// Time spans by pooler (seconds of the run).
 #[derive(Default)]
 struct Spans(HashMap<usize, Vec<(f64, f64)>>);
 
@@ -92,125 +96,132 @@
         self.0.get(&pooler).map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// How much of the time between two moments lies in them (seconds).
+    /// Returns how much of the time between `from` and `to` lies in a pooler's spans (seconds).
     fn within(&self, pooler: usize, from: f64, to: f64) -> f64 {
         self.of(pooler).iter().map(|(a, b)| (b.min(to) - a.max(from)).max(0.0)).sum()
     }
 }
 
-/// Holds the rules against what was seen.
+/// Checks the events of a run against the rules.
 pub struct Oracle<'a> {
     plan: &'a Plan,
     requests: BTreeMap<Id, Request>,
-    stopped: Spans,
-    /// Times at which processes were killed, and were asked to end.
+    paused: Spans,
+    /// Times at which poolers were killed.
     kills: HashMap<usize, Vec<f64>>,
-    /// Times at which the soak was late, and by how much.
-    lags: Vec<(f64, f64)>,
-    /// Changes of machines: when, which, whether usable, version.
-    listed: Vec<(f64, usize, bool, u64)>,
-    /// Versions told to poolers, each on a connection opened then, and starts of poolers.
-    told: HashMap<usize, Vec<(f64, u64, f64)>>,
+    /// Times at which a delay of the soak process was noticed, and the delays.
+    soak_delays: Vec<(f64, f64)>,
+    /// Changes of the list: time, member, whether it is usable, version.
+    list_changes: Vec<(f64, usize, bool, u64)>,
+    /// Lists sent to each pooler: time, version, and when the connection was opened.
+    lists_sent: HashMap<usize, Vec<(f64, u64, f64)>>,
+    /// Times at which poolers were started, and became ready.
     starts: HashMap<usize, Vec<f64>>,
     ready: HashMap<usize, Vec<f64>>,
-    /// Spans in which discovery could not be reached.
-    down: Vec<(f64, f64)>,
+    /// Time spans in which discovery was unreachable.
+    unreachable: Vec<(f64, f64)>,
     verdict: Verdict,
 }
 
-/// Judges a run.
+/// Returns the verdict on a run.
 pub fn judge(plan: &Plan, fleet: &Fleet, events: Vec<(f64, Event)>) -> Verdict {
     let mut oracle = Oracle {
         plan,
         requests: BTreeMap::new(),
-        stopped: Spans::default(),
+        paused: Spans::default(),
         kills: HashMap::new(),
-        lags: Vec::new(),
-        listed: Vec::new(),
-        told: HashMap::new(),
+        soak_delays: Vec::new(),
+        list_changes: Vec::new(),
+        lists_sent: HashMap::new(),
         starts: HashMap::new(),
         ready: HashMap::new(),
-        down: Vec::new(),
+        unreachable: Vec::new(),
         verdict: Verdict::default(),
     };
-    oracle.take(events);
+    oracle.ingest(events);
     let ids: Vec<Id> = oracle.requests.keys().copied().collect();
     for id in ids {
         let Some(request) = oracle.requests.get(&id).cloned() else { continue };
         oracle.count(&request);
-        oracle.answered(id, &request);
-        oracle.repeated(id, &request);
-        oracle.drained(id, &request);
-        oracle.stale(id, &request);
-        oracle.patience(id, &request);
+        oracle.check_answered(id, &request);
+        oracle.check_repeats(id, &request);
+        oracle.check_drained(id, &request);
+        oracle.check_freshness(id, &request);
+        oracle.check_deadline(id, &request);
     }
-    oracle.cold(fleet);
-    oracle.whole()
+    oracle.check_cold_start(fleet);
+    oracle.finish()
 }
 
 impl Oracle<'_> {
-    fn take(&mut self, mut events: Vec<(f64, Event)>) {
+    fn ingest(&mut self, mut events: Vec<(f64, Event)>) {
         events.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut of_attempt: HashMap<u64, Id> = HashMap::new();
-        let mut since: HashMap<usize, f64> = HashMap::new();
-        let mut down_since = None;
+        let mut request_of_attempt: HashMap<u64, Id> = HashMap::new();
+        let mut paused_since: HashMap<usize, f64> = HashMap::new();
+        let mut unreachable_since = None;
         for (at, event) in events {
             match event {
-                Event::Sent { id, pooler, class, client, patience, behind } => {
-                    // An attempt may be noted before the client has noted that it sent.
+                Event::Sent { id, pooler, class, client, timeout, pipelined } => {
+                    // An attempt may be recorded before the client has recorded the request.
                     let request = self.request(id);
                     (request.pooler, request.class, request.client) = (pooler, class, client);
-                    (request.sent, request.patience, request.behind) = (at, patience, behind);
+                    (request.sent_at, request.timeout, request.pipelined) = (at, timeout, pipelined);
                 }
                 Event::Answered { id, answer } => self.request(id).answer = Some((at, answer)),
-                Event::Closed { id } => self.request(id).closed = Some(at),
-                Event::Silent { id } => self.request(id).silent = true,
-                Event::Left { id } => self.request(id).left = Some(at),
-                Event::BadClientEnded { pooler, after } => {
-                    let allowed = BAD_CLIENTS
+                Event::ConnectionClosed { id } => self.request(id).closed_at = Some(at),
+                Event::Unanswered { id } => self.request(id).unanswered = true,
+                Event::ClientLeft { id } => self.request(id).left_at = Some(at),
+                Event::TruncatedMessageEnded { pooler, elapsed } => {
+                    let allowed = TRUNCATED_MESSAGE_LIMIT
                         + SLACK
-                        + self.tolerance(at - after, at)
-                        + self.stopped.within(pooler, at - after, at);
-                    if after > allowed {
-                        self.verdict.breaks("bad-clients", format!("n{pooler}: {after:.2} s"));
+                        + self.tolerance(at - elapsed, at)
+                        + self.paused.within(pooler, at - elapsed, at);
+                    if elapsed > allowed {
+                        self.verdict.record_violation("bad-clients", format!("n{pooler}: {elapsed:.2} s"));
                     }
                 }
-                Event::Arrived { id, attempt, machine, began, patience } => {
-                    of_attempt.insert(attempt, id);
-                    let (number, ended) = (attempt, None);
-                    let attempt = Attempt { number, machine, began, arrived: at, patience, ended };
+                Event::AttemptArrived { id, attempt, member, first_byte_at, timeout } => {
+                    request_of_attempt.insert(attempt, id);
+                    let (number, outcome) = (attempt, None);
+                    let attempt = Attempt { number, member, first_byte_at, arrived_at: at, timeout, outcome };
                     self.request(id).attempts.push(attempt);
                 }
-                Event::Replied { attempt, reply } => self.end(&of_attempt, attempt, (at, Some(reply))),
-                Event::Abandoned { attempt } => self.end(&of_attempt, attempt, (at, None)),
-                Event::Listed { machine, usable, version } => {
-                    self.listed.push((at, machine, usable, version))
+                Event::AttemptAnswered { attempt, reply } => {
+                    self.end_attempt(&request_of_attempt, attempt, (at, Some(reply)))
                 }
-                Event::Told { pooler, version, opened } => {
-                    self.told.entry(pooler).or_default().push((at, version, opened));
+                Event::AttemptAbandoned { attempt } => {
+                    self.end_attempt(&request_of_attempt, attempt, (at, None))
+                }
+                Event::ListChanged { member, usable, version } => {
+                    self.list_changes.push((at, member, usable, version))
+                }
+                Event::ListSent { pooler, version, opened_at } => {
+                    self.lists_sent.entry(pooler).or_default().push((at, version, opened_at));
+                }
+                Event::DiscoveryReachable(false) => unreachable_since = unreachable_since.or(Some(at)),
+                Event::DiscoveryReachable(true) => {
+                    self.unreachable.extend(unreachable_since.take().map(|from| (from, at)))
                 }
-                Event::Reachable(false) => down_since = down_since.or(Some(at)),
-                Event::Reachable(true) => self.down.extend(down_since.take().map(|from| (from, at))),
                 Event::Started { pooler } => self.starts.entry(pooler).or_default().push(at),
                 Event::Ready { pooler } => self.ready.entry(pooler).or_default().push(at),
-                Event::Stopped { pooler, stopped: true } => drop(since.insert(pooler, at)),
-                Event::Stopped { pooler, stopped: false } => {
-                    let from = since.remove(&pooler).unwrap_or(at);
-                    self.stopped.0.entry(pooler).or_default().push((from, at));
+                Event::Paused { pooler, paused: true } => drop(paused_since.insert(pooler, at)),
+                Event::Paused { pooler, paused: false } => {
+                    let from = paused_since.remove(&pooler).unwrap_or(at);
+                    self.paused.0.entry(pooler).or_default().push((from, at));
                 }
                 Event::Killed { pooler } => self.kills.entry(pooler).or_default().push(at),
-                Event::Died { pooler, how } => {
-                    self.verdict.breaks("crash", format!("n{pooler} at {at:.3}: {how}"));
+                Event::ExitedUnexpectedly { pooler, status } => {
+                    self.verdict.record_violation("crash", format!("n{pooler} at {at:.3}: {status}"));
                 }
                 Event::LogFault { pooler, line } => {
-                    self.verdict.breaks("own-check", format!("n{pooler}: {line}"));
+                    self.verdict.record_violation("own-check", format!("n{pooler}: {line}"));
                 }
-                Event::TooLarge { pooler, megabytes } => {
-                    self.verdict.breaks("memory", format!("n{pooler}: {megabytes} MB"));
+                Event::MemoryExceeded { pooler, megabytes } => {
+                    self.verdict.record_violation("memory", format!("n{pooler}: {megabytes} MB"));
                 }
-                Event::Lagged(seconds) => {
-                    self.verdict.lagged = self.verdict.lagged.max(seconds);
-                    self.lags.push((at, seconds));
+                Event::SoakDelayed(seconds) => {
+                    self.verdict.soak_delay = self.verdict.soak_delay.max(seconds);
+                    self.soak_delays.push((at, seconds));
                 }
             }
         }
@@ -221,31 +232,38 @@
             pooler: usize::MAX,
             class: 0,
             client: 0,
-            sent: f64::INFINITY,
-            patience: 0.0,
-            behind: false,
+            sent_at: f64::INFINITY,
+            timeout: 0.0,
+            pipelined: false,
             answer: None,
-            closed: None,
-            silent: false,
-            left: None,
+            closed_at: None,
+            unanswered: false,
+            left_at: None,
             attempts: Vec::new(),
         })
     }
 
-    fn end(&mut self, of_attempt: &HashMap<u64, Id>, number: u64, ended: (f64, Option<Reply>)) {
-        let Some(id) = of_attempt.get(&number) else { return };
+    fn end_attempt(
+        &mut self,
+        request_of_attempt: &HashMap<u64, Id>,
+        number: u64,
+        outcome: (f64, Option<Reply>),
+    ) {
+        let Some(id) = request_of_attempt.get(&number) else { return };
         let attempts = &mut self.request(*id).attempts;
-        attempts.iter_mut().filter(|a| a.number == number).for_each(|a| a.ended = Some(ended));
+        attempts.iter_mut().filter(|a| a.number == number).for_each(|a| a.outcome = Some(outcome));
     }
 
-    /// What the machine that all of this runs on may have held up between two moments (seconds).
+    /// Returns the tolerance for delays of the host between two times (seconds), from the measured delays of
+    /// the soak process.
     fn tolerance(&self, from: f64, to: f64) -> f64 {
-        let lags = self.lags.iter().filter(|(at, lag)| *at >= from - 0.1 && at - lag <= to + 0.1);
-        2.0 * lags.map(|(_, lag)| *lag).sum::<f64>() + 0.005
+        let delays =
+            self.soak_delays.iter().filter(|(at, delay)| *at >= from - 0.1 && at - delay <= to + 0.1);
+        2.0 * delays.map(|(_, delay)| *delay).sum::<f64>() + 0.005
     }
 
-    /// Whether a process was killed between two moments.
-    fn killed(&self, pooler: usize, from: f64, to: f64) -> bool {
+    /// Returns true if a pooler was killed between two times.
+    fn was_killed(&self, pooler: usize, from: f64, to: f64) -> bool {
         self.kills.get(&pooler).is_some_and(|kills| kills.iter().any(|at| (from..=to).contains(at)))
     }
 
@@ -259,174 +277,198 @@
         }
     }
 
-    /// One final answer in time. Excused: what a process that was killed held, and what it was sent after its connection had begun
-    /// to end and nothing was forwarded of it.
-    fn answered(&mut self, id: Id, request: &Request) {
-        let Request { pooler, sent, patience, .. } = *request;
-        if request.left.is_some() || pooler == usize::MAX {
+    /// Rule "lost": each request gets one final answer in time. Excused: requests pending in a pooler that
+    /// was killed, and requests on a connection that closed before any attempt of theirs was forwarded.
+    fn check_answered(&mut self, id: Id, request: &Request) {
+        let Request { pooler, sent_at, timeout, .. } = *request;
+        if request.left_at.is_some() || pooler == usize::MAX {
             return;
         }
-        let by = sent + patience + LATE + SLACK;
-        let slack = |oracle: &Self, to| oracle.stopped.within(pooler, sent, to) + oracle.tolerance(sent, to);
-        match (request.answer, request.closed) {
-            // The time spent waiting for the answers before it does not count.
-            (Some(_), _) if request.behind => {}
+        let answer_due = sent_at + timeout + LOST_AFTER + SLACK;
+        let slack =
+            |oracle: &Self, to| oracle.paused.within(pooler, sent_at, to) + oracle.tolerance(sent_at, to);
+        match (request.answer, request.closed_at) {
+            // The time spent waiting for earlier answers on the connection does not count.
+            (Some(_), _) if request.pipelined => {}
             (Some((at, _)), _) => {
-                let allowed = by + slack(self, at);
+                let allowed = answer_due + slack(self, at);
                 if at > allowed {
-                    let late = at - sent - patience;
-                    self.verdict.breaks("lost", format!("{id:016x} at n{pooler}: answered {late:.2} s late"));
+                    let late = at - sent_at - timeout;
+                    self.verdict.record_violation(
+                        "lost",
+                        format!("{id:016x} at n{pooler}: answered {late:.2} s late"),
+                    );
                 }
             }
-            (None, Some(at)) if !self.killed(pooler, sent, at + RECENT) => {
-                let forwarded = request.attempts.iter().any(|attempt| attempt.began <= at);
+            (None, Some(at)) if !self.was_killed(pooler, sent_at, at + KILL_SLACK) => {
+                let forwarded = request.attempts.iter().any(|attempt| attempt.first_byte_at <= at);
                 if forwarded {
-                    let what = format!("{id:016x} at n{pooler}: closed at {at:.3} with no answer, forwarded");
-                    self.verdict.breaks("lost", what);
+                    let description =
+                        format!("{id:016x} at n{pooler}: closed at {at:.3} with no answer, forwarded");
+                    self.verdict.record_violation("lost", description);
                 }
             }
-            // The process that had it was killed without a word, or as early as it may be: a planned end has answered all that
-            // came in time to be answered.
-            (None, _) if request.silent && !self.killed(pooler, sent, by + 3.0) => {
-                self.verdict.breaks("lost", format!("{id:016x} at n{pooler}: no answer"));
+            // Excused if the pooler was killed without SIGTERM, or as early as allowed after it: by then a
+            // planned shutdown has answered all requests that arrived early enough.
+            (None, _) if request.unanswered && !self.was_killed(pooler, sent_at, answer_due + 3.0) => {
+                self.verdict.record_violation("lost", format!("{id:016x} at n{pooler}: no answer"));
             }
             _ => {}
         }
     }
 
-    /// A request is carried out again only as its class allows, and refused only where nothing can have run.
-    fn repeated(&mut self, id: Id, request: &Request) {
+    /// Rule "duplicate": a request is repeated only as its class allows, and refused only if no attempt can
+    /// have run.
+    fn check_repeats(&mut self, id: Id, request: &Request) {
         if request.pooler == usize::MAX {
             return;
         }
         let class = &self.plan.classes[request.class];
         let attempts = &request.attempts;
-        if attempts.len() > MOST_ATTEMPTS {
-            self.verdict.breaks("duplicate", format!("{id:016x}: {} attempts", attempts.len()));
+        if attempts.len() > MAX_ATTEMPTS {
+            self.verdict.record_violation("duplicate", format!("{id:016x}: {} attempts", attempts.len()));
         }
         for (n, later) in attempts.iter().enumerate() {
             for earlier in &attempts[..n] {
-                let out = earlier.ended.is_none_or(|(at, _)| at > later.arrived + HELD_UP);
-                if out && !self.plan.copies {
-                    self.verdict
-                        .breaks("duplicate", format!("{id:016x}: two attempts out at {:.3}", later.arrived));
+                let in_flight =
+                    earlier.outcome.is_none_or(|(at, _)| at > later.arrived_at + WRITE_DELAY_SLACK);
+                if in_flight && !self.plan.copies {
+                    self.verdict.record_violation(
+                        "duplicate",
+                        format!("{id:016x}: two attempts out at {:.3}", later.arrived_at),
+                    );
                 }
-                if earlier.never_ran() {
+                if earlier.did_not_run() {
                     continue;
                 }
-                let window = class.window + SLACK + self.tolerance(earlier.arrived, later.arrived);
-                let over = later.began - earlier.began > window;
+                let window = class.window + SLACK + self.tolerance(earlier.arrived_at, later.arrived_at);
+                let over = later.first_byte_at - earlier.first_byte_at > window;
                 let forbidden = match class.effect {
                     Effect::Safe => false,
                     Effect::Never => true,
                     Effect::KeyedInGroup | Effect::KeyedEverywhere => over,
                 };
                 if forbidden {
-                    let what = format!("{id:016x} ({:?}): again at {:.3}", class.effect, later.arrived);
-                    self.verdict.breaks("duplicate", what);
+                    let description =
+                        format!("{id:016x} ({:?}): again at {:.3}", class.effect, later.arrived_at);
+                    self.verdict.record_violation("duplicate", description);
                 }
             }
         }
         let refused = matches!(request.answer, Some((_, Answer::Refused)));
-        let bound = matches!(class.effect, Effect::Never | Effect::KeyedInGroup);
-        let ran = attempts.iter().find(|attempt| !attempt.never_ran());
-        if let Some(ran) = ran.filter(|_| refused && bound) {
-            let what = format!(
+        let refused_only_if_not_run = matches!(class.effect, Effect::Never | Effect::KeyedInGroup);
+        let ran = attempts.iter().find(|attempt| !attempt.did_not_run());
+        if let Some(ran) = ran.filter(|_| refused && refused_only_if_not_run) {
+            let description = format!(
                 "{id:016x} ({:?}, {:?}) at n{}: refused, though s-{} had it at {:.3}",
-                class.effect, class.consistency, request.pooler, ran.machine, ran.arrived
+                class.effect, class.consistency, request.pooler, ran.member, ran.arrived_at
             );
-            self.verdict.breaks("duplicate", what);
+            self.verdict.record_violation("duplicate", description);
         }
     }
 
-    /// When a pooler counts as told that a machine takes nothing new, as of some moment; none where it may be used.
-    fn told_of_drain(&self, pooler: usize, machine: usize, at: f64) -> Option<f64> {
-        let mut told = None;
-        for &(changed, of, usable, version) in &self.listed {
-            if of != machine || changed > at {
+    /// Returns when a pooler counts as informed that a member accepts no new requests, as known at `at`.
+    /// Returns `None` if the pooler may use the member.
+    fn drain_known_at(&self, pooler: usize, member: usize, at: f64) -> Option<f64> {
+        let mut known_at = None;
+        for &(changed, of, usable, version) in &self.list_changes {
+            if of != member || changed > at {
                 continue;
             }
-            // A process that started later knows it from its start.
+            // A pooler that started after the change knows it from its configuration.
             let start = self.starts.get(&pooler).into_iter().flatten().copied().filter(|start| *start <= at);
             let start = start.fold(f64::NEG_INFINITY, f64::max);
-            let heard = self.told.get(&pooler).into_iter().flatten();
-            let heard = heard.filter(|(when, up_to, opened)| {
-                // What was written to a process that is no more was told to nobody.
-                *when >= changed && *opened >= start && *up_to >= version
+            let received = self.lists_sent.get(&pooler).into_iter().flatten();
+            let received = received.filter(|(when, up_to, opened_at)| {
+                // A list sent to an earlier process of the pooler does not count.
+                *when >= changed && *opened_at >= start && *up_to >= version
             });
-            let heard = heard.map(|(when, ..)| *when).fold(f64::INFINITY, f64::min);
-            let counts = if start >= changed { start } else { heard.min(self.reachable_after(changed)) };
+            let received = received.map(|(when, ..)| *when).fold(f64::INFINITY, f64::min);
+            let change_known_at =
+                if start >= changed { start } else { received.min(self.reachability_deadline(changed)) };
             if usable {
-                // Whoever has not heard that it is back need not use it, and may.
-                told = None;
-            } else if counts <= at {
-                told = told.or(Some(counts));
+                // The pooler may use the member from here on, whether or not it knows that it is back.
+                known_at = None;
+            } else if change_known_at <= at {
+                known_at = known_at.or(Some(change_known_at));
             }
         }
-        told
+        known_at
     }
 
-    /// When a change counts as told, heard or not: discovery could be reached for so long since.
-    fn reachable_after(&self, changed: f64) -> f64 {
-        let mut by = changed + TOLD_AFTER;
-        for (from, to) in &self.down {
-            if *to > changed && *from < by {
-                by = to.max(by - TOLD_AFTER) + TOLD_AFTER;
+    /// Returns when a change counts as known to every pooler, whether a list was sent to it or not: discovery
+    /// has then been reachable for `NOTIFIED_AFTER` without interruption.
+    fn reachability_deadline(&self, changed: f64) -> f64 {
+        let mut known_at = changed + NOTIFIED_AFTER;
+        for (from, to) in &self.unreachable {
+            if *to > changed && *from < known_at {
+                known_at = to.max(known_at - NOTIFIED_AFTER) + NOTIFIED_AFTER;
             }
         }
-        by
+        known_at
     }
 
-    /// Nothing new to a machine past the grace after its drain was told. A process that was held up is excused for what it had
-    /// read before: a request that came while it was held up was taken up after it, beside the list's news.
-    fn drained(&mut self, id: Id, request: &Request) {
+    /// Rule "drain": no new attempt goes to a member later than the grace period after the pooler knew of the
+    /// drain. Excused: pauses of the pooler between the request and the attempt, since a request that arrived
+    /// before a pause is handled after it, together with the update of the list.
+    fn check_drained(&mut self, id: Id, request: &Request) {
         let pooler = request.pooler;
         for attempt in &request.attempts {
-            let Some(told) = self.told_of_drain(pooler, attempt.machine, attempt.began) else { continue };
-            let held = self.stopped.of(pooler).iter();
-            let held = held.filter(|(from, to)| request.sent < *from && *to > told && *from < attempt.began);
-            let excused: f64 = held.map(|(from, to)| to - from.max(told)).sum();
-            let allowed = self.plan.grace + SLACK + excused + self.tolerance(told, attempt.began);
-            if attempt.began - told > allowed {
-                let what = format!(
-                    "{id:016x} at n{pooler}: to s-{} at {:.3}, told at {told:.3}",
-                    attempt.machine, attempt.began
+            let Some(known_at) = self.drain_known_at(pooler, attempt.member, attempt.first_byte_at) else {
+                continue;
+            };
+            let pauses = self.paused.of(pooler).iter();
+            let pauses = pauses.filter(|(from, to)| {
+                request.sent_at < *from && *to > known_at && *from < attempt.first_byte_at
+            });
+            let paused_time: f64 = pauses.map(|(from, to)| to - from.max(known_at)).sum();
+            let allowed =
+                self.plan.grace + SLACK + paused_time + self.tolerance(known_at, attempt.first_byte_at);
+            if attempt.first_byte_at - known_at > allowed {
+                let description = format!(
+                    "{id:016x} at n{pooler}: to s-{} at {:.3}, told at {known_at:.3}",
+                    attempt.member, attempt.first_byte_at
                 );
-                self.verdict.breaks("drain", what);
+                self.verdict.record_violation("drain", description);
             }
         }
     }
 
-    /// No read is answered from data older than its class allows. Excused: an answer whose machine said that it was the primary.
-    fn stale(&mut self, id: Id, request: &Request) {
+    /// Rule "stale": no read is answered from data older than its class allows. Excused: answers of a member
+    /// that reported to be the primary.
+    fn check_freshness(&mut self, id: Id, request: &Request) {
         let Some((_, Answer::Served(value))) = request.answer else { return };
         let class = &self.plan.classes[request.class];
-        let arrived = request.attempts.iter().map(|attempt| attempt.arrived).fold(f64::INFINITY, f64::min);
-        let needed = match class.consistency {
-            Consistency::Bounded(bound) => arrived - bound - SLACK,
-            Consistency::Fresh => request.sent - KNOWN_AFTER,
-            Consistency::Session => self.own_writes(request),
+        let arrived_at =
+            request.attempts.iter().map(|attempt| attempt.arrived_at).fold(f64::INFINITY, f64::min);
+        let required = match class.consistency {
+            Consistency::Bounded(bound) => arrived_at - bound - SLACK,
+            Consistency::Fresh => request.sent_at - OBSERVED_AFTER,
+            Consistency::Session => self.last_known_commit(request),
             Consistency::Write | Consistency::Any => return,
         };
-        // What was sent later may be older than what was sent first by as much.
-        if !value.primary && value.position < needed - self.tolerance(request.sent, arrived) {
+        // The bounds are computed from the times of the first attempt and of the sending: allows for the
+        // soak's delays between.
+        if !value.primary && value.position < required - self.tolerance(request.sent_at, arrived_at) {
             let (class, position) = (class.consistency, value.position);
-            let what = format!("{id:016x} ({class:?}): position {position:.3}, needed {needed:.3}");
-            self.verdict.breaks("stale", what);
+            let description = format!("{id:016x} ({class:?}): position {position:.3}, needed {required:.3}");
+            self.verdict.record_violation("stale", description);
         }
     }
 
-    /// The last commit that a client's process had been told of when it asked.
-    fn own_writes(&self, request: &Request) -> f64 {
+    /// Returns the position of the client's last commit that the client and its pooler knew of when the
+    /// request was sent.
+    fn last_known_commit(&self, request: &Request) -> f64 {
         let known = |other: &&Request| {
             let write = self.plan.classes[other.class].consistency == Consistency::Write;
-            let same = other.client == request.client;
-            // Answered by this very process.
-            let heard = other.answer.is_some_and(|(at, _)| at + KNOWN_AFTER <= request.sent);
+            let same_client = other.client == request.client;
+            // Where positions are not carried, the answer must have passed through a process of the pooler
+            // that still runs.
+            let answered = other.answer.is_some_and(|(at, _)| at + OBSERVED_AFTER <= request.sent_at);
             write
-                && same
-                && heard
-                && (self.plan.carried || !self.killed(request.pooler, other.sent, request.sent))
+                && same_client
+                && answered
+                && (self.plan.carried || !self.was_killed(request.pooler, other.sent_at, request.sent_at))
         };
         let commits = self.requests.values().filter(known).filter_map(|other| match other.answer {
             Some((_, Answer::Served(value))) => Some(value.position),
@@ -435,74 +477,82 @@
         commits.fold(f64::NEG_INFINITY, f64::max) - 0.002
     }
 
-    /// The deadline that is passed on is at most what the client has left, and nothing is begun for a client that has gone.
-    fn patience(&mut self, id: Id, request: &Request) {
+    /// Rules "deadline" and "after-leaving": the deadline passed on to a member is at most the time that the
+    /// client has left, and no attempt begins after the client has left.
+    fn check_deadline(&mut self, id: Id, request: &Request) {
         for attempt in &request.attempts {
-            let left = request.sent + request.patience - attempt.arrived;
-            let held = self.stopped.within(request.pooler, request.sent, attempt.arrived);
-            let slack = SLACK + held + self.tolerance(request.sent, attempt.arrived);
-            if attempt.patience > left + PATIENCE_SLACK + slack {
-                let what = format!("{id:016x}: {:.3} s told, {left:.3} s left", attempt.patience);
-                self.verdict.breaks("deadline", what);
+            let time_left = request.sent_at + request.timeout - attempt.arrived_at;
+            let paused = self.paused.within(request.pooler, request.sent_at, attempt.arrived_at);
+            let slack = SLACK + paused + self.tolerance(request.sent_at, attempt.arrived_at);
+            if attempt.timeout > time_left + DEADLINE_SLACK + slack {
+                let description = format!("{id:016x}: {:.3} s told, {time_left:.3} s left", attempt.timeout);
+                self.verdict.record_violation("deadline", description);
             }
-            if request.left.is_some_and(|at| attempt.began - at > AFTER_LEAVING + slack) {
-                let what = format!("{id:016x} at n{}: begun {:.3}", request.pooler, attempt.began);
-                self.verdict.breaks("after-leaving", what);
+            if request.left_at.is_some_and(|at| attempt.first_byte_at - at > CLIENT_LEFT_SLACK + slack) {
+                let description =
+                    format!("{id:016x} at n{}: begun {:.3}", request.pooler, attempt.first_byte_at);
+                self.verdict.record_violation("after-leaving", description);
             }
         }
     }
 
-    /// No cold machine is sent over its multiple by all together, two thirds of it by processes that had been told of its start.
-    fn cold(&mut self, fleet: &Fleet) {
-        for (n, machine) in fleet.machines.iter().enumerate() {
-            let Some(start) = machine.started else { continue };
-            let came = self.requests.values().flat_map(|request| {
-                let attempts = request.attempts.iter().filter(|a| a.machine == n && a.arrived >= start);
-                attempts.map(|attempt| (attempt.arrived, request.pooler))
+    /// Rule "failback": a cold member does not receive more requests than it can take. Excused: an excess of
+    /// which a third or more comes from poolers that did not know of its start.
+    fn check_cold_start(&mut self, fleet: &Fleet) {
+        for (n, member) in fleet.members.iter().enumerate() {
+            let Some(start) = member.started_at else { continue };
+            let arrivals = self.requests.values().flat_map(|request| {
+                let attempts = request.attempts.iter().filter(|a| a.member == n && a.arrived_at >= start);
+                attempts.map(|attempt| (attempt.arrived_at, request.pooler))
             });
-            let came: Vec<(f64, usize)> = came.collect();
-            for (from, _) in &came {
-                let within = came.iter().filter(|(at, _)| (*from..from + FALL).contains(at));
+            let arrivals: Vec<(f64, usize)> = arrivals.collect();
+            for (from, _) in &arrivals {
+                let within = arrivals.iter().filter(|(at, _)| (*from..from + OVERLOAD_WINDOW).contains(at));
                 let within: Vec<&(f64, usize)> = within.collect();
-                let told =
-                    within.iter().filter(|(at, pooler)| self.told_of_start(*pooler, n, start, *at)).count();
-                let over = within.len() as f64 > machine.cold_budget(*from, FALL);
-                if machine.warmth(*from) < 1.0 && over && told * 3 > within.len() * 2 {
-                    let what = format!("s-{n}: {} requests from {from:.3} on, {told} told", within.len());
-                    self.verdict.breaks("failback", what);
+                let from_informed =
+                    within.iter().filter(|(at, pooler)| self.knows_start(*pooler, n, start, *at)).count();
+                let over = within.len() as f64 > member.cold_budget(*from, OVERLOAD_WINDOW);
+                if member.capacity_share(*from) < 1.0 && over && from_informed * 3 > within.len() * 2 {
+                    let description =
+                        format!("s-{n}: {} requests from {from:.3} on, {from_informed} told", within.len());
+                    self.verdict.record_violation("failback", description);
                     break;
                 }
             }
         }
     }
 
-    /// Whether a pooler had been told that a machine started then.
-    fn told_of_start(&self, pooler: usize, machine: usize, start: f64, at: f64) -> bool {
-        let listed =
-            self.listed.iter().find(|(when, of, usable, _)| *of == machine && *usable && *when >= start);
-        let Some(&(changed, _, _, version)) = listed else { return false };
-        let began = self.starts.get(&pooler).is_some_and(|all| all.iter().any(|s| (changed..at).contains(s)));
-        let heard = self.told.get(&pooler).is_some_and(|all| {
+    /// Returns true if a pooler knew at `at` that a member started at `start`.
+    fn knows_start(&self, pooler: usize, member: usize, start: f64, at: f64) -> bool {
+        let change =
+            self.list_changes.iter().find(|(when, of, usable, _)| *of == member && *usable && *when >= start);
+        let Some(&(changed, _, _, version)) = change else { return false };
+        let started_since =
+            self.starts.get(&pooler).is_some_and(|all| all.iter().any(|s| (changed..at).contains(s)));
+        let received = self.lists_sent.get(&pooler).is_some_and(|all| {
             all.iter().any(|(when, up_to, _)| (changed..at).contains(when) && *up_to >= version)
         });
-        began || heard || self.reachable_after(changed) <= at
+        started_since || received || self.reachability_deadline(changed) <= at
     }
 
-    fn whole(mut self) -> Verdict {
+    /// Checks the rules on the whole run, "ready" and "served", and returns the verdict.
+    fn finish(mut self) -> Verdict {
         let starts: Vec<(usize, f64)> =
             self.starts.iter().flat_map(|(n, starts)| starts.iter().map(|at| (*n, *at))).collect();
         let mut late = 0;
         for (pooler, start) in &starts {
             let ready = self.ready.get(pooler).into_iter().flatten().find(|at| *at >= start);
-            late += usize::from(ready.is_none_or(|at| at - start > TOLD_AFTER));
+            late += usize::from(ready.is_none_or(|at| at - start > NOTIFIED_AFTER));
         }
         if late * 10 > starts.len() {
-            self.verdict
-                .breaks("ready", format!("{late} of {} starts took over {TOLD_AFTER} s", starts.len()));
+            self.verdict.record_violation(
+                "ready",
+                format!("{late} of {} starts took over {NOTIFIED_AFTER} s", starts.len()),
+            );
         }
-        if (self.verdict.served as f64) < LEAST_SERVED * self.verdict.requests as f64 {
+        if (self.verdict.served as f64) < MIN_SERVED_SHARE * self.verdict.requests as f64 {
             let Verdict { served, requests, .. } = self.verdict;
-            self.verdict.breaks("served", format!("{served} of {requests}"));
+            self.verdict.record_violation("served", format!("{served} of {requests}"));
         }
         self.verdict
     }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,9 +1,10 @@
-//! What a seed stands for: the settings, the fleet and the faults of a run, all drawn from it.
+//! The plan of a run: settings, fleet and faults, all drawn from a seed. Names of types, fields and variants
+//! here are printed with the plan.
 
 use fastrand::Rng;
 use serde_json::{json, Value};
 
-/// What a class does when it is repeated.
+/// The effect of a repeated request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Safe,
@@ -12,7 +13,7 @@
     Never,
 }
 
-/// What a class has to see.
+/// The consistency that a class requires.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Consistency {
     Write,
@@ -31,35 +32,35 @@
     pub window: f64,
 }
 
-/// What a machine does wrong for a while.
+/// The fault of a member for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
     None,
-    /// Takes requests and answers none.
+    /// Accepts requests and answers none.
     Hangs,
     Errors,
     Full,
-    /// Ends the connection in the middle of a row.
+    /// Closes the connection in the middle of a row.
     CutsRows,
-    /// Resets the connection once a request is there.
+    /// Closes the connection when a request arrives.
     Resets,
-    /// Says 53300 behind a part of a row: it has run.
+    /// Answers 53300 after a row description: the request has run.
     Contradicts,
-    /// New connections come up late.
+    /// New connections are established slowly.
     ConnectsLate,
 }
 
-/// What goes wrong, and for how long (seconds).
+/// A fault. All times are in seconds.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// A machine drains, is gone, and comes back cold.
+    /// A member drains, is removed from the list, and comes back cold.
     Drain {
         machine: usize,
         gone_after: f64,
         back_after: f64,
         stays_up: bool,
     },
-    /// A machine dies at once and comes back cold and behind.
+    /// A member stops without a drain and comes back cold and behind.
     Crash {
         machine: usize,
         lasts: f64,
@@ -69,12 +70,12 @@
         trouble: Trouble,
         lasts: f64,
     },
-    /// A replica applies nothing.
+    /// A replica stops applying the log.
     Lag {
         machine: usize,
         lasts: f64,
     },
-    /// A primary hands over to a replica.
+    /// A primary is deposed, and a replica becomes primary after `gap`.
     Failover {
         group: usize,
         gap: f64,
@@ -82,7 +83,7 @@
     DiscoveryDown {
         lasts: f64,
     },
-    /// Each answer begins so much later.
+    /// Each answer of discovery is delayed by `by`.
     DiscoverySlow {
         by: f64,
         lasts: f64,
@@ -91,95 +92,101 @@
     WatchesSilent {
         lasts: f64,
     },
-    /// A pooler is told to follow its other address.
+    /// A pooler reloads a configuration with the other address of discovery.
     Reload {
         pooler: usize,
     },
-    /// A process is held up so many times, each time for so long, with so much between.
+    /// A pooler is paused `times` times for `lasts` each, `between` apart.
     Stalls {
         pooler: usize,
         times: usize,
         lasts: f64,
         between: f64,
     },
-    /// All processes are held up together, as on cores that others have.
+    /// All poolers are paused together, as on a host whose cores are taken by others.
     StallAll {
         lasts: f64,
     },
-    /// A planned restart: SIGTERM, SIGKILL as early as it may come, a new process.
+    /// A planned restart: SIGTERM, SIGKILL as early as it may follow, a new process.
     Restart {
         pooler: usize,
     },
-    /// SIGKILL without a word, and a new process.
+    /// SIGKILL without SIGTERM, and a new process.
     Kill {
         pooler: usize,
     },
 }
 
-/// What the library that makes system calls fail is told.
+/// Parameters of the preloaded library that makes system calls fail.
 #[derive(Clone, Debug)]
 pub struct Shim {
-    /// One system call in so many fails for a moment.
+    /// One system call in this many fails.
     pub one_in: u32,
-    /// Steps of the wall clock: when (seconds after the start) and by how much (seconds).
+    /// Steps of the wall clock: time after the process's start (seconds) and size (seconds).
     pub steps: Vec<(f64, f64)>,
-    /// Writes and syncs of files fail from when on and for how long (seconds).
+    /// Writes and syncs of files fail from this time after the process's start, for this duration (seconds).
     pub disk: Option<(f64, f64)>,
 }
 
-/// A run.
+/// The plan of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
     pub seconds: f64,
     pub poolers: usize,
     pub groups: usize,
+    /// Members in each group.
     pub members: usize,
-    /// Machines that are listed and never asked: they make lists long.
+    /// Members that are listed but receive no requests, which makes the list long.
     pub listed: usize,
+    /// Clients of each pooler.
     pub clients: usize,
-    /// Clients that connect and say nothing.
+    /// Clients that connect and send nothing.
     pub idle: usize,
     pub classes: Vec<Class>,
+    /// Whether hedged attempts are allowed.
     pub copies: bool,
     pub probes: bool,
     pub refuses_when_behind: bool,
+    /// Whether requests carry the position of the session's last write.
     pub carried: bool,
+    /// How long new requests may still go to a draining member (seconds).
     pub grace: f64,
-    /// Time that discovery takes for each call, one after another (seconds).
+    /// Time that discovery takes for each list request; it handles one at a time (seconds).
     pub call_takes: f64,
-    /// Whether poolers have an operator's file and a folder of history.
+    /// Whether poolers have an operator's file and a state folder.
     pub operated: bool,
     pub shim: Option<Shim>,
     pub faults: Vec<(f64, Fault)>,
 }
 
-/// The longest time that a process is held up (seconds), as the terms of acceptance have it, and one far over it.
-const STALL: f64 = 0.15;
+/// The longest pause of a pooler that the acceptance criteria require it to tolerate (seconds).
+const ACCEPTED_STALL: f64 = 0.15;
+/// A pause far longer than that (seconds).
 const LONG_STALL: f64 = 0.8;
-/// No fault begins in the first and last part of a run (seconds).
-const QUIET_START: f64 = 2.0;
-const QUIET_END: f64 = 4.0;
-/// What a connection to a machine may take (seconds).
+/// No fault is drawn to begin in the first and last part of a run (seconds).
+const FAULT_FREE_START: f64 = 2.0;
+const FAULT_FREE_END: f64 = 4.0;
+/// Connect timeout of a pooler towards a member (seconds).
 pub const CONNECT_TIMEOUT: f64 = 0.25;
-/// A machine that starts has this share of its capacity ...
-pub const COLD_FROM: f64 = 0.25;
-/// ... and all of it after this (seconds).
+/// Share of its capacity that a member has when it starts.
+pub const COLD_START_CAPACITY: f64 = 0.25;
+/// Time after its start at which a member has its full capacity (seconds).
 pub const WARM_UP: f64 = 6.0;
-/// It falls over when it is sent more than this multiple of what it can do ...
-pub const TIP_MULTIPLE: f64 = 2.5;
-/// ... within so long (seconds).
-pub const FALL: f64 = 1.0;
-/// Memory of a pooler (megabytes).
-pub const MEMORY_MB: u64 = 96;
+/// A member is overloaded by requests above this multiple of its capacity within `OVERLOAD_WINDOW`.
+pub const OVERLOAD_FACTOR: f64 = 2.5;
+/// The time over which the load of a member counts (seconds).
+pub const OVERLOAD_WINDOW: f64 = 1.0;
+/// Memory limit of a pooler (megabytes).
+pub const POOLER_MEMORY_MB: u64 = 96;
 
-fn between(rng: &mut Rng, least: f64, most: f64) -> f64 {
-    least + (most - least) * rng.f64()
+fn uniform(rng: &mut Rng, min: f64, max: f64) -> f64 {
+    min + (max - min) * rng.f64()
 }
 
 impl Plan {
-    /// The run of a seed.
-    pub fn of(seed: u64, seconds: f64) -> Plan {
+    /// Draws the plan of a seed.
+    pub fn from_seed(seed: u64, seconds: f64) -> Plan {
         let mut rng = Rng::with_seed(seed);
         let poolers = rng.usize(10..=40);
         let long_list = rng.usize(..3) == 0;
@@ -198,15 +205,15 @@
             refuses_when_behind: rng.bool(),
             carried: rng.bool(),
             grace: if rng.bool() { 0.25 } else { 1.0 },
-            call_takes: if rng.bool() { between(&mut rng, 0.0, 0.05) } else { 0.002 },
+            call_takes: if rng.bool() { uniform(&mut rng, 0.0, 0.05) } else { 0.002 },
             operated: rng.usize(..3) == 0,
             shim: None,
             faults: Vec::new(),
         };
         if rng.bool() {
             let step = [-3600.0, -5.0, 3.0, 3600.0][rng.usize(..4)];
-            let at = between(&mut rng, 2.0, seconds);
-            let disk = plan.operated.then(|| (between(&mut rng, 3.0, 6.0), between(&mut rng, 1.0, 4.0)));
+            let at = uniform(&mut rng, 2.0, seconds);
+            let disk = plan.operated.then(|| (uniform(&mut rng, 3.0, 6.0), uniform(&mut rng, 1.0, 4.0)));
             plan.shim = Some(Shim { one_in: rng.u32(100..2_000), steps: vec![(at, step)], disk });
         }
         plan.draw_faults(&mut rng);
@@ -214,44 +221,46 @@
     }
 
     fn draw_faults(&mut self, rng: &mut Rng) {
-        let end = self.seconds - QUIET_END;
-        let mut at = QUIET_START;
-        // Those that overlap are the point: several begin in each second.
+        let end = self.seconds - FAULT_FREE_END;
+        let mut at = FAULT_FREE_START;
+        // Faults are meant to overlap: several begin in each second.
         while at < end {
-            at += between(rng, 0.05, 0.7);
+            at += uniform(rng, 0.05, 0.7);
             let fault = self.draw_fault(rng);
             self.faults.push((at, fault));
         }
         for _ in 0..rng.usize(1..=3) {
-            let at = between(rng, QUIET_START, end);
-            self.draw_wave(at, rng);
+            let at = uniform(rng, FAULT_FREE_START, end);
+            self.draw_drain_wave(at, rng);
         }
         let restarts = rng.usize(1..=self.poolers / 3);
         for _ in 0..restarts {
             let pooler = rng.usize(..self.poolers);
-            self.faults.push((between(rng, QUIET_START, end), Fault::Restart { pooler }));
+            self.faults.push((uniform(rng, FAULT_FREE_START, end), Fault::Restart { pooler }));
         }
         self.faults.sort_by(|a, b| a.0.total_cmp(&b.0));
     }
 
-    /// Several machines drain together, while whoever should hear of it is held up, or hears slowly, or has to call anew.
-    fn draw_wave(&mut self, at: f64, rng: &mut Rng) {
+    /// Draws a drain of one member per group at about the same time, possibly while discovery is slow or
+    /// unreachable, watches are reset, or poolers are paused.
+    fn draw_drain_wave(&mut self, at: f64, rng: &mut Rng) {
         if rng.bool() {
-            let (by, lasts) = (between(rng, 1.0, 3.9), between(rng, 8.0, 14.0));
+            let (by, lasts) = (uniform(rng, 1.0, 3.9), uniform(rng, 8.0, 14.0));
             self.faults.push((at - 1.0, Fault::DiscoverySlow { by, lasts }));
         }
         if rng.bool() {
-            self.faults.push((at - between(rng, 0.0, 0.5), Fault::WatchesReset));
+            self.faults.push((at - uniform(rng, 0.0, 0.5), Fault::WatchesReset));
         }
         if rng.usize(..3) == 0 {
-            self.faults.push((at - 0.5, Fault::DiscoveryDown { lasts: between(rng, 0.3, 3.0) }));
+            self.faults.push((at - 0.5, Fault::DiscoveryDown { lasts: uniform(rng, 0.3, 3.0) }));
         }
         if rng.bool() {
-            self.faults.push((at - 0.03, Fault::StallAll { lasts: between(rng, STALL, LONG_STALL) }));
+            self.faults
+                .push((at - 0.03, Fault::StallAll { lasts: uniform(rng, ACCEPTED_STALL, LONG_STALL) }));
         }
         for group in 0..self.groups {
             let machine = group * self.members + rng.usize(..self.members);
-            let (gone_after, back_after) = (between(rng, 3.0, 12.0), between(rng, 0.5, 2.0));
+            let (gone_after, back_after) = (uniform(rng, 3.0, 12.0), uniform(rng, 0.5, 2.0));
             let drain = Fault::Drain { machine, gone_after, back_after, stays_up: true };
             self.faults.push((at + 0.2 * rng.f64(), drain));
         }
@@ -260,17 +269,17 @@
     fn draw_fault(&self, rng: &mut Rng) -> Fault {
         let machine = rng.usize(..self.groups * self.members);
         let pooler = rng.usize(..self.poolers);
-        let lasts = between(rng, 0.5, 4.0);
+        let lasts = uniform(rng, 0.5, 4.0);
         match rng.usize(..23) {
             0..=4 => Fault::Drain {
                 machine,
-                gone_after: between(rng, 0.5, 9.0),
-                back_after: between(rng, 0.5, 3.0),
+                gone_after: uniform(rng, 0.5, 9.0),
+                back_after: uniform(rng, 0.5, 3.0),
                 stays_up: rng.bool(),
             },
             5 | 6 => Fault::Crash { machine, lasts },
             7..=9 => {
-                let kinds = [
+                let troubles = [
                     Trouble::Hangs,
                     Trouble::Errors,
                     Trouble::Full,
@@ -279,30 +288,35 @@
                     Trouble::Contradicts,
                     Trouble::ConnectsLate,
                 ];
-                Fault::Trouble { machine, trouble: kinds[rng.usize(..kinds.len())], lasts }
+                Fault::Trouble { machine, trouble: troubles[rng.usize(..troubles.len())], lasts }
             }
             10 | 11 => Fault::Lag { machine, lasts: lasts + 2.0 },
-            12 | 13 => Fault::Failover { group: rng.usize(..self.groups), gap: between(rng, 0.05, 1.5) },
+            12 | 13 => Fault::Failover { group: rng.usize(..self.groups), gap: uniform(rng, 0.05, 1.5) },
             14 => Fault::DiscoveryDown { lasts },
-            15 => Fault::DiscoverySlow { by: between(rng, 0.3, 3.8), lasts: lasts + 5.0 },
+            15 => Fault::DiscoverySlow { by: uniform(rng, 0.3, 3.8), lasts: lasts + 5.0 },
             16 => Fault::WatchesReset,
             17 => Fault::WatchesSilent { lasts },
             18 => Fault::Reload { pooler },
             19 => Fault::Stalls {
                 pooler,
                 times: rng.usize(1..8),
-                lasts: STALL,
-                between: between(rng, 0.05, 0.4),
+                lasts: ACCEPTED_STALL,
+                between: uniform(rng, 0.05, 0.4),
             },
-            20 => Fault::Stalls { pooler, times: 1, lasts: between(rng, STALL, LONG_STALL), between: 0.0 },
-            21 => Fault::StallAll { lasts: between(rng, 0.05, STALL) },
+            20 => Fault::Stalls {
+                pooler,
+                times: 1,
+                lasts: uniform(rng, ACCEPTED_STALL, LONG_STALL),
+                between: 0.0,
+            },
+            21 => Fault::StallAll { lasts: uniform(rng, 0.05, ACCEPTED_STALL) },
             _ => Fault::Kill { pooler },
         }
     }
 
-    /// Leaves out processes past so many, and what was to be done to them.
-    pub fn limit_poolers(&mut self, most: usize) {
-        self.poolers = self.poolers.min(most.max(2));
+    /// Limits the number of poolers and removes the faults of the others.
+    pub fn limit_poolers(&mut self, max_poolers: usize) {
+        self.poolers = self.poolers.min(max_poolers.max(2));
         let poolers = self.poolers;
         self.faults.retain(|(_, fault)| match fault {
             Fault::Reload { pooler }
@@ -313,12 +327,12 @@
         });
     }
 
-    /// How many machines can be asked.
-    pub fn machines(&self) -> usize {
+    /// Returns the number of members that receive requests.
+    pub fn member_count(&self) -> usize {
         self.groups * self.members
     }
 
-    /// The settings of a pooler.
+    /// Returns a pooler's settings.
     pub fn settings(&self, pooler: usize) -> Value {
         let classes = self.classes.iter().enumerate().map(|(n, class)| {
             let (effect, group) = match class.effect {
@@ -330,7 +344,7 @@
             json!({"name": format!("class-{n}"), "aim": class.deadline * 0.4, "deadline": class.deadline,
                 "effect": effect, "group": group, "dedupWindow": class.window, "lateWorth": 0.3, "value": 1.0})
         });
-        let words = self.classes.iter().map(|class| match class.consistency {
+        let consistencies = self.classes.iter().map(|class| match class.consistency {
             Consistency::Write => "write",
             Consistency::Fresh => "fresh",
             Consistency::Session => "session",
@@ -346,11 +360,12 @@
             "customers": [{"name": "acme", "quotaPerS": 100000.0, "share": 1.0}],
             "zones": ["a", "b"], "zone": pooler % 2, "fleetSize": self.poolers, "myNumber": pooler,
             "tick": 0.005, "registryMode": "subscribe", "overShareWorth": 0.1, "domainType": "replicas",
-            "invariants": {"askWithin": 10.0, "coldFrom": COLD_FROM, "warmUp": WARM_UP, "tipMultiple": TIP_MULTIPLE,
-                "fall": FALL, "drainGrace": self.grace, "answerSlack": 0.02},
+            "invariants": {"askWithin": 10.0, "coldFrom": COLD_START_CAPACITY, "warmUp": WARM_UP,
+                "tipMultiple": OVERLOAD_FACTOR, "fall": OVERLOAD_WINDOW, "drainGrace": self.grace, "answerSlack": 0.02},
             "limits": {"cancel": true, "connectTimeout": CONNECT_TIMEOUT, "keepalive": 10.0, "maxAttempts": 6,
                 "maxRetryAfter": 0.5, "probes": self.probes, "retryAfter": true, "mayDuplicate": self.copies},
-            "specifics": {"consistency": words.collect::<Vec<_>>(), "stalenessBound": bounds.collect::<Vec<_>>(),
+            "specifics": {"consistency": consistencies.collect::<Vec<_>>(),
+                "stalenessBound": bounds.collect::<Vec<_>>(),
                 "whenBehind": if self.refuses_when_behind { "refuse" } else { "silent" }, "wait": 0.0,
                 "tellsPosition": true, "listRole": "silent",
                 "writeMarks": if self.carried { "carried" } else { "remembered" }},
@@ -358,22 +373,23 @@
     }
 }
 
-/// Classes of every consistency, each with an effect of its own: some pair that no deployment has is among them.
+/// Draws classes of every consistency, each with a random effect. This includes combinations that no
+/// deployment has.
 fn classes(rng: &mut Rng) -> Vec<Class> {
     let consistencies = [
         Consistency::Write,
         Consistency::Fresh,
         Consistency::Session,
-        Consistency::Bounded(between(rng, 0.3, 3.0)),
+        Consistency::Bounded(uniform(rng, 0.3, 3.0)),
         Consistency::Any,
-        Consistency::Bounded(between(rng, 0.2, 1.0)),
+        Consistency::Bounded(uniform(rng, 0.2, 1.0)),
     ];
     let effects = [Effect::Safe, Effect::KeyedInGroup, Effect::KeyedEverywhere, Effect::Never];
     let mut class = |consistency| Class {
         effect: effects[rng.usize(..effects.len())],
         consistency,
-        deadline: between(rng, 0.4, 2.5),
-        window: between(rng, 0.8, 3.0),
+        deadline: uniform(rng, 0.4, 2.5),
+        window: uniform(rng, 0.8, 3.0),
     };
     consistencies.into_iter().map(&mut class).collect()
 }
--- a/crates/soak/src/poolers.rs
+++ b/crates/soak/src/poolers.rs
@@ -1,4 +1,4 @@
-//! The processes of the program: started, signalled, ended, looked at.
+//! The pooler processes under test: starts, signals, stops and checks them.
 
 use std::fs::File;
 use std::io::{Read, Write};
@@ -14,48 +14,49 @@
 
 use crate::clients::{self, Clients};
 use crate::discovery::{self, Discovery};
-use crate::plan::{Plan, MEMORY_MB};
+use crate::plan::{Plan, POOLER_MEMORY_MB};
 use crate::record::{Event, Record};
 use crate::wire;
 
-/// New connections still come for so long after SIGTERM (seconds).
-const LAST_CONNECTIONS: f64 = 0.3;
-/// SIGKILL comes no sooner than the longest deadline, counted as this at most (seconds), and so much more after SIGTERM.
-const LONGEST_DEADLINE: f64 = 3.0;
-const KILL_AFTER: f64 = 0.7;
-/// A process that is not ready after this (seconds) is given up.
-const READY_WITHIN: f64 = 20.0;
-const LOOK_MS: u64 = 10;
-const SOCKETS: u64 = 600;
-/// What a line of the log holds that tells of a fault of the program's own.
-const FAULTS: [&str; 2] = ["rule.violation", "panicked"];
+/// How long clients still open connections after SIGTERM (seconds).
+const ACCEPT_GRACE: f64 = 0.3;
+/// A planned restart sends SIGKILL after the longest deadline of a class, at most `MAX_DEADLINE` (seconds),
+/// plus `KILL_GRACE` (seconds).
+const MAX_DEADLINE: f64 = 3.0;
+const KILL_GRACE: f64 = 0.7;
+/// How long a pooler may take to become ready before the wait for it ends (seconds).
+const READY_TIMEOUT: f64 = 20.0;
+const READY_CHECK_INTERVAL_MS: u64 = 10;
+const MAX_SOCKETS: u64 = 600;
+/// Texts in log lines that report a fault of the pooler itself.
+const FAULT_MARKERS: [&str; 2] = ["rule.violation", "panicked"];
 
-/// One process, and what is being done to it.
+/// The current process of a pooler.
 #[derive(Default)]
-struct Seat {
+struct PoolerProcess {
     child: Option<Child>,
-    /// Which of its addresses of discovery it follows.
-    second: bool,
+    /// Whether its configuration names the second address of discovery.
+    uses_second_address: bool,
     starts: u64,
 }
 
-/// All of them.
+/// All poolers.
 pub struct Poolers {
     program: PathBuf,
     folder: PathBuf,
     shim: Option<PathBuf>,
     plan: Plan,
-    seats: Vec<Mutex<Seat>>,
-    /// Held by whoever holds a process up, and by whoever restarts it.
-    stalling: Vec<Mutex<()>>,
-    restarting: Vec<Mutex<()>>,
+    processes: Vec<Mutex<PoolerProcess>>,
+    /// Held while a pooler is paused, and while it is restarted.
+    pause_locks: Vec<Mutex<()>>,
+    restart_locks: Vec<Mutex<()>>,
     record: Arc<Record>,
     discovery: Arc<Discovery>,
     clients: Arc<Clients>,
 }
 
 impl Poolers {
-    /// None started yet.
+    /// Creates the poolers; none is started.
     pub fn new(
         program: &Path,
         folder: &Path,
@@ -63,95 +64,98 @@
         plan: Plan,
         (record, discovery, clients): (Arc<Record>, Arc<Discovery>, Arc<Clients>),
     ) -> Arc<Poolers> {
-        let seats = (0..plan.poolers).map(|_| Mutex::default()).collect();
-        let stalling = (0..plan.poolers).map(|_| Mutex::default()).collect();
-        let restarting = (0..plan.poolers).map(|_| Mutex::default()).collect();
+        let processes = (0..plan.poolers).map(|_| Mutex::default()).collect();
+        let pause_locks = (0..plan.poolers).map(|_| Mutex::default()).collect();
+        let restart_locks = (0..plan.poolers).map(|_| Mutex::default()).collect();
         let (program, folder) = (program.to_path_buf(), folder.to_path_buf());
         Arc::new(Poolers {
             program,
             folder,
             shim,
             plan,
-            seats,
-            stalling,
-            restarting,
+            processes,
+            pause_locks,
+            restart_locks,
             record,
             discovery,
             clients,
         })
     }
 
-    /// How many there are.
+    /// Returns the number of poolers.
     pub fn count(&self) -> usize {
-        self.seats.len()
+        self.processes.len()
     }
 
-    fn seat(&self, n: usize) -> MutexGuard<'_, Seat> {
-        self.seats[n].lock().expect("no holder panics")
+    fn process(&self, n: usize) -> MutexGuard<'_, PoolerProcess> {
+        self.processes[n].lock().expect("no holder panics")
     }
 
-    /// The log of one.
-    pub fn log(&self, n: usize) -> PathBuf {
+    /// Returns the path of a pooler's log.
+    pub fn log_path(&self, n: usize) -> PathBuf {
         self.folder.join(format!("pooler-{n}.log"))
     }
 
-    fn config(&self, n: usize) -> PathBuf {
+    fn config_path(&self, n: usize) -> PathBuf {
         self.folder.join(format!("pooler-{n}.json"))
     }
 
-    fn configure(&self, n: usize, second: bool) {
-        let (_, list) = self.discovery.whole();
-        let known: serde_json::Value = serde_json::from_str(&list).expect("a list of its own");
+    fn configure(&self, n: usize, uses_second_address: bool) {
+        let (_, list) = self.discovery.full_list();
+        let saved_list: serde_json::Value = serde_json::from_str(&list).expect("a valid list");
         let config = json!({
             "name": format!("n{n}"), "listen": clients::address(n).to_string(),
-            "discovery": discovery::address(n, second).to_string(), "seed": format!("{:x}", self.plan.seed ^ n as u64),
-            "limits": {"memory_mb": MEMORY_MB, "sockets": SOCKETS}, "known": known,
+            "discovery": discovery::address(n, uses_second_address).to_string(),
+            "seed": format!("{:x}", self.plan.seed ^ n as u64),
+            "limits": {"memory_mb": POOLER_MEMORY_MB, "sockets": MAX_SOCKETS}, "known": saved_list,
             "settings": self.plan.settings(n),
         });
         let next = self.folder.join(format!("next-{n}.json"));
         let written = std::fs::write(&next, config.to_string());
-        written.and_then(|()| std::fs::rename(&next, self.config(n))).expect("a configuration is written");
+        written
+            .and_then(|()| std::fs::rename(&next, self.config_path(n)))
+            .expect("a configuration is written");
     }
 
-    /// Starts one and waits until it can serve.
+    /// Starts a pooler and waits until it serves.
     pub fn start(&self, n: usize) {
-        let second = self.seat(n).second;
-        // What is listed from now on may not be in its configuration.
-        let configured = self.record.now();
-        self.configure(n, second);
-        let log = File::options().create(true).append(true).open(self.log(n)).expect("a log is opened");
+        let uses_second_address = self.process(n).uses_second_address;
+        // Changes of the list from now on may be missing in the pooler's configuration.
+        let configured_at = self.record.now();
+        self.configure(n, uses_second_address);
+        let log = File::options().create(true).append(true).open(self.log_path(n)).expect("a log is opened");
         let mut command = Command::new(&self.program);
-        command.args(["serve", "--config"]).arg(self.config(n)).stdin(Stdio::null()).stderr(log);
+        command.args(["serve", "--config"]).arg(self.config_path(n)).stdin(Stdio::null()).stderr(log);
         if self.plan.operated {
             let operator = self.folder.join(format!("pooler-{n}.toml"));
             std::fs::write(&operator, "log.level = \"debug\"\n").expect("an operator's file is written");
             command.arg("--operator").arg(operator);
             command.arg("--state").arg(self.folder.join(format!("state-{n}")));
         }
-        self.prepare_shim(n, &mut command);
+        self.configure_shim(n, &mut command);
         let child = command.spawn().expect("the program starts");
         {
-            let mut seat = self.seat(n);
-            seat.child = Some(child);
-            seat.starts += 1;
+            let mut process = self.process(n);
+            process.child = Some(child);
+            process.starts += 1;
         }
-        self.record.note_at(configured, Event::Started { pooler: n });
-        let begun = self.record.now();
-        while self.record.now() - begun < READY_WITHIN && self.runs(n) {
-            if answers(n) {
-                self.record.note(Event::Ready { pooler: n });
-                return self.clients.closed[n].store(false, Ordering::Relaxed);
+        self.record.add_at(configured_at, Event::Started { pooler: n });
+        let wait_started_at = self.record.now();
+        while self.record.now() - wait_started_at < READY_TIMEOUT && self.is_running(n) {
+            if answers_query(n) {
+                self.record.add(Event::Ready { pooler: n });
+                return self.clients.unavailable[n].store(false, Ordering::Relaxed);
             }
-            std::thread::sleep(Duration::from_millis(LOOK_MS));
+            std::thread::sleep(Duration::from_millis(READY_CHECK_INTERVAL_MS));
         }
     }
 
-    fn prepare_shim(&self, n: usize, command: &mut Command) {
+    fn configure_shim(&self, n: usize, command: &mut Command) {
         let (Some(path), Some(shim)) = (&self.shim, &self.plan.shim) else { return };
-        let starts = self.seat(n).starts;
+        let starts = self.process(n).starts;
         let (at, by) = shim.steps.first().copied().unwrap_or_default();
-        let (from, lasts) = shim.disk.unwrap_or_default();
-        // The clock is stepped under the process that was started first, and its files fail there.
+        let (from, duration) = shim.disk.unwrap_or_default();
+        // Only the first process of a pooler sees the step of the clock.
         let by = if starts == 0 { by } else { 0.0 };
         command.env("LD_PRELOAD", path);
         let values = [
@@ -160,105 +164,105 @@
             ("SOAK_STEP_AT", at.to_string()),
             ("SOAK_STEP_BY", by.to_string()),
             ("SOAK_DISK_FROM", from.to_string()),
-            ("SOAK_DISK_FOR", lasts.to_string()),
+            ("SOAK_DISK_FOR", duration.to_string()),
         ];
         command.envs(values);
     }
 
-    /// Whether one runs; one that has ended by itself is noted.
-    fn runs(&self, n: usize) -> bool {
-        let mut seat = self.seat(n);
-        let ended = match &mut seat.child {
+    /// Returns true if a pooler is running, and records an unexpected exit.
+    fn is_running(&self, n: usize) -> bool {
+        let mut process = self.process(n);
+        let exit_status = match &mut process.child {
             Some(child) => child.try_wait().ok().flatten(),
             None => return false,
         };
-        if let Some(status) = ended {
-            seat.child = None;
-            self.record.note(Event::Died { pooler: n, how: status.to_string() });
+        if let Some(status) = exit_status {
+            process.child = None;
+            self.record.add(Event::ExitedUnexpectedly { pooler: n, status: status.to_string() });
         }
-        ended.is_none()
+        exit_status.is_none()
     }
 
     fn signal(&self, n: usize, signal: Signal) {
-        let pid = self.seat(n).child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
+        let pid = self.process(n).child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
         if let Some(pid) = pid {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Holds one up for so long.
-    pub fn stall(&self, n: usize, seconds: f64) {
-        let Ok(_stalling) = self.stalling[n].try_lock() else { return };
-        // One that is being restarted is held up only for as long as the terms have it.
-        let held = self.restarting[n].try_lock();
-        if held.is_err() && seconds > 0.15 {
+    /// Pauses a pooler for this time.
+    pub fn pause(&self, n: usize, seconds: f64) {
+        let Ok(_pause_lock) = self.pause_locks[n].try_lock() else { return };
+        // A pooler that is being restarted is paused only as long as the acceptance criteria allow.
+        let restart_lock = self.restart_locks[n].try_lock();
+        if restart_lock.is_err() && seconds > 0.15 {
             return;
         }
-        self.record.note(Event::Stopped { pooler: n, stopped: true });
+        self.record.add(Event::Paused { pooler: n, paused: true });
         self.signal(n, Signal::STOP);
         std::thread::sleep(Duration::from_secs_f64(seconds));
         self.signal(n, Signal::CONT);
-        self.record.note(Event::Stopped { pooler: n, stopped: false });
+        self.record.add(Event::Paused { pooler: n, paused: false });
     }
 
-    /// Has one follow its other address.
+    /// Makes a pooler follow discovery at its other address.
     pub fn reload(&self, n: usize) {
-        let second = {
-            let mut seat = self.seat(n);
-            seat.second = !seat.second;
-            seat.second
+        let uses_second_address = {
+            let mut process = self.process(n);
+            process.uses_second_address = !process.uses_second_address;
+            process.uses_second_address
         };
-        self.configure(n, second);
+        self.configure(n, uses_second_address);
         self.signal(n, Signal::HUP);
     }
 
-    /// SIGKILL without a word, and a new one.
+    /// Kills a pooler without SIGTERM and starts it again.
     pub fn kill(&self, n: usize) {
-        let Ok(_held) = self.restarting[n].try_lock() else { return };
-        self.clients.closed[n].store(true, Ordering::Relaxed);
-        self.record.note(Event::Killed { pooler: n });
+        let Ok(_restart_lock) = self.restart_locks[n].try_lock() else { return };
+        self.clients.unavailable[n].store(true, Ordering::Relaxed);
+        self.record.add(Event::Killed { pooler: n });
         self.end_child(n);
         self.start(n);
     }
 
     fn end_child(&self, n: usize) {
-        let child = self.seat(n).child.take();
+        let child = self.process(n).child.take();
         if let Some(mut child) = child {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// A planned restart.
+    /// Restarts a pooler as planned: SIGTERM, SIGKILL, new process.
     pub fn restart(&self, n: usize) {
-        let Ok(_held) = self.restarting[n].try_lock() else { return };
+        let Ok(_restart_lock) = self.restart_locks[n].try_lock() else { return };
         self.signal(n, Signal::TERM);
-        std::thread::sleep(Duration::from_secs_f64(LAST_CONNECTIONS));
-        self.clients.closed[n].store(true, Ordering::Relaxed);
+        std::thread::sleep(Duration::from_secs_f64(ACCEPT_GRACE));
+        self.clients.unavailable[n].store(true, Ordering::Relaxed);
         let longest = self.plan.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-        let kill_after = longest.min(LONGEST_DEADLINE) + KILL_AFTER - LAST_CONNECTIONS;
+        let kill_after = longest.min(MAX_DEADLINE) + KILL_GRACE - ACCEPT_GRACE;
         std::thread::sleep(Duration::from_secs_f64(kill_after));
-        self.record.note(Event::Killed { pooler: n });
+        self.record.add(Event::Killed { pooler: n });
         self.end_child(n);
         self.start(n);
     }
 
-    /// Looks at all of them: who has ended by itself, and who takes too much memory.
-    pub fn look(&self) {
+    /// Checks all poolers for unexpected exits and for excessive memory.
+    pub fn check_processes(&self) {
         for n in 0..self.plan.poolers {
-            if let Ok(_held) = self.restarting[n].try_lock() {
-                let pid = self.seat(n).child.as_ref().map(Child::id);
-                self.runs(n);
-                let megabytes = pid.and_then(resident).unwrap_or_default();
-                if megabytes > MEMORY_MB {
-                    self.record.note(Event::TooLarge { pooler: n, megabytes });
+            if let Ok(_restart_lock) = self.restart_locks[n].try_lock() {
+                let pid = self.process(n).child.as_ref().map(Child::id);
+                self.is_running(n);
+                let megabytes = pid.and_then(resident_megabytes).unwrap_or_default();
+                if megabytes > POOLER_MEMORY_MB {
+                    self.record.add(Event::MemoryExceeded { pooler: n, megabytes });
                 }
             }
         }
     }
 
-    /// Asks all to end, waits for that, and looks at their logs.
-    pub fn end(&self) {
+    /// Stops all poolers and searches their logs for faults.
+    pub fn stop_all(&self) {
         for n in 0..self.plan.poolers {
             self.signal(n, Signal::CONT);
             self.signal(n, Signal::TERM);
@@ -266,10 +270,10 @@
         std::thread::sleep(Duration::from_millis(1_500));
         for n in 0..self.plan.poolers {
             self.end_child(n);
-            let log = std::fs::read_to_string(self.log(n)).unwrap_or_default();
-            let faults = log.lines().filter(|line| FAULTS.iter().any(|fault| line.contains(fault)));
+            let log = std::fs::read_to_string(self.log_path(n)).unwrap_or_default();
+            let faults = log.lines().filter(|line| FAULT_MARKERS.iter().any(|fault| line.contains(fault)));
             for line in faults.take(3) {
-                self.record.note(Event::LogFault { pooler: n, line: line.to_string() });
+                self.record.add(Event::LogFault { pooler: n, line: line.to_string() });
             }
         }
     }
@@ -281,18 +285,18 @@
     }
 }
 
-/// Whether a pooler answers an empty query.
-fn answers(n: usize) -> bool {
+/// Returns true if a pooler answers an empty query.
+fn answers_query(n: usize) -> bool {
     let Ok(mut stream) = TcpStream::connect(clients::address(n)) else { return false };
     let _ = stream.set_read_timeout(Some(Duration::from_millis(500)));
-    let asked = [wire::startup(), wire::query("")].concat();
-    if stream.write_all(&asked).is_err() {
+    let messages = [wire::startup(), wire::query("")].concat();
+    if stream.write_all(&messages).is_err() {
         return false;
     }
-    let (mut buffer, mut piece) = (Vec::new(), [0; 1024]);
-    while let Ok(count) = stream.read(&mut piece) {
-        buffer.extend(&piece[..count]);
-        while let Some((kind, _)) = wire::take(&mut buffer) {
+    let (mut buffer, mut chunk) = (Vec::new(), [0; 1024]);
+    while let Ok(count) = stream.read(&mut chunk) {
+        buffer.extend(&chunk[..count]);
+        while let Some((kind, _)) = wire::take_message(&mut buffer) {
             if kind == b'I' {
                 return true;
             }
@@ -304,8 +308,8 @@
     false
 }
 
-/// Resident memory of a process (megabytes).
-fn resident(pid: u32) -> Option<u64> {
+/// Returns the resident memory of a process (megabytes).
+fn resident_megabytes(pid: u32) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
     line.split_whitespace().nth(1)?.parse::<u64>().ok().map(|kilobytes| kilobytes / 1024)
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,21 +1,22 @@
-//! What is seen of a run from outside the program, with times: by clients, db machines, discovery and whoever sends signals.
+//! The events of a run, with their times, as observed from outside of the poolers: by clients, members,
+//! discovery and the threads that control the processes.
 
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// The most events that a run keeps: some ten minutes of the largest one.
-const MOST: usize = 4_000_000;
+/// Maximum number of events of a run: enough for about ten minutes of the largest run.
+const MAX_EVENTS: usize = 4_000_000;
 
-/// What a served answer says of itself.
+/// The value of a served answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Value {
-    /// Where its data stand (seconds of the run).
+    /// The position of its data (seconds since the start of the run).
     pub position: f64,
-    /// Whether its machine said that it was the primary.
+    /// Whether the member that answered was the primary.
     pub primary: bool,
 }
 
-/// How a client's request ended for it.
+/// The answer that a client received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
     Served(Value),
@@ -23,149 +24,153 @@
     Failed,
 }
 
-/// What a db machine did with a request.
+/// What a member did with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     Served,
-    /// 25006 or 72000: nothing ran.
-    Missed,
-    /// 53300: nothing ran.
-    TurnedAway,
-    /// It may have run: an error, an answer that was cut, a reset, silence.
-    Doubtful,
+    /// Answered 25006 or 72000: the request did not run.
+    Miss,
+    /// Answered 53300: the request did not run.
+    Full,
+    /// The request may have run: the member answered with another error, sent a truncated answer, reset the
+    /// connection, or did not answer.
+    Unknown,
 }
 
-/// A request, by number.
+/// The number of a request.
 pub type Id = u64;
 
-/// What was seen.
+/// An observed event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A client's last byte was written; it waits for so long (seconds), and for the answers to what it sent before on the same
-    /// connection where there are any.
+    /// A client wrote the last byte of a request with this timeout (seconds). A pipelined request is answered
+    /// after those sent before it on the same connection.
     Sent {
         id: Id,
         pooler: usize,
         class: usize,
         client: usize,
-        patience: f64,
-        behind: bool,
+        timeout: f64,
+        pipelined: bool,
     },
     Answered {
         id: Id,
         answer: Answer,
     },
-    /// The connection ended without an answer.
-    Closed {
+    /// The connection was closed without an answer.
+    ConnectionClosed {
         id: Id,
     },
-    /// No answer came long after the client's time.
-    Silent {
+    /// No answer came until long after the request's timeout.
+    Unanswered {
         id: Id,
     },
-    /// The client closed its connection without waiting for the end.
-    Left {
+    /// The client closed its connection without waiting for the answer.
+    ClientLeft {
         id: Id,
     },
-    /// A client that sent half a message was told or closed after so long (seconds).
-    BadClientEnded {
+    /// The connection of a client that sent a truncated message ended after this time (seconds).
+    TruncatedMessageEnded {
         pooler: usize,
-        after: f64,
+        elapsed: f64,
     },
-    /// A request's first byte came to a machine, and its last one now.
-    Arrived {
+    /// A member received the last byte of an attempt. `first_byte_at` is when it received the first byte
+    /// (seconds of the run), `timeout` is the deadline that was passed on (seconds).
+    AttemptArrived {
         id: Id,
         attempt: u64,
-        machine: usize,
-        began: f64,
-        patience: f64,
+        member: usize,
+        first_byte_at: f64,
+        timeout: f64,
     },
-    Replied {
+    AttemptAnswered {
         attempt: u64,
         reply: Reply,
     },
-    /// The connection of an attempt was ended by the pooler.
-    Abandoned {
+    /// The pooler closed the connection of an attempt.
+    AttemptAbandoned {
         attempt: u64,
     },
-    /// Discovery knows that a machine takes nothing new, or takes work again.
-    Listed {
-        machine: usize,
+    /// Discovery changed the status of a member. `usable` is true if the member accepts new requests.
+    ListChanged {
+        member: usize,
         usable: bool,
         version: u64,
     },
-    /// A pooler has been written everything up to this version, on a connection that it opened then.
-    Told {
+    /// Discovery wrote all changes up to this version to a pooler, on a connection that was opened at
+    /// `opened_at`.
+    ListSent {
         pooler: usize,
         version: u64,
-        opened: f64,
+        opened_at: f64,
     },
-    /// Whether discovery can be reached.
-    Reachable(bool),
+    /// Discovery became reachable or unreachable.
+    DiscoveryReachable(bool),
     Started {
         pooler: usize,
     },
     Ready {
         pooler: usize,
     },
-    Stopped {
+    /// A pooler was paused by SIGSTOP or resumed by SIGCONT.
+    Paused {
         pooler: usize,
-        stopped: bool,
+        paused: bool,
     },
     Killed {
         pooler: usize,
     },
-    /// A process ended that nobody had killed or asked to end.
-    Died {
+    /// A pooler exited that was neither killed nor asked to exit.
+    ExitedUnexpectedly {
         pooler: usize,
-        how: String,
+        status: String,
     },
-    /// A line of a pooler's log that tells of a fault of its own.
+    /// A line of a pooler's log that reports a fault of the pooler.
     LogFault {
         pooler: usize,
         line: String,
     },
-    /// Resident memory over its limit (megabytes).
-    TooLarge {
+    /// Resident memory exceeded its limit.
+    MemoryExceeded {
         pooler: usize,
         megabytes: u64,
     },
-    /// The soak itself was late by so much (seconds): nothing is held against others that is within it.
-    Lagged(f64),
+    /// The soak process was itself delayed by this time (seconds), which the oracle allows for.
+    SoakDelayed(f64),
 }
 
-/// All of it, in the order in which it was noted.
+/// All events in the order in which they were recorded.
 pub struct Record {
-    begun: Instant,
+    started_at: Instant,
     events: Mutex<Vec<(f64, Event)>>,
 }
 
 impl Default for Record {
     fn default() -> Self {
-        Record { begun: Instant::now(), events: Mutex::default() }
+        Record { started_at: Instant::now(), events: Mutex::default() }
     }
 }
 
 impl Record {
-    /// Seconds since the beginning of the run.
+    /// Returns the time since the start of the run (seconds).
     pub fn now(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64()
+        self.started_at.elapsed().as_secs_f64()
     }
 
-    /// Notes what happened now.
-    pub fn note(&self, event: Event) {
-        self.note_at(self.now(), event);
+    /// Records an event that happens now.
+    pub fn add(&self, event: Event) {
+        self.add_at(self.now(), event);
     }
 
-    /// Notes what happened at that time.
-    pub fn note_at(&self, at: f64, event: Event) {
+    /// Records an event that happened at `at`.
+    pub fn add_at(&self, at: f64, event: Event) {
         let mut events = self.events.lock().expect("no holder panics");
-        if events.len() < MOST {
+        if events.len() < MAX_EVENTS {
             events.push((at, event));
         }
     }
 
-    /// Takes all that was noted.
+    /// Removes and returns all events.
     pub fn take(&self) -> Vec<(f64, Event)> {
         std::mem::take(&mut self.events.lock().expect("no holder panics"))
     }
