--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program before stand-in db machines, with a relay between every ordered pair of them that
-//! loses, delays, repeats, spoils and cuts. Schedules are drawn by a seed and printed. No process outlives the rig.
+//! Several pooler processes in front of stand-in members. A relay between every ordered pair of poolers can
+//! lose, delay, duplicate, corrupt and block traffic. All processes are killed when the rig is dropped.
 
 mod control;
 mod load;
@@ -20,13 +20,14 @@
 pub use relay::{Faults, Relay};
 pub use store::Store;
 
-/// Far longer than anything here takes.
-const PATIENCE: Duration = Duration::from_secs(20);
-const KEY: &str = "5be2a07c11d4403f9e7a6c2d8b1f0e935be2a07c11d4403f9e7a6c2d8b1f0e93";
+/// How long a process may take to start listening or to exit: far longer than it takes unless it fails.
+const START_STOP_TIMEOUT: Duration = Duration::from_secs(20);
+const PEER_KEY: &str = "5be2a07c11d4403f9e7a6c2d8b1f0e935be2a07c11d4403f9e7a6c2d8b1f0e93";
 
-static RIGS: AtomicUsize = AtomicUsize::new(0);
+static RIG_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// Settings as a deployment's might be: a write that should take a second at the most, session reads, bounded reads.
+/// Settings like those of a deployment: bounded reads, session reads, reads without a bound, and writes that
+/// should take at most a second.
 const SETTINGS: &str = r#"{"classes":[
 {"name":"browse","aim":0.75,"deadline":2.5,"effect":"read_like","value":1},
 {"name":"own-orders","aim":0.4,"deadline":1.5,"effect":"read_like","value":1},
@@ -37,50 +38,51 @@
 "limits":{"cancel":true,"connectTimeout":0.25,"keepalive":15,"maxAttempts":6,"maxRetryAfter":0.5,"probes":PROBES,"retryAfter":true},
 "specifics":{"consistency":["bounded","session","any","write"],"stalenessBound":[3,0,0,0],"whenBehind":"refuse","writeMarks":"remembered"}}"#;
 
-/// What a rig is made of.
+/// The configuration of a rig.
 #[derive(Clone, Debug)]
 pub struct RigConfig {
     pub instances: usize,
-    /// Whether they talk.
+    /// Whether the instances exchange state.
     pub exchange_state: bool,
-    /// Whether each has a folder.
+    /// Whether each instance stores its state in a folder.
     pub state_folders: bool,
-    /// How far the replica is behind.
+    /// The lag of the replica.
     pub replica_lag: Duration,
     pub probes: bool,
-    /// Control instances that keep whose sessions are whose, in place of talk of all with all; none at 0.
+    /// Number of control instances, which keep the session directory in place of an exchange of state among
+    /// all instances. None where 0.
     pub control: usize,
 }
 
-/// An instance's place.
+/// A pooler of the rig.
 pub struct Instance {
     pub name: String,
-    /// Where its clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
     process: Process,
 }
 
-/// All of it.
+/// Pooler processes, their relays and the stand-in members.
 pub struct Rig {
-    pub shape: RigConfig,
+    pub config: RigConfig,
     pub store: Arc<Store>,
     pub instances: Vec<Instance>,
-    /// The relay from one to another.
+    /// Relays, indexed by the sending and then by the receiving instance.
     pub relays: Vec<Vec<Option<Relay>>>,
-    /// The control instances, where there are any.
+    /// The control instances, if there are any.
     pub control: Option<ControlInstances>,
     program: PathBuf,
     folder: PathBuf,
-    peers: Vec<SocketAddr>,
+    peer_addresses: Vec<SocketAddr>,
 }
 
-/// An address that nobody has, on UDP and TCP: below those that the kernel hands out, or a connection of somebody's could take
-/// it while its process is down.
-fn free() -> SocketAddr {
+/// Returns a loopback address whose port is free on UDP and TCP. The port is below the ephemeral range, so
+/// that no outgoing connection can take it while the process that uses it is down.
+fn free_address() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     loop {
-        let place = std::process::id() as usize * 131 + NEXT.fetch_add(1, Ordering::SeqCst);
-        let address = SocketAddr::from(([127, 0, 0, 1], 12_000 + (place % 18_000) as u16));
+        let candidate = std::process::id() as usize * 131 + NEXT.fetch_add(1, Ordering::SeqCst);
+        let address = SocketAddr::from(([127, 0, 0, 1], 12_000 + (candidate % 18_000) as u16));
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
             return address;
         }
@@ -88,24 +90,26 @@
 }
 
 impl Rig {
-    /// All instances, started, listening.
-    pub fn new(program: &str, shape: RigConfig) -> Rig {
-        let number = RIGS.fetch_add(1, Ordering::SeqCst);
+    /// Starts all instances and waits until they listen.
+    pub fn new(program: &str, config: RigConfig) -> Rig {
+        let number = RIG_COUNT.fetch_add(1, Ordering::SeqCst);
         let folder = std::env::temp_dir().join(format!("dewferry-rig-{}-{number}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
-        let store = Store::new(shape.replica_lag);
-        let peers: Vec<SocketAddr> = (0..shape.instances).map(|_| free()).collect();
-        let relay = |a: usize, b: usize| (a != b).then(|| Relay::new(peers[b], (a * 1_000 + b) as u64));
+        let store = Store::new(config.replica_lag);
+        let peer_addresses: Vec<SocketAddr> = (0..config.instances).map(|_| free_address()).collect();
+        let relay =
+            |a: usize, b: usize| (a != b).then(|| Relay::new(peer_addresses[b], (a * 1_000 + b) as u64));
         let relays =
-            (0..shape.instances).map(|a| (0..shape.instances).map(|b| relay(a, b)).collect()).collect();
-        let seat = |n| Instance { name: format!("n{n}"), listen: free(), process: Process::default() };
-        let seats = (0..shape.instances).map(seat).collect();
+            (0..config.instances).map(|a| (0..config.instances).map(|b| relay(a, b)).collect()).collect();
+        let new_instance =
+            |n| Instance { name: format!("n{n}"), listen: free_address(), process: Process::default() };
+        let instances = (0..config.instances).map(new_instance).collect();
         let program = PathBuf::from(program);
-        let control = (shape.control > 0)
-            .then(|| ControlInstances::new(&program, &folder, shape.control, shape.instances));
-        let mut rig = Rig { shape, store, instances: seats, relays, control, program, folder, peers };
-        rig.write_key(KEY);
+        let control = (config.control > 0)
+            .then(|| ControlInstances::new(&program, &folder, config.control, config.instances));
+        let mut rig = Rig { config, store, instances, relays, control, program, folder, peer_addresses };
+        rig.write_key(PEER_KEY);
         if let Some(control) = &mut rig.control {
             (0..control.count()).for_each(|n| control.start(n));
         }
@@ -116,7 +120,7 @@
         rig
     }
 
-    /// Puts a key in the file that all read at their start.
+    /// Writes the key file that all instances read when they start.
     pub fn write_key(&self, text: &str) {
         use std::io::Write;
         use std::os::unix::fs::OpenOptionsExt;
@@ -127,7 +131,7 @@
         file.write_all(text.as_bytes()).expect("a key");
     }
 
-    /// The folder of one.
+    /// Returns the state folder of an instance.
     pub fn state_folder(&self, n: usize) -> PathBuf {
         self.folder.join(format!("dir-{n}"))
     }
@@ -139,22 +143,22 @@
             control.display()
         );
         if let Some(control) = &self.control {
-            text += &self.peers_section(n, &control.listed());
+            text += &self.peers_section(n, &control.control_list());
             text += &control.routes(n);
             for (other, relay) in self.relays[n].iter().enumerate() {
                 if let Some(relay) = relay {
-                    text += &route(&self.peers[other].to_string(), relay.address);
+                    text += &route(&self.peer_addresses[other].to_string(), relay.address);
                 }
             }
-        } else if self.shape.exchange_state {
-            // Each is reached over its relay, by whoever asks at a seed, too.
-            let seeds = (0..self.peers.len()).map(|other| match &self.relays[n][other] {
+        } else if self.config.exchange_state {
+            // Seeds are reached through the relays, too.
+            let seeds = (0..self.peer_addresses.len()).map(|other| match &self.relays[n][other] {
                 Some(relay) => format!("\"{}\"", relay.address),
-                None => format!("\"{}\"", self.peers[n]),
+                None => format!("\"{}\"", self.peer_addresses[n]),
             });
             let seeds: Vec<String> = seeds.collect();
             let dir =
-                self.shape.state_folders.then(|| format!("dir = \"{}\"\n", self.state_folder(n).display()));
+                self.config.state_folders.then(|| format!("dir = \"{}\"\n", self.state_folder(n).display()));
             let more = format!("seeds = [{}]\n{}", seeds.join(", "), dir.unwrap_or_default());
             text += &self.peers_section(n, &more);
             for (other, relay) in self.relays[n].iter().enumerate() {
@@ -166,19 +170,19 @@
         text
     }
 
-    /// The beginning of `[peers]` in the operator's file of one.
+    /// Returns the beginning of `[peers]` in an instance's operator's file.
     fn peers_section(&self, n: usize, more: &str) -> String {
         let key = self.folder.join("key");
-        format!("[peers]\nlisten = \"{}\"\nkeys = [\"{}\"]\n{more}", self.peers[n], key.display())
+        format!("[peers]\nlisten = \"{}\"\nkeys = [\"{}\"]\n{more}", self.peer_addresses[n], key.display())
     }
 
-    /// Starts one.
+    /// Starts an instance.
     pub fn start(&mut self, n: usize) {
         let zone = (n % 2).to_string();
         let settings = SETTINGS
             .replace("ZONE", &zone)
-            .replace("FLEET", &self.shape.instances.to_string())
-            .replace("PROBES", &self.shape.probes.to_string());
+            .replace("FLEET", &self.config.instances.to_string())
+            .replace("PROBES", &self.config.probes.to_string());
         let listen = self.instances[n].listen;
         let text = format!(
             r#"{{"name":"n{n}","listen":"{listen}","discovery":"127.0.0.1:1","seed":"{:x}",
@@ -197,59 +201,60 @@
         self.instances[n].process.start(command.stderr(Stdio::from(log)));
     }
 
-    /// The log of one.
+    /// Returns the path of an instance's log.
     pub fn log_file(&self, n: usize) -> PathBuf {
         self.folder.join(format!("n{n}.log"))
     }
 
-    /// Waits until one takes clients in.
+    /// Waits until an instance accepts clients.
     pub fn wait_until_listening(&self, n: usize) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         while TcpStream::connect(self.instances[n].listen).is_err() {
             let log = || std::fs::read_to_string(self.log_file(n)).unwrap_or_default();
-            assert!(begun.elapsed() < PATIENCE, "n{n} does not listen: {}", log());
+            assert!(started_at.elapsed() < START_STOP_TIMEOUT, "n{n} does not listen: {}", log());
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Whether one runs.
+    /// Returns true if an instance is running and not paused.
     pub fn is_running(&self, n: usize) -> bool {
-        self.instances[n].process.runs()
+        self.instances[n].process.is_running()
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL to an instance and waits for its exit.
     pub fn kill(&mut self, n: usize) {
         self.instances[n].process.kill();
     }
 
-    /// SIGTERM, and its end.
+    /// Sends SIGTERM to an instance and waits for its exit.
     pub fn terminate(&mut self, n: usize) {
         let Instance { name, process, .. } = &mut self.instances[n];
-        process.end(name);
+        process.terminate(name);
     }
 
-    /// SIGSTOP or SIGCONT.
+    /// Sends SIGSTOP or SIGCONT to an instance.
     pub fn set_stopped(&mut self, n: usize, stopped: bool) {
-        self.instances[n].process.stop(stopped);
+        self.instances[n].process.set_stopped(stopped);
     }
 
-    /// Changes what the relays between two sets do, both ways.
-    pub fn change_faults_between(&self, some: &[usize], change: impl Fn(&mut Faults)) {
+    /// Changes the faults of the relays between the instances of `isolated` and the others, in both
+    /// directions.
+    pub fn change_faults_between(&self, isolated: &[usize], change: impl Fn(&mut Faults)) {
         for (a, row) in self.relays.iter().enumerate() {
             for (b, relay) in row.iter().enumerate() {
-                if some.contains(&a) != some.contains(&b) {
+                if isolated.contains(&a) != isolated.contains(&b) {
                     relay.iter().for_each(|relay| relay.change_faults(&change));
                 }
             }
         }
     }
 
-    /// Changes what all relays do.
+    /// Changes the faults of all relays between instances.
     pub fn change_all_faults(&self, change: impl Fn(&mut Faults)) {
         self.relays.iter().flatten().flatten().for_each(|relay| relay.change_faults(&change));
     }
 
-    /// Runs `dewferry peers` at one; what it prints.
+    /// Runs `dewferry peers` against an instance and returns its output.
     pub fn run_peers_command(&self, n: usize, args: &[&str]) -> String {
         let output = Command::new(&self.program)
             .arg("peers")
@@ -260,24 +265,25 @@
         String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned()
     }
 
-    /// What one says of itself and the others.
+    /// Returns the status that an instance reports of itself and its peers.
     pub fn status(&self, n: usize) -> serde_json::Value {
         serde_json::from_str(&self.run_peers_command(n, &["status", "--json"])).unwrap_or_default()
     }
 
-    /// Waits until all that run hold the same and count each other as alive, or have leases of every group of control
-    /// instances; how long that took. None where it does not come to that.
-    pub fn wait_until_converged(&self, patience: Duration) -> Option<Duration> {
-        let begun = Instant::now();
-        while begun.elapsed() < patience {
+    /// Waits until all running instances have the same state and count each other as alive or, with control
+    /// instances, until they have leases from a quorum of every group. Returns how long that took, or `None`
+    /// if it did not happen in `timeout`.
+    pub fn wait_until_converged(&self, timeout: Duration) -> Option<Duration> {
+        let started_at = Instant::now();
+        while started_at.elapsed() < timeout {
             let running: Vec<usize> = (0..self.instances.len()).filter(|n| self.is_running(*n)).collect();
             let all: Vec<serde_json::Value> = running.iter().map(|n| self.status(*n)).collect();
-            let met = match &self.control {
+            let converged = match &self.control {
                 Some(_) => all.iter().all(has_every_quorum),
                 None => all_agree(&all),
             };
-            if met {
-                return Some(begun.elapsed());
+            if converged {
+                return Some(started_at.elapsed());
             }
             std::thread::sleep(Duration::from_millis(50));
         }
@@ -286,43 +292,44 @@
 }
 
 impl Rig {
-    /// Sessions at work, moving at random over all instances, through what is done. Panics where a read was stale, where they
-    /// did hardly anything, or where the instances do not meet in `patience` afterwards.
+    /// Carries out `action` while sessions send requests and move at random over all instances. Panics if a
+    /// read was stale, if there were too few reads or writes, or if the instances do not converge within
+    /// `timeout` afterwards.
     pub fn run_under_load(
         &mut self,
         seed: u64,
-        patience: Duration,
-        does: impl FnOnce(&mut Rig),
+        timeout: Duration,
+        action: impl FnOnce(&mut Rig),
     ) -> LoadTotals {
-        const SESSIONS: usize = 6;
-        const LATER: Duration = Duration::from_millis(1_000);
+        const SESSION_COUNT: usize = 6;
+        const READ_DELAY: Duration = Duration::from_millis(1_000);
         const MARGIN: Duration = Duration::from_millis(500);
-        let places = self.instances.iter().map(|seat| seat.listen).collect();
-        let load = Load::new(places, SESSIONS, LATER, seed);
+        let addresses = self.instances.iter().map(|instance| instance.listen).collect();
+        let load = Load::new(addresses, SESSION_COUNT, READ_DELAY, seed);
         std::thread::sleep(MARGIN);
-        does(self);
+        action(self);
         std::thread::sleep(MARGIN);
-        let sums = load.finish();
+        let totals = load.finish();
         assert_eq!(
-            (sums.stale_reads, sums.stale_delayed_reads),
+            (totals.stale_reads, totals.stale_delayed_reads),
             (0, 0),
             "of {} and {}",
-            sums.reads,
-            sums.delayed_reads
+            totals.reads,
+            totals.delayed_reads
         );
-        assert!(sums.reads > 50 && sums.writes > 20, "{} reads, {} writes", sums.reads, sums.writes);
-        assert!(self.wait_until_converged(patience).is_some(), "{:#}", self.status(0));
-        sums
+        assert!(totals.reads > 50 && totals.writes > 20, "{} reads, {} writes", totals.reads, totals.writes);
+        assert!(self.wait_until_converged(timeout).is_some(), "{:#}", self.status(0));
+        totals
     }
 }
 
-/// Whether an instance has leases of a quorum of every group of control instances.
+/// Returns true if an instance has leases from a quorum of every group of control instances.
 fn has_every_quorum(status: &serde_json::Value) -> bool {
     let groups = status["groups"].as_u64();
     groups.is_some() && status["groups_with_quorum"].as_u64() == groups
 }
 
-/// Whether instances that talk hold the same and count each other as alive.
+/// Returns true if the instances have the same state and count each other as alive.
 fn all_agree(all: &[serde_json::Value]) -> bool {
     let same = all.iter().all(|status| status["digest"].is_string() && status["digest"] == all[0]["digest"]);
     let alive = |status: &serde_json::Value| {
@@ -332,7 +339,7 @@
     same && all.iter().all(alive)
 }
 
-/// A route in an operator's file.
+/// Returns a route for an operator's file.
 fn route(name: &str, address: SocketAddr) -> String {
     format!("[[peers.route]]\nname = \"{name}\"\naddress = \"{address}\"\n")
 }
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -1,4 +1,5 @@
-//! Sessions that write through one instance and read through another at once, and again later.
+//! Sessions that write through one instance, read through another immediately, and sometimes again after a
+//! delay.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -8,13 +9,14 @@
 use hdrhistogram::Histogram;
 use peers::{query, startup, Wire};
 
-/// What came of it.
+/// The results of a load.
 #[derive(Clone)]
 pub struct LoadTotals {
-    /// Reads right behind a write, and those of them that saw less than was answered.
+    /// Reads immediately after a write, and how many of them returned an older value than the last write
+    /// answered.
     pub reads: u64,
     pub stale_reads: u64,
-    /// Reads some seconds later, and those of them that saw less.
+    /// Reads after a delay, and how many of them returned an older value.
     pub delayed_reads: u64,
     pub stale_delayed_reads: u64,
     /// Writes answered, and requests refused, failed, or not answered in time.
@@ -22,15 +24,15 @@
     pub refused: u64,
     pub failed: u64,
     pub unanswered: u64,
-    /// What the first failed request was told.
+    /// The error of the first failed request.
     pub first_failure: Option<String>,
-    /// What writes took (microseconds).
+    /// Latency of the writes (microseconds).
     pub write_latency_us: Histogram<u64>,
 }
 
 impl Default for LoadTotals {
     fn default() -> LoadTotals {
-        let took = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds of a histogram");
+        let write_latency_us = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds of a histogram");
         LoadTotals {
             reads: 0,
             stale_reads: 0,
@@ -41,60 +43,62 @@
             failed: 0,
             unanswered: 0,
             first_failure: None,
-            write_latency_us: took,
+            write_latency_us,
         }
     }
 }
 
-/// What a request came to.
-enum Came {
+/// The result of a request.
+enum RequestResult {
     Value(u64),
     Refused,
     Failed(String),
-    Silent,
+    Unanswered,
 }
 
 impl LoadTotals {
-    fn note_failure(&mut self, words: String) {
+    fn record_failure(&mut self, message: String) {
         self.failed += 1;
-        self.first_failure.get_or_insert(words);
+        self.first_failure.get_or_insert(message);
     }
 }
 
-/// Sessions at work, until it is dropped or ended.
+/// Sessions that send requests until the load is finished or dropped.
 pub struct Load {
-    over: Arc<AtomicBool>,
-    sums: Arc<Mutex<LoadTotals>>,
+    stopping: Arc<AtomicBool>,
+    totals: Arc<Mutex<LoadTotals>>,
     threads: Vec<std::thread::JoinHandle<()>>,
 }
 
 static IDS: AtomicU64 = AtomicU64::new(1);
 
 impl Load {
-    /// So many sessions, each of which moves at random; `later` is the pause before the second read.
-    pub fn new(places: Vec<SocketAddr>, sessions: usize, later: Duration, seed: u64) -> Load {
-        let (over, sums) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(LoadTotals::default())));
+    /// Starts a number of sessions, each of which moves at random between the instances. `read_delay` is the
+    /// delay of the second read; there is none where it is zero.
+    pub fn new(addresses: Vec<SocketAddr>, sessions: usize, read_delay: Duration, seed: u64) -> Load {
+        let (stopping, totals) =
+            (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(LoadTotals::default())));
         let threads: Vec<_> = (0..sessions)
             .map(|session| {
-                let (places, over, sums) = (places.clone(), over.clone(), sums.clone());
+                let (addresses, stopping, totals) = (addresses.clone(), stopping.clone(), totals.clone());
                 std::thread::spawn(move || {
                     let rng = fastrand::Rng::with_seed(seed.wrapping_mul(1_000) + session as u64);
-                    Session { places, rng, name: format!("k{seed:x}-{session}"), written: 0 }
-                        .run(&over, &sums, later);
+                    Session { addresses, rng, name: format!("k{seed:x}-{session}"), last_written: 0 }
+                        .run(&stopping, &totals, read_delay);
                 })
             })
             .collect();
-        Load { over, threads, sums }
+        Load { stopping, threads, totals }
     }
 
-    /// What has come of it so far.
+    /// Returns the results so far.
     pub fn totals(&self) -> LoadTotals {
-        self.sums.lock().expect("sums").clone()
+        self.totals.lock().expect("the totals").clone()
     }
 
-    /// Ends it.
+    /// Stops the sessions and returns the results.
     pub fn finish(mut self) -> LoadTotals {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopping.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             thread.join().expect("a session ends");
         }
@@ -104,98 +108,98 @@
 
 impl Drop for Load {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopping.store(true, Ordering::Relaxed);
     }
 }
 
 struct Session {
-    places: Vec<SocketAddr>,
+    addresses: Vec<SocketAddr>,
     rng: fastrand::Rng,
     name: String,
-    /// The number that was answered last.
-    written: u64,
+    /// The number of the last write that was answered.
+    last_written: u64,
 }
 
 impl Session {
-    fn run(&mut self, over: &AtomicBool, sums: &Mutex<LoadTotals>, later: Duration) {
+    fn run(&mut self, stopping: &AtomicBool, totals: &Mutex<LoadTotals>, read_delay: Duration) {
         let mut number = 0;
-        while !over.load(Ordering::Relaxed) {
+        while !stopping.load(Ordering::Relaxed) {
             number += 1;
             let (a, b, c) = (
-                self.rng.usize(..self.places.len()),
-                self.rng.usize(..self.places.len()),
-                self.rng.usize(..self.places.len()),
+                self.rng.usize(..self.addresses.len()),
+                self.rng.usize(..self.addresses.len()),
+                self.rng.usize(..self.addresses.len()),
             );
-            let begun = Instant::now();
-            let came = self.write(a, number);
-            let served = matches!(came, Came::Value(_));
-            if let Ok(mut sums) = sums.lock() {
-                match came {
-                    Came::Value(_) => {
-                        sums.writes += 1;
-                        let _ = sums.write_latency_us.record(begun.elapsed().as_micros() as u64);
+            let started_at = Instant::now();
+            let result = self.write(a, number);
+            let served = matches!(result, RequestResult::Value(_));
+            if let Ok(mut totals) = totals.lock() {
+                match result {
+                    RequestResult::Value(_) => {
+                        totals.writes += 1;
+                        let _ = totals.write_latency_us.record(started_at.elapsed().as_micros() as u64);
                     }
-                    Came::Refused => sums.refused += 1,
-                    Came::Failed(words) => sums.note_failure(words),
-                    Came::Silent => sums.unanswered += 1,
+                    RequestResult::Refused => totals.refused += 1,
+                    RequestResult::Failed(message) => totals.record_failure(message),
+                    RequestResult::Unanswered => totals.unanswered += 1,
                 }
             }
             if served {
-                self.written = number;
+                self.last_written = number;
             }
-            self.read(b, sums, false);
-            if !later.is_zero() && self.rng.f64() < 0.1 {
-                std::thread::sleep(later);
-                self.read(c, sums, true);
+            self.read(b, totals, false);
+            if !read_delay.is_zero() && self.rng.f64() < 0.1 {
+                std::thread::sleep(read_delay);
+                self.read(c, totals, true);
             } else {
                 std::thread::sleep(Duration::from_millis(self.rng.u64(..20)));
             }
         }
     }
 
-    fn write(&mut self, at: usize, number: u64) -> Came {
+    fn write(&mut self, at: usize, number: u64) -> RequestResult {
         let id = IDS.fetch_add(1, Ordering::Relaxed);
         let sql = format!(
             "/* id={id:016x},c=order-write,t=acme,d=3000,k={id:016x},cluster=2 */ \
              INSERT INTO items (id, doc) VALUES ('{}', '\\x{number:016x}') RETURNING doc",
             self.name
         );
-        self.ask(at, &sql)
+        self.send_request(at, &sql)
     }
 
-    fn read(&mut self, at: usize, sums: &Mutex<LoadTotals>, later: bool) {
+    fn read(&mut self, at: usize, totals: &Mutex<LoadTotals>, delayed: bool) {
         let id = IDS.fetch_add(1, Ordering::Relaxed);
         let sql = format!(
             "/* id={id:016x},c=own-orders,t=acme,d=1500,cluster=2 */ SELECT doc FROM items WHERE id = '{}'",
             self.name
         );
-        let came = self.ask(at, &sql);
-        let Ok(mut sums) = sums.lock() else { return };
-        match came {
-            Came::Value(value) => {
-                let stale = u64::from(value < self.written);
-                if later {
-                    (sums.delayed_reads, sums.stale_delayed_reads) =
-                        (sums.delayed_reads + 1, sums.stale_delayed_reads + stale);
+        let result = self.send_request(at, &sql);
+        let Ok(mut totals) = totals.lock() else { return };
+        match result {
+            RequestResult::Value(value) => {
+                let stale = u64::from(value < self.last_written);
+                if delayed {
+                    (totals.delayed_reads, totals.stale_delayed_reads) =
+                        (totals.delayed_reads + 1, totals.stale_delayed_reads + stale);
                 } else {
-                    (sums.reads, sums.stale_reads) = (sums.reads + 1, sums.stale_reads + stale);
+                    (totals.reads, totals.stale_reads) = (totals.reads + 1, totals.stale_reads + stale);
                 }
             }
-            Came::Refused => sums.refused += 1,
-            Came::Failed(words) => sums.note_failure(words),
-            Came::Silent => sums.unanswered += 1,
+            RequestResult::Refused => totals.refused += 1,
+            RequestResult::Failed(message) => totals.record_failure(message),
+            RequestResult::Unanswered => totals.unanswered += 1,
         }
     }
 
-    /// Asks one instance, on a connection of its own.
-    fn ask(&mut self, at: usize, sql: &str) -> Came {
-        let Ok(stream) = TcpStream::connect_timeout(&self.places[at], Duration::from_millis(500)) else {
-            return Came::Silent;
+    /// Sends a request to one instance on a new connection.
+    fn send_request(&mut self, at: usize, sql: &str) -> RequestResult {
+        let Ok(stream) = TcpStream::connect_timeout(&self.addresses[at], Duration::from_millis(500)) else {
+            return RequestResult::Unanswered;
         };
         let mut wire = Wire::from_stream(stream);
         let _ = wire.0.set_read_timeout(Some(Duration::from_millis(3_500)));
         if !wire.try_send(&[startup(), query(sql)].concat()) {
-            return Came::Silent;
+            return RequestResult::Unanswered;
         }
         wire.answer();
         let messages = wire.answer();
@@ -203,18 +207,18 @@
         if let Some((_, body)) = row {
             let bytes = body.get(6..14).and_then(|bytes| bytes.try_into().ok());
             return bytes.map_or_else(
-                || Came::Failed("a row without a value".into()),
-                |bytes| Came::Value(u64::from_be_bytes(bytes)),
+                || RequestResult::Failed("a row without a value".into()),
+                |bytes| RequestResult::Value(u64::from_be_bytes(bytes)),
             );
         }
         match messages.iter().find(|(kind, _)| *kind == b'E') {
-            Some((_, body)) if String::from_utf8_lossy(body).contains("C53300") => Came::Refused,
-            Some((_, body)) if String::from_utf8_lossy(body).contains("C57P03") => Came::Refused,
+            Some((_, body)) if String::from_utf8_lossy(body).contains("C53300") => RequestResult::Refused,
+            Some((_, body)) if String::from_utf8_lossy(body).contains("C57P03") => RequestResult::Refused,
             Some((_, body)) => {
-                let words = String::from_utf8_lossy(body).replace('\0', " ");
-                Came::Failed(format!("{sql}: {words}"))
+                let message = String::from_utf8_lossy(body).replace('\0', " ");
+                RequestResult::Failed(format!("{sql}: {message}"))
             }
-            None => Came::Silent,
+            None => RequestResult::Unanswered,
         }
     }
 }
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -1,13 +1,13 @@
-//! A process of the program that can be killed, ended, stopped and started anew.
+//! A process that can be started, killed, terminated, paused and resumed.
 
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 
 use rustix::process::{kill_process, Pid, Signal};
 
-use crate::PATIENCE;
+use crate::START_STOP_TIMEOUT;
 
-/// The process, where there is one.
+/// A process that may or may not have been started.
 #[derive(Default)]
 pub(crate) struct Process {
     child: Option<Child>,
@@ -15,18 +15,18 @@
 }
 
 impl Process {
-    /// Starts it.
+    /// Starts the process.
     pub fn start(&mut self, command: &mut Command) {
         self.child = Some(command.spawn().expect("the program starts"));
         self.stopped = false;
     }
 
-    /// Whether it runs.
-    pub fn runs(&self) -> bool {
+    /// Returns true if the process has been started and is not paused.
+    pub fn is_running(&self) -> bool {
         self.child.is_some() && !self.stopped
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -35,20 +35,20 @@
         self.stopped = false;
     }
 
-    /// SIGTERM, and its end.
-    pub fn end(&mut self, name: &str) {
+    /// Sends SIGTERM and waits for the exit.
+    pub fn terminate(&mut self, name: &str) {
         self.signal(Signal::TERM);
         if let Some(mut child) = self.child.take() {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             while child.try_wait().ok().flatten().is_none() {
-                assert!(begun.elapsed() < PATIENCE, "{name} does not end");
+                assert!(started_at.elapsed() < START_STOP_TIMEOUT, "{name} does not exit after SIGTERM");
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
     }
 
-    /// SIGSTOP or SIGCONT.
-    pub fn stop(&mut self, stopped: bool) {
+    /// Sends SIGSTOP or SIGCONT.
+    pub fn set_stopped(&mut self, stopped: bool) {
         self.signal(if stopped { Signal::STOP } else { Signal::CONT });
         self.stopped = stopped;
     }
