--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,5 +1,5 @@
-//! The pooler's program between scripted peers on loopback: clients, db machines and discovery, each driven
-//! by the test line by line. Every wait is for an event, and ends the test if that does not come.
+//! Runs the pooler between scripted peers on loopback: clients, members and discovery, which a test drives
+//! step by step. Every wait is for an event, and the test fails if the event does not happen.
 
 mod authority;
 mod platform;
@@ -23,16 +23,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Far longer than anything here takes: only a test that has failed waits so long.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit of a wait: far longer than any event takes, so that only a failing test reaches it.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause between two looks at the counters: the log leaves lines out past 200 of one kind in 10 s.
+/// Interval between two requests for the counters: the log suppresses lines of one kind above 200 in 10 s.
 pub const COUNTERS_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How many poolers have been started: each has a configuration file of its own.
-static STARTED: AtomicUsize = AtomicUsize::new(0);
+/// Number of poolers started so far, for the names of their configuration files.
+static STARTED_POOLERS: AtomicUsize = AtomicUsize::new(0);
 
-/// Settings of five classes, as wide as they go, so that a slow machine changes no verdict.
+/// Settings with time limits as long as possible, so that a slow host does not fail a test.
 const SETTINGS: &str = r#"{"classes":[
 {"name":"browse","aim":8,"deadline":9,"effect":"read_like","value":1},
 {"name":"own-orders","aim":8,"deadline":9,"effect":"read_like","value":1},
@@ -43,7 +43,7 @@
 "limits":{"cancel":true,"connectTimeout":1,"keepalive":15,"maxAttempts":6,"maxRetryAfter":0.5,"probes":false,"retryAfter":true},
 "specifics":{"consistency":["bounded","session","any","write"],"stalenessBound":[3,0,0,0],"whenBehind":"silent","writeMarks":"remembered"}}"#;
 
-/// The platform's configuration with this list.
+/// Returns the platform's configuration with this saved list.
 pub fn platform_config(list: &str, discovery: &Discovery) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be964",
@@ -56,19 +56,20 @@
     child: Child,
     log: Mutex<Receiver<String>>,
     config: PathBuf,
-    /// The operator's folder: his file, the control socket, the history.
+    /// The operator's folder, with the operator's file, the control socket and the history.
     folder: Option<PathBuf>,
     program: String,
     pub address: SocketAddr,
 }
 
 impl Pooler {
-    /// Starts the program on a configuration in which each of `edits` is made.
+    /// Starts the program on a configuration in which each text of `edits` is replaced.
     pub fn start(program: &str, list: &str, discovery: &Discovery, edits: &[(&str, &str)]) -> Pooler {
-        Pooler::begin(program, list, discovery, edits, None, &[])
+        Pooler::launch(program, list, discovery, edits, None, &[])
     }
 
-    /// Starts the program with an operator's file as well; control socket and history are in the same folder.
+    /// Starts the program with an operator's file, too. The control socket and the history are in the
+    /// operator's folder.
     pub fn start_with_operator(
         program: &str,
         list: &str,
@@ -78,7 +79,7 @@
         Pooler::start_with_operator_and_edits(program, list, discovery, operator, &[])
     }
 
-    /// The same on a platform's configuration in which each of `edits` is made.
+    /// Like `start_with_operator`, on a configuration in which each text of `edits` is replaced.
     pub fn start_with_operator_and_edits(
         program: &str,
         list: &str,
@@ -86,10 +87,10 @@
         operator: &OperatorFolder,
         edits: &[(&str, &str)],
     ) -> Pooler {
-        Pooler::begin(program, list, discovery, edits, Some(operator), &[])
+        Pooler::launch(program, list, discovery, edits, Some(operator), &[])
     }
 
-    /// The same with more variables in its environment.
+    /// Like `start_with_operator`, with additional environment variables.
     pub fn start_with_environment(
         program: &str,
         list: &str,
@@ -97,10 +98,10 @@
         operator: &OperatorFolder,
         environment: &[(&str, &str)],
     ) -> Pooler {
-        Pooler::begin(program, list, discovery, &[], Some(operator), environment)
+        Pooler::launch(program, list, discovery, &[], Some(operator), environment)
     }
 
-    /// A successor of the daemon that listens there with the same operator's file.
+    /// Starts a successor of the pooler that listens at `listen`, with the same operator's file.
     pub fn start_successor(
         program: &str,
         list: &str,
@@ -109,10 +110,10 @@
         listen: &str,
     ) -> Pooler {
         let edits = [("127.0.0.1:0", listen)];
-        Pooler::begin(program, list, discovery, &edits, Some(operator), &[("TAKE_OVER", "1")])
+        Pooler::launch(program, list, discovery, &edits, Some(operator), &[("TAKE_OVER", "1")])
     }
 
-    fn begin(
+    fn launch(
         program: &str,
         list: &str,
         discovery: &Discovery,
@@ -129,7 +130,7 @@
         let path = std::env::temp_dir().join(format!(
             "dewferry-{}-{number}-{}.json",
             std::process::id(),
-            STARTED.fetch_add(1, Ordering::SeqCst)
+            STARTED_POOLERS.fetch_add(1, Ordering::SeqCst)
         ));
         std::fs::write(&path, text).unwrap();
         let mut command = Command::new(program);
@@ -156,7 +157,7 @@
         pooler
     }
 
-    /// Runs `dewferry config` with these arguments against this daemon; its exit code and what it prints.
+    /// Runs `dewferry config` with these arguments against this pooler. Returns its exit code and its output.
     pub fn run_config(&self, args: &[&str]) -> (i32, String) {
         let folder = self.folder.as_ref().expect("an operator's folder");
         let output = Command::new(&self.program)
@@ -173,18 +174,18 @@
         self.child.id()
     }
 
-    /// The platform's configuration file.
+    /// Returns the path of the platform's configuration file.
     pub fn platform_file(&self) -> &std::path::Path {
         &self.config
     }
 
-    /// kill -9.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Replaces `from` in the configuration file and asks for it to be read again.
+    /// Replaces `from` in the configuration file and sends SIGHUP.
     pub fn reload(&self, from: &str, to: &str) {
         let text = std::fs::read_to_string(&self.config).unwrap();
         assert!(text.contains(from), "{from} is not in the configuration");
@@ -192,11 +193,11 @@
         self.signal("HUP");
     }
 
-    /// Waits for a line of the log that holds `text`.
+    /// Waits for a log line that contains `text` and returns it.
     pub fn wait_for_log(&self, text: &str) -> String {
         let mut others = Vec::new();
         loop {
-            let line = self.log.lock().unwrap().recv_timeout(PATIENCE);
+            let line = self.log.lock().unwrap().recv_timeout(EVENT_TIMEOUT);
             let line = line.unwrap_or_else(|end| panic!("'{text}' is not logged ({end}): {others:#?}"));
             if line.contains(text) {
                 return line;
@@ -210,34 +211,34 @@
         assert!(Command::new("kill").args(["-s", name, &pid]).status().unwrap().success());
     }
 
-    /// The value of one counter.
+    /// Returns the value of a counter.
     pub fn counter(&self, name: &str) -> u64 {
         counter_value(&self.counters(), name)
     }
 
-    /// Waits until a counter is past this value.
+    /// Waits until a counter is greater than `value`.
     pub fn wait_for_counter_above(&self, name: &str, value: u64) {
-        let begun = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         while self.counter(name) <= value {
-            assert!(begun.elapsed() < PATIENCE, "{name} stays at {value}");
+            assert!(started_at.elapsed() < EVENT_TIMEOUT, "{name} stays at {value}");
             std::thread::sleep(COUNTERS_INTERVAL);
         }
     }
 
-    /// The counters, which also shows that all that came before is dealt with.
+    /// Returns the line of counters. The pooler writes it after it has handled all earlier events.
     pub fn counters(&self) -> String {
         self.signal("USR1");
         self.wait_for_log("taken=")
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        let begun = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(begun.elapsed() < PATIENCE, "the pooler does not end");
+            assert!(started_at.elapsed() < EVENT_TIMEOUT, "the pooler does not exit");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -251,11 +252,12 @@
     }
 }
 
-/// An operator's folder for one test; gone with it.
+/// An operator's folder for one test, removed when dropped.
 pub struct OperatorFolder(pub PathBuf);
 
 impl OperatorFolder {
-    /// A folder with a file of these settings, and with the control socket.
+    /// Creates a folder with an operator's file of these settings, which places the control socket in the
+    /// folder.
     pub fn new(name: &str, settings: &str) -> OperatorFolder {
         let folder = std::env::temp_dir().join(format!("dewferry-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
@@ -269,7 +271,7 @@
         self.0.join("dewferry.toml")
     }
 
-    /// Puts a file of these settings into the folder, as a whole; its path.
+    /// Writes a file of these settings into the folder atomically. Returns its path.
     pub fn write(&self, name: &str, settings: &str) -> String {
         let (path, new) = (self.0.join(name), self.0.join("new"));
         let socket = self.0.join("control");
@@ -287,12 +289,12 @@
 
 pub type Message = (u8, Vec<u8>);
 
-/// A connection that speaks in PostgreSQL's messages, from either end.
+/// Either end of a connection that uses PostgreSQL's protocol.
 pub struct Wire(pub TcpStream);
 
 impl Wire {
     pub fn from_stream(stream: TcpStream) -> Wire {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         Wire(stream)
     }
@@ -301,12 +303,12 @@
         self.0.write_all(bytes).unwrap();
     }
 
-    /// Whether it could be sent.
+    /// Returns true if the bytes could be sent.
     pub fn try_send(&mut self, bytes: &[u8]) -> bool {
         self.0.write_all(bytes).is_ok()
     }
 
-    /// The next message; none where the connection has ended.
+    /// Returns the next message, or `None` if the connection has ended.
     pub fn message(&mut self) -> Option<Message> {
         let mut head = [0; 5];
         self.0.read_exact(&mut head).ok()?;
@@ -315,7 +317,7 @@
         Some((head[0], body))
     }
 
-    /// All messages up to ReadyForQuery, without that; what the pooler tells at startup is passed over.
+    /// Returns all messages before the next ReadyForQuery, or before the end of the connection.
     pub fn answer(&mut self) -> Vec<Message> {
         let mut messages = Vec::new();
         while let Some(message) = self.message().filter(|message| message.0 != b'Z') {
@@ -324,7 +326,7 @@
         messages
     }
 
-    /// The code and the detail of the error that the answer has to be.
+    /// Returns the code and the detail of the next answer, which must be a single error.
     pub fn error(&mut self) -> (String, Option<String>) {
         let answer = self.answer();
         assert_eq!((answer.len(), answer[0].0), (1, b'E'), "{answer:?}");
@@ -333,12 +335,12 @@
         (field('C').unwrap(), field('D'))
     }
 
-    /// Waits for the end of the connection, with nothing before it.
+    /// Waits for the end of the connection. Panics if data arrive before it.
     pub fn expect_closed(&mut self) {
         match self.0.read(&mut [0]) {
             Ok(0) => {}
             Err(error) if error.kind() == ErrorKind::ConnectionReset => {}
-            other => panic!("{other:?} in place of the end"),
+            other => panic!("expected the end of the connection, got {other:?}"),
         }
     }
 }
@@ -352,16 +354,16 @@
 }
 
 pub fn startup() -> Vec<u8> {
-    let words = b"\0\x03\0\0user\0app\0database\0shop\0\0";
-    [&(words.len() as u32 + 4).to_be_bytes()[..], words].concat()
+    let parameters = b"\0\x03\0\0user\0app\0database\0shop\0\0";
+    [&(parameters.len() as u32 + 4).to_be_bytes()[..], parameters].concat()
 }
 
-/// A query of a class, in the agreed form.
+/// Returns a query of a class with the comment that the pooler reads.
 pub fn request_sql(id: &str, class: &str) -> String {
     format!("/* id={id},c={class},t=acme,d=8500,k=5c0f,cluster=2 */ SELECT doc FROM items WHERE id = '7f3a'")
 }
 
-/// A client whose startup is done.
+/// Connects a client and completes its startup.
 pub fn client(pooler: &Pooler) -> Wire {
     let mut wire = Wire::from_stream(TcpStream::connect(pooler.address).unwrap());
     wire.send(&startup());
@@ -369,13 +371,14 @@
     wire
 }
 
-/// A socket that waits for connections, for so long at the most.
+/// Returns a listener whose `accept` times out after `EVENT_TIMEOUT`.
 fn listener() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    socket2::SockRef::from(&listener).set_read_timeout(Some(PATIENCE)).unwrap();
+    socket2::SockRef::from(&listener).set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
     listener
 }
 
+/// A member whose connections the test accepts and drives.
 pub struct ScriptedMember(TcpListener);
 
 impl ScriptedMember {
@@ -383,22 +386,22 @@
         ScriptedMember(listener())
     }
 
-    /// Its line in the list.
+    /// Returns its entry in the list.
     pub fn list_entry(&self, name: &str, zone: &str) -> String {
         list_entry(self.0.local_addr().unwrap(), name, zone, "SERVING")
     }
 
-    /// Its line in the list while it drains.
+    /// Returns its entry in the list while it is draining.
     pub fn draining_list_entry(&self, name: &str, zone: &str) -> String {
         list_entry(self.0.local_addr().unwrap(), name, zone, "DRAINING")
     }
 
-    /// The next connection, before its startup.
+    /// Accepts the next connection, without its startup.
     pub fn accept_without_startup(&self) -> Wire {
         Wire::from_stream(self.0.accept().expect("the pooler connects").0)
     }
 
-    /// The next connection, once its startup is done.
+    /// Accepts the next connection and completes its startup.
     pub fn accept(&self) -> Wire {
         let mut wire = self.accept_without_startup();
         complete_startup(&mut wire);
@@ -406,24 +409,24 @@
     }
 }
 
-/// One read, answered by the next connection of this machine.
-pub fn serve_read(db: &ScriptedMember, client: &mut Wire, id: &str) -> Wire {
+/// Sends one read, which the member answers on the next connection from the pooler. Returns that connection.
+pub fn serve_read(member: &ScriptedMember, client: &mut Wire, id: &str) -> Wire {
     client.send(&query(&request_sql(id, "reports")));
-    let mut wire = db.accept();
+    let mut wire = member.accept();
     assert!(read_query(&mut wire).contains(&format!("id={id},")));
     wire.send(&answer_with_role(b"\x9f\x00\x03", "reader"));
     assert_eq!(client.answer()[0].0, b'T');
     wire
 }
 
-/// The next query that a db machine gets on a connection.
+/// Reads the next query from a pooler on a connection.
 pub fn read_query(wire: &mut Wire) -> String {
     let (kind, body) = wire.message().expect("a query");
     assert_eq!(kind, b'Q');
     String::from_utf8(body[..body.len() - 1].to_vec()).unwrap()
 }
 
-/// The row with which a db machine answers; the value is binary.
+/// Encodes the row of a member's answer, with a binary value.
 pub fn row(value: &[u8]) -> Vec<u8> {
     let column = [&(value.len() as u32).to_be_bytes()[..], value].concat();
     [
@@ -434,29 +437,29 @@
     .concat()
 }
 
-/// A whole answer: the row, the role and ReadyForQuery.
+/// Encodes a complete answer: the row, the role and ReadyForQuery.
 pub fn answer_with_role(value: &[u8], role: &str) -> Vec<u8> {
     let role = frame(b'S', format!("server_role\0{role}\0").as_bytes());
     [row(value), role, frame(b'Z', b"I")].concat()
 }
 
-/// A db machine that answers by itself, a thread a connection, until the test ends.
+/// A member that answers all queries, with a thread per connection, until the process exits.
 pub struct AnsweringMember {
     pub address: SocketAddr,
     pub query_count: Arc<AtomicUsize>,
 }
 
 impl AnsweringMember {
-    /// Answers each query with what `answer` makes of it.
+    /// Starts a member that answers each query with the result of `answer`.
     pub fn new(answer: impl Fn(&str) -> Vec<u8> + Send + Sync + 'static) -> AnsweringMember {
-        let db = ScriptedMember::listen();
-        let address = db.0.local_addr().unwrap();
-        let (answer, asked) = (Arc::new(answer), Arc::new(AtomicUsize::new(0)));
-        let count = asked.clone();
+        let member = ScriptedMember::listen();
+        let address = member.0.local_addr().unwrap();
+        let (answer, query_count) = (Arc::new(answer), Arc::new(AtomicUsize::new(0)));
+        let count = query_count.clone();
         std::thread::spawn(move || {
-            // Goes on for as long as the process does, however long nobody calls.
+            // Continues after a time-out of `accept`.
             loop {
-                let Ok((stream, _)) = db.0.accept() else { continue };
+                let Ok((stream, _)) = member.0.accept() else { continue };
                 let (answer, count) = (answer.clone(), count.clone());
                 std::thread::spawn(move || {
                     let mut wire = Wire::from_stream(stream);
@@ -472,10 +475,10 @@
                 });
             }
         });
-        AnsweringMember { address, query_count: asked }
+        AnsweringMember { address, query_count }
     }
 
-    /// Its line in the list.
+    /// Returns its entry in the list.
     pub fn list_entry(&self, name: &str, zone: &str) -> String {
         list_entry(self.address, name, zone, "SERVING")
     }
@@ -485,14 +488,14 @@
     }
 }
 
-/// A machine's line in the list.
+/// Returns the entry of a member in the list.
 pub fn list_entry(address: SocketAddr, name: &str, zone: &str, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"{zone}","type":"m2","group":2,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
-/// Takes a pooler's startup message and answers it.
+/// Reads a pooler's startup message and answers it.
 pub fn complete_startup(wire: &mut Wire) {
     let mut length = [0; 4];
     if wire.0.read_exact(&mut length).is_ok() {
@@ -502,11 +505,12 @@
     }
 }
 
-/// The error with which a db machine turns a request away.
+/// Encodes the error by which a member rejects a request at its limit of requests.
 pub fn refusal() -> Vec<u8> {
     [frame(b'E', b"SERROR\0VERROR\0C53300\0Mfull\0\0"), frame(b'Z', b"I")].concat()
 }
 
+/// Discovery whose requests the test answers.
 pub struct Discovery(TcpListener);
 
 impl Discovery {
@@ -514,18 +518,18 @@
         Discovery(listener())
     }
 
-    /// One that is back where it was before. A process that is just being started may hold a copy of the old socket for
-    /// a moment.
+    /// Listens again at an address that was in use before. Retries, since a child process that is just being
+    /// started may hold a copy of the old socket for a moment.
     pub fn listen_at(address: SocketAddr) -> Discovery {
-        let begun = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         let listener = loop {
             match TcpListener::bind(address) {
                 Ok(listener) => break listener,
-                Err(error) => assert!(begun.elapsed() < PATIENCE, "{error}"),
+                Err(error) => assert!(started_at.elapsed() < EVENT_TIMEOUT, "{error}"),
             }
             std::thread::sleep(Duration::from_millis(5));
         };
-        socket2::SockRef::from(&listener).set_read_timeout(Some(PATIENCE)).unwrap();
+        socket2::SockRef::from(&listener).set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         Discovery(listener)
     }
 
@@ -533,10 +537,10 @@
         self.0.local_addr().unwrap()
     }
 
-    /// The next call and its first line.
+    /// Accepts the next request. Returns its connection and its first line.
     pub fn accept_request(&self) -> (TcpStream, String) {
-        let mut stream = self.0.accept().expect("the pooler calls").0;
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let mut stream = self.0.accept().expect("the pooler connects to discovery").0;
+        stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         let (mut head, mut byte) = (Vec::new(), [0]);
         while !head.ends_with(b"\r\n\r\n") {
@@ -546,7 +550,8 @@
         (stream, String::from_utf8(head).unwrap().lines().next().unwrap().to_string())
     }
 
-    /// Answers the next call with nothing new: the list is followed from then on over the watch that is returned.
+    /// Answers the next request without changes. Returns its connection, over which the pooler follows the
+    /// list from then on.
     pub fn accept_watch(&self) -> TcpStream {
         let mut watch = self.accept_request().0;
         watch.write_all(RESPONSE_HEAD.as_bytes()).unwrap();
@@ -554,16 +559,17 @@
         watch
     }
 
-    /// Answers every call with this list, one call after another and each after this time, until the test ends.
+    /// Answers every request with this list until the process exits: one request at a time, and each after
+    /// the time `each`.
     pub fn answer_sequentially(self, list: &str, each: Duration) {
         let answer = [RESPONSE_HEAD.as_bytes(), &encode_chunks([list.as_bytes(), b"\n"])].concat();
         std::thread::spawn(move || {
             let mut watches = Vec::new();
-            // Goes on for as long as the process does, however long nobody calls.
+            // Continues after a time-out of `accept`.
             loop {
                 let Ok((mut watch, _)) = self.0.accept() else { continue };
                 std::thread::sleep(each);
-                // A caller that has given up or was killed meanwhile hears nothing.
+                // A pooler that has given up or was killed meanwhile gets no answer.
                 if watch.write_all(&answer).is_ok() {
                     watches.push(watch);
                 }
@@ -572,12 +578,12 @@
     }
 }
 
-/// Writes a piece of the list, or an empty line, to a watch; one that has ended takes nothing.
+/// Writes a document of the list, or an empty line, to a watch. Does nothing if the watch has ended.
 pub fn write_chunk(watch: &mut TcpStream, text: &str) {
     let _ = watch.write_all(&encode_chunks([text.as_bytes()]));
 }
 
-/// A list in discovery's form.
+/// Encodes a list in the format of discovery.
 pub fn list(index: u64, snapshot: bool, lines: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, lines.join(","))
 }
@@ -585,7 +591,7 @@
 pub const RESPONSE_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// The pieces as a chunk each.
+/// Encodes each piece as a chunk.
 pub fn encode_chunks<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Vec<u8> {
     let chunk = |piece: &[u8]| [format!("{:x}\r\n", piece.len()).as_bytes(), piece, b"\r\n"].concat();
     pieces.into_iter().flat_map(chunk).collect()
--- a/crates/peers/src/postgres.rs
+++ b/crates/peers/src/postgres.rs
@@ -1,5 +1,5 @@
-//! A small stand-in for a PostgreSQL server that keeps a session's state: settings through transactions, prepared
-//! statements, temporary tables, rows of one table. It understands the few statements that the tests ask.
+//! A small stand-in for a PostgreSQL server with the state of a session: transactional settings, prepared
+//! statements, temporary tables, rows of one table. It supports only the statements that the tests send.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -12,28 +12,28 @@
 use openssl::ssl::{Ssl, SslAcceptor, SslStream};
 use scram::{ChannelBinding, Server, Verifier};
 
-use crate::registry::Both;
+use crate::registry::ReadWrite;
 use crate::{frame, list_entry, Message};
 
 #[derive(Default)]
 struct Shared {
-    /// Open connections by number, with what ends what each does.
-    open: Mutex<BTreeMap<u32, (TcpStream, Arc<AtomicBool>)>>,
-    begun: AtomicUsize,
-    rows: AtomicUsize,
-    asked: Mutex<Vec<String>>,
-    /// Whether writes are turned away.
+    /// Open connections by number, each with the flag that cancels its statement.
+    connections: Mutex<BTreeMap<u32, (TcpStream, Arc<AtomicBool>)>>,
+    connection_count: AtomicUsize,
+    committed_rows: AtomicUsize,
+    statement_log: Mutex<Vec<String>>,
+    /// Whether writes are rejected.
     replica: AtomicBool,
-    /// Connections end when they are asked to commit.
-    dies: AtomicBool,
-    /// Only TLS is spoken where there is this.
+    /// Whether a connection is closed when it receives a commit.
+    fail_on_commit: AtomicBool,
+    /// If set, only TLS connections are accepted.
     acceptor: Option<SslAcceptor>,
-    /// What is kept of the password that is asked for, and the mechanisms by which it was proved so far.
+    /// The verifier of the required password, and the mechanisms of the logins so far.
     password: Mutex<Option<Verifier>>,
-    proved: Mutex<Vec<String>>,
+    login_mechanisms: Mutex<Vec<String>>,
 }
 
-/// A server on a loopback address.
+/// A server that listens on a loopback address.
 #[derive(Clone)]
 pub struct Postgres {
     pub address: SocketAddr,
@@ -43,61 +43,61 @@
 
 impl Postgres {
     pub fn new(name: &str, replica: bool) -> Postgres {
-        Postgres::with(name, replica, None)
+        Postgres::listen(name, replica, None)
     }
 
-    /// A server that speaks TLS alone.
+    /// Starts a server that accepts only TLS connections.
     pub fn with_tls(name: &str, replica: bool, acceptor: SslAcceptor) -> Postgres {
-        Postgres::with(name, replica, Some(acceptor))
+        Postgres::listen(name, replica, Some(acceptor))
     }
 
-    fn with(name: &str, replica: bool, acceptor: Option<SslAcceptor>) -> Postgres {
+    fn listen(name: &str, replica: bool, acceptor: Option<SslAcceptor>) -> Postgres {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let shared = Arc::new(Shared { replica: replica.into(), acceptor, ..Shared::default() });
         let server = Postgres { address: listener.local_addr().unwrap(), name: name.into(), shared };
-        let own = server.clone();
+        let listening = server.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let own = own.clone();
-                std::thread::spawn(move || own.serve(stream));
+                let server = listening.clone();
+                std::thread::spawn(move || server.serve(stream));
             }
         });
         server
     }
 
-    /// Its line in the list.
+    /// Returns its entry in the list.
     pub fn list_entry(&self, status: &str) -> String {
         list_entry(self.address, &self.name, "here", status)
     }
 
-    /// Connections that are open, and that ever were.
+    /// Returns the numbers of connections open now and opened so far.
     pub fn connections(&self) -> (usize, usize) {
-        (self.shared.open.lock().unwrap().len(), self.shared.begun.load(Ordering::SeqCst))
+        (self.shared.connections.lock().unwrap().len(), self.shared.connection_count.load(Ordering::SeqCst))
     }
 
-    /// Rows that were committed.
+    /// Returns the number of rows committed so far.
     pub fn committed_rows(&self) -> usize {
-        self.shared.rows.load(Ordering::SeqCst)
+        self.shared.committed_rows.load(Ordering::SeqCst)
     }
 
-    /// Statements so far that begin with this.
+    /// Returns how many statements so far began with `start`.
     pub fn statement_count(&self, start: &str) -> usize {
-        self.shared.asked.lock().unwrap().iter().filter(|text| text.starts_with(start)).count()
+        self.shared.statement_log.lock().unwrap().iter().filter(|sql| sql.starts_with(start)).count()
     }
 
-    /// Asks for this password from now on, by SCRAM-SHA-256, bound to the connection where the client likes.
+    /// Requires this password from now on, by SCRAM-SHA-256, with channel binding if the client chooses it.
     pub fn require_password(&self, password: &str) {
         *self.shared.password.lock().unwrap() = Some(Verifier::new(password, b"a salt", 2));
     }
 
-    /// The mechanisms by which the password was proved so far.
+    /// Returns the mechanisms of the successful logins so far.
     pub fn login_mechanisms(&self) -> Vec<String> {
-        self.shared.proved.lock().unwrap().clone()
+        self.shared.login_mechanisms.lock().unwrap().clone()
     }
 
-    /// A client's login; none where it fails.
-    fn login(&self, stream: &mut (dyn Both + 'static), verifier: &Verifier) -> Option<()> {
-        // The library's own hash of its own certificate: what the other side makes of it must be the same.
+    /// Authenticates a client. Returns `None` if that fails.
+    fn login(&self, stream: &mut (dyn ReadWrite + 'static), verifier: &Verifier) -> Option<()> {
+        // The hash of the server's certificate as OpenSSL computes it, which the pooler's must equal.
         let endpoint = self.shared.acceptor.as_ref().and_then(|acceptor| {
             let certificate = acceptor.context().certificate()?.digest(MessageDigest::sha256()).ok()?;
             Some(certificate.to_vec())
@@ -105,42 +105,42 @@
         let plus = if endpoint.is_some() { "SCRAM-SHA-256-PLUS\0" } else { "" };
         let ask = |code: u32, text: &str| frame(b'R', &[&code.to_be_bytes()[..], text.as_bytes()].concat());
         stream.write_all(&ask(10, &format!("{plus}SCRAM-SHA-256\0\0"))).ok()?;
-        let take = |stream: &mut dyn Both| {
+        let read_message = |stream: &mut dyn ReadWrite| {
             let mut head = [0; 5];
             stream.read_exact(&mut head).ok()?;
             let mut body = vec![0; u32::from_be_bytes(head[1..].try_into().ok()?) as usize - 4];
             stream.read_exact(&mut body).ok()?;
             String::from_utf8(body).ok()
         };
-        let first = take(stream)?;
+        let first = read_message(stream)?;
         let (mechanism, rest) = first.split_once('\0')?;
         let channel = match (&endpoint, mechanism) {
             (Some(bytes), "SCRAM-SHA-256-PLUS") => ChannelBinding::Bound(bytes),
             (Some(_), _) => ChannelBinding::NotUsed,
             (None, _) => ChannelBinding::Unsupported,
         };
-        let begun = Server::begin(&rest[4..], "", Some(verifier), "nonce", b"", channel);
-        let (server, told) = begun.ok()?;
-        stream.write_all(&ask(11, &told)).ok()?;
-        let told = server.finish(&take(stream)?).ok()?;
-        self.shared.proved.lock().unwrap().push(mechanism.to_string());
-        stream.write_all(&ask(12, &told)).ok()
+        let started = Server::begin(&rest[4..], "", Some(verifier), "nonce", b"", channel);
+        let (server, challenge) = started.ok()?;
+        stream.write_all(&ask(11, &challenge)).ok()?;
+        let server_final = server.finish(&read_message(stream)?).ok()?;
+        self.shared.login_mechanisms.lock().unwrap().push(mechanism.to_string());
+        stream.write_all(&ask(12, &server_final)).ok()
     }
 
-    /// Ends all connections.
+    /// Closes all connections.
     pub fn close_connections(&self) {
-        let open = self.shared.open.lock().unwrap();
-        open.values().for_each(|(stream, _)| drop(stream.shutdown(Shutdown::Both)));
+        let connections = self.shared.connections.lock().unwrap();
+        connections.values().for_each(|(stream, _)| drop(stream.shutdown(Shutdown::Both)));
     }
 
-    /// Whether connections end when they are asked to commit.
-    pub fn set_fail_on_commit(&self, dies: bool) {
-        self.shared.dies.store(dies, Ordering::SeqCst);
+    /// Sets whether a connection is closed when it receives a commit.
+    pub fn set_fail_on_commit(&self, fail_on_commit: bool) {
+        self.shared.fail_on_commit.store(fail_on_commit, Ordering::SeqCst);
     }
 
     fn serve(&self, socket: TcpStream) -> Option<()> {
         socket.set_nodelay(true).ok()?;
-        let mut stream: Box<dyn Both> = Box::new(socket.try_clone().ok()?);
+        let mut stream: Box<dyn ReadWrite> = Box::new(socket.try_clone().ok()?);
         if let Some(acceptor) = &self.shared.acceptor {
             stream.read_exact(&mut [0; 8]).ok()?;
             stream.write_all(b"S").ok()?;
@@ -155,94 +155,99 @@
         stream.read_exact(&mut body).ok()?;
         if body.starts_with(&80_877_102u32.to_be_bytes()) {
             let number = u32::from_be_bytes(body[4..8].try_into().ok()?);
-            let open = self.shared.open.lock().unwrap();
-            open.get(&number).iter().for_each(|(_, ends)| ends.store(true, Ordering::SeqCst));
+            let connections = self.shared.connections.lock().unwrap();
+            connections
+                .get(&number)
+                .iter()
+                .for_each(|(_, cancelled)| cancelled.store(true, Ordering::SeqCst));
             return None;
         }
         let verifier = self.shared.password.lock().unwrap().clone();
         if let Some(verifier) = verifier {
             self.login(&mut *stream, &verifier)?;
         }
-        let number = self.shared.begun.fetch_add(1, Ordering::SeqCst) as u32 + 1;
-        let ends = Arc::new(AtomicBool::new(false));
-        let own = (socket, ends.clone());
-        self.shared.open.lock().unwrap().insert(number, own);
+        let number = self.shared.connection_count.fetch_add(1, Ordering::SeqCst) as u32 + 1;
+        let cancelled = Arc::new(AtomicBool::new(false));
+        let connection = (socket, cancelled.clone());
+        self.shared.connections.lock().unwrap().insert(number, connection);
         let standby = if self.shared.replica.load(Ordering::SeqCst) { "on" } else { "off" };
-        let mut welcome = frame(b'R', &[0; 4]);
+        let mut startup_response = frame(b'R', &[0; 4]);
         for (name, value) in
             [("server_version", "16.4"), ("client_encoding", "UTF8"), ("in_hot_standby", standby)]
         {
-            welcome.extend(frame(b'S', format!("{name}\0{value}\0").as_bytes()));
+            startup_response.extend(frame(b'S', format!("{name}\0{value}\0").as_bytes()));
         }
-        welcome.extend(frame(b'K', &[number.to_be_bytes(), [7; 4]].concat()));
-        welcome.extend(frame(b'Z', b"I"));
+        startup_response.extend(frame(b'K', &[number.to_be_bytes(), [7; 4]].concat()));
+        startup_response.extend(frame(b'Z', b"I"));
         let mut session = Session {
             server: self.clone(),
             number,
             stream,
-            ends,
-            now: Kept::default(),
-            kept: Kept::default(),
-            marks: Vec::new(),
+            cancelled,
+            current: SessionState::default(),
+            committed: SessionState::default(),
+            savepoints: Vec::new(),
             status: b'I',
             temporary: false,
             statements: BTreeMap::new(),
             portals: BTreeMap::new(),
-            out: welcome,
-            skipping: false,
+            output: startup_response,
+            skip_until_sync: false,
         };
         if session.flush().is_some() {
             session.run();
         }
-        self.shared.open.lock().unwrap().remove(&number);
+        self.shared.connections.lock().unwrap().remove(&number);
         None
     }
 }
 
+/// The transactional state of a session.
 #[derive(Clone, Default)]
-struct Kept {
+struct SessionState {
     settings: BTreeMap<String, String>,
-    rows: usize,
+    /// Rows inserted in the current transaction.
+    inserted_rows: usize,
 }
 
 struct Session {
     server: Postgres,
     number: u32,
-    stream: Box<dyn Both>,
-    ends: Arc<AtomicBool>,
-    now: Kept,
-    kept: Kept,
-    marks: Vec<(String, Kept)>,
+    stream: Box<dyn ReadWrite>,
+    cancelled: Arc<AtomicBool>,
+    current: SessionState,
+    committed: SessionState,
+    savepoints: Vec<(String, SessionState)>,
     status: u8,
     temporary: bool,
     statements: BTreeMap<String, String>,
     portals: BTreeMap<String, (String, Vec<String>)>,
-    out: Vec<u8>,
-    skipping: bool,
+    output: Vec<u8>,
+    skip_until_sync: bool,
 }
 
-/// An error's code and words.
-type Fault = (&'static str, String);
+/// The code and the message of an error.
+type SqlError = (&'static str, String);
 
-fn text(bytes: &[u8]) -> (String, &[u8]) {
+fn read_string(bytes: &[u8]) -> (String, &[u8]) {
     let end = bytes.iter().position(|byte| *byte == 0).unwrap();
     (String::from_utf8_lossy(&bytes[..end]).into_owned(), &bytes[end + 1..])
 }
 
-fn columns() -> Vec<u8> {
+fn row_description() -> Vec<u8> {
     frame(b'T', b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x19\xff\xff\xff\xff\xff\xff\0\0")
 }
 
-fn datum(value: &str) -> Vec<u8> {
+fn data_row(value: &str) -> Vec<u8> {
     frame(b'D', &[b"\0\x01", &(value.len() as u32).to_be_bytes()[..], value.as_bytes()].concat())
 }
 
-fn done(tag: &str) -> Vec<u8> {
+fn command_complete(tag: &str) -> Vec<u8> {
     frame(b'C', format!("{tag}\0").as_bytes())
 }
 
-/// Whether a statement gives rows.
-fn rows(sql: &str) -> bool {
+/// Returns true if a statement returns rows.
+fn returns_rows(sql: &str) -> bool {
     ["select", "show", "values"].iter().any(|word| sql.to_lowercase().starts_with(word))
 }
 
@@ -256,8 +261,8 @@
     }
 
     fn flush(&mut self) -> Option<()> {
-        let out = std::mem::take(&mut self.out);
-        self.stream.write_all(&out).ok()
+        let output = std::mem::take(&mut self.output);
+        self.stream.write_all(&output).ok()
     }
 
     fn run(&mut self) -> Option<()> {
@@ -266,86 +271,90 @@
             match kind {
                 b'X' => return None,
                 b'Q' => {
-                    let (sql, _) = text(&body);
+                    let (sql, _) = read_string(&body);
                     let parts: Vec<String> = sql.split(';').map(|part| part.trim().to_string()).collect();
                     let parts: Vec<String> = parts.into_iter().filter(|part| !part.is_empty()).collect();
                     self.statements.remove("");
                     let mut failed = false;
                     for part in &parts {
-                        if rows(part) && self.status != b'E' {
-                            self.out.extend(columns());
+                        if returns_rows(part) && self.status != b'E' {
+                            self.output.extend(row_description());
                         }
                         if let Err(fault) = self.execute(part, &[])? {
                             failed = true;
-                            self.fail(fault);
+                            self.send_error(fault);
                             break;
                         }
                     }
                     if parts.is_empty() {
-                        self.out.extend(frame(b'I', b""));
+                        self.output.extend(frame(b'I', b""));
                     }
-                    self.settle(failed);
+                    self.finish_query(failed);
                     self.flush()?;
                 }
                 b'S' => {
-                    let failed = std::mem::take(&mut self.skipping);
-                    self.settle(failed);
+                    let failed = std::mem::take(&mut self.skip_until_sync);
+                    self.finish_query(failed);
                     self.flush()?;
                 }
-                _ if self.skipping => {}
+                _ if self.skip_until_sync => {}
                 b'H' => self.flush()?,
                 b'd' | b'c' | b'f' => {}
                 _ => {
-                    if let Err(fault) = self.extended(kind, &body)? {
-                        self.skipping = true;
-                        self.fail(fault);
+                    if let Err(fault) = self.handle_extended(kind, &body)? {
+                        self.skip_until_sync = true;
+                        self.send_error(fault);
                     }
                 }
             }
         }
     }
 
-    fn fail(&mut self, (code, words): Fault) {
+    fn send_error(&mut self, (code, message): SqlError) {
         if self.status == b'T' {
             self.status = b'E';
         }
-        self.out.extend(frame(b'E', format!("SERROR\0VERROR\0C{code}\0M{words}\0\0").as_bytes()));
+        self.output.extend(frame(b'E', format!("SERROR\0VERROR\0C{code}\0M{message}\0\0").as_bytes()));
     }
 
-    /// What stands outside of a transaction is kept, or undone where it has failed.
-    fn settle(&mut self, failed: bool) {
+    /// Ends a query: outside of a transaction block its changes are committed, or rolled back if it failed.
+    /// Sends ReadyForQuery.
+    fn finish_query(&mut self, failed: bool) {
         if self.status == b'I' {
-            self.end(!failed);
+            self.end_transaction(!failed);
             self.portals.clear();
         }
-        self.out.extend(frame(b'Z', &[self.status]));
+        self.output.extend(frame(b'Z', &[self.status]));
     }
 
-    fn end(&mut self, keep: bool) {
-        if keep {
-            self.server.shared.rows.fetch_add(std::mem::take(&mut self.now.rows), Ordering::SeqCst);
-            self.kept = self.now.clone();
+    fn end_transaction(&mut self, commit: bool) {
+        if commit {
+            self.server
+                .shared
+                .committed_rows
+                .fetch_add(std::mem::take(&mut self.current.inserted_rows), Ordering::SeqCst);
+            self.committed = self.current.clone();
         } else {
-            self.now = self.kept.clone();
+            self.current = self.committed.clone();
         }
-        self.marks.clear();
+        self.savepoints.clear();
         self.status = b'I';
     }
 
-    fn extended(&mut self, kind: u8, body: &[u8]) -> Option<Result<(), Fault>> {
+    fn handle_extended(&mut self, kind: u8, body: &[u8]) -> Option<Result<(), SqlError>> {
         match kind {
             b'P' => {
-                let (name, rest) = text(body);
-                let (sql, _) = text(rest);
+                let (name, rest) = read_string(body);
+                let (sql, _) = read_string(rest);
                 if !name.is_empty() && self.statements.contains_key(&name) {
                     return Some(Err(("42P05", format!("prepared statement {name} already exists"))));
                 }
                 self.statements.insert(name, sql.trim().to_string());
-                self.out.extend(frame(b'1', b""));
+                self.output.extend(frame(b'1', b""));
             }
             b'B' => {
-                let (portal, rest) = text(body);
-                let (name, rest) = text(rest);
+                let (portal, rest) = read_string(body);
+                let (name, rest) = read_string(rest);
                 let Some(sql) = self.statements.get(&name).cloned() else {
                     return Some(Err(("26000", format!("prepared statement {name} does not exist"))));
                 };
@@ -360,10 +369,10 @@
                     at += 4 + length;
                 }
                 self.portals.insert(portal, (sql, values));
-                self.out.extend(frame(b'2', b""));
+                self.output.extend(frame(b'2', b""));
             }
             b'D' => {
-                let (name, _) = text(&body[1..]);
+                let (name, _) = read_string(&body[1..]);
                 let sql = if body[0] == b'S' {
                     let Some(sql) = self.statements.get(&name).cloned() else {
                         return Some(Err(("26000", format!("prepared statement {name} does not exist"))));
@@ -371,69 +380,69 @@
                     let count = sql.matches('$').count() as u16;
                     let types =
                         [&count.to_be_bytes()[..], &25u32.to_be_bytes().repeat(count.into())].concat();
-                    self.out.extend(frame(b't', &types));
+                    self.output.extend(frame(b't', &types));
                     sql
                 } else {
                     self.portals.get(&name).map(|(sql, _)| sql.clone()).unwrap_or_default()
                 };
-                self.out.extend(if rows(&sql) { columns() } else { frame(b'n', b"") });
+                self.output.extend(if returns_rows(&sql) { row_description() } else { frame(b'n', b"") });
             }
             b'E' => {
-                let (portal, _) = text(body);
+                let (portal, _) = read_string(body);
                 let Some((sql, values)) = self.portals.get(&portal).cloned() else {
                     return Some(Err(("34000", format!("portal {portal} does not exist"))));
                 };
                 return self.execute(&sql, &values);
             }
             b'C' => {
-                let (name, _) = text(&body[1..]);
+                let (name, _) = read_string(&body[1..]);
                 if body[0] == b'S' {
                     self.statements.remove(&name);
                 } else {
                     self.portals.remove(&name);
                 }
-                self.out.extend(frame(b'3', b""));
+                self.output.extend(frame(b'3', b""));
             }
             _ => return None,
         }
         Some(Ok(()))
     }
 
-    /// Runs one statement; none where the connection is over.
-    fn execute(&mut self, sql: &str, values: &[String]) -> Option<Result<(), Fault>> {
+    /// Runs one statement. Returns `None` if the connection is to be closed.
+    fn execute(&mut self, sql: &str, values: &[String]) -> Option<Result<(), SqlError>> {
         let sql = sql.split("*/").last().unwrap().trim();
-        self.server.shared.asked.lock().unwrap().push(sql.to_string());
-        let low = sql.to_lowercase();
-        let words: Vec<&str> = low.split_whitespace().collect();
-        let ends = matches!(words.as_slice(), ["commit" | "rollback" | "end" | "abort", ..]);
-        if self.status == b'E' && !ends {
+        self.server.shared.statement_log.lock().unwrap().push(sql.to_string());
+        let lowercase = sql.to_lowercase();
+        let tokens: Vec<&str> = lowercase.split_whitespace().collect();
+        let ends_transaction = matches!(tokens.as_slice(), ["commit" | "rollback" | "end" | "abort", ..]);
+        if self.status == b'E' && !ends_transaction {
             return Some(Err(("25P02", "current transaction is aborted".into())));
         }
-        let tag = match words.as_slice() {
+        let tag = match tokens.as_slice() {
             ["begin" | "start", ..] => {
                 self.status = b'T';
                 "BEGIN".to_string()
             }
             ["commit" | "end", ..] => {
-                if self.server.shared.dies.load(Ordering::SeqCst) {
+                if self.server.shared.fail_on_commit.load(Ordering::SeqCst) {
                     return None;
                 }
-                let good = self.status != b'E';
-                self.end(good);
-                if good { "COMMIT" } else { "ROLLBACK" }.into()
+                let succeeded = self.status != b'E';
+                self.end_transaction(succeeded);
+                if succeeded { "COMMIT" } else { "ROLLBACK" }.into()
             }
             ["rollback", "to", rest @ ..] => {
                 let name = rest.last()?.to_string();
-                let at = self.marks.iter().rposition(|(known, _)| *known == name)?;
-                (self.now, self.status) = (self.marks[at].1.clone(), b'T');
+                let at = self.savepoints.iter().rposition(|(savepoint, _)| *savepoint == name)?;
+                (self.current, self.status) = (self.savepoints[at].1.clone(), b'T');
                 "ROLLBACK".into()
             }
             ["rollback" | "abort", ..] => {
-                self.end(false);
+                self.end_transaction(false);
                 "ROLLBACK".into()
             }
             ["savepoint", name] => {
-                self.marks.push((name.to_string(), self.now.clone()));
+                self.savepoints.push((name.to_string(), self.current.clone()));
                 "SAVEPOINT".into()
             }
             ["release", ..] => "RELEASE".into(),
@@ -443,34 +452,34 @@
                 if value == "impossible" {
                     return Some(Err(("22023", format!("invalid value for {name}"))));
                 }
-                self.out.extend(frame(b'S', format!("{name}\0{value}\0").as_bytes()));
-                self.now.settings.insert(name.to_string(), value);
+                self.output.extend(frame(b'S', format!("{name}\0{value}\0").as_bytes()));
+                self.current.settings.insert(name.to_string(), value);
                 "SET".into()
             }
             ["reset", "all"] => {
-                self.now.settings.clear();
+                self.current.settings.clear();
                 "RESET".into()
             }
             ["reset", name] => {
-                self.now.settings.remove(*name);
+                self.current.settings.remove(*name);
                 "RESET".into()
             }
             ["discard", "all"] => {
-                self.now.settings.clear();
+                self.current.settings.clear();
                 self.statements.clear();
                 self.temporary = false;
                 "DISCARD ALL".into()
             }
             ["show", name] => {
-                let value = self.now.settings.get(*name).cloned().unwrap_or_default();
-                self.out.extend(datum(&value));
+                let value = self.current.settings.get(*name).cloned().unwrap_or_default();
+                self.output.extend(data_row(&value));
                 "SHOW".into()
             }
             ["insert", ..] if self.server.shared.replica.load(Ordering::SeqCst) => {
                 return Some(Err(("25006", "cannot execute INSERT in a read-only transaction".into())));
             }
             ["insert", ..] => {
-                self.now.rows += 1;
+                self.current.inserted_rows += 1;
                 "INSERT 0 1".into()
             }
             ["create", "temp", ..] => {
@@ -478,7 +487,7 @@
                 "CREATE TABLE".into()
             }
             ["copy", _, "from", "stdin"] => {
-                self.out.extend(frame(b'G', b"\0\0\x01\0\0"));
+                self.output.extend(frame(b'G', b"\0\0\x01\0\0"));
                 self.flush()?;
                 let mut lines = 0;
                 loop {
@@ -489,13 +498,13 @@
                         _ => {}
                     }
                 }
-                self.now.rows += lines;
+                self.current.inserted_rows += lines;
                 format!("COPY {lines}")
             }
             ["copy", _, "to", "stdout"] => {
-                self.out.extend(frame(b'H', b"\0\0\x01\0\0"));
-                (0..3).for_each(|n| self.out.extend(frame(b'd', format!("line {n}\n").as_bytes())));
-                self.out.extend(frame(b'c', b""));
+                self.output.extend(frame(b'H', b"\0\0\x01\0\0"));
+                (0..3).for_each(|n| self.output.extend(frame(b'd', format!("line {n}\n").as_bytes())));
+                self.output.extend(frame(b'c', b""));
                 "COPY 3".into()
             }
             ["select", "fail"] => return Some(Err(("22012", "division by zero".into()))),
@@ -505,36 +514,36 @@
             ["select", "sleep", millis] => {
                 for _ in 0..millis.parse::<u64>().ok()? / 10 {
                     std::thread::sleep(Duration::from_millis(10));
-                    if self.ends.swap(false, Ordering::SeqCst) {
+                    if self.cancelled.swap(false, Ordering::SeqCst) {
                         return Some(Err(("57014", "canceling statement due to user request".into())));
                     }
                 }
-                self.out.extend(datum("slept"));
+                self.output.extend(data_row("slept"));
                 "SELECT 1".into()
             }
             ["select", "big", count] => {
                 let value = "x".repeat(1_000);
                 for _ in 0..count.parse::<usize>().ok()? {
-                    self.out.extend(datum(&value));
-                    if self.out.len() > 60_000 {
+                    self.output.extend(data_row(&value));
+                    if self.output.len() > 60_000 {
                         self.flush()?;
                     }
                 }
                 "SELECT".into()
             }
             _ => {
-                let value = match words.as_slice() {
+                let value = match tokens.as_slice() {
                     ["select", "who"] => self.server.name.clone(),
                     ["select", "connection"] => self.number.to_string(),
                     ["select", "temporary"] => self.temporary.to_string(),
                     ["select", "prepared"] => self.statements.len().to_string(),
                     _ => values.first().cloned().unwrap_or_else(|| sql.to_string()),
                 };
-                self.out.extend(datum(&value));
+                self.output.extend(data_row(&value));
                 "SELECT 1".into()
             }
         };
-        self.out.extend(done(&tag));
+        self.output.extend(command_complete(&tag));
         Some(Ok(()))
     }
 }
--- a/crates/peers/src/registry.rs
+++ b/crates/peers/src/registry.rs
@@ -1,5 +1,5 @@
-//! A small registry of our own that speaks the part of etcd v3's JSON form which a pooler uses, with switches for
-//! what can go wrong.
+//! A small registry with the part of etcd v3's JSON interface that the pooler uses, and with faults that a
+//! test can switch on.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -13,30 +13,31 @@
 use openssl::ssl::{Ssl, SslAcceptor, SslStream};
 use serde_json::{json, Value};
 
-/// Changes of one revision: a key and its value, or none where it was deleted.
-type Step = Vec<(String, Option<String>)>;
+/// The changes of one revision: keys and their values, `None` for a deleted key.
+type RevisionChanges = Vec<(String, Option<String>)>;
 
 #[derive(Default)]
 struct State {
-    steps: Vec<Step>,
+    /// The changes of revision 2 and later, since an empty registry has revision 1.
+    revisions: Vec<RevisionChanges>,
     compacted: u64,
-    /// Until when each lease holds, its length, and its keys.
+    /// For each lease when it expires, its duration and its keys.
     leases: BTreeMap<u64, (Instant, Duration, Vec<String>)>,
-    /// Tokens are asked for where there is a user; those given before are valid no longer.
+    /// The user and the password. Calls need a token if there is a user; only the latest token is valid.
     user: Option<(String, String)>,
     token: u64,
 }
 
 impl State {
     fn revision(&self) -> u64 {
-        self.steps.len() as u64 + 1
+        self.revisions.len() as u64 + 1
     }
 
-    /// Keys with the revision that wrote each, and its value.
-    fn at(&self, revision: u64) -> BTreeMap<&str, (u64, &str)> {
+    /// Returns the keys at a revision, each with the revision that wrote it and its value.
+    fn keys_at(&self, revision: u64) -> BTreeMap<&str, (u64, &str)> {
         let mut keys = BTreeMap::new();
-        for (n, step) in self.steps.iter().enumerate().take(revision as usize - 1) {
-            for (key, value) in step {
+        for (n, changes) in self.revisions.iter().enumerate().take(revision as usize - 1) {
+            for (key, value) in changes {
                 match value {
                     Some(value) => keys.insert(key.as_str(), (n as u64 + 2, value.as_str())),
                     None => keys.remove(key.as_str()),
@@ -46,41 +47,41 @@
         keys
     }
 
-    /// Deletes the keys of a lease.
-    fn end(&mut self, lease: u64) {
+    /// Removes a lease and deletes its keys.
+    fn revoke_lease(&mut self, lease: u64) {
         let keys = self.leases.remove(&lease).map(|(.., keys)| keys).unwrap_or_default();
         if !keys.is_empty() {
-            self.steps.push(keys.into_iter().map(|key| (key, None)).collect());
+            self.revisions.push(keys.into_iter().map(|key| (key, None)).collect());
         }
     }
 
-    fn valid(&self, token: &str) -> bool {
+    fn is_valid_token(&self, token: &str) -> bool {
         self.user.is_none() || token == format!("token-{}", self.token)
     }
 }
 
-/// What goes wrong at an endpoint.
+/// The faults of an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Calls are taken in and never answered.
+    /// Calls are accepted and never answered.
     pub hang: bool,
-    /// Calls end at once, and so do open watches.
+    /// Connections of calls and of open watches are closed at once.
     pub close_at_once: bool,
-    /// Watches tell nothing more.
+    /// Watches send no further events.
     pub stall_watches: bool,
-    /// Each byte goes by itself.
+    /// Each byte is written separately.
     pub byte_by_byte: bool,
-    /// The status that calls are answered with, and a page that is not JSON; none where 0.
+    /// If not 0, calls are answered with this status and a page that is not JSON.
     pub status: u16,
-    /// How long an answer is thought about.
+    /// The delay of an answer.
     pub delay: Duration,
-    /// The endpoint does not know of so many of the latest revisions.
+    /// The number of latest revisions that the endpoint does not have yet.
     pub revisions_behind: u64,
-    /// Watches tell each change twice.
+    /// Watches send each event twice.
     pub duplicate_events: bool,
 }
 
-/// The registry that endpoints belong to.
+/// The state shared by the endpoints of a registry.
 #[derive(Default)]
 struct Cluster {
     state: Mutex<State>,
@@ -102,43 +103,43 @@
     shared: Arc<Shared>,
 }
 
-pub(crate) trait Both: Read + Write + Send {}
-impl Both for TcpStream {}
-impl Both for SslStream<TcpStream> {}
+pub(crate) trait ReadWrite: Read + Write + Send {}
+impl ReadWrite for TcpStream {}
+impl ReadWrite for SslStream<TcpStream> {}
 
 struct Stream {
-    inner: Box<dyn Both>,
-    split: bool,
+    inner: Box<dyn ReadWrite>,
+    byte_by_byte: bool,
 }
 
 impl Default for Registry {
     fn default() -> Self {
-        Registry::over(Arc::default(), None)
+        Registry::with_cluster(Arc::default(), None)
     }
 }
 
 impl Registry {
-    /// A registry that is called over TLS.
+    /// Starts a registry that requires TLS.
     pub fn with_tls(acceptor: SslAcceptor) -> Registry {
-        Registry::over(Arc::default(), Some(acceptor))
+        Registry::with_cluster(Arc::default(), Some(acceptor))
     }
 
-    /// Another endpoint of the same registry.
+    /// Starts another endpoint of the same registry.
     pub fn add_endpoint(&self) -> Registry {
-        Registry::over(self.cluster.clone(), None)
+        Registry::with_cluster(self.cluster.clone(), None)
     }
 
-    fn over(cluster: Arc<Cluster>, acceptor: Option<SslAcceptor>) -> Registry {
+    fn with_cluster(cluster: Arc<Cluster>, acceptor: Option<SslAcceptor>) -> Registry {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let registry = Registry { address, cluster, shared: Arc::default() };
-        let own = registry.clone();
+        let endpoint = registry.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (own, acceptor) = (own.clone(), acceptor.clone());
+                let (endpoint, acceptor) = (endpoint.clone(), acceptor.clone());
                 std::thread::spawn(move || {
                     stream.set_nodelay(true).ok()?;
-                    let inner: Box<dyn Both> = match acceptor {
+                    let inner: Box<dyn ReadWrite> = match acceptor {
                         None => Box::new(stream),
                         Some(acceptor) => {
                             let mut stream =
@@ -147,7 +148,7 @@
                             Box::new(stream)
                         }
                     };
-                    own.serve(Stream { inner, split: false })
+                    endpoint.serve(Stream { inner, byte_by_byte: false })
                 });
             }
         });
@@ -155,9 +156,9 @@
     }
 
     /// Writes keys, or deletes those without a value, in one transaction.
-    pub fn write(&self, step: &[(&str, Option<&str>)]) {
-        let step = step.iter().map(|(key, value)| (key.to_string(), value.map(String::from)));
-        self.change(|state| state.steps.push(step.collect()));
+    pub fn write(&self, changes: &[(&str, Option<&str>)]) {
+        let changes = changes.iter().map(|(key, value)| (key.to_string(), value.map(String::from)));
+        self.change(|state| state.revisions.push(changes.collect()));
     }
 
     fn change(&self, change: impl FnOnce(&mut State)) {
@@ -165,23 +166,23 @@
         self.cluster.changed.notify_all();
     }
 
-    /// The value of a member.
+    /// Returns the value of the key of a member.
     pub fn member_value(address: SocketAddr, group: u32, status: &str) -> String {
         format!(r#"{{"v":1,"address":"{address}","zone":"here","group":{group},"status":"{status}"}}"#)
     }
 
-    /// The present value of a key.
+    /// Returns the current value of a key.
     pub fn value(&self, key: &str) -> Option<String> {
         let state = self.cluster.state.lock().unwrap();
-        state.at(state.revision()).get(key).map(|(_, value)| value.to_string())
+        state.keys_at(state.revision()).get(key).map(|(_, value)| value.to_string())
     }
 
-    /// Forgets all revisions before the present one.
+    /// Compacts all revisions before the current one.
     pub fn compact(&self) {
         self.change(|state| state.compacted = state.revision());
     }
 
-    /// Has this user log in from now on; tokens given before are no longer valid.
+    /// Requires a login of this user from now on. Tokens issued before are no longer valid.
     pub fn require_login(&self, user: &str, password: &str) {
         self.change(|state| {
             state.token += 1;
@@ -189,35 +190,35 @@
         });
     }
 
-    /// Ends all leases, as if their keepers had been silent for too long.
+    /// Expires all leases, as if their holders had not renewed them in time.
     pub fn expire_leases(&self) {
         self.change(|state| {
             let all: Vec<u64> = state.leases.keys().copied().collect();
-            all.into_iter().for_each(|lease| state.end(lease));
+            all.into_iter().for_each(|lease| state.revoke_lease(lease));
         });
     }
 
-    /// Changes what goes wrong here.
+    /// Changes the faults of this endpoint.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.shared.faults.lock().unwrap());
         self.cluster.changed.notify_all();
     }
 
-    /// Whether calls are taken in and never answered.
-    pub fn set_hang(&self, hangs: bool) {
-        self.change_faults(|faults| faults.hang = hangs);
+    /// Sets whether calls are accepted and never answered.
+    pub fn set_hang(&self, hang: bool) {
+        self.change_faults(|faults| faults.hang = hang);
     }
 
-    /// Whether calls and watches end at once.
-    pub fn set_close_at_once(&self, cuts: bool) {
-        self.change_faults(|faults| faults.close_at_once = cuts);
+    /// Sets whether connections of calls and watches are closed at once.
+    pub fn set_close_at_once(&self, close: bool) {
+        self.change_faults(|faults| faults.close_at_once = close);
     }
 
     fn faults(&self) -> Faults {
         *self.shared.faults.lock().unwrap()
     }
 
-    /// Calls so far, and bytes answered.
+    /// Returns the number of calls so far and the number of bytes sent.
     pub fn usage(&self) -> (usize, usize) {
         (self.shared.calls.load(Ordering::SeqCst), self.shared.bytes.load(Ordering::SeqCst))
     }
@@ -237,9 +238,9 @@
         while self.faults().hang {
             std::thread::sleep(Duration::from_millis(10));
         }
-        let Faults { close_at_once: cut, byte_by_byte: split, status, .. } = self.faults();
-        stream.split = split;
-        if cut {
+        let Faults { close_at_once, byte_by_byte, status, .. } = self.faults();
+        stream.byte_by_byte = byte_by_byte;
+        if close_at_once {
             return None;
         }
         if status > 0 {
@@ -250,7 +251,7 @@
         let (token, body) =
             (field("Authorization: ").unwrap_or_default(), serde_json::from_slice::<Value>(&body).ok()?);
         let path = head.split(' ').nth(1)?;
-        if path != "/v3/auth/authenticate" && !self.cluster.state.lock().unwrap().valid(token) {
+        if path != "/v3/auth/authenticate" && !self.cluster.state.lock().unwrap().is_valid_token(token) {
             return self
                 .answer(&mut stream, &json!({"code": 16, "message": "etcdserver: invalid auth token"}));
         }
@@ -266,7 +267,7 @@
 
     fn send(&self, stream: &mut Stream, bytes: &[u8]) -> Option<()> {
         self.shared.bytes.fetch_add(bytes.len(), Ordering::SeqCst);
-        if stream.split {
+        if stream.byte_by_byte {
             return bytes.chunks(1).try_for_each(|byte| stream.inner.write_all(byte)).ok();
         }
         stream.inner.write_all(bytes).ok()
@@ -280,10 +281,10 @@
 
     fn login(&self, stream: &mut Stream, call: &Value) -> Option<()> {
         let state = self.cluster.state.lock().unwrap();
-        let right = state.user.as_ref().is_some_and(|(user, password)| {
+        let authenticated = state.user.as_ref().is_some_and(|(user, password)| {
             call["name"] == user.as_str() && call["password"] == password.as_str()
         });
-        let answer = match right {
+        let answer = match authenticated {
             true => json!({"token": format!("token-{}", state.token)}),
             false => {
                 json!({"code": 3, "message": "etcdserver: authentication failed, invalid user ID or password"})
@@ -295,13 +296,13 @@
 
     fn range(&self, stream: &mut Stream, call: &Value) -> Option<()> {
         let state = self.cluster.state.lock().unwrap();
-        let (from, to, asked) = (text(&call["key"]), text(&call["range_end"]), number(&call["revision"]));
-        let known = state.revision() - self.faults().revisions_behind;
-        let revision = if asked == 0 { known } else { asked };
+        let (from, to, requested) = (text(&call["key"]), text(&call["range_end"]), number(&call["revision"]));
+        let current = state.revision() - self.faults().revisions_behind;
+        let revision = if requested == 0 { current } else { requested };
         let answer = if revision < state.compacted {
             json!({"code": 11, "message": "etcdserver: mvcc: required revision has been compacted"})
         } else {
-            let keys = state.at(revision);
+            let keys = state.keys_at(revision);
             let found: Vec<_> = keys.range(from.as_str()..to.as_str()).collect();
             let limit = number(&call["limit"]) as usize;
             let kvs: Vec<Value> = found
@@ -311,58 +312,59 @@
                     json!({"key": STANDARD.encode(key), "value": STANDARD.encode(value), "mod_revision": revision.to_string()})
                 })
                 .collect();
-            json!({"header": {"cluster_id": "7", "revision": known.to_string()}, "kvs": kvs, "more": found.len() > limit})
+            json!({"header": {"cluster_id": "7", "revision": current.to_string()}, "kvs": kvs, "more": found.len() > limit})
         };
         drop(state);
         self.answer(stream, &answer)
     }
 
-    /// Comparisons of keys' revisions, and as many steps.
+    /// Handles a transaction that compares revisions of keys and writes or deletes keys.
     fn txn(&self, stream: &mut Stream, call: &Value) -> Option<()> {
         let mut succeeded = false;
-        let (compares, steps) = (call["compare"].as_array()?, call["success"].as_array()?);
+        let (compares, writes) = (call["compare"].as_array()?, call["success"].as_array()?);
         self.change(|state| {
-            let present = state.at(state.revision());
+            let current = state.keys_at(state.revision());
             succeeded = compares.iter().all(|compare| {
                 let revision =
-                    present.get(text(&compare["key"]).as_str()).map_or(0, |(revision, _)| *revision);
+                    current.get(text(&compare["key"]).as_str()).map_or(0, |(revision, _)| *revision);
                 revision == number(&compare["mod_revision"])
             });
             if succeeded {
-                let step = steps.iter().map(|step| match step.get("request_put") {
+                let changes = writes.iter().map(|write| match write.get("request_put") {
                     Some(put) => (text(&put["key"]), Some(text(&put["value"]))),
-                    None => (text(&step["request_delete_range"]["key"]), None),
+                    None => (text(&write["request_delete_range"]["key"]), None),
                 });
-                state.steps.push(step.collect());
+                state.revisions.push(changes.collect());
             }
         });
         self.answer(stream, &json!({ "succeeded": succeeded }))
     }
 
-    /// A key that lives as long as its lease.
+    /// Handles a write of a key, with or without a lease.
     fn put(&self, stream: &mut Stream, call: &Value) -> Option<()> {
-        let (key, lease, mut known) = (text(&call["key"]), number(&call["lease"]), true);
+        let (key, lease, mut accepted) = (text(&call["key"]), number(&call["lease"]), true);
         self.change(|state| {
-            // A key hangs on the lease that it was put under last.
-            state.leases.values_mut().for_each(|(.., keys)| keys.retain(|known| *known != key));
+            // A key belongs to the lease of its last write.
+            state.leases.values_mut().for_each(|(.., keys)| keys.retain(|other| *other != key));
             match state.leases.get_mut(&lease) {
                 Some((.., keys)) => keys.push(key.clone()),
-                None => known = lease == 0,
+                None => accepted = lease == 0,
             }
-            if known {
-                state.steps.push(vec![(key, Some(text(&call["value"])))]);
+            if accepted {
+                state.revisions.push(vec![(key, Some(text(&call["value"])))]);
             }
         });
-        let lost = json!({"code": 5, "message": "etcdserver: requested lease not found"});
-        self.answer(stream, &if known { json!({}) } else { lost })
+        let lease_not_found = json!({"code": 5, "message": "etcdserver: requested lease not found"});
+        self.answer(stream, &if accepted { json!({}) } else { lease_not_found })
     }
 
     fn lease(&self, stream: &mut Stream, path: &str, call: &Value) -> Option<()> {
         let mut answer = json!({});
         self.change(|state| {
             let now = Instant::now();
-            let over: Vec<u64> = state.leases.iter().filter(|(_, l)| l.0 < now).map(|(id, _)| *id).collect();
-            over.into_iter().for_each(|lease| state.end(lease));
+            let expired: Vec<u64> =
+                state.leases.iter().filter(|(_, l)| l.0 < now).map(|(id, _)| *id).collect();
+            expired.into_iter().for_each(|lease| state.revoke_lease(lease));
             let id = number(&call["ID"]);
             match path {
                 "/v3/lease/grant" => {
@@ -372,14 +374,14 @@
                     state.leases.insert(id, (now + length, length, Vec::new()));
                     answer = json!({"ID": id.to_string(), "TTL": length.as_secs().to_string()});
                 }
-                "/v3/lease/revoke" => state.end(id),
+                "/v3/lease/revoke" => state.revoke_lease(id),
                 _ => {
-                    let kept = state.leases.get_mut(&id).map(|lease| {
+                    let renewed = state.leases.get_mut(&id).map(|lease| {
                         lease.0 = now + lease.1;
                         lease.1.as_secs()
                     });
-                    // A lease that is gone is told by leaving its time out.
-                    answer = match kept {
+                    // The TTL is left out if the lease has expired, as etcd does.
+                    answer = match renewed {
                         Some(left) => json!({"result": {"ID": id.to_string(), "TTL": left.to_string()}}),
                         None => json!({"result": {"ID": id.to_string()}}),
                     };
@@ -401,14 +403,14 @@
                 return None;
             }
             let (revision, compacted) = (state.revision() - faults.revisions_behind, state.compacted);
-            let gone = next <= compacted && next < revision;
-            let valid = state.valid(token);
+            let is_compacted = next <= compacted && next < revision;
+            let token_is_valid = state.is_valid_token(token);
             let mut events = Vec::new();
-            let known = state.steps.iter().enumerate().take(revision as usize - 1);
-            for (n, step) in known.skip((next as usize).saturating_sub(2)) {
-                let inside =
-                    step.iter().filter(|(key, _)| (from.as_str()..to.as_str()).contains(&key.as_str()));
-                events.extend(inside.map(|(key, value)| {
+            let visible = state.revisions.iter().enumerate().take(revision as usize - 1);
+            for (n, changes) in visible.skip((next as usize).saturating_sub(2)) {
+                let in_range =
+                    changes.iter().filter(|(key, _)| (from.as_str()..to.as_str()).contains(&key.as_str()));
+                events.extend(in_range.map(|(key, value)| {
                     let kv = json!({"key": STANDARD.encode(key), "mod_revision": (n + 2).to_string(),
                         "value": STANDARD.encode(value.as_deref().unwrap_or(""))});
                     json!({"type": if value.is_some() { "PUT" } else { "DELETE" }, "kv": kv})
@@ -416,10 +418,10 @@
             }
             let mut result =
                 json!({"header": {"cluster_id": "7", "revision": revision.to_string()}, "events": []});
-            if !valid {
+            if !token_is_valid {
                 (result["canceled"], result["cancel_reason"]) =
                     (json!(true), json!("etcdserver: invalid auth token"));
-            } else if gone {
+            } else if is_compacted {
                 (result["canceled"], result["compact_revision"]) =
                     (json!(true), json!(compacted.to_string()));
             } else if !created {
@@ -427,7 +429,7 @@
             } else if next <= revision && !faults.stall_watches {
                 (result["events"], next) = (json!(events), revision + 1);
             } else {
-                // Waits for the next change; some changes may come together.
+                // Waits for the next change. Several changes may be sent together.
                 drop(self.cluster.changed.wait_timeout(state, Duration::from_millis(500)).unwrap());
                 continue;
             }
@@ -437,7 +439,7 @@
             let line = if faults.duplicate_events { line.repeat(2) } else { line };
             let chunk = format!("{:x}\r\n{line}\r\n", line.len());
             self.send(stream, chunk.as_bytes())?;
-            if gone || !valid {
+            if is_compacted || !token_is_valid {
                 return None;
             }
         }
