--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs dewferry instances on the simulator's wire: lines in, lines out, one flush a batch.
+//! Runs routing policies behind a simulator's wire protocol: reads and writes lines, and flushes once per
+//! batch.
 
 mod wire;
 
@@ -25,7 +26,7 @@
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        match host.line(&line, &mut output) {
+        match host.handle_line(&line, &mut output) {
             Ok(false) => {}
             Ok(true) => {
                 if output.flush().is_err() {
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! The wire, translated to and from the library's interface. Nothing is decided here.
+//! Translates the simulator's wire protocol to and from the interface of the routing policy. Makes no
+//! decisions itself.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -10,34 +11,34 @@
 use routing::Policy;
 use serde_json::{json, Value};
 
-/// The instances hosted by this process, and the batch being read.
+/// The policy instances of this process, and the replies of the current batch.
 #[derive(Default)]
 pub struct Host {
     now: f64,
-    banks: BTreeMap<u64, Vec<Entry>>,
+    inventories: BTreeMap<u64, Vec<Entry>>,
     instances: BTreeMap<i64, (Policy, f64)>,
     replies: Vec<(i64, Action)>,
 }
 
-type Fault = String;
+type ErrorText = String;
 
-/// One message with typed access to its values; an absent one reads as null.
+/// The values of one message with typed access. An absent value reads as null.
 struct Fields<'a>(&'a [Value]);
 
 impl<'a> Fields<'a> {
     fn at(&self, index: usize) -> &'a Value {
         self.0.get(index).unwrap_or(&Value::Null)
     }
-    fn number(&self, index: usize, name: &str) -> Result<f64, Fault> {
+    fn number(&self, index: usize, name: &str) -> Result<f64, ErrorText> {
         self.at(index).as_f64().ok_or_else(|| format!("'{name}' is not a number"))
     }
-    fn number_or(&self, index: usize, name: &str, absent: f64) -> Result<f64, Fault> {
+    fn number_or(&self, index: usize, name: &str, absent: f64) -> Result<f64, ErrorText> {
         match self.at(index) {
             Value::Null => Ok(absent),
             _ => self.number(index, name),
         }
     }
-    fn whole(&self, index: usize, name: &str) -> Result<i64, Fault> {
+    fn integer(&self, index: usize, name: &str) -> Result<i64, ErrorText> {
         match self.at(index) {
             Value::Null => Ok(0),
             Value::Number(number) => number
@@ -47,7 +48,7 @@
             _ => Err(format!("'{name}' is not a whole number")),
         }
     }
-    fn text(&self, index: usize, name: &str) -> Result<&'a str, Fault> {
+    fn text(&self, index: usize, name: &str) -> Result<&'a str, ErrorText> {
         self.at(index).as_str().ok_or_else(|| format!("'{name}' is not a text"))
     }
     fn flag(&self, index: usize) -> bool {
@@ -56,8 +57,8 @@
 }
 
 impl Host {
-    /// Takes one line; true when the batch is over and its reply written.
-    pub fn line(&mut self, line: &[u8], output: &mut impl Write) -> Result<bool, Fault> {
+    /// Handles one line. Returns true if it ended the batch and the replies were written.
+    pub fn handle_line(&mut self, line: &[u8], output: &mut impl Write) -> Result<bool, ErrorText> {
         let value: Value = serde_json::from_slice(line).map_err(|error| format!("not JSON: {error}"))?;
         let parts = value.as_array().ok_or("not an array")?;
         let (name, rest) = parts.split_first().ok_or("an empty array")?;
@@ -70,10 +71,10 @@
                 return Ok(true);
             }
             "inventory" => {
-                let bank = fields.whole(0, "bank")? as u64;
+                let inventory = fields.integer(0, "bank")? as u64;
                 let list = fields.at(1).as_array().ok_or("'membersList' is not an array")?;
                 let entries = list.iter().map(entry).collect::<Result<_, _>>()?;
-                self.banks.insert(bank, entries);
+                self.inventories.insert(inventory, entries);
             }
             "openInstance" => {
                 let info = fields.at(2);
@@ -84,16 +85,16 @@
                 let seed =
                     seed.as_u64().or(seed.as_i64().map(|s| s as u64)).ok_or("'seed' is not a number")?;
                 let policy = Policy::new(settings, seed).map_err(|fault| format!("in 'info': {fault}"))?;
-                self.instances.insert(instance(&fields)?, (policy, base));
+                self.instances.insert(instance_number(&fields)?, (policy, base));
             }
             "kill" => {
-                let number = instance(&fields)?;
+                let number = instance_number(&fields)?;
                 self.instances.remove(&number);
                 self.replies.retain(|(to, _)| *to != number);
             }
             "message" => {}
             _ => {
-                let number = instance(&fields)?;
+                let number = instance_number(&fields)?;
                 let base = self.instances.get(&number).map_or(0.0, |(_, base)| *base);
                 let event = self.event(name, &fields, base)?;
                 if let (Some(event), Some((policy, _))) = (event, self.instances.get_mut(&number)) {
@@ -106,7 +107,7 @@
         Ok(false)
     }
 
-    fn event(&self, name: &str, fields: &Fields, base: f64) -> Result<Option<Event>, Fault> {
+    fn event(&self, name: &str, fields: &Fields, base: f64) -> Result<Option<Event>, ErrorText> {
         Ok(Some(match name {
             "members" => {
                 let kind = match fields.text(1, "kind")? {
@@ -116,15 +117,19 @@
                     "FAILED" => ListKind::Failed,
                     other => return Err(format!("unknown list kind '{other}'")),
                 };
-                let bank = fields.whole(3, "bank")? as u64;
+                let inventory = fields.integer(3, "bank")? as u64;
                 let entries = match kind.carries_entries() {
                     false => Vec::new(),
-                    true => self.banks.get(&bank).cloned().ok_or_else(|| format!("no inventory {bank}"))?,
+                    true => self
+                        .inventories
+                        .get(&inventory)
+                        .cloned()
+                        .ok_or_else(|| format!("no inventory {inventory}"))?,
                 };
                 Event::Members { kind, entries }
             }
             "arrival" => {
-                let options = fields.whole(6, "opts")?;
+                let options = fields.integer(6, "opts")?;
                 Event::Arrival(Arrival {
                     id: fields.text(1, "corr")?.into(),
                     time_left: fields.number(2, "expiresIn")?,
@@ -132,26 +137,28 @@
                         .filter(|age| *age > 0.0)
                         .map(|age| self.now - age),
                     session: fields.at(4).as_str().map(Arc::from),
-                    tenant: fields.whole(5, "realm")? as usize,
+                    tenant: fields.integer(5, "realm")? as usize,
                     predicted_work: fields.at(7).as_f64().filter(|_| options & 1 != 0),
                     repeat: options & 2 != 0,
-                    class: fields.whole(8, "tierClass")? as usize,
-                    group: fields.whole(9, "clusterNo")? as u32,
+                    class: fields.integer(8, "tierClass")? as usize,
+                    group: fields.integer(9, "clusterNo")? as u32,
                     session_position: None,
                 })
             }
             "done" => {
-                let note = fields.whole(2, "posRole")?;
+                let position_role = fields.integer(2, "posRole")?;
                 Event::AttemptEnded(AttemptEnded {
                     id: fields.text(1, "corr")?.into(),
                     member: fields.text(3, "member")?.into(),
                     finished: fields.flag(4),
                     elapsed: fields.number_or(5, "costTime", 0.0)?,
-                    attempt: fields.whole(6, "sendNo")? as usize,
-                    outcome: outcome(fields.whole(7, "result")?)?,
+                    attempt: fields.integer(6, "sendNo")? as usize,
+                    outcome: outcome(fields.integer(7, "result")?)?,
                     conclusion: Conclusion::AsReceived,
-                    position: Some(note >> 2).filter(|ms| *ms > 0).map(|ms| base + ms as f64 / 1000.0),
-                    primary: match note & 3 {
+                    position: Some(position_role >> 2)
+                        .filter(|ms| *ms > 0)
+                        .map(|ms| base + ms as f64 / 1000.0),
+                    primary: match position_role & 3 {
                         1 => Some(true),
                         2 => Some(false),
                         _ => None,
@@ -161,12 +168,12 @@
             }
             "echo" => Event::ProbeEnded {
                 member: fields.text(1, "member")?.into(),
-                outcome: outcome(fields.whole(2, "result")?)?,
+                outcome: outcome(fields.integer(2, "result")?)?,
                 report: report(fields.at(4), base),
             },
             "accepted" => Event::ResponseStarted { id: fields.text(1, "corr")?.into() },
             "cancelledByClient" => Event::ClientLeft { id: fields.text(1, "corr")?.into() },
-            "timeoutFired" => Event::Timer { cookie: fields.whole(1, "cookie")? as u64 },
+            "timeoutFired" => Event::Timer { cookie: fields.integer(1, "cookie")? as u64 },
             other => return Err(format!("unknown message '{other}'")),
         }))
     }
@@ -181,7 +188,7 @@
                 Action::Timer { at, cookie } => json!(["remind", number, at, cookie]),
                 Action::Probe { member } => json!(["touch", number, &*member]),
                 Action::CloseIdle { member } => json!(["letGo", number, &*member]),
-                // What is sent there is there: nothing is left unwritten.
+                // The simulator receives every attempt at once, so there is none to cancel before it is sent.
                 Action::CancelUnsent { .. } | Action::Explain(_) | Action::Denied { .. } => continue,
                 Action::Subscribe => json!(["listen", number, true]),
                 Action::Log(text) => json!(["journalLine", number, text]),
@@ -192,11 +199,11 @@
     }
 }
 
-fn instance(fields: &Fields) -> Result<i64, Fault> {
+fn instance_number(fields: &Fields) -> Result<i64, ErrorText> {
     fields.at(0).as_i64().ok_or_else(|| "'proxy' is not a whole number".into())
 }
 
-fn outcome(code: i64) -> Result<Outcome, Fault> {
+fn outcome(code: i64) -> Result<Outcome, ErrorText> {
     Ok(match code {
         0 => Outcome::Error,
         1 => Outcome::Ok,
@@ -218,12 +225,12 @@
     }
 }
 
-fn entry(value: &Value) -> Result<Entry, Fault> {
+fn entry(value: &Value) -> Result<Entry, ErrorText> {
     let fields = Fields(value.as_array().ok_or("a list entry is not an array")?);
     Ok(Entry {
         member: fields.text(0, "member")?.into(),
-        zone: fields.whole(1, "failureDomain")? as u32,
-        group: fields.whole(3, "cell")? as u32,
+        zone: fields.integer(1, "failureDomain")? as u32,
+        group: fields.integer(3, "cell")? as u32,
         phase: match fields.text(4, "phase")? {
             "active" => Phase::Active,
             "leaving" => Phase::Leaving,
--- a/crates/explore/examples/corpus.rs
+++ b/crates/explore/examples/corpus.rs
@@ -1,12 +1,12 @@
-//! The kept corpus, a file a machine with an input a line (hexadecimal), as the folders that a fuzzer works on:
-//! `cargo run -p explore --example corpus -- unpack fuzz/corpus`, and back with `pack`.
+//! Converts the stored corpus, one file per target with one hexadecimal input per line, into the folders that
+//! a fuzzer works on: `cargo run -p explore --example corpus -- unpack fuzz/corpus`, and back with `pack`.
 
 use std::path::Path;
 use std::process::ExitCode;
 use std::{fs, io};
 
 fn run(verb: &str, folders: &Path) -> io::Result<()> {
-    for (name, _) in explore::ALL {
+    for (name, _) in explore::TARGETS {
         let folder = folders.join(name);
         match verb {
             "unpack" => {
@@ -23,7 +23,7 @@
                 inputs.sort();
                 inputs.dedup();
                 let lines: String = inputs.iter().map(|input| hex::encode(input) + "\n").collect();
-                fs::write(explore::kept(name), lines)?;
+                fs::write(explore::corpus_path(name), lines)?;
             }
         }
     }
@@ -41,7 +41,7 @@
             }
         },
         _ => {
-            eprintln!("corpus: accepted: pack FOLDERS, or unpack FOLDERS");
+            eprintln!("corpus: usage: pack FOLDERS, or unpack FOLDERS");
             ExitCode::from(2)
         }
     }
--- a/crates/explore/src/lib.rs
+++ b/crates/explore/src/lib.rs
@@ -1,6 +1,6 @@
-//! What a coverage-guided fuzzer drives: each function feeds one machine with any bytes and panics where something does
-//! not hold that must, whatever comes. The targets under `fuzz/` call these, and so does the test that plays the kept
-//! corpus again: what was found once stays found.
+//! The targets of a coverage-guided fuzzer. Each target feeds arbitrary bytes to a parser or a state machine
+//! and panics if an invariant is violated. The binaries under `fuzz/` call the targets, and so does the test
+//! that replays the stored corpus to guard against regressions.
 #![warn(missing_docs)]
 
 use std::collections::BTreeMap;
@@ -14,30 +14,30 @@
 use scram::{ChannelBinding, Client, Server, Users, Verifier};
 use sql::{Kind, Token};
 
-/// A machine that is fed.
-pub type Fed = fn(&[u8]);
+/// A target, called with an input.
+pub type Target = fn(&[u8]);
 
-/// The machines by name, as the files of the corpus are called.
-pub const ALL: [(&str, Fed); 4] =
+/// The targets, by the names of their corpus files.
+pub const TARGETS: [(&str, Target); 4] =
     [("scanner", scanner), ("frames", frames), ("session", session), ("login", login)];
 
-/// Where the kept corpus of a machine is.
-pub fn kept(name: &str) -> PathBuf {
+/// Returns the path of a target's stored corpus.
+pub fn corpus_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("corpus").join(format!("{name}.hex"))
 }
 
-/// The kept corpus of a machine.
+/// Reads the inputs of a target's stored corpus.
 pub fn corpus(name: &str) -> io::Result<Vec<Vec<u8>>> {
-    let text = std::fs::read_to_string(kept(name))?;
+    let text = std::fs::read_to_string(corpus_path(name))?;
     let line = |line| hex::decode(line).map_err(io::Error::other);
     text.lines().map(line).collect()
 }
 
-/// The scanner of statements: it comes to the end of any text, and never takes for a read what writes with another
-/// statement behind it.
+/// The SQL scanner: it reaches the end of any text, and never classifies a text as read-only if a statement
+/// that writes is appended to it.
 pub fn scanner(bytes: &[u8]) {
     let text = String::from_utf8_lossy(bytes);
-    let alone = sql::scan(&text);
+    let scanned = sql::scan(&text);
     let mut lexer = sql::Lexer::new(&text);
     let (mut at, mut depth) = (0, 0usize);
     while let Some(token) = lexer.next() {
@@ -46,50 +46,57 @@
             Token::Symbol(')') => depth.saturating_sub(1),
             _ => depth,
         };
-        assert!(lexer.offset() > at, "the lexer stands still at {at}");
+        assert!(lexer.offset() > at, "the lexer makes no progress at {at}");
         at = lexer.offset();
     }
     assert!(text[lexer.offset()..].is_empty(), "the lexer stops at {at} of {}", text.len());
     if !lexer.is_unterminated() {
-        // A newline ends a comment that the text may have ended in.
-        let more = sql::scan(&format!("{text}\n;INSERT INTO items VALUES (1)"));
-        assert!(!more.is_read_only(), "a write behind it is taken for a read");
-        // A bracket that is open holds statements as one does in a rule; past a bound they are not told apart.
-        let apart =
-            !more.statements.iter().any(|one| matches!(one.kind, Kind::Unknown("too many statements")));
-        let seen = more.statements.len() > alone.statements.len();
-        assert!(depth > 0 || !apart || seen, "a statement behind it is not seen");
+        // The newline ends a comment in which the text may end.
+        let extended = sql::scan(&format!("{text}\n;INSERT INTO items VALUES (1)"));
+        assert!(!extended.is_read_only(), "a text with an appended write is classified as read-only");
+        // Statements within an open parenthesis, as in a rule, and statements past the limit are not counted
+        // separately.
+        let counted =
+            !extended.statements.iter().any(|one| matches!(one.kind, Kind::Unknown("too many statements")));
+        let is_seen = extended.statements.len() > scanned.statements.len();
+        assert!(depth > 0 || !counted || is_seen, "an appended statement is not seen");
     }
 }
 
-/// Takes all messages there are off a ring that is filled with so many bytes at a time.
-fn taken(bytes: &[u8], at_a_time: usize) -> (Vec<u8>, bool) {
+/// Reads all messages from a ring that is filled `chunk_size` bytes at a time. Returns their bytes, and
+/// whether no error occurred.
+fn read_messages(bytes: &[u8], chunk_size: usize) -> (Vec<u8>, bool) {
     let budget = Budget::new(64 * 1024 * 1024);
-    let (mut ring, mut flow, mut out) = (Ring::new(&budget), ServerMessageReader::default(), Vec::new());
-    for part in bytes.chunks(at_a_time.max(1)) {
+    let (mut ring, mut reader, mut output) = (Ring::new(&budget), ServerMessageReader::default(), Vec::new());
+    for part in bytes.chunks(chunk_size.max(1)) {
         if ring.push(part).is_err() {
-            return (out, false);
+            return (output, false);
         }
         loop {
-            match flow.next(&mut ring) {
+            match reader.next(&mut ring) {
                 Ok(None) => break,
-                Ok(Some(Piece::Part(part))) => out.extend(part),
+                Ok(Some(Piece::Part(part))) => output.extend(part),
                 Ok(Some(Piece::Message(message))) => {
-                    out.extend(message_of_strings(message.kind, &[], &message.body))
+                    output.extend(message_of_strings(message.kind, &[], &message.body))
                 }
-                Err(_) => return (out, false),
+                Err(_) => return (output, false),
             }
         }
     }
-    (out, true)
+    (output, true)
 }
 
-/// The framing: what comes out is what went in, however it was cut up on the way.
+/// The framing of messages: the output is a prefix of the input, and the same in whatever chunks the input
+/// arrives.
 pub fn frames(bytes: &[u8]) {
-    let (whole, sound) = taken(bytes, bytes.len());
-    assert!(bytes.starts_with(&whole), "something else comes out than went in");
-    for at_a_time in [1, 7] {
-        assert_eq!(taken(bytes, at_a_time), (whole.clone(), sound), "{at_a_time} bytes at a time");
+    let (output, is_valid) = read_messages(bytes, bytes.len());
+    assert!(bytes.starts_with(&output), "the output is not a prefix of the input");
+    for chunk_size in [1, 7] {
+        assert_eq!(
+            read_messages(bytes, chunk_size),
+            (output.clone(), is_valid),
+            "{chunk_size} bytes at a time"
+        );
     }
     let budget = Budget::new(64 * 1024 * 1024);
     let mut ring = Ring::new(&budget);
@@ -102,9 +109,9 @@
     }
 }
 
-/// Messages of a client that mean something, beside what the bytes make up.
-fn usual(which: u8) -> Message {
-    let (kind, body): (u8, &[u8]) = match which % 24 {
+/// Returns a valid message of a client. Targets use these beside messages made from the input.
+fn client_message(selector: u8) -> Message {
+    let (kind, body): (u8, &[u8]) = match selector % 24 {
         0 => (b'Q', b"SELECT 1\0"),
         1 => (b'Q', b"BEGIN\0"),
         2 => (b'Q', b"COMMIT\0"),
@@ -133,9 +140,9 @@
     Message { kind, body: body.into() }
 }
 
-/// Messages of a server that mean something.
-fn told(which: u8) -> Message {
-    let (kind, body): (u8, &[u8]) = match which % 20 {
+/// Returns a valid message of a server.
+fn server_message(selector: u8) -> Message {
+    let (kind, body): (u8, &[u8]) = match selector % 20 {
         0 => (b'Z', b"I"),
         1 => (b'Z', b"T"),
         2 => (b'Z', b"E"),
@@ -160,9 +167,9 @@
     Message { kind, body: body.into() }
 }
 
-/// How often a client was told that it may go on.
-fn readies(actions: &[Action]) -> usize {
-    let of = |bytes: &[u8]| {
+/// Counts the ReadyForQuery messages to the client.
+fn count_ready_messages(actions: &[Action]) -> usize {
+    let count_in = |bytes: &[u8]| {
         let (mut at, mut count) = (0, 0);
         while let Some(head) = bytes.get(at..at + 5) {
             count += usize::from(head[0] == b'Z');
@@ -170,20 +177,24 @@
         }
         count
     };
-    actions.iter().map(|action| if let Action::SendToClient(bytes) = action { of(bytes) } else { 0 }).sum()
+    actions
+        .iter()
+        .map(|action| if let Action::SendToClient(bytes) = action { count_in(bytes) } else { 0 })
+        .sum()
 }
 
-/// A session between a client and a server that say anything: nothing is sent to a server that it does not have, what
-/// it lets go of for others has nothing open, and a client is told that it may go on no more often than it has asked.
+/// A session between a client and a server that send arbitrary messages. It sends nothing to a server while
+/// none is attached, it releases a server connection for reuse only if no transaction is open and no reply is
+/// pending, and the client receives at most one ReadyForQuery per message that it sent.
 pub fn session(bytes: &[u8]) {
     let Some((mode, steps)) = bytes.split_first() else { return };
     let mode = [Mode::Transaction, Mode::Statement, Mode::Session][usize::from(*mode) % 3];
     let mut session = Session::new(mode, BTreeMap::new(), BTreeMap::new());
-    let (mut asked, mut told_ready, mut ended, mut attached) = (0, 0, false, false);
+    let (mut requests, mut ready_messages, mut ended, mut attached) = (0, 0, false, false);
     let mut steps = steps.iter().copied();
     while let (Some(step), false) = (steps.next(), ended) {
-        let mut out = Vec::new();
-        let mut made_up = |kinds: &[u8], first: u8| {
+        let mut output = Vec::new();
+        let mut message_from_input = |kinds: &[u8], first: u8| {
             let length = usize::from(steps.next().unwrap_or_default() % 24);
             Message {
                 kind: kinds[usize::from(first) % kinds.len()],
@@ -192,68 +203,75 @@
         };
         match step >> 5 {
             0..=2 if session.accepts_message() => {
-                let message = if step >> 5 == 2 { made_up(b"QPBDECHSFdcfp", step) } else { usual(step) };
-                // Each of these is answered with one; what is no message at all with one at the most.
-                asked += 1;
-                session.handle_client_message(message, &mut out);
+                let message = if step >> 5 == 2 {
+                    message_from_input(b"QPBDECHSFdcfp", step)
+                } else {
+                    client_message(step)
+                };
+                // Each message is answered with at most one ReadyForQuery.
+                requests += 1;
+                session.handle_client_message(message, &mut output);
             }
             3 | 4 if session.is_attached() => {
-                session.handle_server_piece(Piece::Message(told(step)), &mut out)
+                session.handle_server_piece(Piece::Message(server_message(step)), &mut output)
             }
             5 if session.is_attached() => {
-                let message = made_up(b"123CEZTtnsISNGHcA", step);
-                session.handle_server_piece(Piece::Message(message), &mut out);
+                let message = message_from_input(b"123CEZTtnsISNGHcA", step);
+                session.handle_server_piece(Piece::Message(message), &mut output);
             }
             6 if !session.accepts_message() && !session.is_attached() && step & 1 == 0 => {
-                session.attach(ServerSessionState::new(2), &mut out);
+                session.attach(ServerSessionState::new(2), &mut output);
             }
             6 if !session.accepts_message() && !session.is_attached() => {
-                session.server_refused("53300", "later", None, &mut out)
+                session.server_refused("53300", "later", None, &mut output)
             }
             7 if session.is_attached() => {
-                let cut = [
+                let reasons = [
                     DetachReason::Lost,
                     DetachReason::Drained,
                     DetachReason::IdleInTransaction,
                     DetachReason::StatementTimeout,
                 ];
-                session.server_detached(cut[usize::from(step) % 4], &mut out);
+                session.server_detached(reasons[usize::from(step) % 4], &mut output);
                 attached = false;
             }
             _ => continue,
         }
         attached |= session.is_attached();
-        for action in &out {
+        for action in &output {
             match action {
                 Action::SendToServer(_) => {
-                    assert!(attached, "something is sent to a server that there is not")
+                    assert!(attached, "data is sent while no server is attached")
                 }
-                Action::ReleaseServer(kept) => {
+                Action::ReleaseServer(disposition) => {
                     attached = false;
-                    assert!(!session.is_attached(), "let go of and still held");
+                    assert!(!session.is_attached(), "a server was released and is still attached");
                     let open = session.in_transaction() || session.awaits_reply();
                     assert!(
-                        !open || *kept == Disposition::Close,
-                        "a connection with something open is passed on"
+                        !open || *disposition == Disposition::Close,
+                        "a connection with an open transaction or a pending reply is released for reuse"
                     );
                 }
                 Action::CloseClient => ended = true,
                 Action::SendToClient(_) | Action::RequestServer(_) => {}
             }
         }
-        told_ready += readies(&out);
-        assert!(told_ready <= asked, "told {told_ready} times that it may go on, having asked {asked} times");
+        ready_messages += count_ready_messages(&output);
+        assert!(
+            ready_messages <= requests,
+            "{ready_messages} ReadyForQuery messages for {requests} requests"
+        );
     }
 }
 
-/// A login and a file of users: no text upsets either, and no proof is taken that was not made with the password.
+/// Logins and the file of users: both handle any text, and no proof made without the password is accepted.
 pub fn login(bytes: &[u8]) {
     let text = String::from_utf8_lossy(bytes);
     if let Ok(users) = Users::parse(&text) {
         assert_eq!(
             Users::parse(&users.to_text()).as_ref(),
             Ok(&users),
-            "a file that is written is read as another"
+            "the users read back from a written file differ"
         );
     }
     let verifier = Verifier::new("pencil", b"salt", 1);
@@ -261,12 +279,12 @@
     let mut line = || lines.next().unwrap_or_default();
     for channel in [ChannelBinding::Unsupported, ChannelBinding::NotUsed, ChannelBinding::Bound(b"here")] {
         if let Ok((server, _)) = Server::begin(line(), "user", Some(&verifier), "nonce", b"secret", channel) {
-            assert!(server.finish(line()).is_err(), "a proof without the password is taken");
+            assert!(server.finish(line()).is_err(), "a proof made without the password is accepted");
         }
         let (mut client, _) = Client::begin("mine", channel);
-        let told = line();
-        if client.answer(&format!("r=mine{told}"), "pencil").is_ok() {
-            assert!(client.finish(line()).is_err(), "a server that does not know the password is taken");
+        let server_nonce = line();
+        if client.answer(&format!("r=mine{server_nonce}"), "pencil").is_ok() {
+            assert!(client.finish(line()).is_err(), "a server without the password is accepted");
         }
     }
 }
--- a/crates/explore/tests/corpus.rs
+++ b/crates/explore/tests/corpus.rs
@@ -1,10 +1,10 @@
-//! The kept corpus of the fuzzer, played again: each input that opened a new path once, or found something.
+//! Replays the fuzzer's stored corpus: inputs that once covered a new path or found a fault.
 
 #[test]
-fn what_was_found_once_stays_found() {
-    for (name, machine) in explore::ALL {
+fn targets_accept_the_stored_corpus() {
+    for (name, target) in explore::TARGETS {
         let inputs = explore::corpus(name).unwrap();
         assert!(inputs.len() >= 100, "{name}: {} inputs; its corpus is missing", inputs.len());
-        inputs.iter().for_each(|input| machine(input));
+        inputs.iter().for_each(|input| target(input));
     }
 }
--- a/crates/measure/src/fit.rs
+++ b/crates/measure/src/fit.rs
@@ -3,10 +3,11 @@
 use serde::Serialize;
 use std::fmt;
 
-/// A pivot smaller than this share of its column's scale counts as zero: the sizes do not determine the model.
+/// A pivot below this share of the largest entry of the matrix counts as zero: the sizes do not determine the
+/// model.
 const SINGULAR: f64 = 1e-12;
 
-/// One measurement: the size of the run and the value that was measured there.
+/// One measurement: the size of the run and the measured value.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
     pub size: f64,
@@ -14,13 +15,12 @@
 }
 
 impl Point {
-    /// A measurement of `value` at `size`.
     pub fn new(size: f64, value: f64) -> Point {
         Point { size, value }
     }
 }
 
-/// The curve that is fitted.
+/// The model of the curve to fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Model {
@@ -31,7 +31,7 @@
 }
 
 impl Model {
-    /// How many coefficients the curve has.
+    /// Returns the number of coefficients.
     pub fn terms(self) -> usize {
         match self {
             Model::Linear => 2,
@@ -44,17 +44,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Coefficient {
     pub value: f64,
-    /// Not finite where there are as many points as coefficients: nothing is left to judge the error by.
+    /// Not finite if there are as many points as coefficients, since no degree of freedom is left to estimate
+    /// it.
     pub error: f64,
 }
 
 impl Coefficient {
-    /// Whether this and `other` differ by no more than `errors` times their combined standard error.
+    /// Returns true if this and `other` differ by at most `errors` times their combined standard error.
     pub fn agrees_with(&self, other: &Coefficient, errors: f64) -> bool {
         (self.value - other.value).abs() <= errors * self.error.hypot(other.error)
     }
 
-    /// Whether the coefficient is further from zero than `errors` times its standard error.
+    /// Returns true if the coefficient is further from zero than `errors` times its standard error.
     pub fn differs_from_zero(&self, errors: f64) -> bool {
         self.value.abs() > errors * self.error
     }
@@ -66,7 +67,7 @@
     }
 }
 
-/// Four significant digits, without an exponent between a thousandth and a hundred million.
+/// Formats a value with four significant digits, without an exponent for magnitudes from 1e-4 to below 1e8.
 fn significant(value: f64) -> String {
     const DIGITS: i32 = 4;
     if value == 0.0 || !value.is_finite() {
@@ -80,7 +81,7 @@
     format!("{value:.3e}")
 }
 
-/// Why no curve can be fitted.
+/// The reason why no curve can be fitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FitError {
     /// There are fewer points than coefficients.
@@ -107,48 +108,47 @@
 
 impl std::error::Error for FitError {}
 
-/// A curve fitted to points, with what is needed to judge it.
+/// A curve fitted to points, with the quality of the fit.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Fit {
     pub model: Model,
     pub intercept: Coefficient,
     pub slope: Coefficient,
-    /// Only where the model has a square term.
+    /// Set only if the model has a square term.
     pub square: Option<Coefficient>,
-    /// What each point lies above the curve, in the order of the points.
+    /// The distance of each point above the curve, in the order of the points.
     pub residuals: Vec<f64>,
-    /// The residuals' standard deviation, by the degrees of freedom that are left.
+    /// The standard deviation of the residuals, with the remaining degrees of freedom.
     pub residual_deviation: f64,
-    /// The share of the values' variance that the curve explains; 1 where the values do not vary.
+    /// The share of the values' variance that the curve explains (R squared), or 1 if the values do not vary.
     pub explained: f64,
-    /// The smallest and the largest size that was measured.
+    /// The smallest and the largest measured size.
     pub range: (f64, f64),
 }
 
 impl Fit {
-    /// A straight line through the points.
+    /// Fits a straight line to the points.
     pub fn linear(points: &[Point]) -> Result<Fit, FitError> {
         Fit::of(Model::Linear, points)
     }
 
-    /// A line with a square term through the points.
+    /// Fits a line with a square term to the points.
     pub fn square(points: &[Point]) -> Result<Fit, FitError> {
         Fit::of(Model::Square, points)
     }
 
-    /// The curve of this model through the points.
+    /// Fits the curve of a model to the points.
     pub fn of(model: Model, points: &[Point]) -> Result<Fit, FitError> {
         check(model, points)?;
         let range = range(points);
-        // Sizes are scaled to at most 1, so that their squares do not spoil the precision of the solution.
+        // Sizes are scaled to at most 1, so that their squares do not reduce the precision of the solution.
         let scale = range.0.abs().max(range.1.abs());
         if scale == 0.0 {
             return Err(FitError::TooFewSizes { needed: model.terms() });
         }
         let rows: Vec<Vec<f64>> = points.iter().map(|point| row(model, point.size / scale)).collect();
-        let inverse =
-            inverted(normal_matrix(&rows)).ok_or(FitError::TooFewSizes { needed: model.terms() })?;
-        let scaled = solution(&inverse, &rows, points);
+        let inverse = invert(normal_matrix(&rows)).ok_or(FitError::TooFewSizes { needed: model.terms() })?;
+        let scaled = solve(&inverse, &rows, points);
         let residuals: Vec<f64> =
             rows.iter().zip(points).map(|(row, point)| point.value - dot(row, &scaled)).collect();
         let residual_deviation = residual_deviation(&residuals, model);
@@ -171,13 +171,13 @@
         })
     }
 
-    /// The curve's value at a size.
+    /// Returns the value of the curve at a size.
     pub fn value_at(&self, size: f64) -> f64 {
         let square = self.square.map_or(0.0, |square| square.value * size * size);
         self.intercept.value + self.slope.value * size + square
     }
 
-    /// Whether a size lies outside what was measured.
+    /// Returns true if a size lies outside the measured range.
     pub fn extrapolates(&self, size: f64) -> bool {
         size < self.range.0 || size > self.range.1
     }
@@ -201,12 +201,12 @@
 }
 
 fn range(points: &[Point]) -> (f64, f64) {
-    points.iter().fold((f64::INFINITY, f64::NEG_INFINITY), |(least, most), point| {
-        (least.min(point.size), most.max(point.size))
+    points.iter().fold((f64::INFINITY, f64::NEG_INFINITY), |(min, max), point| {
+        (min.min(point.size), max.max(point.size))
     })
 }
 
-/// The powers of a size: one row of the design matrix.
+/// Returns one row of the design matrix: the powers of a size.
 fn row(model: Model, size: f64) -> Vec<f64> {
     (0..model.terms()).map(|term| size.powi(term as i32)).collect()
 }
@@ -215,27 +215,28 @@
     one.iter().zip(other).map(|(left, right)| left * right).sum()
 }
 
-/// The design matrix's transpose times itself.
+/// Returns the normal matrix: the transpose of the design matrix times the design matrix.
 fn normal_matrix(rows: &[Vec<f64>]) -> Vec<Vec<f64>> {
     let terms = rows[0].len();
     let entry = |line: usize, column: usize| rows.iter().map(|row| row[line] * row[column]).sum();
     (0..terms).map(|line| (0..terms).map(|column| entry(line, column)).collect()).collect()
 }
 
-fn solution(inverse: &[Vec<f64>], rows: &[Vec<f64>], points: &[Point]) -> Vec<f64> {
+fn solve(inverse: &[Vec<f64>], rows: &[Vec<f64>], points: &[Point]) -> Vec<f64> {
     let moments: Vec<f64> = (0..inverse.len())
         .map(|term| rows.iter().zip(points).map(|(row, point)| row[term] * point.value).sum())
         .collect();
     inverse.iter().map(|line| dot(line, &moments)).collect()
 }
 
-/// The inverse by Gauss-Jordan elimination with partial pivoting; none where the matrix is singular.
-fn inverted(mut matrix: Vec<Vec<f64>>) -> Option<Vec<Vec<f64>>> {
+/// Inverts a matrix by Gauss-Jordan elimination with partial pivoting. Returns `None` if the matrix is
+/// singular.
+fn invert(mut matrix: Vec<Vec<f64>>) -> Option<Vec<Vec<f64>>> {
     let size = matrix.len();
     let unit = |line: usize, column: usize| f64::from(u8::from(line == column));
     let mut inverse: Vec<Vec<f64>> =
         (0..size).map(|line| (0..size).map(|column| unit(line, column)).collect()).collect();
-    let largest = matrix.iter().flatten().fold(0.0_f64, |most, entry| most.max(entry.abs()));
+    let largest = matrix.iter().flatten().fold(0.0_f64, |max, entry| max.max(entry.abs()));
     for column in 0..size {
         let pivot = (column..size)
             .max_by(|&one, &two| matrix[one][column].abs().total_cmp(&matrix[two][column].abs()))?;
--- a/crates/measure/src/machine.rs
+++ b/crates/measure/src/host.rs
@@ -1,4 +1,4 @@
-//! The machine on which something was measured, for the head of a report.
+//! The host on which a measurement ran, for the head of a report.
 
 use crate::process::{number_after, SampleError};
 use serde::Serialize;
@@ -9,27 +9,27 @@
 const MEBIBYTE: u64 = 1024 * 1024;
 const UNKNOWN: &str = "unknown";
 
-/// Processors, memory and kernel of a machine.
+/// Processors, memory and kernel of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Host {
     /// Processors that this process may use.
     pub cores: usize,
-    /// The processor's name as the kernel tells it, or "unknown".
+    /// The processor's name as the kernel reports it, or "unknown".
     pub processor: String,
     /// Memory in bytes.
     pub memory: u64,
-    /// Memory in bytes that could be had without swapping when this was asked.
+    /// Memory in bytes that was available without swapping when the host was described.
     pub available: u64,
     /// The kernel's release, or "unknown".
     pub kernel: String,
-    /// The first and the last port that the kernel gives to sockets without one of their own.
+    /// The first and the last ephemeral port.
     pub ephemeral_ports: (u16, u16),
-    /// The most descriptors that this process may open.
+    /// The maximum number of descriptors that this process may open.
     pub descriptors: u64,
 }
 
 impl Host {
-    /// Describes the machine that this runs on.
+    /// Describes the host of this process.
     pub fn current() -> Result<Host, SampleError> {
         Ok(Host {
             cores: std::thread::available_parallelism().map_or(1, usize::from),
@@ -86,7 +86,7 @@
     }
 }
 
-/// The soft limit, which is what opening a descriptor is held against.
+/// Returns the soft limit, which applies when a descriptor is opened.
 fn descriptor_limit() -> Result<u64, SampleError> {
     const PATH: &str = "/proc/self/limits";
     number_after(Path::new(PATH), &read(PATH)?, "Max open files")
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,12 +1,13 @@
-//! What the commands that measure the program share: least-squares fits, the spread over repeats, samples of a
-//! process from `/proc` and a description of the machine. Reads files only; starts nothing and writes nothing.
+//! Shared by the commands that measure the pooler: least-squares fits, the spread over repeats, samples of a
+//! process from `/proc` and a description of the host. This package only reads files; it starts no process
+//! and writes nothing.
 
 mod fit;
-mod machine;
+mod host;
 mod process;
 mod spread;
 
 pub use fit::{Coefficient, Fit, FitError, Model, Point};
-pub use machine::Host;
+pub use host::Host;
 pub use process::{Process, Sample, SampleError};
 pub use spread::Spread;
--- a/crates/measure/src/process.rs
+++ b/crates/measure/src/process.rs
@@ -1,4 +1,4 @@
-//! What a process uses, as the kernel tells it under `/proc`.
+//! The resource usage of a process, from `/proc`.
 
 use serde::Serialize;
 use std::fmt;
@@ -6,9 +6,10 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// The unit of processor time in `/proc/PID/stat`: the kernel's USER_HZ, 100 a second on every usual architecture.
+/// The unit of processor time in `/proc/PID/stat`: the kernel's USER_HZ, 100 a second on every usual
+/// architecture.
 const TICK: Duration = Duration::from_millis(10);
-/// Where user time stands among the fields that follow the command's name, counted from 0; system time is next.
+/// Index of the user time among the fields after the command's name, from 0. System time is the next field.
 const USER_TIME: usize = 11;
 const KIBIBYTE: u64 = 1024;
 
@@ -17,7 +18,7 @@
 pub enum SampleError {
     /// The file cannot be read: the process has ended, or belongs to another user.
     Unreadable { path: PathBuf, cause: io::Error },
-    /// The file holds no such field, or one that is not a number.
+    /// The file does not contain the field, or it is not a number.
     NoField { path: PathBuf, field: &'static str },
 }
 
@@ -34,27 +35,27 @@
 
 impl std::error::Error for SampleError {}
 
-/// A process that is sampled, by its number. It need not be a child.
+/// A process to sample, by its process id. It need not be a child of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Process(pub u32);
 
-/// What a process used up to one moment.
+/// The resource usage of a process at one time.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Sample {
-    /// When it was taken.
+    /// When the sample was taken.
     #[serde(skip)]
     pub at: Instant,
-    /// Resident memory in bytes, with files and shared memory.
+    /// Resident memory in bytes, including files and shared memory.
     pub resident: u64,
-    /// Resident memory in bytes that is the process's own: heap and stacks.
+    /// Anonymous resident memory in bytes: heap and stacks.
     pub anonymous: u64,
-    /// The most resident memory that it ever had, in bytes.
+    /// The maximum of the resident memory so far, in bytes.
     pub peak: u64,
-    /// Processor time spent in the program since its start, in steps of 10 ms.
+    /// Processor time in user mode since the start of the process, in steps of 10 ms.
     pub user: Duration,
-    /// Processor time that the kernel spent for it since its start, in steps of 10 ms.
+    /// Processor time in the kernel since the start of the process, in steps of 10 ms.
     pub system: Duration,
-    /// Time that the threads which still run have been on a processor, in nanoseconds' steps.
+    /// Time for which the threads that still run have been scheduled, with a resolution of 1 ns.
     pub scheduled: Duration,
     /// Open file descriptors.
     pub descriptors: usize,
@@ -62,18 +63,19 @@
 }
 
 impl Sample {
-    /// User and system time together: as exact as the scheduler tells it, which leaves out threads that have ended, and
-    /// never less than the coarser sum that counts them.
+    /// Returns user and system time together. Uses the exact time of the scheduler, which leaves out threads
+    /// that have ended, but never less than the coarser sum of both times, which includes them.
     pub fn processor_time(&self) -> Duration {
         self.scheduled.max(self.user + self.system)
     }
 
-    /// The processor time that was spent since an earlier sample of the same process.
+    /// Returns the processor time spent since an earlier sample of the same process.
     pub fn processor_time_since(&self, earlier: &Sample) -> Duration {
         self.processor_time().saturating_sub(earlier.processor_time())
     }
 
-    /// The share of one core that was used since an earlier sample of the same process; 0 where no time has passed.
+    /// Returns the share of one core used since an earlier sample of the same process, or 0 if no time has
+    /// passed.
     pub fn core_share_since(&self, earlier: &Sample) -> f64 {
         let passed = self.at.saturating_duration_since(earlier.at).as_secs_f64();
         if passed == 0.0 {
@@ -84,12 +86,12 @@
 }
 
 impl Process {
-    /// The process that calls.
+    /// Returns the calling process.
     pub fn current() -> Process {
         Process(std::process::id())
     }
 
-    /// What it has used so far. Takes some tens of microseconds, and more with many open descriptors.
+    /// Samples the process. Takes some tens of microseconds, and more with many open descriptors.
     pub fn sample(&self) -> Result<Sample, SampleError> {
         let (status_path, status) = self.read("status")?;
         let kibibytes = |field| number_after(&status_path, &status, field).map(|number| number * KIBIBYTE);
@@ -107,8 +109,8 @@
         })
     }
 
-    /// User and system time, from `stat`. The command's name in it may hold blanks and brackets: fields are counted from
-    /// its last bracket.
+    /// Returns user and system time from `stat`. The command's name may contain blanks and parentheses, so
+    /// fields are counted from the last closing parenthesis.
     fn processor_times(&self) -> Result<(Duration, Duration), SampleError> {
         let (path, text) = self.read("stat")?;
         let fields: Vec<&str> =
@@ -120,7 +122,8 @@
         Ok((ticks(USER_TIME, "utime")?, ticks(USER_TIME + 1, "stime")?))
     }
 
-    /// The first field of each thread's `schedstat`. A thread that ends meanwhile is left out.
+    /// Returns the sum of the first field of each thread's `schedstat`. A thread that ends meanwhile is left
+    /// out.
     fn scheduled(&self) -> Result<Duration, SampleError> {
         let path = self.path("task");
         let threads = match std::fs::read_dir(&path) {
@@ -155,7 +158,7 @@
     }
 }
 
-/// The number behind a field's name at the start of a line.
+/// Returns the number after a field's name at the start of a line.
 pub(crate) fn number_after(
     path: &std::path::Path,
     text: &str,
--- a/crates/measure/src/spread.rs
+++ b/crates/measure/src/spread.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// What repeats of one measurement came to, in the unit of the values.
+/// The spread of repeated measurements, in the unit of the values.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Spread {
     pub count: usize,
@@ -10,12 +10,12 @@
     pub median: f64,
     pub least: f64,
     pub most: f64,
-    /// The sample's standard deviation; 0 of a single value.
+    /// The sample standard deviation, or 0 for a single value.
     pub deviation: f64,
 }
 
 impl Spread {
-    /// The spread of these values; none where there are none or one is not finite.
+    /// Computes the spread of values. Returns `None` if there are no values or one is not finite.
     pub fn of(values: &[f64]) -> Option<Spread> {
         if values.is_empty() || !values.iter().all(|value| value.is_finite()) {
             return None;
@@ -30,7 +30,7 @@
         Some(Spread { count, mean, median, least: sorted[0], most: sorted[count - 1], deviation })
     }
 
-    /// The standard error of the mean.
+    /// Returns the standard error of the mean.
     pub fn standard_error(&self) -> f64 {
         self.deviation / (self.count as f64).sqrt()
     }
--- a/crates/measure/tests/fit.rs
+++ b/crates/measure/tests/fit.rs
@@ -1,4 +1,4 @@
-//! Fits of known curves, with and without noise, against values worked out by hand.
+//! Fits of known curves, with and without noise, compared with values computed by hand.
 
 use measure::{Coefficient, Fit, FitError, Model, Point};
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_line_without_noise_is_found_exactly() {
+fn linear_fit_recovers_a_line_without_noise() {
     let fit = Fit::linear(&points(&[(0.0, 3.0), (10.0, 23.0), (20.0, 43.0), (30.0, 63.0)])).unwrap();
     assert!(near(fit.intercept.value, 3.0) && near(fit.slope.value, 2.0), "{fit:?}");
     assert!(fit.slope.error < 1e-9 && fit.residual_deviation < 1e-9, "{fit:?}");
@@ -20,9 +20,10 @@
     assert!(fit.extrapolates(31.0) && !fit.extrapolates(30.0));
 }
 
-/// Sizes 1 to 5, values 2, 4, 5, 4, 5: slope 0.6, intercept 2.2, squared residuals 2.4 over 3 degrees of freedom.
+/// Sizes 1 to 5, values 2, 4, 5, 4, 5: slope 0.6, intercept 2.2, squared residuals 2.4 over 3 degrees of
+/// freedom.
 #[test]
-fn a_lines_standard_errors_are_those_of_the_textbook() {
+fn linear_fit_matches_hand_computed_standard_errors() {
     let fit = Fit::linear(&points(&[(1.0, 2.0), (2.0, 4.0), (3.0, 5.0), (4.0, 4.0), (5.0, 5.0)])).unwrap();
     assert!(near(fit.slope.value, 0.6) && near(fit.intercept.value, 2.2), "{fit:?}");
     assert!(near(fit.residual_deviation, 0.8_f64.sqrt()), "{fit:?}");
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn a_square_term_is_found_at_the_sizes_of_a_fleet() {
+fn square_fit_recovers_a_square_term_at_fleet_sizes() {
     let curve = |size: f64| 500.0 + 216.0 * size + 0.25 * size * size;
     let measured: Vec<Point> = [50.0, 100.0, 200.0, 400.0, 800.0, 1300.0]
         .iter()
@@ -47,13 +48,13 @@
 }
 
 #[test]
-fn as_many_points_as_coefficients_leave_no_error_to_state() {
+fn standard_errors_are_not_finite_without_degrees_of_freedom() {
     let fit = Fit::linear(&points(&[(1.0, 1.0), (2.0, 3.0)])).unwrap();
     assert!(near(fit.slope.value, 2.0) && !fit.slope.error.is_finite(), "{fit:?}");
 }
 
 #[test]
-fn what_does_not_determine_a_curve_is_refused() {
+fn points_that_do_not_determine_a_curve_are_rejected() {
     let few = Fit::linear(&points(&[(1.0, 1.0)]));
     assert_eq!(few, Err(FitError::TooFewPoints { points: 1, needed: 2 }));
     let same = Fit::linear(&points(&[(5.0, 1.0), (5.0, 2.0), (5.0, 3.0)]));
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn coefficients_agree_within_their_combined_error() {
+fn coefficients_agree_within_their_combined_standard_error() {
     let one = Coefficient { value: 10.0, error: 0.3 };
     let two = Coefficient { value: 10.9, error: 0.4 };
     assert!(one.agrees_with(&two, 2.0) && !one.agrees_with(&two, 1.0));
