--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -32,7 +32,7 @@
 /// Number of poolers started so far, for the names of their configuration files.
 static STARTED_POOLERS: AtomicUsize = AtomicUsize::new(0);
 
-/// Settings with time limits as long as possible, so that a slow host does not fail a test.
+/// Settings with long time limits, so that a slow host does not fail a test.
 const SETTINGS: &str = r#"{"classes":[
 {"name":"browse","aim":8,"deadline":9,"effect":"read_like","value":1},
 {"name":"own-orders","aim":8,"deadline":9,"effect":"read_like","value":1},
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -24,7 +24,7 @@
 const ABANDON_ONE_IN: u32 = 25;
 /// One connection in this many sends a truncated message.
 const TRUNCATE_ONE_IN: u32 = 12;
-/// One time in this many a client sends several requests at once.
+/// One batch in this many consists of several pipelined requests.
 const PIPELINE_ONE_IN: u32 = 10;
 /// One single request in this many is sent in two writes.
 const SPLIT_ONE_IN: u32 = 15;
@@ -35,7 +35,7 @@
 /// Delay after a failed connection attempt (milliseconds).
 const RECONNECT_DELAY_MS: u64 = 30;
 
-/// The address at which a pooler listens.
+/// Returns the address at which a pooler listens.
 pub fn address(pooler: usize) -> SocketAddr {
     addresses::address(AddressKind::Poolers, pooler as u8, 1, PORT)
 }
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -123,7 +123,7 @@
     verdict: Verdict,
 }
 
-/// Returns the verdict on a run.
+/// Checks all rules and returns the verdict on a run.
 pub fn judge(plan: &Plan, fleet: &Fleet, events: Vec<(f64, Event)>) -> Verdict {
     let mut oracle = Oracle {
         plan,
@@ -447,8 +447,8 @@
             Consistency::Session => self.last_known_commit(request),
             Consistency::Write | Consistency::Any => return,
         };
-        // The bounds are computed from the times of the first attempt and of the sending: allows for the
-        // soak's delays between.
+        // Delays of the host between sending and arrival may make the data older than `required` by the
+        // tolerance.
         if !value.primary && value.position < required - self.tolerance(request.sent_at, arrived_at) {
             let (class, position) = (class.consistency, value.position);
             let description = format!("{id:016x} ({class:?}): position {position:.3}, needed {required:.3}");
@@ -462,9 +462,8 @@
         let known = |other: &&Request| {
             let write = self.plan.classes[other.class].consistency == Consistency::Write;
             let same_client = other.client == request.client;
-            // Where positions are not carried, the answer must have passed through a process of the pooler
-            // that still runs.
             let answered = other.answer.is_some_and(|(at, _)| at + OBSERVED_AFTER <= request.sent_at);
+            // Unless requests carry positions, a process knows only those of the answers that it passed on.
             write
                 && same_client
                 && answered
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -4,7 +4,7 @@
 use fastrand::Rng;
 use serde_json::{json, Value};
 
-/// The effect of a repeated request.
+/// Whether and how far a request of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Safe,
@@ -44,7 +44,7 @@
     CutsRows,
     /// Closes the connection when a request arrives.
     Resets,
-    /// Answers 53300 after a row description: the request has run.
+    /// Answers 53300 after a row description, so that the request counts as possibly run.
     Contradicts,
     /// New connections are established slowly.
     ConnectsLate,
@@ -164,7 +164,7 @@
 const ACCEPTED_STALL: f64 = 0.15;
 /// A pause far longer than that (seconds).
 const LONG_STALL: f64 = 0.8;
-/// No fault is drawn to begin in the first and last part of a run (seconds).
+/// Faults are drawn for the time between these first and last parts of a run (seconds).
 const FAULT_FREE_START: f64 = 2.0;
 const FAULT_FREE_END: f64 = 4.0;
 /// Connect timeout of a pooler towards a member (seconds).
