--- a/crates/lifecycle/src/machine.rs
+++ b/crates/lifecycle/src/machine.rs
@@ -1,35 +1,37 @@
-//! The machine.
+//! The lifecycle state machine.
 
 use crate::{EXIT_CLEAN, EXIT_PENDING};
 
-/// How often it is looked whether something is still owed while the daemon ends (seconds).
-const LOOK: f64 = 0.05;
-/// How long answers may take to be written once all that is open was cut off (seconds).
-const FLUSH: f64 = 1.0;
-/// What a second signal leaves of the time to drain (seconds).
-const HURRY: f64 = 1.0;
+/// How often pending replies are checked during shutdown (seconds).
+const PENDING_CHECK_INTERVAL: f64 = 0.05;
+/// How long writing the final answers may take after the drain timeout (seconds).
+const FLUSH_TIMEOUT: f64 = 1.0;
+/// Upper bound of the remaining drain time after a second signal (seconds).
+const SECOND_SIGNAL_TIMEOUT: f64 = 1.0;
 
-/// Where a daemon is in its life.
+/// Stage of the pooler's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Not everything that it needs is there.
+    /// The listener is not bound yet, or no list with a serving member has been received.
     Starting,
-    /// It serves.
+    /// Serving clients.
     Ready,
-    /// It serves, and reads its configuration again.
+    /// Serving clients while the configuration is being reread.
     Reloading,
-    /// It is to end: it goes on serving whoever does not know that yet, but keeps nobody waiting.
+    /// Shutdown requested: new connections are accepted until `accept_grace` has passed, for clients that do
+    /// not know of the shutdown yet. With `refuse_waiting`, requests that wait for a server are refused.
     Draining,
-    /// It takes in no more; what is on its way comes to its end.
+    /// No new connections are accepted; requests in progress may complete.
     Closing,
-    /// Time is up: all that is owed has been answered with what is known, and is being written.
+    /// The drain timeout has passed: every pending request has been given its final answer, which is being
+    /// written.
     Cutting,
-    /// Over, with this exit code.
+    /// Ended, with this exit code.
     Ended(u8),
 }
 
 impl Stage {
-    /// Its name, for people and for `status`.
+    /// Name of the stage, as `status` prints it.
     pub fn name(self) -> &'static str {
         match self {
             Stage::Starting => "starting",
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Whether the daemon is on its way out.
+    /// Returns true from the first stop request on.
     pub fn is_shutting_down(self) -> bool {
         matches!(self, Stage::Draining | Stage::Closing | Stage::Cutting | Stage::Ended(_))
     }
@@ -51,16 +53,16 @@
 /// Time limits (seconds).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// From the wish to end until nobody is taken in any more: those who were told to go elsewhere have done so by
-    /// then.
+    /// From the stop request until no new connections are accepted. Those that were notified of the shutdown
+    /// have switched to another pooler by then.
     pub accept_grace: f64,
-    /// From the wish to end until what is open is cut off; infinite where it has all the time it needs.
+    /// From the stop request until pending requests are ended; infinite for no limit.
     pub drain_timeout: f64,
-    /// Whether those that wait for a server are sent away as soon as the daemon is to end.
+    /// Whether requests that wait for a server are refused as soon as shutdown begins.
     pub refuse_waiting: bool,
-    /// How often a service manager wants to hear that the loop turns; none where there is no such.
+    /// Interval at which the service manager expects a keep-alive; `None` without a watchdog.
     pub watchdog_interval: Option<f64>,
-    /// A start that takes longer than this is told to the service manager as one that goes on.
+    /// A start that takes longer than this asks the service manager once for more time.
     pub start_timeout: f64,
 }
 
@@ -76,126 +78,128 @@
     }
 }
 
-/// What is owed.
+/// Numbers of pending requests and open client connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Pending {
     /// Requests that wait for a server.
     pub waiting: usize,
-    /// Requests that are at one.
+    /// Requests with an attempt in flight.
     pub in_flight: usize,
-    /// Connections of clients that are not closed yet.
+    /// Client connections that are not closed yet.
     pub clients: usize,
 }
 
 impl Pending {
-    /// Whether nothing is.
+    /// Returns true if nothing is pending.
     pub fn is_empty(self) -> bool {
         self == Pending::default()
     }
 }
 
-/// What happens.
+/// Input events.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Input {
     /// The listener is bound.
     ListenerBound,
-    /// A list with a member that serves is held.
+    /// A list with a serving member has been received.
     ListReceived,
-    /// The configuration is being read again; at this time of the monotonic clock (microseconds).
+    /// A reload was requested, at this time of the monotonic clock (microseconds).
     ReloadRequested(u64),
-    /// That has come to its end, one way or the other.
+    /// The reload has finished, successfully or not.
     ReloadFinished,
-    /// It is to end: a signal. A second one hurries, a third one ends it.
+    /// A signal requests shutdown. A second one shortens the drain, a third one exits at once.
     StopRequested,
-    /// Another process has taken over the listener: nobody comes here any more.
+    /// Another process has taken over the listener: this process gets no more connections.
     ListenerHandedOver,
-    /// Time passes; what is owed now.
+    /// Time has passed; carries what is pending now.
     Tick(Pending),
 }
 
-/// What the driver does, in this order.
+/// Actions for the driver, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Tell the service manager.
+    /// Send this message to the service manager.
     Notify(String),
-    /// Come again with [`Input::Tick`] then.
+    /// Call again with [`Input::Tick`] at this time.
     Timer(f64),
-    /// Send away those that wait for a server, with a time to come back.
+    /// Refuse the requests that wait for a server, with a retry time.
     RefuseWaiting,
-    /// Take nobody in any more; a client's connection ends as soon as nothing is owed on it.
+    /// Accept no more connections; close each client connection as soon as no reply is pending on it.
     StopAccepting,
-    /// Answer all that is owed with what is known of it.
+    /// Answer each pending request with what is known of its outcome.
     AnswerPending,
-    /// Read the configuration again.
+    /// Reread the configuration.
     ReadConfig,
-    /// The wish to reload is not followed; why.
+    /// The reload request is rejected, for this reason.
     ReloadRejected(&'static str),
-    /// End with this exit code; what is owed is listed where it is not [`EXIT_CLEAN`](crate::EXIT_CLEAN).
+    /// Exit with this code; unless it is [`EXIT_CLEAN`](crate::EXIT_CLEAN), log what is pending.
     Exit(u8),
 }
 
-/// A daemon's life.
+/// Lifecycle of a pooler.
 #[derive(Debug)]
 pub struct StateMachine {
-    terms: Limits,
+    limits: Limits,
     stage: Stage,
-    bound: bool,
-    listed: bool,
-    begun: f64,
+    listener_bound: bool,
+    list_received: bool,
+    started_at: f64,
     extended: bool,
-    /// Signals to end so far.
-    stops: u32,
-    /// When nobody is taken in any more, and when what is open is cut off, or given up.
-    close_at: f64,
-    cut_at: f64,
-    owed: Pending,
-    /// When the service manager was last told that the loop turns.
-    beaten: f64,
-    /// The earliest timer that is set; guards against one more with each input.
-    set: f64,
+    /// Stop requests received so far.
+    stop_requests: u32,
+    /// When the pooler stops accepting connections.
+    stop_accepting_at: f64,
+    /// When pending requests are ended, or, in [`Stage::Cutting`], when writing their answers is given up.
+    drain_deadline: f64,
+    pending: Pending,
+    /// When the last keep-alive was sent to the service manager.
+    keep_alive_sent_at: f64,
+    /// Earliest timer that is set; avoids setting another one on each input.
+    next_timer: f64,
 }
 
 impl StateMachine {
-    /// A daemon that begins.
-    pub fn new(terms: Limits, now: f64, out: &mut Vec<Action>) -> StateMachine {
+    /// Starts the lifecycle of a new process at `now`.
+    pub fn new(limits: Limits, now: f64, out: &mut Vec<Action>) -> StateMachine {
         let mut machine = StateMachine {
-            terms,
+            limits,
             stage: Stage::Starting,
-            bound: false,
-            listed: false,
-            begun: now,
+            listener_bound: false,
+            list_received: false,
+            started_at: now,
             extended: false,
-            stops: 0,
-            close_at: f64::INFINITY,
-            cut_at: f64::INFINITY,
-            owed: Pending::default(),
-            beaten: now,
-            set: f64::INFINITY,
+            stop_requests: 0,
+            stop_accepting_at: f64::INFINITY,
+            drain_deadline: f64::INFINITY,
+            pending: Pending::default(),
+            keep_alive_sent_at: now,
+            next_timer: f64::INFINITY,
         };
         machine.schedule(now, out);
         machine
     }
 
-    /// Where it is.
+    /// Current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Other time limits from now on. A drain that has begun goes by those that it began with.
-    pub fn set_limits(&mut self, terms: Limits) {
-        self.terms = Limits { watchdog_interval: self.terms.watchdog_interval, ..terms };
+    /// Replaces the limits. The watchdog interval, and the deadlines of a drain that has begun, keep their
+    /// values.
+    pub fn set_limits(&mut self, limits: Limits) {
+        self.limits = Limits { watchdog_interval: self.limits.watchdog_interval, ..limits };
     }
 
-    /// Takes in what happens.
+    /// Handles one input at the time `now` and appends the actions to `out`.
     pub fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Action>) {
         match input {
             Input::ListenerBound => {
-                self.bound = true;
-                self.starts(out);
+                self.listener_bound = true;
+                self.check_ready(out);
             }
             Input::ListReceived => {
-                self.listed = true;
-                self.starts(out);
+                self.list_received = true;
+                self.check_ready(out);
             }
             Input::ReloadRequested(monotonic) => match self.stage {
                 Stage::Ready => {
@@ -203,128 +207,137 @@
                     out.push(Action::Notify(crate::notify::reloading(monotonic)));
                     out.push(Action::ReadConfig);
                 }
-                // What it is started with is being read, or was: a second reading does no harm.
+                // The configuration of the start may be stale by now; reading it once more is harmless.
                 Stage::Starting => out.push(Action::ReadConfig),
-                Stage::Reloading => out.push(Action::ReloadRejected("the last one is not done with")),
-                _ => out.push(Action::ReloadRejected("the daemon is to end")),
+                Stage::Reloading => out.push(Action::ReloadRejected("the previous reload has not finished")),
+                _ => out.push(Action::ReloadRejected("the pooler is shutting down")),
             },
             Input::ReloadFinished if self.stage == Stage::Reloading => {
                 self.stage = Stage::Ready;
                 out.push(Action::Notify(crate::notify::READY.into()));
             }
             Input::ReloadFinished => {}
-            Input::StopRequested => self.stop(now, out),
+            Input::StopRequested => self.handle_stop_request(now, out),
             Input::ListenerHandedOver => {
                 if !self.stage.is_shutting_down() {
-                    self.stop(now, out);
+                    self.handle_stop_request(now, out);
                 }
-                self.close(now, out);
+                self.stop_accepting(now, out);
             }
-            Input::Tick(owed) => {
-                self.owed = owed;
-                if now >= self.set {
-                    self.set = f64::INFINITY;
+            Input::Tick(pending) => {
+                self.pending = pending;
+                if now >= self.next_timer {
+                    self.next_timer = f64::INFINITY;
                 }
-                self.time(now, out);
+                self.on_tick(now, out);
             }
         }
         self.schedule(now, out);
     }
 
-    fn starts(&mut self, out: &mut Vec<Action>) {
-        if self.stage == Stage::Starting && self.bound && self.listed {
+    fn check_ready(&mut self, out: &mut Vec<Action>) {
+        if self.stage == Stage::Starting && self.listener_bound && self.list_received {
             self.stage = Stage::Ready;
-            let words = format!("{}\n{}", crate::notify::READY, crate::notify::status("serving"));
-            out.push(Action::Notify(words));
+            let message = format!("{}\n{}", crate::notify::READY, crate::notify::status("serving"));
+            out.push(Action::Notify(message));
         }
     }
 
-    fn stop(&mut self, now: f64, out: &mut Vec<Action>) {
+    fn handle_stop_request(&mut self, now: f64, out: &mut Vec<Action>) {
         if let Stage::Ended(_) = self.stage {
             return;
         }
-        self.stops += 1;
-        match self.stops {
+        self.stop_requests += 1;
+        match self.stop_requests {
             1 => {
                 self.stage = Stage::Draining;
-                (self.close_at, self.cut_at) =
-                    (now + self.terms.accept_grace, now + self.terms.drain_timeout);
-                let words = crate::notify::status("draining");
-                out.push(Action::Notify(format!("{}\n{words}", crate::notify::STOPPING)));
-                if self.terms.refuse_waiting {
+                (self.stop_accepting_at, self.drain_deadline) =
+                    (now + self.limits.accept_grace, now + self.limits.drain_timeout);
+                let message = crate::notify::status("draining");
+                out.push(Action::Notify(format!("{}\n{message}", crate::notify::STOPPING)));
+                if self.limits.refuse_waiting {
                     out.push(Action::RefuseWaiting);
                 }
             }
             2 => {
-                self.cut_at = self.cut_at.min(now + HURRY);
+                self.drain_deadline = self.drain_deadline.min(now + SECOND_SIGNAL_TIMEOUT);
                 out.push(Action::RefuseWaiting);
-                self.close(now, out);
+                self.stop_accepting(now, out);
             }
             _ => self.exit(out),
         }
     }
 
-    fn close(&mut self, now: f64, out: &mut Vec<Action>) {
+    fn stop_accepting(&mut self, now: f64, out: &mut Vec<Action>) {
         if self.stage == Stage::Draining {
-            (self.stage, self.close_at) = (Stage::Closing, now);
+            (self.stage, self.stop_accepting_at) = (Stage::Closing, now);
             out.push(Action::StopAccepting);
         }
     }
 
     fn exit(&mut self, out: &mut Vec<Action>) {
-        let code = if self.owed.is_empty() { EXIT_CLEAN } else { EXIT_PENDING };
+        let code = if self.pending.is_empty() { EXIT_CLEAN } else { EXIT_PENDING };
         self.stage = Stage::Ended(code);
         out.push(Action::Exit(code));
     }
 
-    fn time(&mut self, now: f64, out: &mut Vec<Action>) {
-        if self.terms.watchdog_interval.is_some_and(|every| now >= self.beaten + every) {
-            self.beaten = now;
+    fn on_tick(&mut self, now: f64, out: &mut Vec<Action>) {
+        if self.limits.watchdog_interval.is_some_and(|interval| now >= self.keep_alive_sent_at + interval) {
+            self.keep_alive_sent_at = now;
             out.push(Action::Notify(crate::notify::WATCHDOG.into()));
         }
-        if self.stage == Stage::Starting && !self.extended && now >= self.begun + self.terms.start_timeout {
+        if self.stage == Stage::Starting
+            && !self.extended
+            && now >= self.started_at + self.limits.start_timeout
+        {
             self.extended = true;
-            let missing = if self.bound { "waits for a list with a member that serves" } else { "binds" };
-            let words = crate::notify::status(missing);
-            out.push(Action::Notify(format!("{}\n{words}", crate::notify::extend_timeout(60.0))));
+            let status = if self.listener_bound {
+                "waiting for a list with a serving member"
+            } else {
+                "binding the listener"
+            };
+            let message = crate::notify::status(status);
+            out.push(Action::Notify(format!("{}\n{message}", crate::notify::extend_timeout(60.0))));
         }
-        if self.stage == Stage::Draining && now >= self.close_at {
-            self.close(now, out);
+        if self.stage == Stage::Draining && now >= self.stop_accepting_at {
+            self.stop_accepting(now, out);
         }
         if matches!(self.stage, Stage::Draining | Stage::Closing) {
-            if self.terms.refuse_waiting && self.owed.waiting > 0 {
+            if self.limits.refuse_waiting && self.pending.waiting > 0 {
                 out.push(Action::RefuseWaiting);
             }
-            if self.stage == Stage::Closing && self.owed.is_empty() {
+            if self.stage == Stage::Closing && self.pending.is_empty() {
                 return self.exit(out);
             }
-            if now >= self.cut_at {
+            if now >= self.drain_deadline {
                 if self.stage == Stage::Draining {
-                    self.close(now, out);
+                    self.stop_accepting(now, out);
                 }
-                (self.stage, self.cut_at) = (Stage::Cutting, now + FLUSH);
+                (self.stage, self.drain_deadline) = (Stage::Cutting, now + FLUSH_TIMEOUT);
                 return out.push(Action::AnswerPending);
             }
         }
-        if self.stage == Stage::Cutting && (self.owed.is_empty() || now >= self.cut_at) {
+        if self.stage == Stage::Cutting && (self.pending.is_empty() || now >= self.drain_deadline) {
             self.exit(out);
         }
     }
 
-    /// Sets a timer for what comes next, where none does for it.
+    /// Sets a timer for the next deadline, unless one is set for that time or earlier.
     fn schedule(&mut self, now: f64, out: &mut Vec<Action>) {
         let mut next = match self.stage {
-            Stage::Starting if !self.extended => self.begun + self.terms.start_timeout,
-            Stage::Draining => self.close_at.min(self.cut_at).min(now + LOOK),
-            Stage::Closing | Stage::Cutting => self.cut_at.min(now + LOOK),
+            Stage::Starting if !self.extended => self.started_at + self.limits.start_timeout,
+            Stage::Draining => {
+                self.stop_accepting_at.min(self.drain_deadline).min(now + PENDING_CHECK_INTERVAL)
+            }
+            Stage::Closing | Stage::Cutting => self.drain_deadline.min(now + PENDING_CHECK_INTERVAL),
             Stage::Ended(_) => return,
             _ => f64::INFINITY,
         };
-        if let Some(every) = self.terms.watchdog_interval {
-            next = next.min(self.beaten + every);
+        if let Some(interval) = self.limits.watchdog_interval {
+            next = next.min(self.keep_alive_sent_at + interval);
         }
-        if next < self.set {
-            self.set = next;
+        if next < self.next_timer {
+            self.next_timer = next;
             out.push(Action::Timer(next));
         }
     }
