--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,6 +1,7 @@
-//! A daemon handed over to its successor without a gap. Both hold the same listening socket; at each moment one of them
-//! takes in clients. Two machines without I/O: [`Predecessor`] in the daemon that runs, [`Successor`] in the one that comes;
-//! [`Message`] is what they tell each other, [`Snapshot`] what the one knows.
+//! Handover of a running pooler to its successor without a gap in service. Both processes hold the same
+//! listening socket, and at most one of them accepts clients at any time. [`Predecessor`] (in the running
+//! process) and [`Successor`] (in the new one) are state machines without I/O. They exchange [`Message`]s,
+//! and the predecessor passes on its observed state as a [`Snapshot`].
 #![warn(missing_docs)]
 
 mod message;
@@ -16,6 +17,6 @@
 };
 pub use successor::{Successor, SuccessorAction, SuccessorEvent, Trial};
 
-/// How long one side waits for the next word of the other, the trial apart (seconds). A successor that has not come up
-/// by then is given up.
+/// How long one side waits for the next message of the other, except during the trial (seconds). A successor
+/// that is not ready by then is given up.
 pub const ANSWER_TIMEOUT: f64 = 10.0;
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -1,61 +1,61 @@
-//! What the two sides tell each other: one JSON object a line.
+//! Messages between predecessor and successor: one JSON object per line.
 
 use serde::{Deserialize, Serialize};
 
-/// Longest line (bytes).
+/// Maximum length of a line (bytes).
 pub const MAX_LINE_BYTES: usize = 4_096;
 
-/// A word of either side.
+/// A message of either side.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "say", rename_all = "snake_case")]
 pub enum Message {
-    /// The successor asks, and says which snapshots it can read: from this version up to its own.
+    /// The successor requests the handover, and states which snapshot versions it can read.
     Ask {
-        /// The oldest version of a snapshot that it can read.
+        /// Oldest snapshot version that it can read.
         oldest: u32,
-        /// Its own.
+        /// Newest snapshot version that it can read: its own.
         version: u32,
-        /// Its process.
+        /// Its process id.
         pid: u32,
     },
-    /// No; why.
+    /// The predecessor denies or aborts the handover.
     Denied {
-        /// In words.
+        /// The reason, as text.
         why: String,
     },
-    /// The descriptors that come with this line, by name in their order, and so many bytes of a snapshot behind it.
+    /// The predecessor's offer: file descriptors are attached to this line, and a snapshot follows it.
     Offer {
-        /// What each descriptor is.
+        /// Names of the attached descriptors, in their order.
         fds: Vec<String>,
-        /// Bytes; 0 where the successor cannot read what there is.
+        /// Length of the snapshot (bytes); 0 if the successor cannot read its version.
         snapshot: usize,
     },
-    /// The successor could take in clients now.
+    /// The successor is ready to accept clients.
     Ready,
-    /// The old one no longer does.
+    /// The predecessor has stopped accepting clients: the successor may start.
     #[serde(rename = "yours")]
     AcceptClients,
-    /// The successor's first seconds were fine: the old one can go.
+    /// The successor has passed its trial: the predecessor can shut down.
     #[serde(rename = "stands")]
     Confirmed,
-    /// They were not: the old one takes in clients again.
+    /// The successor gives up: the predecessor accepts clients again.
     #[serde(rename = "back")]
     HandBack {
-        /// In words.
+        /// The reason, as text.
         why: String,
     },
 }
 
 impl Message {
-    /// Its line.
+    /// Encodes the message as a line.
     pub fn to_line(&self) -> Vec<u8> {
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
         line
     }
 
-    /// Reads a line; what is wrong with it where it is none of these.
+    /// Decodes a line.
     pub fn parse(line: &[u8]) -> Result<Message, String> {
-        serde_json::from_slice(line).map_err(|error| format!("not a word of a hand-over: {error}"))
+        serde_json::from_slice(line).map_err(|error| format!("not a handover message: {error}"))
     }
 }
--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -1,142 +1,147 @@
-//! The daemon that runs.
+//! The side of the running process.
 
 use crate::message::Message;
 use crate::ANSWER_TIMEOUT;
 
-/// How long a successor's first seconds may last (seconds): longer than any trial that is configured.
-const TRIAL: f64 = 120.0;
+/// Time limit of the successor's trial (seconds): longer than any trial that can be configured.
+const TRIAL_TIMEOUT: f64 = 120.0;
 
-/// What happens.
+/// Input events.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PredecessorEvent {
-    /// The successor says this.
+    /// A message of the successor.
     Received(Message),
-    /// Its connection has ended: it is gone.
+    /// The successor's connection has ended.
     Disconnected,
-    /// Time passes.
+    /// Time has passed.
     Time,
 }
 
-/// What the driver does, in this order.
+/// Actions for the driver, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PredecessorAction {
-    /// Tell the successor.
+    /// Send a message to the successor.
     Send(Message),
-    /// Send the descriptors and the snapshot, which a reader of these versions can use.
+    /// Send the descriptors, and a snapshot if the successor can read it.
     Offer {
-        /// The oldest and the newest version that it reads.
+        /// Oldest and newest snapshot version that the successor can read.
         versions: (u32, u32),
     },
-    /// Take in no clients; the listener is kept.
+    /// Stop accepting clients, but keep the listener open.
     Pause,
-    /// Take in clients again: the successor has failed, for this reason.
+    /// Accept clients again: the successor has failed, for this reason.
     Resume(String),
-    /// The successor stands: come to an end.
+    /// The successor has taken over: shut down.
     Succeeded,
-    /// End the connection.
+    /// Close the connection to the successor.
     Disconnect,
-    /// Come again then.
+    /// Call again with [`PredecessorEvent::Time`] at this time.
     Timer(f64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Idle,
-    /// The successor has what it needs, and comes up.
+    /// The offer has been sent; the successor is starting.
     Offered,
-    /// The successor takes in clients, on trial.
+    /// The successor accepts clients, on trial.
     Given,
-    /// It stands.
+    /// The successor has taken over.
     Over,
 }
 
-/// The daemon's side.
+/// The predecessor's side of a handover.
 #[derive(Debug)]
 pub struct Predecessor {
     stage: Stage,
-    until: f64,
+    deadline: f64,
 }
 
 impl Default for Predecessor {
     fn default() -> Self {
-        Predecessor { stage: Stage::Idle, until: f64::INFINITY }
+        Predecessor { stage: Stage::Idle, deadline: f64::INFINITY }
     }
 }
 
 impl Predecessor {
-    /// Whether a successor is at it: nothing that both would do is begun meanwhile.
+    /// Returns true during a handover. The pooler starts nothing meanwhile that both processes would then do.
     pub fn is_busy(&self) -> bool {
         matches!(self.stage, Stage::Offered | Stage::Given)
     }
 
-    /// Takes in what happens. `hindrance` says why there can be no hand-over now.
+    /// Handles one event at the time `now`. `obstacle` is the reason why no handover can begin now, if there
+    /// is one.
     pub fn handle(
         &mut self,
         now: f64,
-        heard: PredecessorEvent,
-        hindrance: Option<&str>,
+        event: PredecessorEvent,
+        obstacle: Option<&str>,
         out: &mut Vec<PredecessorAction>,
     ) {
-        match (self.stage, heard) {
-            (Stage::Idle, PredecessorEvent::Received(Message::Ask { oldest, version, .. })) => {
-                match hindrance {
-                    Some(why) => {
-                        out.push(PredecessorAction::Send(Message::Denied { why: why.into() }));
-                        out.push(PredecessorAction::Disconnect);
-                    }
-                    None => {
-                        out.push(PredecessorAction::Offer { versions: (oldest, version) });
-                        self.wait(Stage::Offered, now + ANSWER_TIMEOUT, out);
-                    }
+        match (self.stage, event) {
+            (Stage::Idle, PredecessorEvent::Received(Message::Ask { oldest, version, .. })) => match obstacle
+            {
+                Some(why) => {
+                    out.push(PredecessorAction::Send(Message::Denied { why: why.into() }));
+                    out.push(PredecessorAction::Disconnect);
                 }
-            }
-            // Also where it was told to end meanwhile: the successor goes on alone.
+                None => {
+                    out.push(PredecessorAction::Offer { versions: (oldest, version) });
+                    self.enter(Stage::Offered, now + ANSWER_TIMEOUT, out);
+                }
+            },
+            // Applies even if this process was asked to shut down meanwhile: the successor continues alone.
             (Stage::Offered, PredecessorEvent::Received(Message::Ready)) => {
                 out.push(PredecessorAction::Pause);
                 out.push(PredecessorAction::Send(Message::AcceptClients));
-                self.wait(Stage::Given, now + TRIAL, out);
+                self.enter(Stage::Given, now + TRIAL_TIMEOUT, out);
             }
             (Stage::Given, PredecessorEvent::Received(Message::Confirmed)) => {
                 self.stage = Stage::Over;
                 out.push(PredecessorAction::Succeeded);
             }
             (Stage::Given, PredecessorEvent::Received(Message::HandBack { why })) => {
-                self.fails(format!("it hands back: {why}"), out)
+                self.fail(format!("the successor hands back: {why}"), out)
             }
             (Stage::Offered, PredecessorEvent::Received(Message::HandBack { why })) => {
-                self.fails(format!("it gives up: {why}"), out)
+                self.fail(format!("the successor gives up: {why}"), out)
+            }
+            (Stage::Given, PredecessorEvent::Disconnected) => {
+                self.fail("the successor has disconnected".into(), out)
+            }
+            (Stage::Offered, PredecessorEvent::Disconnected) => {
+                self.fail("the successor has disconnected".into(), out)
             }
-            (Stage::Given, PredecessorEvent::Disconnected) => self.fails("it is gone".into(), out),
-            (Stage::Offered, PredecessorEvent::Disconnected) => self.fails("it is gone".into(), out),
-            (Stage::Given, PredecessorEvent::Time) if now >= self.until => {
-                self.fails("it does not say how it goes".into(), out)
+            (Stage::Given, PredecessorEvent::Time) if now >= self.deadline => {
+                self.fail("the successor has not reported the result of its trial in time".into(), out)
             }
-            (Stage::Offered, PredecessorEvent::Time) if now >= self.until => {
-                self.fails("it does not come up in time".into(), out);
+            (Stage::Offered, PredecessorEvent::Time) if now >= self.deadline => {
+                self.fail("the successor was not ready in time".into(), out);
             }
             (Stage::Offered | Stage::Given, PredecessorEvent::Time) => {
-                out.push(PredecessorAction::Timer(self.until))
+                out.push(PredecessorAction::Timer(self.deadline))
             }
             (Stage::Given, PredecessorEvent::Received(_)) => {
-                self.fails("it says what makes no sense".into(), out)
+                self.fail("unexpected message from the successor".into(), out)
             }
             (Stage::Offered, PredecessorEvent::Received(_)) => {
-                self.fails("it says what makes no sense".into(), out)
+                self.fail("unexpected message from the successor".into(), out)
             }
             (Stage::Idle, PredecessorEvent::Received(_)) => out.push(PredecessorAction::Disconnect),
             (Stage::Idle | Stage::Over, _) => {}
         }
     }
 
-    fn wait(&mut self, stage: Stage, until: f64, out: &mut Vec<PredecessorAction>) {
-        (self.stage, self.until) = (stage, until);
-        out.push(PredecessorAction::Timer(until));
+    fn enter(&mut self, stage: Stage, deadline: f64, out: &mut Vec<PredecessorAction>) {
+        (self.stage, self.deadline) = (stage, deadline);
+        out.push(PredecessorAction::Timer(deadline));
     }
 
-    /// It is given up, whether or not it has taken in clients.
-    fn fails(&mut self, why: String, out: &mut Vec<PredecessorAction>) {
+    /// Gives up the successor, whether or not it has accepted clients.
+    fn fail(&mut self, why: String, out: &mut Vec<PredecessorAction>) {
         *self = Predecessor::default();
-        // Said before the end: a successor that sees the end alone takes this daemon for dead and goes on.
+        // Sent before disconnecting: a successor that sees only the disconnect takes this process for dead
+        // and goes on.
         out.push(PredecessorAction::Send(Message::Denied { why: why.clone() }));
         out.push(PredecessorAction::Resume(why));
         out.push(PredecessorAction::Disconnect);
--- a/crates/handover/src/snapshot.rs
+++ b/crates/handover/src/snapshot.rs
@@ -1,28 +1,30 @@
-//! What a daemon knows, in a form that its successor reads though it is a version older or newer.
+//! State passed to the successor, in a format that processes of an older or a newer version can read.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The version that is written. It rises with each change of what is written.
+/// Format version that is written. It is incremented with each change of the format.
 pub const VERSION: u32 = 1;
-/// The oldest version that is read, and the oldest reader that this one is meant for: fields that a reader does not know
-/// it passes over, those that it misses it does without.
+/// Oldest format version that can be read, and oldest reader that can use what is written. A reader ignores
+/// fields that it does not know, and uses defaults for missing ones.
 pub const OLDEST_READABLE_VERSION: u32 = 1;
-/// Longest snapshot (bytes): 20,000 sessions and 10,000 members take some 5 MB.
+/// Maximum size of a snapshot (bytes). 20,000 sessions and 10,000 members take about 5 MB.
 pub const MAX_SNAPSHOT_BYTES: usize = 64 * 1024 * 1024;
 
-/// Knowledge of roles and positions older than this is not used (seconds): a primary may have changed since.
-const ROLES: f64 = 5.0;
-/// Two processes' clocks may differ by so much (seconds), each being read once and counted on from there.
-const SKEW: f64 = 1.0;
-/// Knowledge of any kind older than this is not used (seconds), but for what sessions wrote.
-const ANY: f64 = 60.0;
+/// Maximum age of roles and positions (seconds): the primary may have changed since.
+const MAX_ROLE_AGE: f64 = 5.0;
+/// Tolerated difference of the two processes' clocks (seconds): each reads the wall clock once and counts on
+/// from there.
+const MAX_CLOCK_SKEW: f64 = 1.0;
+/// Maximum age of the remaining observed state of members (seconds). The list and the positions of sessions
+/// have no maximum age.
+const MAX_STATE_AGE: f64 = 60.0;
 
-/// A line of the list.
+/// An entry of the list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-#[allow(missing_docs)] // As in the list.
+#[allow(missing_docs)] // The fields of a list entry.
 pub struct ListedMember {
     pub name: String,
     pub address: String,
@@ -30,72 +32,72 @@
     pub group: u32,
     /// `serving` or `draining`.
     pub phase: String,
-    /// When it last started (Unix seconds).
+    /// When the member last started (Unix seconds).
     pub since: f64,
 }
 
-/// What is known of a member first-hand.
+/// Observed state of a member.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Member {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Whether it is its group's primary, and when that was so (Unix seconds).
+    /// Whether the member was its group's primary, and when that was observed (Unix seconds).
     pub primary: Option<(bool, f64)>,
-    /// Its position in the log.
+    /// Its log position.
     pub position: Option<f64>,
-    /// When it was last cold (Unix seconds).
+    /// When it last became cold (Unix seconds).
     pub cold_since: Option<f64>,
 }
 
-/// What is known.
+/// The list and the observed state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct KnownState {
-    /// The version of the list.
+    /// Version of the list.
     pub index: u64,
-    /// The list.
+    /// Entries of the list.
     pub places: Vec<ListedMember>,
-    /// The members.
+    /// Observed state of the members.
     pub members: Vec<Member>,
-    /// What sessions wrote last, by name: a position in the log.
+    /// Log position of each session's last write, by session name.
     pub sessions: Vec<(String, f64)>,
-    /// Up to which position a session that is not among them may have written.
+    /// Upper bound of the positions written by sessions that are not in `sessions`.
     pub forgotten: Option<f64>,
 }
 
-/// What is known, and when.
+/// State of a pooler at one time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Snapshot {
-    /// The version of this form.
+    /// Format version.
     pub version: u32,
-    /// The oldest reader that can use it.
+    /// Oldest format version whose readers can use the snapshot.
     pub readable_from: u32,
-    /// When it was taken (Unix seconds).
+    /// When the snapshot was taken (Unix seconds).
     pub at: f64,
-    /// The rest.
+    /// The list and the observed state.
     pub known: KnownState,
 }
 
-/// Why a snapshot is not used.
+/// Reason why a snapshot cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// It was damaged on the way, or is cut off.
+    /// The snapshot is truncated, or its checksum does not match.
     Damaged,
-    /// Not of the agreed form.
+    /// The JSON does not match the format.
     Malformed(String),
-    /// Of a version that is too old, or meant for newer readers.
+    /// The version is too old, or requires a newer reader.
     Version(u32),
 }
 
 impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SnapshotError::Damaged => f.write_str("damaged or cut off"),
-            SnapshotError::Malformed(what) => write!(f, "not of the agreed form: {what}"),
+            SnapshotError::Damaged => f.write_str("truncated or checksum mismatch"),
+            SnapshotError::Malformed(error) => write!(f, "malformed: {error}"),
             SnapshotError::Version(version) => {
-                write!(f, "of version {version}; read are {OLDEST_READABLE_VERSION} to {VERSION}")
+                write!(f, "unsupported version {version}; readable: {OLDEST_READABLE_VERSION} to {VERSION}")
             }
         }
     }
@@ -104,12 +106,12 @@
 impl std::error::Error for SnapshotError {}
 
 impl Snapshot {
-    /// Of what is known at this time (Unix seconds).
+    /// A snapshot of `known`, taken at `at` (Unix seconds).
     pub fn new(at: f64, known: KnownState) -> Snapshot {
         Snapshot { version: VERSION, readable_from: OLDEST_READABLE_VERSION, at, known }
     }
 
-    /// Its bytes: a checksum, then JSON.
+    /// Encodes the snapshot: a checksum, then JSON.
     pub fn encode(&self) -> Vec<u8> {
         let body = serde_json::to_vec(self).unwrap_or_default();
         let mut bytes = crc32fast::hash(&body).to_le_bytes().to_vec();
@@ -117,7 +119,7 @@
         bytes
     }
 
-    /// Reads bytes as a reader of `version`, which can read from `oldest` on.
+    /// Decodes a snapshot for a reader that supports the versions `oldest` to `version`.
     pub fn decode(bytes: &[u8], (oldest, version): (u32, u32)) -> Result<Snapshot, SnapshotError> {
         let (crc, body) = bytes.split_first_chunk::<4>().ok_or(SnapshotError::Damaged)?;
         if bytes.len() > MAX_SNAPSHOT_BYTES || crc32fast::hash(body) != u32::from_le_bytes(*crc) {
@@ -131,20 +133,21 @@
         Ok(snapshot)
     }
 
-    /// Whether a reader of `version`, which can read from `oldest` on, can use it.
+    /// Returns true if a reader that supports the versions `oldest` to `version` can use the snapshot.
     pub fn is_readable_by(&self, (oldest, version): (u32, u32)) -> bool {
         self.version >= oldest && self.readable_from <= version
     }
 
-    /// What is of use at this time (Unix seconds), weighed by its age. The list and what sessions wrote hold at any
-    /// age: they are facts that only make stricter. One from the future is taken for old: a clock was set.
+    /// Returns the state that is still usable at `now` (Unix seconds); state that is too old is removed. The
+    /// list and the positions of sessions are used at any age, since they only make reads stricter. A
+    /// snapshot from the future counts as too old: a clock was set.
     pub fn usable_at(mut self, now: f64) -> KnownState {
-        let age = if now >= self.at - SKEW { now - self.at } else { f64::INFINITY };
+        let age = if now >= self.at - MAX_CLOCK_SKEW { now - self.at } else { f64::INFINITY };
         for member in &mut self.known.members {
-            if age > ROLES {
+            if age > MAX_ROLE_AGE {
                 (member.primary, member.position) = (None, None);
             }
-            if age > ANY {
+            if age > MAX_STATE_AGE {
                 member.cold_since = None;
             }
         }
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -1,16 +1,16 @@
-//! The daemon that comes.
+//! The side of the new process.
 
 use crate::message::Message;
 use crate::ANSWER_TIMEOUT;
 
-/// What its first seconds are judged by.
+/// Conditions under which the successor passes its trial.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Trial {
-    /// How long they last (seconds).
+    /// Length of the trial (seconds).
     pub seconds: f64,
-    /// Answers below which nothing is said against it.
+    /// Minimum number of answers before the share of bad ones is evaluated.
     pub min_answers: u64,
-    /// Share of them that may be refusals or failures.
+    /// Maximum share of answers that are refusals or failures.
     pub bad_share: f64,
 }
 
@@ -20,141 +20,143 @@
     }
 }
 
-/// What happens.
+/// Input events.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SuccessorEvent {
-    /// The old daemon says this.
+    /// A message of the predecessor.
     Received(Message),
-    /// Its connection has ended: it is gone.
+    /// The predecessor's connection has ended.
     Disconnected,
-    /// All that is needed to serve is there.
+    /// Everything that is needed to serve clients is available.
     ReadyToServe,
-    /// Time passes; answers since clients are taken in, how many of them were refusals or failures (at most as many), and how many
-    /// requests wait for a server now.
+    /// Time has passed. Carries the number of answers since clients are accepted, the number of refusals and
+    /// failures among them (at most as many), and the number of requests that wait for a server now.
     Time(u64, u64, u64),
 }
 
-/// What the driver does, in this order.
+/// Actions for the driver, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SuccessorAction {
-    /// Tell the old daemon.
+    /// Send a message to the predecessor.
     Send(Message),
-    /// Take in clients.
+    /// Accept clients.
     Accept,
-    /// Take in no more, and come to an end: the old daemon does so again.
+    /// Stop accepting clients and shut down, for this reason: the predecessor accepts clients again.
     Yield(String),
-    /// It is the daemon now: what only one may have is taken over.
+    /// The takeover is complete: acquire the resources that only one process may hold.
     TakeOver,
-    /// Come again then.
+    /// Call again with [`SuccessorEvent::Time`] at this time.
     Timer(f64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// It has what the old one knows, and comes up.
-    Coming,
-    /// It has said that it could.
+    /// The offer has been received; the process is starting.
+    Starting,
+    /// [`Message::Ready`] has been sent.
     Ready,
-    /// It takes in clients, on trial.
+    /// Accepting clients, on trial.
     Trial,
-    Standing,
+    /// The takeover is complete.
+    TakenOver,
+    /// Handed back, or refused by the predecessor.
     Yielded,
 }
 
-/// The successor's side, from the offer on.
+/// The successor's side of a handover, from the offer on.
 #[derive(Debug)]
 pub struct Successor {
     trial: Trial,
     stage: Stage,
-    until: f64,
+    deadline: f64,
 }
 
 impl Successor {
-    /// The offer has been taken.
+    /// Starts when the offer has been received.
     pub fn new(trial: Trial, now: f64, out: &mut Vec<SuccessorAction>) -> Successor {
         out.push(SuccessorAction::Timer(now + ANSWER_TIMEOUT));
-        Successor { trial, stage: Stage::Coming, until: now + ANSWER_TIMEOUT }
+        Successor { trial, stage: Stage::Starting, deadline: now + ANSWER_TIMEOUT }
     }
 
-    /// Whether it is the daemon.
+    /// Returns true once the takeover is complete.
     pub fn has_taken_over(&self) -> bool {
-        self.stage == Stage::Standing
+        self.stage == Stage::TakenOver
     }
 
-    /// Takes in what happens.
-    pub fn handle(&mut self, now: f64, seen: SuccessorEvent, out: &mut Vec<SuccessorAction>) {
-        match (self.stage, seen) {
-            (Stage::Coming, SuccessorEvent::ReadyToServe) => {
-                self.wait(Stage::Ready, now + ANSWER_TIMEOUT, out);
+    /// Handles one event at the time `now`.
+    pub fn handle(&mut self, now: f64, event: SuccessorEvent, out: &mut Vec<SuccessorAction>) {
+        match (self.stage, event) {
+            (Stage::Starting, SuccessorEvent::ReadyToServe) => {
+                self.enter(Stage::Ready, now + ANSWER_TIMEOUT, out);
                 out.push(SuccessorAction::Send(Message::Ready));
             }
             (Stage::Ready, SuccessorEvent::Received(Message::AcceptClients)) => {
-                self.wait(Stage::Trial, now + self.trial.seconds, out);
+                self.enter(Stage::Trial, now + self.trial.seconds, out);
                 out.push(SuccessorAction::Accept);
             }
-            // Nobody is there any more to hand back to, and nobody else takes in clients.
-            (Stage::Coming | Stage::Ready | Stage::Trial, SuccessorEvent::Disconnected) => {
+            // The predecessor is gone: it cannot take clients back, and no other process accepts them.
+            (Stage::Starting | Stage::Ready | Stage::Trial, SuccessorEvent::Disconnected) => {
                 if self.stage != Stage::Trial {
                     out.push(SuccessorAction::Accept);
                 }
-                self.stage = Stage::Standing;
+                self.stage = Stage::TakenOver;
                 out.push(SuccessorAction::TakeOver);
             }
             (Stage::Trial, SuccessorEvent::Time(answers, bad, waiting)) => {
-                let worse =
+                let too_many_bad =
                     answers >= self.trial.min_answers && bad as f64 > answers as f64 * self.trial.bad_share;
-                if worse {
-                    self.gives_back(format!("{bad} of {answers} answers are refusals or failures"), out);
-                } else if now >= self.until && waiting > answers - bad {
-                    // Nobody is refused yet, and hardly anybody is served.
-                    self.gives_back(
+                if too_many_bad {
+                    self.hand_back(format!("{bad} of {answers} answers are refusals or failures"), out);
+                } else if now >= self.deadline && waiting > answers - bad {
+                    // Requests are not refused yet, but more of them wait than were served.
+                    self.hand_back(
                         format!("{waiting} requests wait for a server, {} were served", answers - bad),
                         out,
                     );
-                } else if now >= self.until {
-                    self.stage = Stage::Standing;
-                    // Told last: an old daemon at its end removes the paths that are still its own, and would remove
-                    // one that this daemon takes between its look and its removal.
+                } else if now >= self.deadline {
+                    self.stage = Stage::TakenOver;
+                    // Sent last: on shutdown the predecessor removes the paths that it still owns, and would
+                    // remove a path that this process takes between the predecessor's check and the removal.
                     out.push(SuccessorAction::TakeOver);
                     out.push(SuccessorAction::Send(Message::Confirmed));
                 } else {
-                    // Looked at more often than once: harm ends sooner.
-                    out.push(SuccessorAction::Timer(self.until.min(now + 0.1)));
+                    // Checked repeatedly, so that a bad trial ends early.
+                    out.push(SuccessorAction::Timer(self.deadline.min(now + 0.1)));
                 }
             }
-            (Stage::Coming, SuccessorEvent::Time(..)) if now >= self.until => {
-                self.gives_back("no list with a member that serves".into(), out);
+            (Stage::Starting, SuccessorEvent::Time(..)) if now >= self.deadline => {
+                self.hand_back("no list with a serving member was received in time".into(), out);
             }
-            (Stage::Ready, SuccessorEvent::Time(..)) if now >= self.until => {
-                self.gives_back("the old daemon does not answer".into(), out);
+            (Stage::Ready, SuccessorEvent::Time(..)) if now >= self.deadline => {
+                self.hand_back("the predecessor does not answer".into(), out);
             }
-            (Stage::Coming | Stage::Ready, SuccessorEvent::Time(..)) => {
-                out.push(SuccessorAction::Timer(self.until))
+            (Stage::Starting | Stage::Ready, SuccessorEvent::Time(..)) => {
+                out.push(SuccessorAction::Timer(self.deadline))
             }
             (
-                Stage::Coming | Stage::Ready | Stage::Trial,
+                Stage::Starting | Stage::Ready | Stage::Trial,
                 SuccessorEvent::Received(Message::Denied { why }),
             ) => {
                 self.stage = Stage::Yielded;
-                out.push(SuccessorAction::Yield(format!("the old daemon does not wait: {why}")));
+                out.push(SuccessorAction::Yield(format!("the predecessor has ended the handover: {why}")));
             }
-            (Stage::Coming | Stage::Ready | Stage::Trial, SuccessorEvent::Received(_)) => {
-                self.gives_back("the old daemon says what makes no sense".into(), out);
+            (Stage::Starting | Stage::Ready | Stage::Trial, SuccessorEvent::Received(_)) => {
+                self.hand_back("unexpected message from the predecessor".into(), out);
             }
-            (Stage::Trial | Stage::Ready | Stage::Standing | Stage::Yielded, _) => {}
+            (Stage::Trial | Stage::Ready | Stage::TakenOver | Stage::Yielded, _) => {}
         }
     }
 
-    fn wait(&mut self, stage: Stage, until: f64, out: &mut Vec<SuccessorAction>) {
-        (self.stage, self.until) = (stage, until);
-        out.push(SuccessorAction::Timer(until.min(if stage == Stage::Trial {
-            until - self.trial.seconds + 0.1
+    fn enter(&mut self, stage: Stage, deadline: f64, out: &mut Vec<SuccessorAction>) {
+        (self.stage, self.deadline) = (stage, deadline);
+        out.push(SuccessorAction::Timer(deadline.min(if stage == Stage::Trial {
+            deadline - self.trial.seconds + 0.1
         } else {
-            until
+            deadline
         })));
     }
 
-    fn gives_back(&mut self, why: String, out: &mut Vec<SuccessorAction>) {
+    fn hand_back(&mut self, why: String, out: &mut Vec<SuccessorAction>) {
         self.stage = Stage::Yielded;
         out.push(SuccessorAction::Send(Message::HandBack { why: why.clone() }));
         out.push(SuccessorAction::Yield(why));
--- a/crates/handover/tests/machines.rs
+++ b/crates/handover/tests/machines.rs
@@ -1,4 +1,4 @@
-//! Both sides of a hand-over, fed by hand, and against each other with any of the two killed at any step.
+//! Both sides of a handover: with scripted events, and against each other with either killed at any step.
 
 use handover::*;
 use proptest::prelude::*;
@@ -8,24 +8,29 @@
     PredecessorEvent::Received(Message::Ask { oldest: OLDEST_READABLE_VERSION, version: VERSION, pid: 7 })
 }
 
-/// What a giver does, without its timers.
-fn give(giver: &mut Predecessor, now: f64, heard: PredecessorEvent) -> Vec<PredecessorAction> {
+/// Actions of the predecessor, without timers.
+fn predecessor_step(
+    predecessor: &mut Predecessor,
+    now: f64,
+    event: PredecessorEvent,
+) -> Vec<PredecessorAction> {
     let mut out = Vec::new();
-    giver.handle(now, heard, None, &mut out);
-    out.retain(|act| !matches!(act, PredecessorAction::Timer(_)));
+    predecessor.handle(now, event, None, &mut out);
+    out.retain(|action| !matches!(action, PredecessorAction::Timer(_)));
     out
 }
 
-fn take(taker: &mut Successor, now: f64, seen: SuccessorEvent) -> Vec<SuccessorAction> {
+/// Actions of the successor, without timers.
+fn successor_step(successor: &mut Successor, now: f64, event: SuccessorEvent) -> Vec<SuccessorAction> {
     let mut out = Vec::new();
-    taker.handle(now, seen, &mut out);
-    out.retain(|act| !matches!(act, SuccessorAction::Timer(_)));
+    successor.handle(now, event, &mut out);
+    out.retain(|action| !matches!(action, SuccessorAction::Timer(_)));
     out
 }
 
-fn resumed(acts: &[PredecessorAction]) -> bool {
+fn has_resumed(predecessor_actions: &[PredecessorAction]) -> bool {
     matches!(
-        acts,
+        predecessor_actions,
         [
             PredecessorAction::Send(Message::Denied { .. }),
             PredecessorAction::Resume(_),
@@ -35,172 +40,200 @@
 }
 
 #[test]
-fn a_hand_over_without_trouble() {
-    let (mut giver, mut taker) =
+fn successful_handover() {
+    let (mut predecessor, mut successor) =
         (Predecessor::default(), Successor::new(Trial::default(), 0.0, &mut Vec::new()));
     assert_eq!(
-        give(&mut giver, 0.0, ask()),
+        predecessor_step(&mut predecessor, 0.0, ask()),
         [PredecessorAction::Offer { versions: (OLDEST_READABLE_VERSION, VERSION) }]
     );
-    assert!(giver.is_busy());
-    assert_eq!(take(&mut taker, 0.1, SuccessorEvent::ReadyToServe), [SuccessorAction::Send(Message::Ready)]);
+    assert!(predecessor.is_busy());
     assert_eq!(
-        give(&mut giver, 0.1, PredecessorEvent::Received(Message::Ready)),
+        successor_step(&mut successor, 0.1, SuccessorEvent::ReadyToServe),
+        [SuccessorAction::Send(Message::Ready)]
+    );
+    assert_eq!(
+        predecessor_step(&mut predecessor, 0.1, PredecessorEvent::Received(Message::Ready)),
         [PredecessorAction::Pause, PredecessorAction::Send(Message::AcceptClients)]
     );
     assert_eq!(
-        take(&mut taker, 0.2, SuccessorEvent::Received(Message::AcceptClients)),
+        successor_step(&mut successor, 0.2, SuccessorEvent::Received(Message::AcceptClients)),
         [SuccessorAction::Accept]
     );
-    assert_eq!(take(&mut taker, 1.0, SuccessorEvent::Time(1_000, 500, 0)), [], "half of them may be bad");
     assert_eq!(
-        take(&mut taker, 3.2, SuccessorEvent::Time(2_000, 500, 0)),
+        successor_step(&mut successor, 1.0, SuccessorEvent::Time(1_000, 500, 0)),
+        [],
+        "up to half of the answers may be bad"
+    );
+    assert_eq!(
+        successor_step(&mut successor, 3.2, SuccessorEvent::Time(2_000, 500, 0)),
         [SuccessorAction::TakeOver, SuccessorAction::Send(Message::Confirmed)]
     );
     assert_eq!(
-        give(&mut giver, 3.2, PredecessorEvent::Received(Message::Confirmed)),
+        predecessor_step(&mut predecessor, 3.2, PredecessorEvent::Received(Message::Confirmed)),
         [PredecessorAction::Succeeded]
     );
-    assert_eq!(give(&mut giver, 3.3, PredecessorEvent::Disconnected), []);
+    assert_eq!(predecessor_step(&mut predecessor, 3.3, PredecessorEvent::Disconnected), []);
 }
 
 #[test]
-fn a_daemon_that_has_something_under_way_hands_nothing_over() {
-    let (mut giver, mut out) = (Predecessor::default(), Vec::new());
-    giver.handle(0.0, ask(), Some("draining"), &mut out);
+fn handover_is_denied_while_an_obstacle_exists() {
+    let (mut predecessor, mut out) = (Predecessor::default(), Vec::new());
+    predecessor.handle(0.0, ask(), Some("draining"), &mut out);
     assert_eq!(
         out,
         [PredecessorAction::Send(Message::Denied { why: "draining".into() }), PredecessorAction::Disconnect]
     );
-    assert!(!giver.is_busy());
+    assert!(!predecessor.is_busy());
 }
 
 #[test]
-fn a_successor_whose_answers_are_bad_hands_back_at_once() {
-    let mut taker = Successor::new(Trial::default(), 0.0, &mut Vec::new());
-    take(&mut taker, 0.1, SuccessorEvent::ReadyToServe);
-    take(&mut taker, 0.2, SuccessorEvent::Received(Message::AcceptClients));
-    assert_eq!(take(&mut taker, 0.3, SuccessorEvent::Time(19, 19, 0)), [], "too few to tell");
+fn successor_hands_back_at_once_on_too_many_bad_answers() {
+    let mut successor = Successor::new(Trial::default(), 0.0, &mut Vec::new());
+    successor_step(&mut successor, 0.1, SuccessorEvent::ReadyToServe);
+    successor_step(&mut successor, 0.2, SuccessorEvent::Received(Message::AcceptClients));
+    assert_eq!(
+        successor_step(&mut successor, 0.3, SuccessorEvent::Time(19, 19, 0)),
+        [],
+        "fewer answers than `min_answers`"
+    );
     let why = "11 of 20 answers are refusals or failures".to_string();
-    let told = [SuccessorAction::Send(Message::HandBack { why: why.clone() }), SuccessorAction::Yield(why)];
-    assert_eq!(take(&mut taker, 0.4, SuccessorEvent::Time(20, 11, 0)), told);
-    assert_eq!(take(&mut taker, 0.5, SuccessorEvent::Disconnected), [], "it has yielded");
+    let expected =
+        [SuccessorAction::Send(Message::HandBack { why: why.clone() }), SuccessorAction::Yield(why)];
+    assert_eq!(successor_step(&mut successor, 0.4, SuccessorEvent::Time(20, 11, 0)), expected);
+    assert_eq!(successor_step(&mut successor, 0.5, SuccessorEvent::Disconnected), [], "it has yielded");
 }
 
 #[test]
-fn a_successor_that_keeps_all_waiting_hands_back() {
-    for (waiting, gives_back) in [(4, true), (3, false)] {
-        let mut taker = Successor::new(Trial::default(), 0.0, &mut Vec::new());
-        take(&mut taker, 0.1, SuccessorEvent::ReadyToServe);
-        take(&mut taker, 0.2, SuccessorEvent::Received(Message::AcceptClients));
-        assert_eq!(take(&mut taker, 3.0, SuccessorEvent::Time(3, 0, waiting)), []);
-        let does = take(&mut taker, 3.3, SuccessorEvent::Time(3, 0, waiting));
+fn successor_hands_back_if_more_requests_wait_than_were_served() {
+    for (waiting, hands_back) in [(4, true), (3, false)] {
+        let mut successor = Successor::new(Trial::default(), 0.0, &mut Vec::new());
+        successor_step(&mut successor, 0.1, SuccessorEvent::ReadyToServe);
+        successor_step(&mut successor, 0.2, SuccessorEvent::Received(Message::AcceptClients));
+        assert_eq!(successor_step(&mut successor, 3.0, SuccessorEvent::Time(3, 0, waiting)), []);
+        let successor_actions = successor_step(&mut successor, 3.3, SuccessorEvent::Time(3, 0, waiting));
         assert_eq!(
-            matches!(does[..], [SuccessorAction::Send(Message::HandBack { .. }), SuccessorAction::Yield(_)]),
-            gives_back,
-            "{does:?}"
+            matches!(
+                successor_actions[..],
+                [SuccessorAction::Send(Message::HandBack { .. }), SuccessorAction::Yield(_)]
+            ),
+            hands_back,
+            "{successor_actions:?}"
         );
     }
 }
 
 #[rstest]
-#[case::it_is_gone(PredecessorEvent::Disconnected)]
-#[case::it_says_what_makes_no_sense(PredecessorEvent::Received(Message::AcceptClients))]
-#[case::it_gives_up(PredecessorEvent::Received(Message::HandBack { why: "no".into() }))]
-fn a_successor_that_fails_leaves_the_old_daemon_as_it_was(
-    #[case] heard: PredecessorEvent,
+#[case::disconnects(PredecessorEvent::Disconnected)]
+#[case::sends_an_unexpected_message(PredecessorEvent::Received(Message::AcceptClients))]
+#[case::gives_up(PredecessorEvent::Received(Message::HandBack { why: "no".into() }))]
+fn predecessor_resumes_when_the_successor_fails(
+    #[case] event: PredecessorEvent,
     #[values(1, 2)] steps: usize,
 ) {
-    let mut giver = Predecessor::default();
-    for heard in [ask(), PredecessorEvent::Received(Message::Ready)].into_iter().take(steps) {
-        give(&mut giver, 0.0, heard);
+    let mut predecessor = Predecessor::default();
+    for event in [ask(), PredecessorEvent::Received(Message::Ready)].into_iter().take(steps) {
+        predecessor_step(&mut predecessor, 0.0, event);
     }
-    assert!(resumed(&give(&mut giver, 0.1, heard)));
-    // The next may try.
-    assert_eq!(give(&mut giver, 0.2, ask()).len(), 1);
+    assert!(has_resumed(&predecessor_step(&mut predecessor, 0.1, event)));
+    // Another successor can begin a handover.
+    assert_eq!(predecessor_step(&mut predecessor, 0.2, ask()).len(), 1);
 }
 
 #[test]
-fn nobody_waits_for_ever() {
-    let mut giver = Predecessor::default();
-    give(&mut giver, 0.0, ask());
-    assert_eq!(give(&mut giver, 9.9, PredecessorEvent::Time), []);
-    assert!(resumed(&give(&mut giver, 10.0, PredecessorEvent::Time)), "it does not come up");
-    give(&mut giver, 20.0, ask());
-    give(&mut giver, 21.0, PredecessorEvent::Received(Message::Ready));
-    assert!(resumed(&give(&mut giver, 141.0, PredecessorEvent::Time)), "it does not say how it goes");
+fn every_wait_has_a_time_limit() {
+    let mut predecessor = Predecessor::default();
+    predecessor_step(&mut predecessor, 0.0, ask());
+    assert_eq!(predecessor_step(&mut predecessor, 9.9, PredecessorEvent::Time), []);
+    assert!(
+        has_resumed(&predecessor_step(&mut predecessor, 10.0, PredecessorEvent::Time)),
+        "not ready in time"
+    );
+    predecessor_step(&mut predecessor, 20.0, ask());
+    predecessor_step(&mut predecessor, 21.0, PredecessorEvent::Received(Message::Ready));
+    assert!(
+        has_resumed(&predecessor_step(&mut predecessor, 141.0, PredecessorEvent::Time)),
+        "no result of the trial in time"
+    );
     for first in [None, Some(SuccessorEvent::ReadyToServe)] {
-        let mut taker = Successor::new(Trial::default(), 0.0, &mut Vec::new());
-        first.into_iter().for_each(|seen| drop(take(&mut taker, 0.0, seen)));
+        let mut successor = Successor::new(Trial::default(), 0.0, &mut Vec::new());
+        first.into_iter().for_each(|event| drop(successor_step(&mut successor, 0.0, event)));
         assert!(matches!(
-            take(&mut taker, 10.0, SuccessorEvent::Time(0, 0, 0))[..],
+            successor_step(&mut successor, 10.0, SuccessorEvent::Time(0, 0, 0))[..],
             [SuccessorAction::Send(Message::HandBack { .. }), SuccessorAction::Yield(_)]
         ));
     }
 }
 
 proptest! {
-    /// With either side killed at any step, and words that arrive as late as they like but in their order: never do two
-    /// take in clients at once, and in the end one of those that live does.
+    /// Either side may be killed at any step, and messages arrive in order after any delay: both processes
+    /// never accept clients at once, and in the end one that is alive does.
     #[test]
-    fn one_of_them_takes_in_clients(
+    fn at_most_one_accepts_clients_and_in_the_end_one_does(
         steps in prop::collection::vec((0..6u8, 0.0..0.5f64), 0..60),
         bad in 0..100u64,
         kill in prop::option::of((0..60usize, any::<bool>())),
     ) {
-        let (mut giver, mut out) = (Predecessor::default(), Vec::new());
-        let mut taker = Successor::new(Trial::default(), 0.0, &mut out);
-        let (mut to_taker, mut to_giver) = (Vec::<Option<Message>>::new(), Vec::new());
-        let (mut old, mut new, mut now) = (true, false, 0.0);
-        let (mut old_lives, mut new_lives, mut old_heard) = (true, true, false);
-        give(&mut giver, 0.0, ask());
-        let settle: Vec<(u8, f64)> = (0..900).map(|n| (n as u8 % 6, 0.2)).collect();
-        for (number, (what, after)) in steps.iter().chain(&settle).copied().enumerate() {
-            now += after;
+        let (mut predecessor, mut out) = (Predecessor::default(), Vec::new());
+        let mut successor = Successor::new(Trial::default(), 0.0, &mut out);
+        let (mut to_successor, mut to_predecessor) = (Vec::<Option<Message>>::new(), Vec::new());
+        let (mut old_accepts, mut new_accepts, mut now) = (true, false, 0.0);
+        let (mut old_alive, mut new_alive, mut old_saw_end) = (true, true, false);
+        predecessor_step(&mut predecessor, 0.0, ask());
+        let quiet_steps: Vec<(u8, f64)> = (0..900).map(|n| (n as u8 % 6, 0.2)).collect();
+        for (number, (kind, delay)) in steps.iter().chain(&quiet_steps).copied().enumerate() {
+            now += delay;
             if let Some((_, side)) = kill.filter(|(at, _)| *at == number) {
-                if side { old_lives = false } else { new_lives = false }
+                if side { old_alive = false } else { new_alive = false }
             }
-            let mut acts = Vec::new();
-            let mut does = Vec::new();
-            match what {
-                0 if old_lives && !to_giver.is_empty() => acts = give(&mut giver, now, PredecessorEvent::Received(to_giver.remove(0))),
-                0 if old_lives && !new_lives && !std::mem::replace(&mut old_heard, true) => acts = give(&mut giver, now, PredecessorEvent::Disconnected),
-                1 if new_lives && !to_taker.is_empty() => {
-                    let seen = to_taker.remove(0).map_or(SuccessorEvent::Disconnected, SuccessorEvent::Received);
-                    does = take(&mut taker, now, seen);
+            let mut old_actions = Vec::new();
+            let mut new_actions = Vec::new();
+            match kind {
+                0 if old_alive && !to_predecessor.is_empty() =>
+                    old_actions = predecessor_step(&mut predecessor, now, PredecessorEvent::Received(to_predecessor.remove(0))),
+                0 if old_alive && !new_alive && !std::mem::replace(&mut old_saw_end, true) =>
+                    old_actions = predecessor_step(&mut predecessor, now, PredecessorEvent::Disconnected),
+                1 if new_alive && !to_successor.is_empty() => {
+                    let event = to_successor.remove(0).map_or(SuccessorEvent::Disconnected, SuccessorEvent::Received);
+                    new_actions = successor_step(&mut successor, now, event);
                 }
-                1 if new_lives && !old_lives => does = take(&mut taker, now, SuccessorEvent::Disconnected),
-                2 if old_lives => acts = give(&mut giver, now, PredecessorEvent::Time),
-                3 if new_lives => does = take(&mut taker, now, SuccessorEvent::Time(100, bad, 0)),
-                4 if new_lives => does = take(&mut taker, now, SuccessorEvent::ReadyToServe),
+                1 if new_alive && !old_alive =>
+                    new_actions = successor_step(&mut successor, now, SuccessorEvent::Disconnected),
+                2 if old_alive =>
+                    old_actions = predecessor_step(&mut predecessor, now, PredecessorEvent::Time),
+                3 if new_alive =>
+                    new_actions = successor_step(&mut successor, now, SuccessorEvent::Time(100, bad, 0)),
+                4 if new_alive =>
+                    new_actions = successor_step(&mut successor, now, SuccessorEvent::ReadyToServe),
                 _ => {}
             }
-            for act in acts {
-                match act {
-                    PredecessorAction::Send(say) => to_taker.push(Some(say)),
-                    PredecessorAction::Disconnect => to_taker.push(None),
-                    PredecessorAction::Pause => old = false,
-                    PredecessorAction::Resume(_) => old = true,
-                    PredecessorAction::Succeeded => { old = false; old_lives = false; }
+            for action in old_actions {
+                match action {
+                    PredecessorAction::Send(message) => to_successor.push(Some(message)),
+                    PredecessorAction::Disconnect => to_successor.push(None),
+                    PredecessorAction::Pause => old_accepts = false,
+                    PredecessorAction::Resume(_) => old_accepts = true,
+                    PredecessorAction::Succeeded => { old_accepts = false; old_alive = false; }
                     _ => {}
                 }
             }
-            for act in does {
-                match act {
-                    SuccessorAction::Send(say) => to_giver.push(say),
-                    SuccessorAction::Accept => new = true,
-                    // It closes its connection once the word is out: the old daemon hears the word first.
-                    SuccessorAction::Yield(_) => { new = false; new_lives = false; }
+            for action in new_actions {
+                match action {
+                    SuccessorAction::Send(message) => to_predecessor.push(message),
+                    SuccessorAction::Accept => new_accepts = true,
+                    // The successor disconnects after it has sent the message, so the predecessor reads the
+                    // message first.
+                    SuccessorAction::Yield(_) => { new_accepts = false; new_alive = false; }
                     _ => {}
                 }
             }
-            prop_assert!(!(old && old_lives && new && new_lives), "both take in clients");
+            prop_assert!(!(old_accepts && old_alive && new_accepts && new_alive), "both accept clients");
         }
-        prop_assert!(old_lives && old || new_lives && new || !old_lives && !new_lives);
+        prop_assert!(old_alive && old_accepts || new_alive && new_accepts || !old_alive && !new_alive);
     }
 
     #[test]
-    fn a_snapshot_is_read_as_it_was_written_or_not_at_all(
+    fn snapshot_round_trips_and_rejects_damage(
         members in prop::collection::vec(("[a-z]{1,8}", prop::option::of((any::<bool>(), 0.0..1e9f64))), 0..20),
         sessions in prop::collection::vec(("[a-z]{1,8}", 0.0..1e9f64), 0..20),
         flip in any::<usize>(), bit in 0..8u8, cut in any::<usize>(),
@@ -218,26 +251,26 @@
 }
 
 #[test]
-fn a_version_more_or_less_is_read_where_it_says_so() {
-    let with = |version, readable_from| Snapshot { version, readable_from, ..Snapshot::default() };
-    // A newer daemon that can be followed by this one; fields that are not known are passed over.
-    let mut text = serde_json::to_value(with(VERSION + 1, VERSION)).unwrap();
+fn adjacent_versions_are_read_if_declared_readable() {
+    let snapshot_of = |version, readable_from| Snapshot { version, readable_from, ..Snapshot::default() };
+    // A newer version that declares itself readable by this one; unknown fields are ignored.
+    let mut text = serde_json::to_value(snapshot_of(VERSION + 1, VERSION)).unwrap();
     text["known"]["something_new"] = 7.into();
     let body = serde_json::to_vec(&text).unwrap();
     let bytes = [&crc32fast::hash(&body).to_le_bytes()[..], &body].concat();
     assert!(Snapshot::decode(&bytes, (OLDEST_READABLE_VERSION, VERSION)).is_ok());
-    let other = with(VERSION + 1, VERSION + 1).encode();
+    let other = snapshot_of(VERSION + 1, VERSION + 1).encode();
     assert_eq!(
         Snapshot::decode(&other, (OLDEST_READABLE_VERSION, VERSION)),
         Err(SnapshotError::Version(VERSION + 1))
     );
-    let old = with(VERSION, OLDEST_READABLE_VERSION).encode();
-    assert!(Snapshot::decode(&old, (VERSION, VERSION + 1)).is_ok(), "read by the next version");
-    assert_eq!(Snapshot::decode(&old, (VERSION + 1, VERSION + 2)), Err(SnapshotError::Version(VERSION)));
+    let current = snapshot_of(VERSION, OLDEST_READABLE_VERSION).encode();
+    assert!(Snapshot::decode(&current, (VERSION, VERSION + 1)).is_ok(), "read by the next version");
+    assert_eq!(Snapshot::decode(&current, (VERSION + 1, VERSION + 2)), Err(SnapshotError::Version(VERSION)));
 }
 
 #[test]
-fn what_is_known_is_weighed_by_its_age() {
+fn old_state_is_dropped_by_its_age() {
     let member =
         Member { name: "a".into(), primary: Some((true, 99.0)), position: Some(7.0), cold_since: Some(90.0) };
     let known =
@@ -248,7 +281,7 @@
     let older = &at(130.0).members[0];
     assert_eq!((older.primary, older.position, older.cold_since), (None, None, Some(90.0)));
     assert_eq!(at(200.0).members[0].cold_since, None);
-    // A clock was set back an hour: nothing but what makes stricter.
+    // After the clock was set back by an hour only the list and the positions of sessions are used.
     let future = at(100.0 - 3_600.0);
     assert_eq!((future.members[0].primary, future.sessions.len()), (None, 1));
 }
