--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,6 +1,7 @@
-//! Looks after many instances of a daemon on one machine: when each is started, started again, or left alone because it
-//! does not come up; how all are replaced a batch at a time, and how that is stopped and undone where it does harm. No
-//! I/O: the driver tells what happens and the time, and starts and ends processes.
+//! Supervises many pooler instances on one host: decides when each is started or restarted, and when it is
+//! given up because it keeps crashing. Rolling updates replace all instances a batch at a time, and are
+//! stopped and undone if they do harm. No I/O: the driver passes in events and the time, and starts and stops
+//! processes.
 #![warn(missing_docs)]
 
 mod supervisor;
--- a/crates/fleet/src/supervisor.rs
+++ b/crates/fleet/src/supervisor.rs
@@ -1,32 +1,34 @@
-//! The supervisor.
+//! The supervisor's state machine.
 
-/// Health counts as worse where the share of bad answers rises by more than this ...
-const WORSE_BY: f64 = 0.05;
-/// ... over at least so many answers before and after.
-const LEAST: u64 = 30;
+/// A batch counts as worse if its share of unserved answers is above the share before the rolling update by
+/// more than this.
+const MAX_UNSERVED_INCREASE: f64 = 0.05;
+/// Minimum number of answers, before the rolling update and in the batch, for a comparison.
+const MIN_ANSWERS: u64 = 30;
 
-/// How instances are looked after; times in seconds.
+/// Limits of the supervision; times in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SupervisorConfig {
-    /// How many there are.
+    /// Number of instances.
     pub instances: usize,
-    /// Over how long the first starts are spread.
+    /// Period over which the first starts are spread.
     pub spread: f64,
-    /// The wait before a first restart; doubles with each crash in a row, up to the most.
+    /// Delay before the first restart; doubles with each consecutive crash, up to `max_backoff`.
     pub backoff: f64,
-    /// See above.
+    /// Upper bound of the delay before a restart.
     pub max_backoff: f64,
-    /// An end within so long after the start is one more crash in a row.
+    /// An exit within this time after the start counts as a consecutive crash; a later one starts the count
+    /// again.
     pub crash_window: f64,
-    /// So many crashes in a row, and the instance is left alone.
+    /// Number of consecutive crashes after which the instance is not restarted any more.
     pub max_crashes: u32,
-    /// How long an instance may take until it is ready.
+    /// How long an instance may take to become ready before it is killed.
     pub ready_timeout: f64,
-    /// How long one may take to end before it is killed.
+    /// How long an instance may take to stop before it is killed.
     pub stop_timeout: f64,
-    /// How many are replaced at a time.
+    /// Number of instances that are replaced at a time.
     pub batch: usize,
-    /// For how long a batch is looked at before the next.
+    /// How long a batch is observed, once all of it is ready, before the next batch.
     pub batch_observation: f64,
 }
 
@@ -47,35 +49,35 @@
     }
 }
 
-/// Of which files and which program an instance is started.
+/// Files and program that an instance is started from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Release {
-    /// Those that held before the present roll.
+    /// The release in force before the current rolling update.
     #[default]
     Old,
-    /// Those that are being rolled out.
+    /// The release that is being rolled out.
     New,
 }
 
-/// Where an instance stands.
+/// State of an instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
-    /// Started at this time.
+    /// Waiting to be started at this time.
     Waiting(f64),
-    /// Started, and not ready yet, since then.
+    /// Started at this time, and not ready yet.
     Starting(f64),
-    /// It serves, since then.
+    /// Ready since this time.
     Ready(f64),
-    /// Told to end, since then.
+    /// Told to stop at this time.
     Stopping(f64),
-    /// Left alone: it has crashed too often in a row.
+    /// Not restarted any more after too many consecutive crashes.
     Broken,
-    /// Ended, as it was told.
+    /// Stopped as requested.
     Stopped,
 }
 
 impl State {
-    /// Its name, for people.
+    /// Name of the state, as `fleet status` prints it.
     pub fn name(self) -> &'static str {
         match self {
             State::Waiting(_) => "waiting",
@@ -88,7 +90,7 @@
     }
 }
 
-/// Answers of an instance since it was started.
+/// Numbers of answers of an instance since its process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
     /// All final answers.
@@ -99,7 +101,7 @@
 
 impl Health {
     fn since(self, earlier: Health) -> Health {
-        // A new process counts from nothing.
+        // A new process counts from zero.
         if self.answers < earlier.answers {
             return self;
         }
@@ -109,264 +111,281 @@
         }
     }
 
-    fn and(self, other: Health) -> Health {
+    fn plus(self, other: Health) -> Health {
         Health { answers: self.answers + other.answers, not_served: self.not_served + other.not_served }
     }
 
-    fn share(self) -> Option<f64> {
-        (self.answers >= LEAST).then(|| self.not_served as f64 / self.answers as f64)
+    fn unserved_share(self) -> Option<f64> {
+        (self.answers >= MIN_ANSWERS).then(|| self.not_served as f64 / self.answers as f64)
     }
 }
 
-/// What happens.
+/// Input events.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// An instance runs already: this supervisor was not the one that started it.
+    /// An instance is running already: an earlier supervisor started it.
     AlreadyRunning(usize),
-    /// It is ready.
+    /// The instance is ready.
     Ready(usize),
-    /// Its process has ended, or could not be started.
+    /// The instance's process has exited, or could not be started.
     Exited(usize),
-    /// What it has answered so far.
+    /// The instance's answers so far.
     Health(usize, Health),
-    /// Replace all by the new form, a batch at a time.
+    /// Start a rolling update: replace all instances by the new release, a batch at a time.
     Roll,
-    /// An instance that was left alone shall be tried again.
+    /// Start an instance again that is [`State::Broken`].
     Retry(usize),
-    /// End all.
+    /// Stop all instances.
     Stop,
-    /// Time passes.
+    /// Time has passed.
     Time,
 }
 
-/// What the driver does.
+/// Actions for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start it.
+    /// Start the instance from this release.
     Start(usize, Release),
-    /// Tell it to end.
+    /// Ask the instance to stop.
     Stop(usize),
-    /// Kill it.
+    /// Kill the instance.
     Kill(usize),
-    /// Come again then.
+    /// Call again with [`Input::Time`] at this time.
     Timer(f64),
-    /// Tell people: an instance, if it is about one, and words.
+    /// Print a message; with the number of the instance, if it is about a single one.
     Log(Option<usize>, String),
-    /// The roll is over: all instances are of this form, which holds from now on.
+    /// The rolling update has ended: all instances run this release, which is in force from now on.
     Rolled(Release),
 }
 
 #[derive(Clone, Debug)]
 struct Instance {
     state: State,
-    form: Release,
-    started: f64,
+    release: Release,
+    started_at: f64,
     crashes: u32,
-    /// It ends because it is to be replaced, not by itself.
+    /// The instance was told to stop in order to be replaced.
     replaced: bool,
     health: Health,
-    /// What it had answered when it was last looked at, and what came between that look and the one before.
-    mark: Health,
+    /// Answers counted when the last rolling update, or its undo, began.
+    baseline: Health,
 }
 
 #[derive(Clone, Debug)]
 struct Roll {
     to: Release,
-    /// Instances whose turn has not come.
-    left: Vec<usize>,
+    /// Instances that have not been replaced yet.
+    remaining: Vec<usize>,
     batch: Vec<usize>,
-    /// When the batch has been looked at for long enough; none while it is not ready.
-    settled: Option<f64>,
-    /// What all answered before the roll.
+    /// When the observation of the batch ends; `None` while an instance of it is not ready.
+    observed_until: Option<f64>,
+    /// Answers of all instances between the previous rolling update and this one.
     before: Health,
-    undoes: bool,
+    is_undo: bool,
 }
 
 /// The supervisor.
 #[derive(Debug)]
 pub struct Supervisor {
-    terms: SupervisorConfig,
-    all: Vec<Instance>,
+    config: SupervisorConfig,
+    instances: Vec<Instance>,
     roll: Option<Roll>,
-    ending: bool,
+    stopping: bool,
     rng: fastrand::Rng,
 }
 
 impl Supervisor {
-    /// Looks after instances from now on; those that run already are told by [`Input::AlreadyRunning`] before the first
-    /// [`Input::Time`].
-    pub fn new(terms: SupervisorConfig, seed: u64, now: f64) -> Supervisor {
+    /// Starts the supervision. Report instances that are running already by [`Input::AlreadyRunning`] before
+    /// the first [`Input::Time`].
+    pub fn new(config: SupervisorConfig, seed: u64, now: f64) -> Supervisor {
         let mut rng = fastrand::Rng::with_seed(seed);
-        // Each in its share of the spread, at a place drawn in it: no two beats fall together, and none is empty.
-        let share = terms.spread / terms.instances.max(1) as f64;
-        let all = (0..terms.instances)
+        // Each instance starts at a random time within its own slot of the period, so that the starts are
+        // evenly spread.
+        let slot = config.spread / config.instances.max(1) as f64;
+        let instances = (0..config.instances)
             .map(|n| Instance {
-                state: State::Waiting(now + share * (n as f64 + rng.f64())),
-                form: Release::Old,
-                started: now,
+                state: State::Waiting(now + slot * (n as f64 + rng.f64())),
+                release: Release::Old,
+                started_at: now,
                 crashes: 0,
                 replaced: false,
                 health: Health::default(),
-                mark: Health::default(),
+                baseline: Health::default(),
             })
             .collect();
-        Supervisor { terms, all, roll: None, ending: false, rng }
+        Supervisor { config, instances, roll: None, stopping: false, rng }
     }
 
-    /// Where each stands, and of which form it is.
+    /// State, release and number of consecutive crashes of each instance.
     pub fn states(&self) -> impl Iterator<Item = (State, Release, u32)> + '_ {
-        self.all.iter().map(|instance| (instance.state, instance.form, instance.crashes))
+        self.instances.iter().map(|instance| (instance.state, instance.release, instance.crashes))
     }
 
-    /// Whether a roll is under way.
+    /// Returns true during a rolling update or its undo.
     pub fn is_rolling(&self) -> bool {
         self.roll.is_some()
     }
 
-    /// Whether all have ended, as they were told.
+    /// Returns true once all instances have stopped after [`Input::Stop`].
     pub fn has_stopped(&self) -> bool {
-        let over = |one: &Instance| matches!(one.state, State::Stopped | State::Broken);
-        self.ending && self.all.iter().all(over)
+        let is_down = |instance: &Instance| matches!(instance.state, State::Stopped | State::Broken);
+        self.stopping && self.instances.iter().all(is_down)
     }
 
-    /// Takes in what happens.
+    /// Handles one event at the time `now` and appends the actions to `out`.
     pub fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Action>) {
         match input {
             Input::AlreadyRunning(n) => {
-                if let Some(one) = self.all.get_mut(n) {
-                    (one.state, one.started) = (State::Ready(now), now);
+                if let Some(instance) = self.instances.get_mut(n) {
+                    (instance.state, instance.started_at) = (State::Ready(now), now);
                 }
             }
             Input::Ready(n) => {
-                if let Some(one) = self.all.get_mut(n).filter(|one| matches!(one.state, State::Starting(_))) {
-                    one.state = State::Ready(now);
+                if let Some(instance) =
+                    self.instances.get_mut(n).filter(|instance| matches!(instance.state, State::Starting(_)))
+                {
+                    instance.state = State::Ready(now);
                 }
             }
-            Input::Exited(n) => self.ended(now, n, out),
+            Input::Exited(n) => self.handle_exit(now, n, out),
             Input::Health(n, health) => {
-                if let Some(one) = self.all.get_mut(n) {
-                    one.health = health;
+                if let Some(instance) = self.instances.get_mut(n) {
+                    instance.health = health;
                 }
             }
-            Input::Roll if self.ending || self.roll.is_some() => {
-                out.push(Action::Log(None, "no roll is begun: one is under way, or all are to end".into()));
+            Input::Roll if self.stopping || self.roll.is_some() => {
+                out.push(Action::Log(
+                    None,
+                    "no rolling update started: one is under way, or the fleet is stopping".into(),
+                ));
             }
-            Input::Roll => self.begin(Release::New, (0..self.all.len()).collect(), false),
+            Input::Roll => self.start_roll(Release::New, (0..self.instances.len()).collect(), false),
             Input::Retry(n) => {
-                if let Some(one) = self.all.get_mut(n).filter(|one| one.state == State::Broken) {
-                    (one.state, one.crashes) = (State::Waiting(now), 0);
+                if let Some(instance) =
+                    self.instances.get_mut(n).filter(|instance| instance.state == State::Broken)
+                {
+                    (instance.state, instance.crashes) = (State::Waiting(now), 0);
                 }
             }
             Input::Stop => {
-                (self.ending, self.roll) = (true, None);
-                for n in 0..self.all.len() {
-                    match self.all[n].state {
+                (self.stopping, self.roll) = (true, None);
+                for n in 0..self.instances.len() {
+                    match self.instances[n].state {
                         State::Starting(_) | State::Ready(_) => self.stop(now, n, out),
-                        State::Waiting(_) => self.all[n].state = State::Stopped,
+                        State::Waiting(_) => self.instances[n].state = State::Stopped,
                         _ => {}
                     }
                 }
             }
             Input::Time => {}
         }
-        self.look(now, out);
+        self.advance(now, out);
     }
 
     fn stop(&mut self, now: f64, n: usize, out: &mut Vec<Action>) {
-        self.all[n].state = State::Stopping(now);
+        self.instances[n].state = State::Stopping(now);
         out.push(Action::Stop(n));
     }
 
-    fn ended(&mut self, now: f64, n: usize, out: &mut Vec<Action>) {
-        let terms = self.terms;
+    fn handle_exit(&mut self, now: f64, n: usize, out: &mut Vec<Action>) {
+        let config = self.config;
         let jitter = 0.5 + 0.5 * self.rng.f64();
-        let ending = self.ending;
-        let Some(one) = self.all.get_mut(n) else { return };
-        (one.health, one.mark) = (Health::default(), Health::default());
-        if let State::Stopping(_) = one.state {
-            one.state = if ending || !one.replaced { State::Stopped } else { State::Waiting(now) };
-            one.replaced = false;
+        let stopping = self.stopping;
+        let Some(instance) = self.instances.get_mut(n) else { return };
+        (instance.health, instance.baseline) = (Health::default(), Health::default());
+        if let State::Stopping(_) = instance.state {
+            instance.state =
+                if stopping || !instance.replaced { State::Stopped } else { State::Waiting(now) };
+            instance.replaced = false;
             return;
         }
-        if ending {
-            one.state = State::Stopped;
+        if stopping {
+            instance.state = State::Stopped;
             return;
         }
-        // One that ran for long enough begins to count anew.
-        one.crashes = if now - one.started < terms.crash_window { one.crashes + 1 } else { 1 };
-        if one.crashes >= terms.max_crashes {
-            one.state = State::Broken;
-            let words =
-                format!("ended {} times in a row within {} s: left alone", one.crashes, terms.crash_window);
-            return out.push(Action::Log(Some(n), words));
+        // An instance that ran longer than the crash window starts the count again.
+        instance.crashes =
+            if now - instance.started_at < config.crash_window { instance.crashes + 1 } else { 1 };
+        if instance.crashes >= config.max_crashes {
+            instance.state = State::Broken;
+            let message = format!(
+                "exited {} times in a row within {} s of its start: not restarted any more",
+                instance.crashes, config.crash_window
+            );
+            return out.push(Action::Log(Some(n), message));
         }
-        let wait = (terms.backoff * f64::from(1u32 << (one.crashes - 1).min(16))).min(terms.max_backoff);
-        one.state = State::Waiting(now + wait * jitter);
-        out.push(Action::Log(Some(n), format!("ended; started again in {:.1} s", wait * jitter)));
+        let delay =
+            (config.backoff * f64::from(1u32 << (instance.crashes - 1).min(16))).min(config.max_backoff);
+        instance.state = State::Waiting(now + delay * jitter);
+        out.push(Action::Log(Some(n), format!("exited; restart in {:.1} s", delay * jitter)));
     }
 
-    fn begin(&mut self, to: Release, left: Vec<usize>, undoes: bool) {
-        let before = self.all.iter().fold(Health::default(), |sum, one| sum.and(one.health.since(one.mark)));
-        self.all.iter_mut().for_each(|one| one.mark = one.health);
-        self.roll = Some(Roll { to, left, batch: Vec::new(), settled: None, before, undoes });
+    fn start_roll(&mut self, to: Release, remaining: Vec<usize>, is_undo: bool) {
+        let before = self
+            .instances
+            .iter()
+            .fold(Health::default(), |sum, instance| sum.plus(instance.health.since(instance.baseline)));
+        self.instances.iter_mut().for_each(|instance| instance.baseline = instance.health);
+        self.roll = Some(Roll { to, remaining, batch: Vec::new(), observed_until: None, before, is_undo });
     }
 
-    /// Does what is due.
-    fn look(&mut self, now: f64, out: &mut Vec<Action>) {
-        let terms = self.terms;
+    /// Carries out everything that is due, and sets a timer for the next deadline.
+    fn advance(&mut self, now: f64, out: &mut Vec<Action>) {
+        let config = self.config;
         let mut next = f64::INFINITY;
-        for n in 0..self.all.len() {
-            let one = &mut self.all[n];
-            match one.state {
+        for n in 0..self.instances.len() {
+            let instance = &mut self.instances[n];
+            match instance.state {
                 State::Waiting(at) if now >= at => {
-                    (one.state, one.started) = (State::Starting(now), now);
-                    out.push(Action::Start(n, one.form));
-                    next = next.min(now + terms.ready_timeout);
+                    (instance.state, instance.started_at) = (State::Starting(now), now);
+                    out.push(Action::Start(n, instance.release));
+                    next = next.min(now + config.ready_timeout);
                 }
                 State::Waiting(at) => next = next.min(at),
-                State::Starting(since) if now >= since + terms.ready_timeout => {
-                    // Its end is told, and counts as a crash.
-                    out.push(Action::Log(Some(n), format!("not ready within {} s", terms.ready_timeout)));
+                State::Starting(since) if now >= since + config.ready_timeout => {
+                    // The exit is reported by the driver, and counts as a crash.
+                    out.push(Action::Log(Some(n), format!("not ready within {} s", config.ready_timeout)));
                     out.push(Action::Kill(n));
-                    one.state = State::Starting(f64::INFINITY);
+                    instance.state = State::Starting(f64::INFINITY);
                 }
-                State::Starting(since) => next = next.min(since + terms.ready_timeout),
-                State::Stopping(since) if now >= since + terms.stop_timeout => {
+                State::Starting(since) => next = next.min(since + config.ready_timeout),
+                State::Stopping(since) if now >= since + config.stop_timeout => {
                     out.push(Action::Kill(n));
-                    one.state = State::Stopping(f64::INFINITY);
+                    instance.state = State::Stopping(f64::INFINITY);
                 }
-                State::Stopping(since) => next = next.min(since + terms.stop_timeout),
+                State::Stopping(since) => next = next.min(since + config.stop_timeout),
                 State::Ready(_) | State::Broken | State::Stopped => {}
             }
         }
-        self.roll_on(now, &mut next, out);
+        self.advance_roll(now, &mut next, out);
         if next.is_finite() {
             out.push(Action::Timer(next));
         }
     }
 
-    /// Goes on with a roll.
-    fn roll_on(&mut self, now: f64, next: &mut f64, out: &mut Vec<Action>) {
+    /// Advances a rolling update.
+    fn advance_roll(&mut self, now: f64, next: &mut f64, out: &mut Vec<Action>) {
         let Some(mut roll) = self.roll.take() else { return };
-        if let Some(why) = self.harm(&roll) {
-            let done: Vec<usize> = (0..self.all.len()).filter(|n| self.all[*n].form == roll.to).collect();
+        if let Some(why) = self.find_harm(&roll) {
+            let updated: Vec<usize> =
+                (0..self.instances.len()).filter(|n| self.instances[*n].release == roll.to).collect();
             out.push(Action::Log(
                 None,
-                format!("the roll is stopped and undone in {} instances: {why}", done.len()),
+                format!("the rolling update is stopped and undone in {} instances: {why}", updated.len()),
             ));
-            for n in &done {
-                // What was broken by the new form is tried again with the old.
-                let one = &mut self.all[*n];
-                if one.state == State::Broken {
-                    (one.state, one.crashes) = (State::Stopped, 0);
+            for n in &updated {
+                // An instance that the new release broke is started again from the old one.
+                let instance = &mut self.instances[*n];
+                if instance.state == State::Broken {
+                    (instance.state, instance.crashes) = (State::Stopped, 0);
                 }
             }
-            self.begin(Release::Old, done, true);
-            return self.roll_on(now, next, out);
+            self.start_roll(Release::Old, updated, true);
+            return self.advance_roll(now, next, out);
         }
-        let ready = roll.batch.iter().all(|n| matches!(self.all[*n].state, State::Ready(_)));
+        let ready = roll.batch.iter().all(|n| matches!(self.instances[*n].state, State::Ready(_)));
         if !roll.batch.is_empty() && ready {
-            let until = *roll.settled.get_or_insert(now + self.terms.batch_observation);
+            let until = *roll.observed_until.get_or_insert(now + self.config.batch_observation);
             if now < until {
                 *next = next.min(until);
                 self.roll = Some(roll);
@@ -375,25 +394,29 @@
             roll.batch.clear();
         }
         if roll.batch.is_empty() {
-            if roll.left.is_empty() {
-                if !roll.undoes {
-                    // From here on it is what holds.
-                    self.all.iter_mut().for_each(|one| one.form = Release::Old);
+            if roll.remaining.is_empty() {
+                if !roll.is_undo {
+                    // The new release is in force now, and is the old one of the next update.
+                    self.instances.iter_mut().for_each(|instance| instance.release = Release::Old);
                 }
-                out.push(Action::Log(None, if roll.undoes { "undone" } else { "rolled out" }.into()));
+                out.push(Action::Log(
+                    None,
+                    if roll.is_undo { "the rolling update is undone" } else { "rolled out" }.into(),
+                ));
                 return out.push(Action::Rolled(roll.to));
             }
-            let size = self.terms.batch.clamp(1, roll.left.len());
-            roll.batch = roll.left.drain(..size).collect();
-            roll.settled = None;
+            let size = self.config.batch.clamp(1, roll.remaining.len());
+            roll.batch = roll.remaining.drain(..size).collect();
+            roll.observed_until = None;
             for n in roll.batch.clone() {
-                let one = &mut self.all[n];
-                (one.form, one.replaced) = (roll.to, true);
-                match one.state {
+                let instance = &mut self.instances[n];
+                (instance.release, instance.replaced) = (roll.to, true);
+                match instance.state {
                     State::Starting(_) | State::Ready(_) => self.stop(now, n, out),
-                    // It has ended already, or was never there: started in its new form at once.
+                    // The instance is not running: it is started from the new release at once.
                     State::Stopped | State::Broken | State::Waiting(_) => {
-                        (one.state, one.replaced, one.crashes) = (State::Waiting(now), false, 0);
+                        (instance.state, instance.replaced, instance.crashes) =
+                            (State::Waiting(now), false, 0);
                         *next = next.min(now);
                     }
                     State::Stopping(_) => {}
@@ -403,20 +426,20 @@
         self.roll = Some(roll);
     }
 
-    /// What harm a roll does, if it does any. An undo is not held up by what it undoes.
-    fn harm(&self, roll: &Roll) -> Option<String> {
-        if roll.undoes || roll.batch.is_empty() {
+    /// Returns the reason for undoing a rolling update, if there is one. An undo itself is never undone.
+    fn find_harm(&self, roll: &Roll) -> Option<String> {
+        if roll.is_undo || roll.batch.is_empty() {
             return None;
         }
-        if let Some(n) = roll.batch.iter().find(|n| self.all[**n].crashes > 0) {
-            return Some(format!("instance {n} does not come up"));
+        if let Some(n) = roll.batch.iter().find(|n| self.instances[**n].crashes > 0) {
+            return Some(format!("instance {n} crashed or was not ready in time"));
         }
-        let after = roll.batch.iter().filter(|n| matches!(self.all[**n].state, State::Ready(_)));
-        let after = after.fold(Health::default(), |sum, n| sum.and(self.all[*n].health));
-        let (before, after) = (roll.before.share()?, after.share()?);
-        (after > before + WORSE_BY).then(|| {
+        let after = roll.batch.iter().filter(|n| matches!(self.instances[**n].state, State::Ready(_)));
+        let after = after.fold(Health::default(), |sum, n| sum.plus(self.instances[*n].health));
+        let (before, after) = (roll.before.unserved_share()?, after.unserved_share()?);
+        (after > before + MAX_UNSERVED_INCREASE).then(|| {
             format!(
-                "{:.0}% of the batch's answers are bad, {:.0}% were before",
+                "{:.0}% of the batch's answers are refusals or failures, {:.0}% were before",
                 after * 100.0,
                 before * 100.0
             )
