--- a/crates/steplog/src/lib.rs
+++ b/crates/steplog/src/lib.rs
@@ -1,6 +1,6 @@
-//! The form of the log in which the steps of configuration changes are kept: a head that names the version,
-//! then records, each its length, its CRC-32 and its JSON text. What does not check out ends the log: a torn or
-//! corrupt tail is cut, never believed. No I/O.
+//! Format of the append-only log that stores the steps of configuration changes: a header with the version,
+//! then records, each of which consists of its length, its CRC-32 and its JSON text. The first torn or corrupt
+//! record ends the log: it and everything after it is discarded. No I/O.
 //!
 //! ```text
 //! "dewferry steps 1\n"  { length: u32 LE, crc: u32 LE, JSON: length bytes }*
@@ -9,25 +9,25 @@
 
 use transaction::{History, Record};
 
-/// What a log begins with.
+/// Header of a log.
 pub const HEADER: &[u8] = b"dewferry steps 1\n";
-/// Longest record (bytes): a snapshot of four documents, each as long as may be, written out as JSON.
+/// Maximum length of a record (bytes): a snapshot of four documents of the maximum length, encoded as JSON.
 pub const MAX_RECORD_BYTES: usize = 64 * 1024 * 1024;
 
-/// What stands in a log.
+/// Content of a log.
 #[derive(Debug, PartialEq)]
 pub struct Scan {
-    /// The steps that check out, in their order.
+    /// Valid records, in their order.
     pub records: Vec<Record>,
-    /// How many bytes of the log they take, its head included; 0 where the head is not there.
+    /// Length of the valid part of the log, header included (bytes); 0 if the header is incomplete.
     pub valid_bytes: usize,
-    /// Why what follows is cut; none where nothing follows.
+    /// Why the rest of the log is discarded; `None` if nothing follows the valid part.
     pub cut_reason: Option<&'static str>,
 }
 
-/// One record in its form.
+/// Encodes a record.
 pub fn encode_record(record: &Record) -> Vec<u8> {
-    // The steps hold texts and numbers only, which JSON can always say.
+    // The steps consist of strings and numbers only, so the encoding cannot fail.
     let text = serde_json::to_vec(record).unwrap_or_default();
     let mut out = Vec::with_capacity(text.len() + 8);
     out.extend((text.len() as u32).to_le_bytes());
@@ -36,56 +36,59 @@
     out
 }
 
-/// A whole log that says what a history holds, and nothing of how it came about.
+/// A complete log of the current state of a history, without the steps that led to it.
 pub fn compacted_log(history: &History) -> Vec<u8> {
     let records = std::iter::once(history.snapshot()).chain(history.open_steps());
     HEADER.iter().copied().chain(records.flat_map(|record| encode_record(&record))).collect()
 }
 
-/// Reads a log as far as it checks out. A file of another version, or of something else, is told by its head.
+/// Reads the valid part of a log. Returns an error if the header is that of another version or of another
+/// kind of file.
 pub fn scan(bytes: &[u8]) -> Result<Scan, &'static str> {
     let Some(mut rest) = bytes.strip_prefix(HEADER) else {
-        // A crash may have cut the head itself; what is there must then be the beginning of it.
+        // A crash may have truncated the header itself; the file is then a prefix of the header.
         return match HEADER.starts_with(bytes) {
             true => Ok(Scan {
                 records: Vec::new(),
                 valid_bytes: 0,
-                cut_reason: (!bytes.is_empty()).then_some("a torn head"),
+                cut_reason: (!bytes.is_empty()).then_some("a torn header"),
             }),
             false => Err("not a log of steps, or one of another version"),
         };
     };
-    let (mut records, mut sound, mut cut) = (Vec::new(), HEADER.len(), None);
+    let (mut records, mut valid_bytes, mut cut_reason) = (Vec::new(), HEADER.len(), None);
     while !rest.is_empty() {
-        match record(rest) {
+        match read_record(rest) {
             Ok((next, length)) => {
                 records.push(next);
-                sound += length;
+                valid_bytes += length;
                 rest = &rest[length..];
             }
             Err(why) => {
-                cut = Some(why);
+                cut_reason = Some(why);
                 break;
             }
         }
     }
-    Ok(Scan { records, valid_bytes: sound, cut_reason: cut })
+    Ok(Scan { records, valid_bytes, cut_reason })
 }
 
-fn record(bytes: &[u8]) -> Result<(Record, usize), &'static str> {
-    let (Some(length), Some(crc)) = (word(bytes, 0), word(bytes, 4)) else { return Err("a torn record") };
+fn read_record(bytes: &[u8]) -> Result<(Record, usize), &'static str> {
+    let (Some(length), Some(crc)) = (read_u32(bytes, 0), read_u32(bytes, 4)) else {
+        return Err("a torn record");
+    };
     let length = length as usize;
     if length > MAX_RECORD_BYTES {
         return Err("a record of impossible length");
     }
     let text = bytes.get(8..8 + length).ok_or("a torn record")?;
     if crc32fast::hash(text) != crc {
-        return Err("a record that does not check out");
+        return Err("a record with a wrong checksum");
     }
     let record = serde_json::from_slice(text).map_err(|_| "a record of unknown form")?;
     Ok((record, 8 + length))
 }
 
-fn word(bytes: &[u8], at: usize) -> Option<u32> {
+fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
     Some(u32::from_le_bytes(*bytes.get(at..)?.first_chunk()?))
 }
--- a/crates/steplog/tests/torn.rs
+++ b/crates/steplog/tests/torn.rs
@@ -1,4 +1,4 @@
-//! Logs that a crash has cut, or that something has spoilt, at every byte.
+//! Logs truncated or corrupted at every byte.
 
 use operator::Document;
 use steplog::{compacted_log, encode_record, scan, HEADER};
@@ -27,18 +27,18 @@
 }
 
 #[test]
-fn a_log_cut_at_any_byte_comes_back_to_the_last_whole_step() {
+fn truncated_log_is_read_up_to_the_last_complete_step() {
     let steps = steps();
-    let whole = log(&steps);
-    for cut in 0..=whole.len() {
-        let scan = scan(&whole[..cut]).unwrap();
+    let complete = log(&steps);
+    for cut in 0..=complete.len() {
+        let scan = scan(&complete[..cut]).unwrap();
         assert!(steps.starts_with(&scan.records));
         assert!(scan.valid_bytes <= cut);
         assert_eq!(scan.cut_reason.is_none(), scan.valid_bytes == cut, "{cut}");
         let confirmed = History::replay(scan.records).confirmed().map(|generation| generation.number);
-        // The second generation holds only once its confirmation is there to the last byte.
+        // The second generation is confirmed only if its confirmation is complete to the last byte.
         let expected = match cut {
-            cut if cut == whole.len() => Some(2),
+            cut if cut == complete.len() => Some(2),
             cut if cut >= log(&steps[..2]).len() => Some(1),
             _ => None,
         };
@@ -47,24 +47,24 @@
 }
 
 #[test]
-fn a_spoilt_byte_is_never_believed() {
+fn corrupt_byte_ends_the_log() {
     let steps = steps();
-    let whole = log(&steps);
-    let last = log(&steps[..4]).len();
-    for at in HEADER.len()..whole.len() {
-        let mut spoilt = whole.clone();
-        spoilt[at] ^= 0x10;
-        let scan = scan(&spoilt).unwrap();
+    let complete = log(&steps);
+    let last_record_at = log(&steps[..4]).len();
+    for at in HEADER.len()..complete.len() {
+        let mut corrupt = complete.clone();
+        corrupt[at] ^= 0x10;
+        let scan = scan(&corrupt).unwrap();
         assert!(steps.starts_with(&scan.records) && scan.records.len() < steps.len(), "{at}");
         assert!(scan.cut_reason.is_some());
-        assert!(at < last || scan.records.len() == 4);
+        assert!(at < last_record_at || scan.records.len() == 4);
     }
     assert!(scan(b"something else").is_err());
     assert!(scan(b"dewferry steps 2\n").is_err());
 }
 
 #[test]
-fn a_rewritten_log_says_the_same() {
+fn compacted_log_holds_the_same_history() {
     let mut steps = steps();
     steps.push(Record::Staged {
         number: 3,
@@ -74,13 +74,13 @@
     });
     steps.push(Record::Applied { number: 3 });
     let history = History::replay(steps);
-    let again = History::replay(scan(&compacted_log(&history)).unwrap().records);
+    let reread = History::replay(scan(&compacted_log(&history)).unwrap().records);
     assert_eq!(
-        again.confirmed().map(|g| (g.number, g.digest)),
+        reread.confirmed().map(|g| (g.number, g.digest)),
         history.confirmed().map(|g| (g.number, g.digest))
     );
-    assert!(again.entries().eq(history.entries()));
-    assert_eq!(again.next_number(), 4);
-    assert_eq!(again.entries().last().map(|entry| entry.fate), Some(GenerationStatus::Applied));
-    assert_eq!(again.rollback_target(None).map(|g| g.number), Some(1));
+    assert!(reread.entries().eq(history.entries()));
+    assert_eq!(reread.next_number(), 4);
+    assert_eq!(reread.entries().last().map(|entry| entry.fate), Some(GenerationStatus::Applied));
+    assert_eq!(reread.rollback_target(None).map(|g| g.number), Some(1));
 }
--- a/crates/transaction/benches/list.rs
+++ b/crates/transaction/benches/list.rs
@@ -1,5 +1,5 @@
-//! Times the parts of a change of a list of 10,000 members: reading, laying it over the platform's word, the
-//! differences, the check, and what a rollback needs. Prints the median of several runs of each.
+//! Times the steps of changing a list of 10,000 members: parsing, merging with the platform's configuration,
+//! the differences, the check, and the intents of a rollback. Prints the median of several runs of each.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -14,16 +14,16 @@
     "settings":{"classes":[{"name":"a","aim":1,"deadline":2}],"specifics":{"consistency":["write"]},
     "invariants":{"tipMultiple":2}}}"#;
 
-fn timed<T>(what: &str, mut run: impl FnMut() -> T) {
+fn time<T>(label: &str, mut run: impl FnMut() -> T) {
     let mut times: Vec<f64> = (0..RUNS)
         .map(|_| {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             black_box(run());
-            begun.elapsed().as_secs_f64() * 1000.0
+            started_at.elapsed().as_secs_f64() * 1000.0
         })
         .collect();
     times.sort_by(f64::total_cmp);
-    println!("{what:32} {:8.2} ms", times[RUNS / 2]);
+    println!("{label:32} {:8.2} ms", times[RUNS / 2]);
 }
 
 fn main() {
@@ -38,13 +38,13 @@
     let other = format!("[limits]\nmax_attempts = 3\n[override]\n{drained}{list}");
     let (old, new) = (parse(list.as_bytes()).unwrap(), parse(other.as_bytes()).unwrap());
     println!("{MEMBERS} members, {} bytes", other.len());
-    timed("read", || parse(other.as_bytes()).unwrap());
-    timed("canonical text and digest", || new.digest());
-    timed("laid over the platform's word", || EffectiveConfig::new(&platform, new.clone()).unwrap());
-    timed("differences of documents", || old.differences(&new));
+    time("parse", || parse(other.as_bytes()).unwrap());
+    time("canonical text and digest", || new.digest());
+    time("merged with the platform's config", || EffectiveConfig::new(&platform, new.clone()).unwrap());
+    time("differences of documents", || old.differences(&new));
     let (old, new) =
         (EffectiveConfig::new(&platform, old).unwrap(), EffectiveConfig::new(&platform, new).unwrap());
-    timed("differences of what is in force", || old.differences(&new));
+    time("differences of effective configs", || old.differences(&new));
     let members = (0..MEMBERS).map(|n| LiveMember {
         name: format!("m-{n}"),
         group: n as u32 / 5,
@@ -53,10 +53,10 @@
         primary: n % 5 == 0,
     });
     let traffic = (0..MEMBERS as u32 / 5).map(|group| (("a".to_string(), group), 10));
-    let view = LiveState { members: members.collect(), traffic: traffic.collect(), ..LiveState::default() };
+    let live = LiveState { members: members.collect(), traffic: traffic.collect(), ..LiveState::default() };
     let differences = old.differences(&new);
-    timed("check", || check(&old, &new, &differences, &view));
+    time("check", || check(&old, &new, &differences, &live));
     let mut roster = Roster::default();
     roster.apply_intents(&old);
-    timed("intents there and back", || (roster.apply_intents(&new), roster.apply_intents(&old)));
+    time("intents applied and reverted", || (roster.apply_intents(&new), roster.apply_intents(&old)));
 }
--- a/crates/transaction/src/health.rs
+++ b/crates/transaction/src/health.rs
@@ -1,43 +1,47 @@
-//! Whether health has worsened since a change: each class in each group is compared with what it was before,
-//! by tests that neither a handful of requests nor a rise of load can set off.
+//! Compares the health of each class in each group after a change with the time before it. The statistical
+//! tests are chosen so that neither a few requests nor a rise of load raises an alarm.
 //!
-//! Shares of refused and failed requests are compared by Fisher's exact test (by its normal approximation where
-//! many requests make that as good), latencies by Mann and Whitney's rank test over buckets, and the chance of a
-//! false alarm is divided among all comparisons of a probation (Bonferroni). A difference that is sure but small
-//! does not count. Where more is asked of a group than before, and as much is served as before, load explains it.
+//! Shares of refused and failed requests are compared by Fisher's exact test (by its normal approximation for
+//! large numbers of requests), latencies by the Mann-Whitney rank test over buckets. The probability of a
+//! false alarm is divided among all comparisons of a probation (Bonferroni correction). A significant but
+//! small difference does not count. If a group gets more requests than before and serves as many as before,
+//! the difference is attributed to load.
 
 use std::collections::HashMap;
 
 use statrs::distribution::{ContinuousCDF, DiscreteCDF, Hypergeometric, Normal};
 
-/// Most pairs of a class and a group that are told apart; what comes beyond goes uncounted.
+/// Maximum number of pairs of class and group that are counted separately; requests of further pairs are not
+/// counted.
 pub const MAX_CELLS: usize = 2_048;
-/// Periods that the time before a change is made of; the oldest is forgotten as a new one begins.
+/// Number of slices of the time before a change; the oldest is dropped when a new one begins.
 const SLICES: usize = 4;
-/// Length of a period of what is told as asked of late (seconds). The check looks at it: a group that writes
-/// once in a while must not count as one that never does.
-const LATELY: f64 = 300.0;
-/// Buckets of latency: the first ends at this (seconds), each further one is so much wider.
+/// Length of a period of recent traffic (seconds). The check uses recent traffic: a group with occasional
+/// writes must not count as one without writes.
+const TRAFFIC_PERIOD: f64 = 300.0;
+/// Number of latency buckets.
 const BUCKETS: usize = 24;
-const FIRST: f64 = 0.000_25;
-const WIDER: f64 = 1.5;
-/// Requests of both periods together up to which the exact test is used.
-const EXACT: u64 = 1_000;
-/// A rise in what is asked counts as one from this ratio on, where it is surely none of chance.
-const RISE: f64 = 1.15;
-/// ... and a fall in what is served from this one on.
-const FALL: f64 = 0.9;
-/// Standard deviations that are taken for sure, for load.
-const SURE: f64 = 3.0;
-/// Chance that a latency after the change is above one before it, from which on it counts as slower ...
-const SLOWER: f64 = 0.65;
-/// ... where the medians are so many buckets apart as well (over twice as slow).
-const SLOWER_BUCKETS: usize = 2;
-/// ... and the later one is above this (seconds): what is shorter is as much the host's doing, which answers a
-/// quiet caller more slowly than a busy one.
-const NEGLIGIBLE: f64 = 0.002;
+/// Upper bound of the first bucket (seconds).
+const FIRST_BUCKET_LIMIT: f64 = 0.000_25;
+/// Ratio of the upper bounds of two adjacent buckets.
+const BUCKET_FACTOR: f64 = 1.5;
+/// Number of requests, of both periods together, up to which the exact test is used.
+const MAX_EXACT_REQUESTS: u64 = 1_000;
+/// Minimum ratio of request rates that counts as a rise of load, if the rise is significant.
+const LOAD_RISE_RATIO: f64 = 1.15;
+/// Maximum ratio of served rates that counts as a fall, if the fall is significant.
+const SERVED_FALL_RATIO: f64 = 0.9;
+/// Number of standard deviations from which on a change of a rate is significant.
+const SIGNIFICANT_DEVIATIONS: f64 = 3.0;
+/// Minimum probability that a latency after the change is above one before it, for an alarm.
+const MIN_SLOWER_PROBABILITY: f64 = 0.65;
+/// Minimum distance of the medians for an alarm (buckets): 2 buckets are a factor of 2.25.
+const MIN_SLOWER_BUCKETS: usize = 2;
+/// Median latency (seconds) up to which no alarm is raised: below it the host's own effects are as large,
+/// since a host answers an idle caller more slowly than a busy one.
+const NEGLIGIBLE_LATENCY: f64 = 0.002;
 
-/// How a request ended for its client, where it was not served.
+/// Outcome of a request that was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestFailure {
     /// Refused.
@@ -48,28 +52,28 @@
 
 #[derive(Clone, Default)]
 struct Counts {
-    good: u64,
+    served: u64,
     refused: u64,
     failed: u64,
-    /// Those that their clients did not mark as repeats: what is asked, without what refusals bring back.
-    first: u64,
+    /// Requests that their clients did not mark as repeats: the load without the repeats that refusals cause.
+    first_requests: u64,
     latency: [u32; BUCKETS],
 }
 
 impl Counts {
-    fn all(&self) -> u64 {
-        self.good + self.refused + self.failed
+    fn total(&self) -> u64 {
+        self.served + self.refused + self.failed
     }
 
     fn add(&mut self, other: &Counts) {
-        self.good += other.good;
+        self.served += other.served;
         self.refused += other.refused;
         self.failed += other.failed;
-        self.first += other.first;
+        self.first_requests += other.first_requests;
         self.latency.iter_mut().zip(other.latency).for_each(|(sum, count)| *sum += count);
     }
 
-    /// The bucket in which the median lies.
+    /// Bucket of the median latency.
     fn median(&self) -> usize {
         let half = self.latency.iter().map(|count| u64::from(*count)).sum::<u64>().div_ceil(2);
         let mut sum = 0;
@@ -83,110 +87,112 @@
 
 type Cells = HashMap<(u16, u32), Counts>;
 
-/// By what a probation is judged.
+/// Thresholds of a probation.
 #[derive(Clone, Copy, Debug)]
 pub struct HealthRules {
-    /// Chance of a false alarm, over all comparisons of a probation.
+    /// Probability of a false alarm over all comparisons of a probation.
     pub significance: f64,
-    /// Least rise in a share of bad answers.
+    /// Minimum increase of the share of refused or failed requests.
     pub min_increase: f64,
-    /// Least requests in each period.
+    /// Minimum number of requests in each of the two periods.
     pub min_requests: u64,
-    /// Looks taken in a probation.
+    /// Number of comparisons during a probation.
     pub checks: u32,
 }
 
-/// What became of a comparison.
+/// Result of a comparison.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Nothing is surely worse.
+    /// Nothing is significantly worse.
     Fine,
-    /// Something is, and load does not explain it.
+    /// Something is significantly worse, and load does not explain it.
     Worse(Regression),
 }
 
-/// What was found worse.
+/// A significant regression.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Regression {
-    /// The class, by the number it was noted under.
+    /// Class, by the number that was passed to [`Health::record`].
     pub class: u16,
-    /// The group.
+    /// Group.
     pub group: u32,
-    /// What is worse: `refused`, `failed` or `latency`.
+    /// The measure that is worse: `refused`, `failed` or `latency`.
     pub measure: &'static str,
-    /// Before: a share, or for latency the median (seconds).
+    /// Value before the change: a share, or for latency the median (seconds).
     pub before: f64,
-    /// Since the change.
+    /// Value since the change.
     pub after: f64,
-    /// Requests compared, before and since.
+    /// Numbers of requests compared, before the change and since.
     pub requests: (u64, u64),
-    /// Chance that nothing has changed.
+    /// Probability of such a difference if nothing had changed.
     pub chance: f64,
 }
 
 impl Regression {
-    /// The same in words, with the class's name.
+    /// Describes the regression, with the name of its class.
     pub fn describe(&self, class: &str) -> String {
         let Regression { group, measure, before, after, requests: (old, new), chance, .. } = self;
         let unit = if *measure == "latency" { " s" } else { "" };
         format!(
             "{measure} of class {class} in group {group} went from {before:.4}{unit} to {after:.4}{unit} \
-             ({old} requests before, {new} since, chance {chance:.1e})"
+             ({old} requests before, {new} since, p = {chance:.1e})"
         )
     }
 }
 
-/// Counts how requests end, before a change and since one.
+/// Counts the outcomes of requests, before a change and since one.
 pub struct Health {
-    slice: f64,
-    begun: f64,
-    /// The newest last; each with the time at which it began.
+    slice_length: f64,
+    started_at: f64,
+    /// Slices with the time at which each began, the newest last.
     slices: Vec<(f64, Cells)>,
-    frozen: Option<Frozen>,
-    /// What has been asked of late, whether or not a change is watched: of this period and of the one before.
-    lately: [HashMap<(u16, u32), u64>; 2],
-    lately_from: f64,
+    baseline: Option<Baseline>,
+    /// Recent traffic of the current period and of the previous one, whether or not a change is watched.
+    recent: [HashMap<(u16, u32), u64>; 2],
+    recent_from: f64,
 }
 
-struct Frozen {
+struct Baseline {
     cells: Cells,
     length: f64,
-    since: f64,
+    change_at: f64,
 }
 
 impl Health {
-    /// Counts from `now` on; the time before a change is looked back on for `back` seconds.
-    pub fn new(now: f64, back: f64) -> Health {
+    /// Starts counting at `now`. A change is compared with the `lookback` seconds before it.
+    pub fn new(now: f64, lookback: f64) -> Health {
         Health {
-            slice: back / SLICES as f64,
-            begun: now,
+            slice_length: lookback / SLICES as f64,
+            started_at: now,
             slices: vec![(now, Cells::new())],
-            frozen: None,
-            lately: Default::default(),
-            lately_from: now,
+            baseline: None,
+            recent: Default::default(),
+            recent_from: now,
         }
     }
 
-    /// Takes in how a request ended: none for one that was served, after so long (seconds).
+    /// Records the end of a request: `failure` is `None` for a served one, `latency` is in seconds.
     pub fn record(
         &mut self,
         now: f64,
         class: u16,
         group: u32,
         repeat: bool,
-        bad: Option<RequestFailure>,
-        took: f64,
+        failure: Option<RequestFailure>,
+        latency: f64,
     ) {
-        if now >= self.lately_from + LATELY {
-            self.lately.swap(0, 1);
-            self.lately[0].clear();
-            self.lately_from = now;
+        if now >= self.recent_from + TRAFFIC_PERIOD {
+            self.recent.swap(0, 1);
+            self.recent[0].clear();
+            self.recent_from = now;
         }
-        if self.lately[0].len() < MAX_CELLS || self.lately[0].contains_key(&(class, group)) {
-            *self.lately[0].entry((class, group)).or_insert(0) += 1;
+        if self.recent[0].len() < MAX_CELLS || self.recent[0].contains_key(&(class, group)) {
+            *self.recent[0].entry((class, group)).or_insert(0) += 1;
         }
-        // While a change is watched, all since it is one period.
-        if self.frozen.is_none() && self.slices.last().is_none_or(|(from, _)| now >= from + self.slice) {
+        // While a change is watched, everything since then is one slice.
+        if self.baseline.is_none()
+            && self.slices.last().is_none_or(|(from, _)| now >= from + self.slice_length)
+        {
             if self.slices.len() > SLICES {
                 self.slices.remove(0);
             }
@@ -197,52 +203,52 @@
             return;
         }
         let counts = cells.entry((class, group)).or_default();
-        counts.first += u64::from(!repeat);
-        match bad {
+        counts.first_requests += u64::from(!repeat);
+        match failure {
             Some(RequestFailure::Refused) => counts.refused += 1,
             Some(RequestFailure::Failed) => counts.failed += 1,
             None => {
-                counts.good += 1;
-                counts.latency[bucket(took)] += 1;
+                counts.served += 1;
+                counts.latency[bucket(latency)] += 1;
             }
         }
     }
 
-    /// A change is in force from now on: what came before is kept to be compared with.
+    /// Starts the comparison for a change in force from `now` on: the counts so far become the baseline.
     pub fn begin_comparison(&mut self, now: f64) {
-        let from = self.slices.first().map_or(self.begun, |(from, _)| *from);
+        let from = self.slices.first().map_or(self.started_at, |(from, _)| *from);
         let mut cells = Cells::new();
         for (_, slice) in self.slices.drain(..) {
             for (cell, counts) in slice {
                 cells.entry(cell).or_default().add(&counts);
             }
         }
-        self.frozen = Some(Frozen { cells, length: now - from, since: now });
+        self.baseline = Some(Baseline { cells, length: now - from, change_at: now });
         self.slices.push((now, Cells::new()));
     }
 
-    /// The change is watched no more; what has come since it is what the next is compared with.
+    /// Ends the comparison. The counts since the change are the start of the next baseline.
     pub fn end_comparison(&mut self) {
-        self.frozen = None;
+        self.baseline = None;
     }
 
-    /// Requests of the last five to ten minutes, by class and group; a pair can come twice.
+    /// Requests of the last five to ten minutes, by class and group; a pair may be returned twice.
     pub fn traffic(&self) -> impl Iterator<Item = ((u16, u32), u64)> + '_ {
-        self.lately.iter().flatten().map(|(cell, count)| (*cell, *count))
+        self.recent.iter().flatten().map(|(cell, count)| (*cell, *count))
     }
 
-    /// Compares what has come since the change with what came before it.
+    /// Compares the counts since the change with the baseline.
     pub fn judge(&self, now: f64, rules: &HealthRules) -> Verdict {
-        let (Some(before), Some((_, after))) = (&self.frozen, self.slices.last()) else {
+        let (Some(before), Some((_, after))) = (&self.baseline, self.slices.last()) else {
             return Verdict::Fine;
         };
-        let lengths = (before.length.max(1e-3), (now - before.since).max(1e-3));
-        let enough = |(cell, new): &(&(u16, u32), &Counts)| {
-            let old = before.cells.get(*cell).map_or(0, Counts::all);
-            old >= rules.min_requests && new.all() >= rules.min_requests
+        let lengths = (before.length.max(1e-3), (now - before.change_at).max(1e-3));
+        let has_enough = |(cell, new): &(&(u16, u32), &Counts)| {
+            let old = before.cells.get(*cell).map_or(0, Counts::total);
+            old >= rules.min_requests && new.total() >= rules.min_requests
         };
-        let compared: Vec<_> = after.iter().filter(enough).collect();
-        let limit =
+        let compared: Vec<_> = after.iter().filter(has_enough).collect();
+        let p_limit =
             rules.significance / (3.0 * compared.len().max(1) as f64 * f64::from(rules.checks.max(1)));
         let mut worst: Option<Regression> = None;
         for (&(class, group), new) in &compared {
@@ -250,33 +256,39 @@
             for (measure, was, is) in
                 [("refused", old.refused, new.refused), ("failed", old.failed, new.failed)]
             {
-                let shares = (was as f64 / old.all() as f64, is as f64 / new.all() as f64);
+                let shares = (was as f64 / old.total() as f64, is as f64 / new.total() as f64);
                 if shares.1 - shares.0 < rules.min_increase {
                     continue;
                 }
-                let chance = rise(was, old.all(), is, new.all());
-                if chance >= limit || self.explained(before, after, (class, group), lengths, limit) {
+                let chance = increase_p_value(was, old.total(), is, new.total());
+                if chance >= p_limit
+                    || self.is_explained_by_load(before, after, (class, group), lengths, p_limit)
+                {
                     continue;
                 }
-                let requests = (old.all(), new.all());
-                let judged =
+                let requests = (old.total(), new.total());
+                let regression =
                     Regression { class, group, measure, before: shares.0, after: shares.1, requests, chance };
-                if worst.as_ref().is_none_or(|worst| judged.chance < worst.chance) {
-                    worst = Some(judged);
+                if worst.as_ref().is_none_or(|worst| regression.chance < worst.chance) {
+                    worst = Some(regression);
                 }
             }
             let (was, is) = (old.median(), new.median());
-            if old.good >= rules.min_requests
-                && new.good >= rules.min_requests
-                && is >= was + SLOWER_BUCKETS
-                && upper(is) > NEGLIGIBLE
+            if old.served >= rules.min_requests
+                && new.served >= rules.min_requests
+                && is >= was + MIN_SLOWER_BUCKETS
+                && bucket_limit(is) > NEGLIGIBLE_LATENCY
             {
-                let (above, chance) = slower(&old.latency, &new.latency);
-                let asked = |cells: &Cells| asked(cells, group);
-                let loaded = risen(asked(&before.cells), asked(after), lengths);
-                if above >= SLOWER && chance < limit && !loaded && worst.is_none() {
-                    let (before, after) = (upper(was), upper(is));
-                    let requests = (old.good, new.good);
+                let (probability_slower, chance) = latency_test(&old.latency, &new.latency);
+                let load = |cells: &Cells| first_request_count(cells, group);
+                let load_has_risen = has_risen(load(&before.cells), load(after), lengths);
+                if probability_slower >= MIN_SLOWER_PROBABILITY
+                    && chance < p_limit
+                    && !load_has_risen
+                    && worst.is_none()
+                {
+                    let (before, after) = (bucket_limit(was), bucket_limit(is));
+                    let requests = (old.served, new.served);
                     let measure = "latency";
                     worst = Some(Regression { class, group, measure, before, after, requests, chance });
                 }
@@ -285,21 +297,22 @@
         worst.map_or(Verdict::Fine, Verdict::Worse)
     }
 
-    /// Whether load alone explains that a cell is worse: its group is asked for surely more than before, and
-    /// either the cell is served as often as before, or it fares no worse than the rest of its group, which is.
-    fn explained(
+    /// Returns true if load alone explains a regression: the request rate of the group has risen
+    /// significantly, and either the cell is served as often as before, or the rest of the group is served as
+    /// often as before and the cell is not significantly worse than the rest.
+    fn is_explained_by_load(
         &self,
-        before: &Frozen,
+        before: &Baseline,
         after: &Cells,
         (class, group): (u16, u32),
         lengths: (f64, f64),
-        limit: f64,
+        p_limit: f64,
     ) -> bool {
-        if !risen(asked(&before.cells, group), asked(after, group), lengths) {
+        if !has_risen(first_request_count(&before.cells, group), first_request_count(after, group), lengths) {
             return false;
         }
         let (old, new) = (&before.cells[&(class, group)], &after[&(class, group)]);
-        if !fallen(old.good, new.good, lengths) {
+        if !has_fallen(old.served, new.served, lengths) {
             return true;
         }
         let rest = |cells: &Cells| {
@@ -309,79 +322,85 @@
             sum
         };
         let (rest_old, rest_new) = (rest(&before.cells), rest(after));
-        let bad = |counts: &Counts| counts.refused + counts.failed;
-        let apart = rise(bad(&rest_new), rest_new.all().max(1), bad(new), new.all()) < limit;
-        rest_new.all() > 0 && !fallen(rest_old.good, rest_new.good, lengths) && !apart
+        let not_served = |counts: &Counts| counts.refused + counts.failed;
+        let worse_than_rest =
+            increase_p_value(not_served(&rest_new), rest_new.total().max(1), not_served(new), new.total())
+                < p_limit;
+        rest_new.total() > 0 && !has_fallen(rest_old.served, rest_new.served, lengths) && !worse_than_rest
     }
 }
 
-/// Requests asked for the first time in a group.
-fn asked(cells: &Cells, group: u32) -> u64 {
-    cells.iter().filter(|((_, g), _)| *g == group).map(|(_, counts)| counts.first).sum()
+/// Number of requests of a group, without repeats.
+fn first_request_count(cells: &Cells, group: u32) -> u64 {
+    cells.iter().filter(|((_, g), _)| *g == group).map(|(_, counts)| counts.first_requests).sum()
 }
 
-/// How many standard deviations the second count is above what the first one's rate would give.
+/// Number of standard deviations by which `new` exceeds the share of the total count that its period should
+/// have at a constant rate.
 fn deviation(old: u64, new: u64, (before, after): (f64, f64)) -> f64 {
-    let (all, share) = ((old + new) as f64, after / (before + after));
-    (new as f64 - all * share) / (all * share * (1.0 - share)).sqrt().max(1e-9)
+    let (total, share) = ((old + new) as f64, after / (before + after));
+    (new as f64 - total * share) / (total * share * (1.0 - share)).sqrt().max(1e-9)
 }
 
-/// Whether a rate has surely risen.
-fn risen(old: u64, new: u64, lengths: (f64, f64)) -> bool {
+/// Returns true if a rate has risen significantly.
+fn has_risen(old: u64, new: u64, lengths: (f64, f64)) -> bool {
     let ratio = (new as f64 / lengths.1) / (old as f64 / lengths.0).max(1e-9);
-    ratio >= RISE && deviation(old, new, lengths) >= SURE
+    ratio >= LOAD_RISE_RATIO && deviation(old, new, lengths) >= SIGNIFICANT_DEVIATIONS
 }
 
-/// Whether a rate has surely fallen.
-fn fallen(old: u64, new: u64, lengths: (f64, f64)) -> bool {
+/// Returns true if a rate has fallen significantly.
+fn has_fallen(old: u64, new: u64, lengths: (f64, f64)) -> bool {
     let ratio = (new as f64 / lengths.1) / (old as f64 / lengths.0).max(1e-9);
-    ratio <= FALL && deviation(old, new, lengths) <= -SURE
+    ratio <= SERVED_FALL_RATIO && deviation(old, new, lengths) <= -SIGNIFICANT_DEVIATIONS
 }
 
-/// Chance of at least `is` bad ones among `new` where their share is that of both periods together.
-fn rise(was: u64, old: u64, is: u64, new: u64) -> f64 {
-    let (all, bad) = (old + new, was + is);
-    if is == 0 || all == 0 {
+/// Probability of at least `bad_new` bad requests among `new`, if the true share is that of both periods
+/// together.
+fn increase_p_value(bad_old: u64, old: u64, bad_new: u64, new: u64) -> f64 {
+    let (total, bad) = (old + new, bad_old + bad_new);
+    if bad_new == 0 || total == 0 {
         return 1.0;
     }
-    if all <= EXACT {
-        return Hypergeometric::new(all, bad, new).map_or(1.0, |chances| chances.sf(is - 1));
+    if total <= MAX_EXACT_REQUESTS {
+        return Hypergeometric::new(total, bad, new).map_or(1.0, |distribution| distribution.sf(bad_new - 1));
     }
-    let share = bad as f64 / all as f64;
-    let spread = (share * (1.0 - share) * (1.0 / old as f64 + 1.0 / new as f64)).sqrt();
-    let z = (is as f64 / new as f64 - was as f64 / old as f64) / spread.max(1e-12);
-    tail(z)
+    let share = bad as f64 / total as f64;
+    let standard_error = (share * (1.0 - share) * (1.0 / old as f64 + 1.0 / new as f64)).sqrt();
+    let z = (bad_new as f64 / new as f64 - bad_old as f64 / old as f64) / standard_error.max(1e-12);
+    upper_tail(z)
 }
 
-/// Chance that a normal variable lies so many standard deviations above its mean.
-fn tail(z: f64) -> f64 {
+/// Probability that a normal variable lies at least `z` standard deviations above its mean.
+fn upper_tail(z: f64) -> f64 {
     Normal::new(0.0, 1.0).map_or(1.0, |normal| normal.sf(z))
 }
 
-/// Chance that one of the second lies above one of the first (ties count half), and that this is chance.
-fn slower(old: &[u32; BUCKETS], new: &[u32; BUCKETS]) -> (f64, f64) {
+/// Probability that a latency of `new` is above one of `old` (ties count half), and the p-value of the rank
+/// test.
+fn latency_test(old: &[u32; BUCKETS], new: &[u32; BUCKETS]) -> (f64, f64) {
     let total = |counts: &[u32; BUCKETS]| counts.iter().map(|count| f64::from(*count)).sum::<f64>();
     let (n, m) = (total(old), total(new));
-    let (mut below, mut above, mut ties) = (0.0, 0.0, 0.0);
-    for (was, is) in old.iter().zip(new) {
-        let (was, is) = (f64::from(*was), f64::from(*is));
-        above += is * (below + was / 2.0);
-        below += was;
-        ties += (was + is).powi(3) - (was + is);
+    let (mut below, mut pairs_above, mut ties) = (0.0, 0.0, 0.0);
+    for (old_count, new_count) in old.iter().zip(new) {
+        let (old_count, new_count) = (f64::from(*old_count), f64::from(*new_count));
+        pairs_above += new_count * (below + old_count / 2.0);
+        below += old_count;
+        ties += (old_count + new_count).powi(3) - (old_count + new_count);
     }
-    let all = n + m;
-    let spread = (n * m / 12.0 * (all + 1.0 - ties / (all * (all - 1.0)).max(1.0))).max(1e-9).sqrt();
-    (above / (n * m).max(1.0), tail((above - n * m / 2.0) / spread))
+    let total = n + m;
+    let standard_deviation =
+        (n * m / 12.0 * (total + 1.0 - ties / (total * (total - 1.0)).max(1.0))).max(1e-9).sqrt();
+    (pairs_above / (n * m).max(1.0), upper_tail((pairs_above - n * m / 2.0) / standard_deviation))
 }
 
-fn bucket(took: f64) -> usize {
-    if took <= FIRST {
+fn bucket(latency: f64) -> usize {
+    if latency <= FIRST_BUCKET_LIMIT {
         return 0;
     }
-    ((took / FIRST).log(WIDER).ceil() as usize).min(BUCKETS - 1)
+    ((latency / FIRST_BUCKET_LIMIT).log(BUCKET_FACTOR).ceil() as usize).min(BUCKETS - 1)
 }
 
-/// Where a bucket ends (seconds).
-fn upper(bucket: usize) -> f64 {
-    FIRST * WIDER.powi(bucket as i32)
+/// Upper bound of a bucket (seconds).
+fn bucket_limit(bucket: usize) -> f64 {
+    FIRST_BUCKET_LIMIT * BUCKET_FACTOR.powi(bucket as i32)
 }
--- a/crates/transaction/src/history.rs
+++ b/crates/transaction/src/history.rs
@@ -1,4 +1,4 @@
-//! What the steps on record add up to, and on which generation a daemon comes up.
+//! State that results from the recorded steps, and the generation that a pooler starts with.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -6,64 +6,65 @@
 use operator::{Digest, Document};
 use serde::{Deserialize, Serialize};
 
-/// Most generations that are remembered, and of how many confirmed ones the document is kept.
+/// Maximum number of entries in the history.
 pub const MAX_ENTRIES: usize = 64;
-const MOST_DOCUMENTS: usize = 4;
+/// Maximum number of confirmed generations whose documents are retained.
+const MAX_DOCUMENTS: usize = 4;
 
-/// One configuration with its number.
+/// A numbered version of the configuration.
 #[derive(Clone, Debug)]
 pub struct Generation {
-    /// Counts up from 1; a number is never used for a second document.
+    /// Increments from 1; a number is never reused for another document.
     pub number: u64,
-    /// The digest of its document.
+    /// Digest of the document.
     pub digest: Digest,
-    /// What its author says of it.
+    /// Note of the author.
     pub note: String,
-    /// When it was staged (Unix seconds).
+    /// When the generation was staged (Unix seconds).
     pub at: f64,
-    /// What it says.
+    /// The operator's file.
     pub document: Arc<Document>,
 }
 
 impl Generation {
-    /// A generation of that document.
+    /// Creates a generation of `document`.
     pub fn new(number: u64, document: Arc<Document>, note: String, at: f64) -> Arc<Generation> {
         Arc::new(Generation { number, digest: document.digest(), note, at, document })
     }
 }
 
-/// What became of a generation.
+/// Status of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GenerationStatus {
-    /// On record, not in force yet.
+    /// Recorded, but not in force yet.
     Staged,
     /// In force, on probation.
     Applied,
-    /// Has stood its probation, or was confirmed by the operator.
+    /// Has passed its probation, or was confirmed by the operator.
     Confirmed,
-    /// Undone, or never came into force.
+    /// Rolled back, or never in force.
     RolledBack,
 }
 
-/// A line of the history.
+/// An entry of the history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its number.
+    /// Number of the generation.
     pub number: u64,
-    /// Its digest, in hexadecimal.
+    /// Digest of the document, in hexadecimal.
     pub digest: String,
-    /// Its author's note.
+    /// Note of the author.
     pub note: String,
     /// When it was staged (Unix seconds).
     pub at: f64,
-    /// What became of it.
+    /// Status of the generation.
     pub fate: GenerationStatus,
-    /// Why it was undone; empty where it was not.
+    /// Why the generation was rolled back; empty if it was not.
     pub why: String,
 }
 
-/// One step, as it is put on record.
+/// A step, as it is recorded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)] // The fields are those of `Entry`; `text` is the document.
@@ -84,7 +85,7 @@
         number: u64,
         why: String,
     },
-    /// All that is remembered, in place of the steps before it.
+    /// The full history, which replaces all steps before it.
     Snapshot {
         entries: Vec<Entry>,
         documents: Vec<(u64, String)>,
@@ -92,37 +93,37 @@
     },
 }
 
-/// The generations so far.
+/// History of the generations.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     entries: VecDeque<Entry>,
-    /// Confirmed ones, the newest last.
+    /// Confirmed generations whose documents are retained, the newest last.
     confirmed: VecDeque<Arc<Generation>>,
-    /// One that is staged or on probation.
+    /// The generation that is staged or on probation.
     open: Option<Arc<Generation>>,
     last: u64,
 }
 
-/// On what a daemon comes up.
+/// Configuration that a pooler starts with.
 #[derive(Clone, Debug)]
 pub struct StartupPlan {
-    /// The generation.
+    /// Generation to put in force.
     pub generation: Arc<Generation>,
-    /// Steps to be put on record for it; none for one that stands there already.
+    /// Steps to record for it; empty if it is recorded already.
     pub records: Vec<Record>,
-    /// What the operator must be told, if anything.
+    /// Warning for the operator, if there is one.
     pub warning: Option<String>,
 }
 
 impl History {
-    /// Adds up steps in their order. A step that cannot follow from those before it changes nothing.
+    /// Replays steps in their order. A step that cannot follow the steps before it is ignored.
     pub fn replay(records: impl IntoIterator<Item = Record>) -> History {
         let mut history = History::default();
         records.into_iter().for_each(|record| history.apply(&record));
         history
     }
 
-    /// Adds one step.
+    /// Applies one step; ignores it if it cannot follow the steps before it.
     pub fn apply(&mut self, record: &Record) {
         match record {
             Record::Staged { number, at, note, text } if *number > self.last => {
@@ -135,7 +136,7 @@
             Record::Confirmed { number } if self.is_open(*number) => {
                 self.mark(*number, GenerationStatus::Confirmed, "");
                 self.confirmed.extend(self.open.take());
-                while self.confirmed.len() > MOST_DOCUMENTS {
+                while self.confirmed.len() > MAX_DOCUMENTS {
                     self.confirmed.pop_front();
                 }
             }
@@ -143,7 +144,7 @@
                 self.mark(*number, GenerationStatus::RolledBack, why);
                 self.open = None;
             }
-            // A confirmation whose record was not sure, and which therefore does not stand.
+            // Revokes a confirmation that may not have been written to disk.
             Record::RolledBack { number, why } if self.open.is_none() && self.is_newest(*number) => {
                 self.mark(*number, GenerationStatus::RolledBack, why);
                 self.confirmed.pop_back();
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Adds the step that stages a generation, of the next number, whose document need not be read again.
+    /// Applies the staging of a generation with the next number, without parsing its document again.
     pub fn stage(&mut self, generation: Arc<Generation>) {
         self.close("a later change was staged");
         self.last = generation.number;
@@ -200,7 +201,8 @@
         }
     }
 
-    /// All of it as one step. What is open is not part of it: it is undone by whoever reads that back.
+    /// Returns the history as one step, without the open generation: if no steps follow the snapshot, the
+    /// open generation is gone after a restart.
     pub fn snapshot(&self) -> Record {
         let closed = self.entries.iter().filter(|entry| !self.is_open(entry.number));
         Record::Snapshot {
@@ -210,7 +212,7 @@
         }
     }
 
-    /// The steps of what is open, to follow a snapshot.
+    /// Steps of the open generation, to be recorded after a snapshot.
     pub fn open_steps(&self) -> Vec<Record> {
         let Some(open) = &self.open else { return Vec::new() };
         let text = open.document.canonical_toml();
@@ -220,17 +222,17 @@
         std::iter::once(staged).chain(applied).collect()
     }
 
-    /// The entries, the newest last.
+    /// Entries, the newest last.
     pub fn entries(&self) -> impl DoubleEndedIterator<Item = &Entry> {
         self.entries.iter()
     }
 
-    /// The generation that a crash would come back to.
+    /// The last confirmed generation, which a restart after a crash uses.
     pub fn confirmed(&self) -> Option<&Arc<Generation>> {
         self.confirmed.back()
     }
 
-    /// A confirmed generation whose document is still kept: that of a number, or the one before the newest.
+    /// A confirmed generation whose document is retained: the one with this number, or the second newest.
     pub fn rollback_target(&self, number: Option<u64>) -> Option<&Arc<Generation>> {
         match number {
             Some(number) => self.confirmed.iter().find(|generation| generation.number == number),
@@ -238,14 +240,14 @@
         }
     }
 
-    /// The number that comes next.
+    /// Number of the next generation.
     pub fn next_number(&self) -> u64 {
         self.last + 1
     }
 
-    /// On which generation to come up: the last confirmed one, unless the file says something that history has
-    /// never seen. A file that is bad, that was undone, or whose probation a crash cut short, does not count,
-    /// nor does one that a later change has taken the place of.
+    /// Chooses the generation to start with: the last confirmed one, unless the file holds a document that is
+    /// not in the history. A file is ignored if it cannot be read, or if its document was rolled back, was
+    /// never confirmed because a crash ended its probation, or was replaced by a later change.
     pub fn plan_startup(&self, file: Result<Document, String>, now: f64) -> StartupPlan {
         let new = |document: Document, note: &str| {
             let generation = Generation::new(self.next_number(), Arc::new(document), note.into(), now);
@@ -253,32 +255,35 @@
             let staged = Record::Staged { number, at: now, note: note.into(), text };
             StartupPlan { records: vec![staged, Record::Confirmed { number }], generation, warning: None }
         };
-        let kept = |confirmed: &Arc<Generation>, loud: Option<String>| StartupPlan {
+        let keep = |confirmed: &Arc<Generation>, warning: Option<String>| StartupPlan {
             generation: confirmed.clone(),
             records: Vec::new(),
-            warning: loud,
+            warning,
         };
         match (file, self.confirmed()) {
             (Ok(document), None) => new(document, "first start"),
-            (Err(fault), None) => StartupPlan {
-                warning: Some(format!("the operator file is not used, and no earlier one is kept: {fault}")),
+            (Err(error), None) => StartupPlan {
+                warning: Some(format!(
+                    "the operator file is not used, and no earlier one is stored: {error}"
+                )),
                 ..new(Document::default(), "defaults: the file is not used")
             },
-            (Err(fault), Some(confirmed)) => {
+            (Err(error), Some(confirmed)) => {
                 let number = confirmed.number;
-                kept(
+                keep(
                     confirmed,
-                    Some(format!("the operator file is not used; generation {number} holds: {fault}")),
+                    Some(format!("the operator file is not used; generation {number} holds: {error}")),
                 )
             }
             (Ok(document), Some(confirmed)) => {
                 let digest = document.digest();
                 if digest == confirmed.digest {
-                    return kept(confirmed, None);
+                    return keep(confirmed, None);
                 }
-                let known = self.entries.iter().rev().find(|entry| entry.digest == digest.to_string());
+                let entry_of_file =
+                    self.entries.iter().rev().find(|entry| entry.digest == digest.to_string());
                 let number = confirmed.number;
-                let why = match known.map(|entry| (entry.number, entry.fate)) {
+                let why = match entry_of_file.map(|entry| (entry.number, entry.fate)) {
                     None => return new(document, "changed while the daemon was down"),
                     Some((n, GenerationStatus::Confirmed)) => {
                         format!("holds generation {n}, which {number} has replaced")
@@ -288,7 +293,7 @@
                     }
                     Some((n, _)) => format!("holds generation {n}, which was never confirmed"),
                 };
-                kept(confirmed, Some(format!("the operator file {why}; generation {number} holds")))
+                keep(confirmed, Some(format!("the operator file {why}; generation {number} holds")))
             }
         }
     }
--- a/crates/transaction/src/lib.rs
+++ b/crates/transaction/src/lib.rs
@@ -1,9 +1,9 @@
-//! Changes of configuration as transactions: read, check, stage, apply, watch, confirm or roll back.
+//! Configuration changes as transactions: read, check, stage, apply, watch, confirm or roll back.
 //!
-//! No I/O and no clock: [`StateMachine`] is fed proposals, ends of steps and the time, and answers with actions;
-//! [`check`] looks at what a change would do to the members and the traffic of now; [`Health`] compares what
-//! follows a change with what went before it; [`Roster`] keeps what the list tells apart from what the
-//! operator wants; [`History`] is what the steps on record add up to.
+//! No I/O and no clock: [`StateMachine`] takes proposals, results of steps and the time, and returns actions;
+//! [`check`] determines the effect of a change on the current members and traffic; [`Health`] compares the
+//! answers after a change with those before it; [`Roster`] stores the list separately from the operator's
+//! overrides; [`History`] is the state that results from the recorded steps.
 #![warn(missing_docs)]
 
 mod check;
--- a/crates/transaction/src/machine.rs
+++ b/crates/transaction/src/machine.rs
@@ -1,10 +1,11 @@
-//! The transaction itself: one change at a time goes through its steps, and whatever breaks off on the way
-//! leaves the last confirmed generation in force.
+//! State machine of a transaction: one change at a time goes through the stages. A change that fails in any
+//! stage leaves the last confirmed generation in force.
 //!
 //! ```text
-//! idle ── proposed ──> staging ── on record ──> applying ── in force ──> probation ── confirmed ──> idle
-//!   │                     │                        │                        │
-//!   └ refused: nothing    └ no record: nothing     └ not taken: nothing     └ worse, no word, asked: reverted
+//! idle ── proposed ──> staging ── recorded ──> applying ── in force ──> probation ── confirmed ──> idle
+//!   │                     │                       │                        │
+//!   └ refused             └ not recorded          └ not applied            └ reverting: worse, not confirmed,
+//!                                                                            or rollback requested
 //! ```
 
 use std::sync::Arc;
@@ -14,86 +15,86 @@
 use crate::check::{is_refused, Finding};
 use crate::history::{Entry, Generation, GenerationStatus, History, Record};
 
-/// How often health is looked at during a probation (seconds): a rollback begins this long after what it is
-/// for has become sure.
+/// Interval of health checks during a probation (seconds): a rollback begins at most this long after a
+/// regression has become significant.
 pub const HEALTH_CHECK_INTERVAL: f64 = 0.25;
-/// Longest note of an author (bytes); the rest is cut.
+/// Maximum length of a note (bytes); longer ones are truncated.
 pub const MAX_NOTE_BYTES: usize = 200;
 
-/// Whoever waits for what becomes of a call; opaque.
+/// Opaque id of a caller that waits for the outcome of a call.
 pub type Caller = u64;
 
-/// Who confirms.
+/// How a change is confirmed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// The end of a good probation, after so long (seconds).
+    /// Automatically, at the end of a probation of this length (seconds) without a regression.
     Auto(f64),
-    /// The operator, within so long (seconds).
+    /// By the operator, within this time (seconds).
     Manual(f64),
 }
 
 /// A change that has been read and checked.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// Who waits for it.
+    /// Caller that waits for the outcome.
     pub caller: Option<Caller>,
-    /// What it says.
+    /// The proposed document.
     pub document: Arc<Document>,
-    /// Its author's note.
+    /// Note of the author.
     pub note: String,
-    /// Who confirms it.
+    /// How the change is confirmed.
     pub mode: Mode,
-    /// What the check has found.
+    /// Findings of the check.
     pub findings: Vec<Finding>,
-    /// Codes of guarded findings that may stand.
+    /// Codes of guarded findings that are allowed.
     pub allow: Vec<String>,
 }
 
-/// What the machine is told.
+/// Input events.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A change is asked for.
+    /// A change is proposed.
     Propose(Proposal),
-    /// A step is on record, or cannot be.
+    /// A step has been recorded, or recording it has failed.
     Persisted {
-        /// The number that the step was given.
+        /// Number of the step, as in [`Action::Persist`].
         step: u64,
-        /// Why it cannot be.
+        /// Error if the step was not recorded.
         result: Result<(), String>,
     },
-    /// A generation is in force as a whole, or nothing of it is.
+    /// A generation has been put in force as a whole, or not at all.
     Applied {
-        /// The generation's number.
+        /// Number of the generation.
         number: u64,
-        /// Why it is not.
+        /// Error if the generation was not applied.
         result: Result<(), String>,
     },
-    /// The operator's word that the change shall stand.
+    /// The operator confirms the change on probation.
     Confirm {
-        /// Who waits for it.
+        /// Caller that waits for the outcome.
         caller: Option<Caller>,
-        /// Only this generation is meant.
+        /// Confirm this generation only, if given.
         number: Option<u64>,
     },
-    /// The operator's word that the change on probation shall not stand.
+    /// The operator requests the rollback of the change on probation.
     Rollback {
-        /// Who waits for it.
+        /// Caller that waits for the outcome.
         caller: Option<Caller>,
     },
-    /// Time has passed; what has become worse, if anything.
+    /// Time has passed; carries the description of a regression, if there is one.
     Time(Option<String>),
 }
 
-/// Why a change was undone.
+/// Reason of a rollback.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RollbackReason {
-    /// Health has worsened, by this.
+    /// Health has worsened, as described.
     HealthWorsened(String),
-    /// Nobody confirmed it in time.
+    /// The change was not confirmed in time.
     NotConfirmed,
-    /// The operator asked for it.
+    /// The operator requested the rollback.
     Requested,
-    /// A step cannot be put on record.
+    /// A step could not be recorded.
     RecordFailed(String),
 }
 
@@ -103,117 +104,117 @@
             RollbackReason::HealthWorsened(what) => write!(f, "health worsened: {what}"),
             RollbackReason::NotConfirmed => f.write_str("not confirmed in time"),
             RollbackReason::Requested => f.write_str("asked for"),
-            RollbackReason::RecordFailed(what) => write!(f, "the history cannot be written: {what}"),
+            RollbackReason::RecordFailed(error) => write!(f, "the history cannot be written: {error}"),
         }
     }
 }
 
-/// What a caller is told.
+/// Answer to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// The check stands in the way; nothing has changed.
+    /// The check refuses the change; nothing has changed.
     Refused(Vec<Finding>),
-    /// Another change is not done with; nothing has changed.
+    /// The change with this number is in progress; nothing has changed.
     Busy(u64),
-    /// It says what is in force already, or on probation: the generation that does.
+    /// The document is that of this generation, which is in force or in progress already.
     Unchanged(u64),
-    /// In force, on probation until then (Unix seconds).
+    /// The change is in force, on probation.
     Applied {
-        /// The generation.
+        /// Number of the generation.
         number: u64,
-        /// The end of its probation.
+        /// End of the probation (Unix seconds).
         until: f64,
     },
-    /// It stands.
+    /// The generation is confirmed.
     Confirmed(u64),
-    /// It was undone; which generation holds again, and why.
+    /// The change was rolled back.
     RolledBack {
-        /// What was undone.
+        /// Generation that was rolled back.
         number: u64,
-        /// What holds.
+        /// Generation in force again.
         to: u64,
-        /// Why.
+        /// Reason of the rollback.
         why: RollbackReason,
     },
-    /// It could not be taken; nothing has changed.
+    /// The change could not be recorded or applied; nothing has changed.
     NotTaken(String),
-    /// There is nothing on probation to confirm or to undo.
+    /// No change is in progress that could be confirmed or rolled back.
     Nothing,
 }
 
-/// What the log is told.
+/// Events for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// A change is refused, with the codes of what stands in its way.
+    /// A change was refused, with the codes of its findings.
     Refused(Vec<&'static str>),
-    /// On record.
+    /// The generation is recorded.
     Staged(u64),
-    /// In force, on probation.
+    /// The generation is in force, on probation.
     Applied(u64),
-    /// It stands.
+    /// The generation is confirmed.
     Confirmed(u64),
-    /// Undone: what, what holds again, why.
+    /// A generation was rolled back; the generation in force again; the reason.
     RolledBack(u64, u64, RollbackReason),
-    /// Not taken; why.
+    /// The generation could not be recorded or applied, for this reason.
     NotTaken(u64, String),
 }
 
-/// What is to be done, in this order.
+/// Actions for the driver, in this order.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Put a step on record; its end is told by that number.
+    /// Record a step, and report the result by [`Input::Persisted`].
     Persist {
-        /// The step.
+        /// Number of the step.
         step: u64,
-        /// What goes on record.
+        /// Content of the step.
         record: Record,
     },
-    /// Put a generation in force, as a whole or not at all, and tell which.
+    /// Put a generation in force, as a whole or not at all, and report the result by [`Input::Applied`].
     Apply(Arc<Generation>),
-    /// Compare health from now on with what it was.
+    /// Start comparing health with the time before the change.
     Watch,
-    /// Compare it no more, and let go of what was kept to undo the change.
+    /// Stop comparing health, and release what was retained for a rollback.
     EndWatch,
-    /// Tell the time at this time.
+    /// Call again with [`Input::Time`] at this time.
     Timer(f64),
     /// Answer a caller.
     Reply(Caller, Outcome),
-    /// Tell the log.
+    /// Log an event.
     Notice(Notice),
 }
 
-/// Where a change stands.
+/// Stage of the change in progress.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Stage {
-    /// None is under way.
+    /// No change is in progress.
     Idle,
-    /// Being put on record.
+    /// The change is being recorded.
     Staging,
-    /// Being put in force.
+    /// The change is being put in force.
     Applying,
-    /// In force, and watched, until then (Unix seconds).
+    /// The change is in force; its health is compared until this time (Unix seconds).
     Probation(f64),
-    /// Its confirmation is being put on record.
+    /// The confirmation is being recorded.
     Confirming,
-    /// Being undone.
+    /// The change is being rolled back, for this reason.
     Reverting(RollbackReason),
 }
 
 struct Candidate {
     generation: Arc<Generation>,
     mode: Mode,
-    /// Who waits to hear that it is in force.
+    /// Caller that waits until the change is in force.
     caller: Option<Caller>,
-    /// Who waits to hear of its confirmation, or of its undoing.
-    ender: Option<Caller>,
-    /// The step that is awaited.
+    /// Caller that waits for the confirmation or the rollback.
+    end_caller: Option<Caller>,
+    /// Number of the step whose result is awaited.
     step: u64,
 }
 
-/// One change at a time.
+/// State machine of configuration changes, one at a time.
 pub struct StateMachine {
     history: History,
-    /// The generation that holds whatever breaks off.
+    /// The last confirmed generation, which stays in force if a change fails.
     base: Arc<Generation>,
     candidate: Option<Candidate>,
     stage: Stage,
@@ -221,12 +222,12 @@
 }
 
 impl StateMachine {
-    /// Nothing under way; `base` is in force and confirmed.
+    /// Starts with no change in progress; `base` is in force and confirmed.
     pub fn new(history: History, base: Arc<Generation>) -> StateMachine {
         StateMachine { history, base, candidate: None, stage: Stage::Idle, steps: 0 }
     }
 
-    /// Where the change under way stands.
+    /// Stage of the change in progress.
     pub fn stage(&self) -> &Stage {
         &self.stage
     }
@@ -244,49 +245,50 @@
         &self.base
     }
 
-    /// What has been.
+    /// History of the generations.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// What has been, for people, the newest last: a confirmation that is not on record yet is not told, since whoever
-    /// hears of it may propose the next change.
+    /// Entries of the history for operators, the newest last. A confirmation that is not recorded yet is
+    /// shown as applied, since an operator who sees it may propose the next change, which would be refused as
+    /// busy.
     pub fn entries(&self) -> impl DoubleEndedIterator<Item = Entry> + '_ {
         let open = self.candidate.as_ref().map(|candidate| candidate.generation.number);
         self.history.entries().cloned().map(move |entry| {
-            let early = entry.fate == GenerationStatus::Confirmed && open == Some(entry.number);
-            Entry { fate: if early { GenerationStatus::Applied } else { entry.fate }, ..entry }
+            let unrecorded = entry.fate == GenerationStatus::Confirmed && open == Some(entry.number);
+            Entry { fate: if unrecorded { GenerationStatus::Applied } else { entry.fate }, ..entry }
         })
     }
 
-    /// Takes one input at the time `now` and appends what is to be done.
+    /// Handles one input at the time `now` and appends the actions to `out`.
     pub fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Action>) {
         match input {
             Input::Propose(proposal) => self.propose(now, proposal, out),
-            Input::Persisted { step, result } => self.persisted(step, result, out),
-            Input::Applied { number, result } => self.applied(now, number, result, out),
+            Input::Persisted { step, result } => self.on_persisted(step, result, out),
+            Input::Applied { number, result } => self.on_applied(now, number, result, out),
             Input::Confirm { caller, number } => self.confirm(caller, number, out),
             Input::Rollback { caller } => {
                 if !matches!(self.stage, Stage::Probation(_)) {
-                    let busy = self.candidate.as_ref().map(|c| c.generation.number);
-                    return reply(caller, busy.map_or(Outcome::Nothing, Outcome::Busy), out);
+                    let in_progress = self.candidate.as_ref().map(|c| c.generation.number);
+                    return reply(caller, in_progress.map_or(Outcome::Nothing, Outcome::Busy), out);
                 }
                 if let Some(candidate) = &mut self.candidate {
-                    candidate.ender = caller;
+                    candidate.end_caller = caller;
                 }
                 self.revert(RollbackReason::Requested, out);
             }
             Input::Time(worse) => {
                 let Stage::Probation(until) = self.stage else { return };
-                if let Some(what) = worse {
-                    return self.revert(RollbackReason::HealthWorsened(what), out);
+                if let Some(regression) = worse {
+                    return self.revert(RollbackReason::HealthWorsened(regression), out);
                 }
                 if now < until {
                     return out.push(Action::Timer((now + HEALTH_CHECK_INTERVAL).min(until)));
                 }
                 match self.candidate.as_ref().map(|candidate| candidate.mode) {
                     Some(Mode::Manual(_)) => self.revert(RollbackReason::NotConfirmed, out),
-                    _ => self.seal(out),
+                    _ => self.record_confirmation(out),
                 }
             }
         }
@@ -313,15 +315,15 @@
         let (number, text) = (self.history.next_number(), document.canonical_toml());
         let generation = Arc::new(Generation { number, digest, note: note.clone(), at: now, document });
         self.history.stage(generation.clone());
-        self.candidate = Some(Candidate { generation, mode, caller, ender: None, step: 0 });
+        self.candidate = Some(Candidate { generation, mode, caller, end_caller: None, step: 0 });
         self.stage = Stage::Staging;
         self.persist(Record::Staged { number, at: now, note, text }, out);
     }
 
-    /// Puts a step of the candidate on record and awaits that.
+    /// Records a step of the candidate; its result is awaited.
     fn persist(&mut self, record: Record, out: &mut Vec<Action>) {
         self.steps += 1;
-        // What is staged has been added as it is, without being read back from its text.
+        // A staged generation is in the history already, without being parsed from its text.
         if !matches!(record, Record::Staged { .. }) {
             self.history.apply(&record);
         }
@@ -331,7 +333,7 @@
         out.push(Action::Persist { step: self.steps, record });
     }
 
-    fn persisted(&mut self, step: u64, result: Result<(), String>, out: &mut Vec<Action>) {
+    fn on_persisted(&mut self, step: u64, result: Result<(), String>, out: &mut Vec<Action>) {
         let Some(candidate) = self.candidate.as_mut().filter(|candidate| candidate.step == step) else {
             return;
         };
@@ -343,29 +345,29 @@
                 out.push(Action::Notice(Notice::Staged(number)));
                 out.push(Action::Apply(generation));
             }
-            (Stage::Staging, Err(what)) => {
-                self.drop_candidate(format!("the history cannot be written: {what}"), out)
+            (Stage::Staging, Err(error)) => {
+                self.drop_candidate(format!("the history cannot be written: {error}"), out)
             }
             (Stage::Probation(until), Ok(())) => {
                 let until = *until;
                 reply(candidate.caller.take(), Outcome::Applied { number, until }, out);
             }
             (Stage::Confirming, Ok(())) => {
-                let ender = candidate.ender.take();
+                let end_caller = candidate.end_caller.take();
                 (self.base, self.candidate, self.stage) = (generation, None, Stage::Idle);
                 out.push(Action::EndWatch);
                 out.push(Action::Notice(Notice::Confirmed(number)));
-                reply(ender, Outcome::Confirmed(number), out);
+                reply(end_caller, Outcome::Confirmed(number), out);
             }
-            // What is not on record would not be there after a crash: it does not stand.
-            (Stage::Probation(_) | Stage::Confirming, Err(what)) => {
-                self.revert(RollbackReason::RecordFailed(what), out)
+            // A step that is not recorded would be lost in a crash, so the change is rolled back.
+            (Stage::Probation(_) | Stage::Confirming, Err(error)) => {
+                self.revert(RollbackReason::RecordFailed(error), out)
             }
             _ => {}
         }
     }
 
-    fn applied(&mut self, now: f64, number: u64, result: Result<(), String>, out: &mut Vec<Action>) {
+    fn on_applied(&mut self, now: f64, number: u64, result: Result<(), String>, out: &mut Vec<Action>) {
         let Some(candidate) = &self.candidate else { return };
         match &self.stage {
             Stage::Applying if candidate.generation.number == number => match result {
@@ -377,14 +379,14 @@
                     out.push(Action::Timer(now + time.min(HEALTH_CHECK_INTERVAL)));
                     self.persist(Record::Applied { number }, out);
                 }
-                Err(what) => self.drop_candidate(what, out),
+                Err(error) => self.drop_candidate(error, out),
             },
             Stage::Reverting(why) if self.base.number == number => {
                 let why = match result {
                     Ok(()) => why.clone(),
-                    // The old one cannot be had back: told, since the new one would be no better.
-                    Err(what) => RollbackReason::RecordFailed(format!(
-                        "{why}; and part of the old one is not back: {what}"
+                    // The old generation could not be restored completely: the reason says so.
+                    Err(error) => RollbackReason::RecordFailed(format!(
+                        "{why}; and part of the old generation could not be restored: {error}"
                     )),
                 };
                 let Some(candidate) = self.candidate.take() else { return };
@@ -395,39 +397,41 @@
                 out.push(Action::Notice(Notice::RolledBack(undone, to, why.clone())));
                 let outcome = Outcome::RolledBack { number: undone, to, why };
                 reply(candidate.caller, outcome.clone(), out);
-                reply(candidate.ender, outcome, out);
+                reply(candidate.end_caller, outcome, out);
             }
             _ => {}
         }
     }
 
-    /// The candidate never came into force.
-    fn drop_candidate(&mut self, what: String, out: &mut Vec<Action>) {
+    /// Drops a candidate that could not be recorded or applied.
+    fn drop_candidate(&mut self, error: String, out: &mut Vec<Action>) {
         let Some(candidate) = self.candidate.take() else { return };
         let number = candidate.generation.number;
         self.stage = Stage::Idle;
-        self.persist(Record::RolledBack { number, why: what.clone() }, out);
-        out.push(Action::Notice(Notice::NotTaken(number, what.clone())));
-        reply(candidate.caller, Outcome::NotTaken(what), out);
+        self.persist(Record::RolledBack { number, why: error.clone() }, out);
+        out.push(Action::Notice(Notice::NotTaken(number, error.clone())));
+        reply(candidate.caller, Outcome::NotTaken(error), out);
     }
 
     fn confirm(&mut self, caller: Option<Caller>, number: Option<u64>, out: &mut Vec<Action>) {
         let Some(candidate) = &mut self.candidate else { return reply(caller, Outcome::Nothing, out) };
-        let own = candidate.generation.number;
-        if number.is_some_and(|number| number != own) || !matches!(self.stage, Stage::Probation(_)) {
-            return reply(caller, Outcome::Busy(own), out);
+        let candidate_number = candidate.generation.number;
+        if number.is_some_and(|number| number != candidate_number)
+            || !matches!(self.stage, Stage::Probation(_))
+        {
+            return reply(caller, Outcome::Busy(candidate_number), out);
         }
-        candidate.ender = caller;
-        self.seal(out);
+        candidate.end_caller = caller;
+        self.record_confirmation(out);
     }
 
-    /// Puts the confirmation on record; the change stands once that is done.
-    fn seal(&mut self, out: &mut Vec<Action>) {
+    /// Records the confirmation; the change is confirmed once that has succeeded.
+    fn record_confirmation(&mut self, out: &mut Vec<Action>) {
         let Some(candidate) = &mut self.candidate else { return };
         let number = candidate.generation.number;
-        // Who still waits for word that it is in force hears of the end instead.
-        if candidate.ender.is_none() {
-            candidate.ender = candidate.caller.take();
+        // A caller that still waits for the change to be in force is answered with its end instead.
+        if candidate.end_caller.is_none() {
+            candidate.end_caller = candidate.caller.take();
         }
         self.stage = Stage::Confirming;
         self.persist(Record::Confirmed { number }, out);
--- a/crates/transaction/src/roster.rs
+++ b/crates/transaction/src/roster.rs
@@ -1,5 +1,5 @@
-//! What the list tells, and what the operator wants, kept apart: a fact is never held back by a change nor
-//! undone by a rollback, and what reaches the decisions is whichever of the two forbids more.
+//! Members of the list and the operator's overrides, stored separately: a change never delays an update of
+//! the list, and a rollback never reverts one. Routing gets the stricter of the two for each member.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,98 +8,106 @@
 use operator::{EffectiveConfig, Override};
 use routing::interface::{ListKind, MemberId, Phase};
 
-/// Members on the list, and those that are off it but were lately on it.
+/// Members of the list, and the operator's overrides and static list.
 #[derive(Default)]
 pub struct Roster {
-    facts: BTreeMap<MemberId, Listing>,
-    /// What the decisions were last told of each member.
-    told: BTreeMap<MemberId, (Phase, SocketAddr, u32)>,
+    /// The list as discovery or the registry reports it.
+    reported: BTreeMap<MemberId, Listing>,
+    /// Phase, address and group of each member as last reported to routing.
+    sent: BTreeMap<MemberId, (Phase, SocketAddr, u32)>,
     overrides: BTreeMap<MemberId, Override>,
-    /// The operator's own list, in place of discovery's.
-    fixed: Option<BTreeMap<MemberId, Listing>>,
+    /// The operator's static list, which replaces the reported one.
+    static_list: Option<BTreeMap<MemberId, Listing>>,
 }
 
 impl Roster {
-    /// Takes in what discovery tells; what the decisions are to be told of it. With a static list in force
-    /// that is nothing, but it is remembered.
+    /// Applies an update of the list and returns the update for routing. With a static list in force the
+    /// update is stored and nothing is returned.
     pub fn apply_list(&mut self, kind: ListKind, listings: Vec<Listing>) -> Option<(ListKind, Vec<Listing>)> {
         if !kind.carries_entries() {
-            return self.fixed.is_none().then_some((kind, Vec::new()));
+            return self.static_list.is_none().then_some((kind, Vec::new()));
         }
         if kind != ListKind::Incremental {
-            self.facts.clear();
+            self.reported.clear();
         }
-        let mut told = Vec::with_capacity(listings.len());
+        let mut update = Vec::with_capacity(listings.len());
         for listing in listings {
             if listing.phase == Phase::Left {
-                self.facts.remove(&listing.name);
+                self.reported.remove(&listing.name);
             } else {
-                self.facts.insert(listing.name.clone(), listing.clone());
+                self.reported.insert(listing.name.clone(), listing.clone());
             }
-            told.push(self.laid_over(listing));
+            update.push(self.with_override(listing));
         }
-        if self.fixed.is_some() {
+        if self.static_list.is_some() {
             return None;
         }
         if kind != ListKind::Incremental {
-            self.told.clear();
+            self.sent.clear();
         }
-        self.note(&told);
-        Some((kind, told))
+        self.record_sent(&update);
+        Some((kind, update))
     }
 
-    /// Takes the intents of a configuration in place of those before; what the decisions are to be told.
-    /// Nothing where nothing has changed for any member.
+    /// Replaces the overrides and the static list by those of a configuration and returns the update for
+    /// routing, or `None` if nothing has changed for any member.
     pub fn apply_intents(&mut self, effective: &EffectiveConfig) -> Option<(ListKind, Vec<Listing>)> {
-        let wanted = effective.document.overrides.iter().map(|(name, wish)| (name.as_str().into(), *wish));
-        self.overrides = wanted.collect();
-        let fixed: BTreeMap<MemberId, Listing> =
+        let overrides = effective
+            .document
+            .overrides
+            .iter()
+            .map(|(name, member_override)| (name.as_str().into(), *member_override));
+        self.overrides = overrides.collect();
+        let static_list: BTreeMap<MemberId, Listing> =
             effective.members.iter().map(|listing| (listing.name.clone(), listing.clone())).collect();
-        self.fixed = (!fixed.is_empty()).then_some(fixed);
-        let now: Vec<Listing> = self.listed().cloned().collect();
-        let now: Vec<Listing> = now.into_iter().map(|listing| self.laid_over(listing)).collect();
-        let same = now.len() == self.told.len() && now.iter().all(|listing| self.told_as(listing));
-        if same {
+        self.static_list = (!static_list.is_empty()).then_some(static_list);
+        let entries: Vec<Listing> = self.listed().cloned().collect();
+        let entries: Vec<Listing> = entries.into_iter().map(|listing| self.with_override(listing)).collect();
+        let unchanged =
+            entries.len() == self.sent.len() && entries.iter().all(|listing| self.is_sent(listing));
+        if unchanged {
             return None;
         }
-        // Only what has changed is told while the same members stay; else the list as a whole.
-        let stay = now.len() == self.told.len() && now.iter().all(|l| self.told.contains_key(&l.name));
-        let kind = if stay { ListKind::Incremental } else { ListKind::Full };
-        let news: Vec<Listing> = now.into_iter().filter(|listing| !stay || !self.told_as(listing)).collect();
-        if !stay {
-            self.told.clear();
+        // While the set of members stays the same, only changed entries are sent; otherwise the full list.
+        let same_members =
+            entries.len() == self.sent.len() && entries.iter().all(|l| self.sent.contains_key(&l.name));
+        let kind = if same_members { ListKind::Incremental } else { ListKind::Full };
+        let update: Vec<Listing> =
+            entries.into_iter().filter(|listing| !same_members || !self.is_sent(listing)).collect();
+        if !same_members {
+            self.sent.clear();
         }
-        self.note(&news);
-        Some((kind, news))
+        self.record_sent(&update);
+        Some((kind, update))
     }
 
-    /// Whether the operator's own list is in force.
+    /// Returns true if the operator's static list is in force.
     pub fn has_static_list(&self) -> bool {
-        self.fixed.is_some()
+        self.static_list.is_some()
     }
 
-    /// The members that the list in force names, as it names them.
+    /// Entries of the list in force, without overrides.
     pub fn listed(&self) -> impl Iterator<Item = &Listing> {
-        self.fixed.as_ref().unwrap_or(&self.facts).values()
+        self.static_list.as_ref().unwrap_or(&self.reported).values()
     }
 
-    fn told_as(&self, listing: &Listing) -> bool {
-        self.told.get(&listing.name) == Some(&(listing.phase, listing.address, listing.group))
+    fn is_sent(&self, listing: &Listing) -> bool {
+        self.sent.get(&listing.name) == Some(&(listing.phase, listing.address, listing.group))
     }
 
-    fn note(&mut self, told: &[Listing]) {
-        for listing in told {
+    fn record_sent(&mut self, update: &[Listing]) {
+        for listing in update {
             if listing.phase == Phase::Left {
-                self.told.remove(&listing.name);
+                self.sent.remove(&listing.name);
             } else {
-                let place = (listing.phase, listing.address, listing.group);
-                self.told.insert(listing.name.clone(), place);
+                let state = (listing.phase, listing.address, listing.group);
+                self.sent.insert(listing.name.clone(), state);
             }
         }
     }
 
-    /// A line of the list as the operator wants it: an intent can only forbid more than the list does.
-    fn laid_over(&self, mut listing: Listing) -> Listing {
+    /// Applies the overrides to an entry. An override can only make the phase stricter than the list's.
+    fn with_override(&self, mut listing: Listing) -> Listing {
         if listing.phase == Phase::Active && self.overrides.contains_key(&listing.name) {
             listing.phase = Phase::Leaving;
         }
--- a/crates/transaction/tests/explored.rs
+++ b/crates/transaction/tests/explored.rs
@@ -1,5 +1,5 @@
-//! The transaction explored: random runs of proposals, words of the operator, failing disks, worsening health,
-//! crashes and drains, against a model of what a daemon does. After every step the invariants are looked at.
+//! Random runs of proposals, confirmations, rollbacks, disk failures, health regressions, crashes and drains,
+//! against a model of a pooler. The invariants are checked after every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,63 +18,66 @@
     "settings":{"classes":[{"name":"a","aim":1,"deadline":2}],"specifics":{"consistency":["any"]},
     "invariants":{"tipMultiple":2}}}"#;
 
-/// What can happen.
+/// A random event.
 #[derive(Clone, Debug)]
-enum Move {
-    /// A change that sets this many attempts and overrides one member; its check finds something, or not.
+enum Event {
+    /// Proposes a change that sets `max_attempts` and overrides one member; the check refuses it unless
+    /// `accepted`.
     Propose {
         attempts: u32,
         member: u8,
-        sound: bool,
+        accepted: bool,
         manual: bool,
     },
-    /// The disk has written what waits for it, or has not.
+    /// The disk writes the oldest waiting record, or writing it fails.
     Disk(bool),
+    /// The generation to apply is put in force, or putting it in force fails.
     Apply(bool),
     Confirm,
     Rollback,
+    /// Time passes (milliseconds); a regression is found, or not.
     Pass(u16, bool),
-    /// kill -9: what is not on disk is gone; of the last record only part may be there.
+    /// kill -9: records that are not on disk are lost; if `torn`, the record being written is lost too.
     Crash {
         torn: bool,
     },
-    /// The list tells a fact of a member.
-    Fact(u8, bool),
+    /// The list reports that a member drains, or serves.
+    ReportPhase(u8, bool),
 }
 
-fn moves() -> impl Strategy<Value = Move> {
+fn events() -> impl Strategy<Value = Event> {
     prop_oneof![
         4 => (1u32..=6, 0u8..4, prop::bool::weighted(0.8), any::<bool>())
-            .prop_map(|(attempts, member, sound, manual)| Move::Propose { attempts, member, sound, manual }),
-        6 => prop::bool::weighted(0.9).prop_map(Move::Disk),
-        5 => prop::bool::weighted(0.9).prop_map(Move::Apply),
-        2 => Just(Move::Confirm),
-        1 => Just(Move::Rollback),
-        4 => (0u16..3_000, prop::bool::weighted(0.1)).prop_map(|(ms, worse)| Move::Pass(ms, worse)),
-        1 => any::<bool>().prop_map(|torn| Move::Crash { torn }),
-        2 => (0u8..4, any::<bool>()).prop_map(|(member, drains)| Move::Fact(member, drains)),
+            .prop_map(|(attempts, member, accepted, manual)| Event::Propose { attempts, member, accepted, manual }),
+        6 => prop::bool::weighted(0.9).prop_map(Event::Disk),
+        5 => prop::bool::weighted(0.9).prop_map(Event::Apply),
+        2 => Just(Event::Confirm),
+        1 => Just(Event::Rollback),
+        4 => (0u16..3_000, prop::bool::weighted(0.1)).prop_map(|(ms, worse)| Event::Pass(ms, worse)),
+        1 => any::<bool>().prop_map(|torn| Event::Crash { torn }),
+        2 => (0u8..4, any::<bool>()).prop_map(|(member, drains)| Event::ReportPhase(member, drains)),
     ]
 }
 
-/// A daemon as far as a transaction touches it.
-struct Daemon {
+/// The parts of a pooler that a transaction affects.
+struct Pooler {
     platform: Config,
-    machine: StateMachine,
+    state_machine: StateMachine,
     now: f64,
     disk: Vec<Record>,
-    waiting: Vec<(u64, Record)>,
+    unwritten: Vec<(u64, Record)>,
     to_apply: Option<Arc<Generation>>,
-    /// What is in force, each part by itself: they must always be of one generation.
+    /// Settings in force, stored separately: all of them must always be of one generation.
     attempts: u32,
     overrides: BTreeSet<String>,
     in_force: u64,
     roster: Roster,
-    facts: BTreeMap<String, bool>,
-    /// Whether each member may get something new, as the decisions were told.
-    told: BTreeMap<String, Phase>,
+    reported_drains: BTreeMap<String, bool>,
+    /// Phase of each member as last reported to routing.
+    sent: BTreeMap<String, Phase>,
     confirmed: BTreeSet<u64>,
     replies: Vec<Outcome>,
-    asked: u64,
+    proposals: u64,
 }
 
 fn listing(name: &str, phase: Phase) -> Listing {
@@ -82,66 +85,69 @@
     Listing { name: name.into(), address, zone: String::new(), group: 0, phase, started_at: 0.0 }
 }
 
-impl Daemon {
-    fn new() -> Daemon {
+impl Pooler {
+    fn new() -> Pooler {
         let start = History::default().plan_startup(Ok(Document::default()), 0.0);
-        let mut daemon = Daemon {
+        let mut pooler = Pooler {
             platform: Config::parse(PLATFORM).unwrap(),
-            machine: StateMachine::new(History::replay(start.records.clone()), start.generation.clone()),
+            state_machine: StateMachine::new(
+                History::replay(start.records.clone()),
+                start.generation.clone(),
+            ),
             now: 0.0,
             disk: start.records,
-            waiting: Vec::new(),
+            unwritten: Vec::new(),
             to_apply: None,
             attempts: 0,
             overrides: BTreeSet::new(),
             in_force: 0,
             roster: Roster::default(),
-            facts: BTreeMap::new(),
-            told: BTreeMap::new(),
+            reported_drains: BTreeMap::new(),
+            sent: BTreeMap::new(),
             confirmed: BTreeSet::from([1]),
             replies: Vec::new(),
-            asked: 0,
+            proposals: 0,
         };
-        daemon.put(&start.generation);
+        pooler.put_in_force(&start.generation);
         for member in 0..4 {
-            daemon.fact(member, false);
+            pooler.report_phase(member, false);
         }
-        daemon
+        pooler
     }
 
-    fn put(&mut self, generation: &Generation) {
+    fn put_in_force(&mut self, generation: &Generation) {
         let effective = EffectiveConfig::new(&self.platform, (*generation.document).clone()).unwrap();
         self.attempts = effective.settings.max_attempts;
         self.overrides = effective.document.overrides.keys().cloned().collect();
         self.in_force = generation.number;
-        let news = self.roster.apply_intents(&effective);
-        self.tell(news);
+        let update = self.roster.apply_intents(&effective);
+        self.record_sent(update);
     }
 
-    fn tell(&mut self, news: Option<(ListKind, Vec<Listing>)>) {
-        let Some((kind, listings)) = news else { return };
+    fn record_sent(&mut self, update: Option<(ListKind, Vec<Listing>)>) {
+        let Some((kind, listings)) = update else { return };
         if kind == ListKind::Full {
-            self.told.clear();
+            self.sent.clear();
         }
         for listing in listings {
-            self.told.insert(listing.name.to_string(), listing.phase);
+            self.sent.insert(listing.name.to_string(), listing.phase);
         }
     }
 
-    fn fact(&mut self, member: u8, drains: bool) {
+    fn report_phase(&mut self, member: u8, drains: bool) {
         let name = format!("s-{member}");
         let phase = if drains { Phase::Leaving } else { Phase::Active };
-        self.facts.insert(name.clone(), drains);
-        let news = self.roster.apply_list(ListKind::Incremental, vec![listing(&name, phase)]);
-        self.tell(news);
+        self.reported_drains.insert(name.clone(), drains);
+        let update = self.roster.apply_list(ListKind::Incremental, vec![listing(&name, phase)]);
+        self.record_sent(update);
     }
 
     fn input(&mut self, input: Input) {
         let mut out = Vec::new();
-        self.machine.handle(self.now, input, &mut out);
+        self.state_machine.handle(self.now, input, &mut out);
         for action in out {
             match action {
-                Action::Persist { step, record } => self.waiting.push((step, record)),
+                Action::Persist { step, record } => self.unwritten.push((step, record)),
                 Action::Apply(generation) => self.to_apply = Some(generation),
                 Action::Reply(_, outcome) => self.replies.push(outcome),
                 Action::Watch | Action::EndWatch | Action::Timer(_) | Action::Notice(_) => {}
@@ -149,18 +155,18 @@
         }
     }
 
-    fn act(&mut self, what: &Move) {
-        match *what {
-            Move::Propose { attempts, member, sound, manual } => {
+    fn handle(&mut self, event: &Event) {
+        match *event {
+            Event::Propose { attempts, member, accepted, manual } => {
                 let mut document = Document::default();
                 document.limits.max_attempts = Some(attempts);
                 document.overrides.insert(format!("s-{member}"), Override::Drain);
-                let severity = if sound { Severity::Note } else { Severity::Error };
+                let severity = if accepted { Severity::Note } else { Severity::Error };
                 let findings = vec![Finding { code: "planted", severity, what: String::new() }];
-                self.asked += 1;
+                self.proposals += 1;
                 let before = self.state();
                 self.input(Input::Propose(Proposal {
-                    caller: Some(self.asked),
+                    caller: Some(self.proposals),
                     document: Arc::new(document),
                     note: "n".repeat(300),
                     mode: if manual { Mode::Manual(2.0) } else { Mode::Auto(1.0) },
@@ -170,18 +176,18 @@
                 if matches!(
                     self.replies.last(),
                     Some(Outcome::Refused(_) | Outcome::Busy(_) | Outcome::Unchanged(_))
-                ) && *self.machine.stage() == Stage::Idle
+                ) && *self.state_machine.stage() == Stage::Idle
                 {
-                    assert_eq!(before, self.state(), "a change that was not taken in changes nothing");
+                    assert_eq!(before, self.state(), "a refused change must change nothing");
                 }
             }
-            Move::Disk(good) => {
-                if self.waiting.is_empty() {
+            Event::Disk(succeeds) => {
+                if self.unwritten.is_empty() {
                     return;
                 }
-                let (step, record) = self.waiting.remove(0);
-                let result = if good { Ok(()) } else { Err("disk full".to_string()) };
-                if good {
+                let (step, record) = self.unwritten.remove(0);
+                let result = if succeeds { Ok(()) } else { Err("disk full".to_string()) };
+                if succeeds {
                     if let Record::Confirmed { number } = &record {
                         self.confirmed.insert(*number);
                     }
@@ -189,33 +195,33 @@
                 }
                 self.input(Input::Persisted { step, result });
             }
-            Move::Apply(good) => {
+            Event::Apply(succeeds) => {
                 let Some(generation) = self.to_apply.take() else { return };
-                // Going back always succeeds: what it needs was kept.
-                let good = good || generation.number == self.machine.base().number;
-                if good {
-                    self.put(&generation);
+                // Returning to the base always succeeds: what it needs is retained.
+                let succeeds = succeeds || generation.number == self.state_machine.base().number;
+                if succeeds {
+                    self.put_in_force(&generation);
                 }
-                let result = if good { Ok(()) } else { Err("address in use".to_string()) };
+                let result = if succeeds { Ok(()) } else { Err("address in use".to_string()) };
                 self.input(Input::Applied { number: generation.number, result });
             }
-            Move::Confirm => self.input(Input::Confirm { caller: None, number: None }),
-            Move::Rollback => self.input(Input::Rollback { caller: None }),
-            Move::Pass(ms, worse) => {
+            Event::Confirm => self.input(Input::Confirm { caller: None, number: None }),
+            Event::Rollback => self.input(Input::Rollback { caller: None }),
+            Event::Pass(ms, worse) => {
                 self.now += f64::from(ms) / 1000.0;
                 self.input(Input::Time(worse.then(|| "worse".to_string())));
             }
-            Move::Crash { torn } => {
-                // What was being written is either all there or cut; the rest never was.
-                if !torn && !self.waiting.is_empty() {
-                    let (_, record) = self.waiting.remove(0);
+            Event::Crash { torn } => {
+                // The record being written is either complete or torn; later ones were never written.
+                if !torn && !self.unwritten.is_empty() {
+                    let (_, record) = self.unwritten.remove(0);
                     self.disk.push(record);
                 }
-                self.waiting.clear();
+                self.unwritten.clear();
                 self.to_apply = None;
                 let history = History::replay(self.disk.clone());
                 let before = self.in_force;
-                let base = self.machine.base().number;
+                let base = self.state_machine.base().number;
                 let start = history.plan_startup(Ok(Document::default()), self.now);
                 assert!(history.confirmed().is_some());
                 assert!(start.generation.number == base || start.generation.number == before);
@@ -223,52 +229,55 @@
                     self.confirmed.insert(*number);
                 }
                 self.disk.extend(start.records.iter().cloned());
-                self.machine =
+                self.state_machine =
                     StateMachine::new(History::replay(self.disk.clone()), start.generation.clone());
-                // The list is told anew; facts are facts.
+                // After the restart the list is reported again, with the same phases.
                 self.roster = Roster::default();
-                self.told.clear();
-                let facts: Vec<(String, bool)> = self.facts.clone().into_iter().collect();
-                self.put(&start.generation);
-                for (name, drains) in facts {
+                self.sent.clear();
+                let reported_drains: Vec<(String, bool)> = self.reported_drains.clone().into_iter().collect();
+                self.put_in_force(&start.generation);
+                for (name, drains) in reported_drains {
                     let member = name[2..].parse().unwrap();
-                    self.fact(member, drains);
+                    self.report_phase(member, drains);
                 }
             }
-            Move::Fact(member, drains) => self.fact(member, drains),
+            Event::ReportPhase(member, drains) => self.report_phase(member, drains),
         }
     }
 
     fn state(&self) -> (u32, BTreeSet<String>, u64, Vec<Record>, BTreeMap<String, Phase>) {
-        (self.attempts, self.overrides.clone(), self.in_force, self.disk.clone(), self.told.clone())
+        (self.attempts, self.overrides.clone(), self.in_force, self.disk.clone(), self.sent.clone())
     }
 
-    fn look(&self) {
-        // All parts in force are of one generation, the one that the machine takes to be in force unless it is
-        // just being changed.
-        let current = self.machine.current();
-        if !matches!(self.machine.stage(), Stage::Applying | Stage::Reverting(_)) {
+    fn check_invariants(&self) {
+        // All settings in force are of one generation: the state machine's current one, unless a change is
+        // just being applied or reverted.
+        let current = self.state_machine.current();
+        if !matches!(self.state_machine.stage(), Stage::Applying | Stage::Reverting(_)) {
             assert_eq!(self.in_force, current.number);
             let wanted = current.document.limits.max_attempts.unwrap_or(1);
-            assert_eq!(self.attempts, wanted, "half of a generation is in force");
+            assert_eq!(self.attempts, wanted, "settings of two generations are in force");
             assert_eq!(self.overrides, current.document.overrides.keys().cloned().collect());
         }
-        // Nothing under way: the last confirmed one is in force.
-        if *self.machine.stage() == Stage::Idle {
+        // While no change is in progress, a confirmed generation is in force.
+        if *self.state_machine.stage() == Stage::Idle {
             assert!(self.confirmed.contains(&self.in_force), "{} was never confirmed", self.in_force);
         }
-        // What people are told stands is on disk.
-        let told = self.machine.entries().filter(|entry| entry.fate == GenerationStatus::Confirmed);
-        told.for_each(|entry| assert!(self.confirmed.contains(&entry.number), "{} is told", entry.number));
-        // No change and no rollback makes a draining member take work again.
-        for (name, drains) in &self.facts {
+        // A generation that is shown as confirmed is on disk as confirmed.
+        let confirmed =
+            self.state_machine.entries().filter(|entry| entry.fate == GenerationStatus::Confirmed);
+        confirmed.for_each(|entry| {
+            assert!(self.confirmed.contains(&entry.number), "{} is shown as confirmed", entry.number)
+        });
+        // No change and no rollback makes a draining member accept new work again.
+        for (name, drains) in &self.reported_drains {
             if *drains || self.overrides.contains(name) {
-                assert_eq!(self.told.get(name), Some(&Phase::Leaving), "{name} was revived");
+                assert_eq!(self.sent.get(name), Some(&Phase::Leaving), "{name} drains, but gets new work");
             } else {
-                assert_eq!(self.told.get(name), Some(&Phase::Active), "{name} was forgotten");
+                assert_eq!(self.sent.get(name), Some(&Phase::Active), "{name} serves, but gets no new work");
             }
         }
-        assert!(self.machine.history().entries().count() <= transaction::MAX_ENTRIES);
+        assert!(self.state_machine.history().entries().count() <= transaction::MAX_ENTRIES);
     }
 }
 
@@ -276,25 +285,25 @@
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, rng_seed: prop::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn no_run_of_events_breaks_an_invariant(moves in prop::collection::vec(moves(), 1..60)) {
-        let mut daemon = Daemon::new();
-        for what in &moves {
-            daemon.act(what);
-            daemon.look();
+    fn random_runs_preserve_the_invariants(events in prop::collection::vec(events(), 1..60)) {
+        let mut pooler = Pooler::new();
+        for event in &events {
+            pooler.handle(event);
+            pooler.check_invariants();
         }
-        // Whatever is under way comes to its end once time passes and the disk writes.
+        // A change in progress ends once time passes and the disk writes.
         for _ in 0..8 {
-            daemon.act(&Move::Disk(true));
-            daemon.act(&Move::Apply(true));
-            daemon.act(&Move::Pass(2_500, false));
-            daemon.look();
+            pooler.handle(&Event::Disk(true));
+            pooler.handle(&Event::Apply(true));
+            pooler.handle(&Event::Pass(2_500, false));
+            pooler.check_invariants();
         }
-        prop_assert_eq!(daemon.machine.stage(), &Stage::Idle);
+        prop_assert_eq!(pooler.state_machine.stage(), &Stage::Idle);
     }
 }
 
 #[test]
-fn health_is_counted_within_bounds() {
+fn health_counters_are_bounded() {
     let mut health = Health::new(0.0, 10.0);
     for n in 0..10_000u32 {
         health.record(f64::from(n) * 0.01, (n % 100) as u16, n, false, None, 0.01);
