--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,5 +1,5 @@
-//! Signed operator files. The last line of a signed file is a comment with an HMAC-SHA256 of all before it, so
-//! that the file stays a plain one for whoever does not ask for signatures. No I/O.
+//! Signed operator files. The last line of a signed file is a comment with the HMAC-SHA256 of the text before
+//! it, so that readers that do not require signatures can parse the file as it is. No I/O.
 //!
 //! ```text
 //! # dewferry-signature: 1 KEY-ID HEX
@@ -11,14 +11,15 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::{Digest, Sha256};
 
-const MARK: &str = "# dewferry-signature: ";
+const SIGNATURE_PREFIX: &str = "# dewferry-signature: ";
 const VERSION: &str = "1";
-/// Fewest bytes of a key: as many as the hash has, below which it could be guessed more easily than that.
+/// Minimum length of a key (bytes): the length of the hash. A shorter key would be easier to guess than the
+/// hash.
 pub const MIN_KEY_BYTES: usize = 32;
-/// Most bytes of a key file.
+/// Maximum length of a key file (bytes).
 pub const MAX_KEY_FILE_BYTES: usize = 1024;
 
-/// A secret key. Never printed.
+/// A secret key. `Debug` prints only its id.
 pub struct Key {
     secret: Vec<u8>,
     id: String,
@@ -30,18 +31,18 @@
     }
 }
 
-/// Why a key or a signature is not taken.
+/// Reason why a key or a signature is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SignatureError {
-    /// The key file is not at least [`MIN_KEY_BYTES`] bytes in hexadecimal.
+    /// The key file is not hexadecimal, shorter than [`MIN_KEY_BYTES`] or longer than [`MAX_KEY_FILE_BYTES`].
     InvalidKey,
     /// The file has no signature on its last line.
     Unsigned,
-    /// The signature is of another version or form.
+    /// The signature has another version or format.
     UnsupportedFormat,
-    /// None of the keys has signed it.
+    /// None of the keys has this id.
     UnknownKey(String),
-    /// The file is not what was signed.
+    /// The file differs from the signed one.
     Mismatch(String),
 }
 
@@ -49,12 +50,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SignatureError::InvalidKey => {
-                write!(f, "a key file holds at least {MIN_KEY_BYTES} bytes in hexadecimal, on one line")
+                write!(f, "a key file must hold at least {MIN_KEY_BYTES} bytes in hexadecimal, on one line")
             }
             SignatureError::Unsigned => f.write_str("not signed: the last line holds no signature"),
-            SignatureError::UnsupportedFormat => f.write_str("the signature is of another version or form"),
+            SignatureError::UnsupportedFormat => f.write_str("the signature has another version or format"),
             SignatureError::UnknownKey(id) => {
-                write!(f, "signed with the key {id}, which is none of the keys here")
+                write!(f, "signed with the key {id}, which is not one of the given keys")
             }
             SignatureError::Mismatch(id) => write!(f, "changed since it was signed with the key {id}"),
         }
@@ -70,12 +71,12 @@
         if secret.len() < MIN_KEY_BYTES || text.len() > MAX_KEY_FILE_BYTES {
             return Err(SignatureError::InvalidKey);
         }
-        // Names the key without telling of it: a hash of it, cut short.
+        // A truncated hash identifies the key without revealing it.
         let id = hex::encode(&Sha256::digest(&secret)[..4]);
         Ok(Key { secret, id })
     }
 
-    /// What names the key; tells nothing of it.
+    /// Id of the key, which does not reveal it.
     pub fn id(&self) -> &str {
         &self.id
     }
@@ -87,29 +88,29 @@
     }
 }
 
-/// The text and its signature line, apart.
+/// Splits the text from its signature line.
 fn split(text: &str) -> Option<(&str, &str)> {
     let trimmed = text.trim_end();
-    let at = trimmed.rfind('\n').map_or(0, |at| at + 1);
-    Some((&text[..at], trimmed[at..].strip_prefix(MARK)?))
+    let line_start = trimmed.rfind('\n').map_or(0, |newline| newline + 1);
+    Some((&text[..line_start], trimmed[line_start..].strip_prefix(SIGNATURE_PREFIX)?))
 }
 
-/// The text with a signature under this key, in place of one that it may have.
+/// Signs a text with `key`; replaces the signature that the text may have.
 pub fn sign(text: &str, key: &Key) -> Result<String, SignatureError> {
     let mut text = split(text).map_or(text, |(body, _)| body).to_string();
     if !text.is_empty() && !text.ends_with('\n') {
         text.push('\n');
     }
     let mac = hex::encode(key.mac(&text)?.finalize().into_bytes());
-    Ok(format!("{text}{MARK}{VERSION} {} {mac}\n", key.id))
+    Ok(format!("{text}{SIGNATURE_PREFIX}{VERSION} {} {mac}\n", key.id))
 }
 
-/// The id of the key that has signed a text. Several keys are valid at a time, so that one can take another's
-/// place; the comparison takes the same time wherever two signatures differ.
+/// Returns the id of the key that has signed a text. Several keys can be valid at a time, so that keys can be
+/// rotated. The signatures are compared in constant time.
 pub fn verify<'k>(text: &str, keys: &'k [Key]) -> Result<&'k str, SignatureError> {
     let (body, line) = split(text).ok_or(SignatureError::Unsigned)?;
-    let words: Vec<&str> = line.split(' ').collect();
-    let [VERSION, id, mac] = words[..] else { return Err(SignatureError::UnsupportedFormat) };
+    let fields: Vec<&str> = line.split(' ').collect();
+    let [VERSION, id, mac] = fields[..] else { return Err(SignatureError::UnsupportedFormat) };
     let mac = hex::decode(mac).map_err(|_| SignatureError::UnsupportedFormat)?;
     let key = keys.iter().find(|key| key.id == id).ok_or_else(|| SignatureError::UnknownKey(id.into()))?;
     key.mac(body)?.verify_slice(&mac).map_err(|_| SignatureError::Mismatch(id.into()))?;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the pooler reads at its start: the configuration file, and in it the settings that the policy is
-//! handed. The adapter decodes its settings here too.
+//! The platform's configuration file, which a pooler reads at its start, and the routing settings in it. The
+//! adapter uses the same decoder for its settings.
 
 mod meaning;
 
@@ -13,7 +13,7 @@
 
 pub use meaning::{ConfigSummary, LoadReports, PlatformFacts};
 
-/// Why a configuration cannot be used.
+/// Reason why a configuration cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError(String);
 
@@ -31,19 +31,21 @@
     }
 }
 
-/// How the list of db machines comes to a pooler.
+/// How a pooler receives the list of members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// One service for all poolers: a call costs it something, and it is asked as the decisions say.
+    /// Requested from one discovery service for all poolers. Requests are limited, since each one costs the
+    /// service.
     Requested,
-    /// Told unasked; on sockets by an agent on the pooler's own machine, whom to ask costs nothing.
+    /// Pushed without requests; in a deployment by an agent on the pooler's own host, which can be polled at
+    /// no cost.
     Pushed,
 }
 
 impl ListSource {
-    /// The source that the settings name; where they name none, one that may be asked has always been meant.
-    fn of(info: Node) -> Result<ListSource, ConfigError> {
-        let mode = info.at("registryMode");
+    /// The source named by `registryMode`; without it, the list is pushed.
+    fn of(settings_node: Node) -> Result<ListSource, ConfigError> {
+        let mode = settings_node.at("registryMode");
         match mode.text() {
             Some("subscribe") => Ok(ListSource::Requested),
             Some("automatic") => Ok(ListSource::Pushed),
@@ -57,17 +59,17 @@
     }
 }
 
-/// A number under that name; `absent` where there is none, a fault where it is something else.
-fn number_or(node: Node, name: &str, absent: f64) -> Result<f64, ConfigError> {
+/// Returns the number under `name`, or `default` if the key is missing or null; anything else is an error.
+fn number_or(node: Node, name: &str, default: f64) -> Result<f64, ConfigError> {
     let value = node.at(name);
     match value.number() {
         Some(number) => Ok(number),
-        None if value.is_null() => Ok(absent),
+        None if value.is_null() => Ok(default),
         None => Err(format!("'{name}' is not a number").into()),
     }
 }
 
-fn need_text<'a>(node: Node<'a>, name: &str) -> Result<&'a str, ConfigError> {
+fn required_text<'a>(node: Node<'a>, name: &str) -> Result<&'a str, ConfigError> {
     node.at(name).text().ok_or_else(|| format!("'{name}' is not a text").into())
 }
 
@@ -76,17 +78,20 @@
     decode(Node::new(&json::parse(text)?))
 }
 
-fn decode(info: Node) -> Result<Settings, ConfigError> {
-    let (limits, rules, specifics) = (info.at("limits"), info.at("invariants"), info.at("specifics"));
-    let list = info.at("classes").items().ok_or_else(|| "'classes' is not an array".to_string())?;
-    let levels = specifics.at("consistency").items().unwrap_or_default();
-    if list.len() != levels.len() {
+fn decode(settings_node: Node) -> Result<Settings, ConfigError> {
+    let (limits, rules, specifics) =
+        (settings_node.at("limits"), settings_node.at("invariants"), settings_node.at("specifics"));
+    let class_nodes =
+        settings_node.at("classes").items().ok_or_else(|| "'classes' is not an array".to_string())?;
+    let consistency_levels = specifics.at("consistency").items().unwrap_or_default();
+    if class_nodes.len() != consistency_levels.len() {
         return Err("'classes' and 'consistency' differ in length".to_string().into());
     }
-    let bounds = specifics.at("stalenessBound").items().unwrap_or_default();
-    let bound = |index: usize| bounds.get(index).and_then(|b| Node::new(b).number()).unwrap_or(0.0);
+    let staleness_bounds = specifics.at("stalenessBound").items().unwrap_or_default();
+    let staleness_bound =
+        |index: usize| staleness_bounds.get(index).and_then(|b| Node::new(b).number()).unwrap_or(0.0);
     let mut classes = Vec::new();
-    for (index, class) in list.iter().map(Node::new).enumerate() {
+    for (index, class) in class_nodes.iter().map(Node::new).enumerate() {
         classes.push(Class {
             aim: number_or(class, "aim", 1.0)?,
             aim_stretch: number_or(class, "aimStretch", 0.0)?,
@@ -94,7 +99,7 @@
             dedup_window: number_or(class, "dedupWindow", 0.0)?,
             effect: match class.at("effect").text() {
                 Some("read_like") => Effect::Safe,
-                // A scope that is no part of the interface: never repeated.
+                // This scope is not part of the interface, so the class is never repeated.
                 Some("idempotency_key") if class.at("group").text() == Some("zone") => Effect::Unsafe,
                 Some("idempotency_key") => Effect::Keyed,
                 _ => Effect::Unsafe,
@@ -105,24 +110,24 @@
             },
             late_worth: number_or(class, "lateWorth", 0.0)?,
             value: number_or(class, "value", 1.0)?,
-            consistency: match Node::new(&levels[index]).text() {
+            consistency: match Node::new(&consistency_levels[index]).text() {
                 Some("write") => Consistency::Write,
                 Some("session") => Consistency::Session,
-                Some("bounded") => Consistency::Bounded(bound(index)),
+                Some("bounded") => Consistency::Bounded(staleness_bound(index)),
                 Some("any") => Consistency::Any,
                 _ => Consistency::Fresh,
             },
         });
     }
-    let tenants = info.at("customers").items().unwrap_or_default().iter();
+    let tenants = settings_node.at("customers").items().unwrap_or_default().iter();
     let quota = |tenant| number_or(Node::new(tenant), "quotaPerS", f64::INFINITY);
     Ok(Settings {
         classes,
         tenant_quota: tenants.map(quota).collect::<Result<_, _>>()?,
-        over_share_worth: number_or(info, "overShareWorth", 1.0)?,
-        fleet_size: number_or(info, "fleetSize", 1.0)? as u32,
-        zone: number_or(info, "zone", 0.0)? as u32,
-        tick: number_or(info, "tick", 0.005)?,
+        over_share_worth: number_or(settings_node, "overShareWorth", 1.0)?,
+        fleet_size: number_or(settings_node, "fleetSize", 1.0)? as u32,
+        zone: number_or(settings_node, "zone", 0.0)? as u32,
+        tick: number_or(settings_node, "tick", 0.005)?,
         probes: limits.at("probes").flag(),
         cancel: limits.at("cancel").flag(),
         allow_hedging: limits.at("mayDuplicate").flag(),
@@ -130,7 +135,7 @@
         retry_after: limits.at("retryAfter").flag(),
         max_retry_after: number_or(limits, "maxRetryAfter", 0.0)?,
         connect_timeout: number_or(limits, "connectTimeout", 0.25)?,
-        subscribe: ListSource::of(info)? == ListSource::Requested,
+        subscribe: ListSource::of(settings_node)? == ListSource::Requested,
         max_list_age: number_or(rules, "askWithin", 10.0)?,
         cold_start_capacity: number_or(rules, "coldFrom", 1.0)?,
         warm_up: number_or(rules, "warmUp", 0.0)?,
@@ -146,26 +151,26 @@
     })
 }
 
-/// All that one pooler is told at its start.
+/// Configuration of one pooler.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name, for the log.
+    /// Name of the pooler, for the log.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers; new with each start.
+    /// Seed of the random numbers; the platform sets a new one for each start.
     pub seed: u64,
-    /// Most file descriptors that the process may hold.
+    /// Maximum number of open file descriptors of the process.
     pub max_descriptors: usize,
-    /// Most memory that the process may take (bytes).
+    /// Maximum memory use of the process (bytes).
     pub max_memory: usize,
-    /// What the policy is handed.
+    /// Settings of the routing policy.
     pub settings: Settings,
-    /// How the list comes.
+    /// How the pooler receives the list.
     pub list_source: ListSource,
-    /// What else the platform says of the deployment.
+    /// Further statements of the platform about the deployment.
     pub facts: PlatformFacts,
     /// Names of the classes, in the order of the settings.
     pub classes: Vec<String>,
@@ -173,40 +178,41 @@
     pub tenants: Vec<String>,
     /// Names of the zones, in the order of the settings.
     pub zones: Vec<String>,
-    /// How long a db machine keeps an idle connection (seconds).
+    /// How long a member keeps an idle connection open (seconds).
     pub keepalive: f64,
-    /// The list of db machines as last held.
+    /// The list as last saved.
     pub saved_list: ListUpdate,
 }
 
 impl Config {
     /// Reads a configuration file.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
-        let named = |fault: &dyn fmt::Display| ConfigError(format!("{}: {fault}", path.display()));
-        let text = std::fs::read_to_string(path).map_err(|error| named(&error))?;
-        Config::parse(&text).map_err(|error| named(&error))
+        let with_path = |error: &dyn fmt::Display| ConfigError(format!("{}: {error}", path.display()));
+        let text = std::fs::read_to_string(path).map_err(|error| with_path(&error))?;
+        Config::parse(&text).map_err(|error| with_path(&error))
     }
 
     /// Decodes the text of a configuration file.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let value = json::parse(text)?;
         let root = Node::new(&value);
-        let info = root.at("settings");
+        let settings_node = root.at("settings");
         let address = |name| -> Result<SocketAddr, ConfigError> {
-            let text = need_text(root, name)?;
+            let text = required_text(root, name)?;
             text.parse().map_err(|_| format!("'{name}' is not an address with a port: '{text}'").into())
         };
         let names = |list: &str| -> Result<Vec<String>, ConfigError> {
-            let items = info.at(list).items().unwrap_or_default().iter().map(Node::new);
+            let items = settings_node.at(list).items().unwrap_or_default().iter().map(Node::new);
             items
                 .map(|item| item.text().or(item.at("name").text()).map(String::from))
                 .map(|name| name.ok_or_else(|| format!("an entry of '{list}' has no name").into()))
                 .collect()
         };
-        let seed = need_text(root, "seed")?;
-        let settings = decode(info).map_err(|ConfigError(fault)| format!("in 'settings': {fault}"))?;
-        routing::check(&settings).map_err(|fault| format!("in 'settings': {fault}"))?;
-        let keepalive = number_or(info.at("limits"), "keepalive", 15.0)?;
+        let seed = required_text(root, "seed")?;
+        let settings =
+            decode(settings_node).map_err(|ConfigError(error)| format!("in 'settings': {error}"))?;
+        routing::check(&settings).map_err(|error| format!("in 'settings': {error}"))?;
+        let keepalive = number_or(settings_node.at("limits"), "keepalive", 15.0)?;
         if !(keepalive > 0.0 && keepalive.is_finite()) {
             return Err("'keepalive' must be a finite time above 0".to_string().into());
         }
@@ -219,13 +225,13 @@
             max_descriptors: number_or(root.at("limits"), "sockets", 1024.0)? as usize,
             max_memory: (number_or(root.at("limits"), "memory_mb", 192.0)? * 1e6) as usize,
             settings,
-            list_source: ListSource::of(info)?,
-            facts: PlatformFacts::of(info),
+            list_source: ListSource::of(settings_node)?,
+            facts: PlatformFacts::of(settings_node),
             classes: names("classes")?,
             tenants: names("customers")?,
             zones: names("zones")?,
             keepalive,
-            // An old list that cannot be read is worth no more than none: discovery has a new one.
+            // A saved list that cannot be read is ignored: discovery has a newer one.
             saved_list: listing::parse_update(root.at("known")).unwrap_or_default(),
         })
     }
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,6 +1,6 @@
-//! The log: structured lines on standard error, for people or for machines. Every line has a stable event name
-//! in its field `event`; lines of one origin are bounded, so that what goes wrong a thousand times a second does
-//! not fill a disk.
+//! Structured log lines on standard error, as text or JSON. Every line has a stable event name in its field
+//! `event`. The lines of each call site are rate-limited, so that an error that occurs a thousand times a
+//! second does not fill a disk.
 #![warn(missing_docs)]
 
 use std::collections::HashMap;
@@ -18,43 +18,44 @@
 
 pub use tracing::{debug, error, info, warn};
 
-/// Most lines of one origin in each [`WINDOW`]; those past it are counted and left out.
-const MOST: u32 = 200;
+/// Maximum number of lines of a call site in each [`WINDOW`]; further ones are counted and suppressed.
+const MAX_LINES: u32 = 200;
+/// Period of the rate limit.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Changes the log while it is written.
+/// Handle of the running log.
 pub struct Handle {
     level: reload::Handle<LevelFilter, Registry>,
-    left_out: Arc<AtomicU64>,
+    suppressed: Arc<AtomicU64>,
 }
 
 impl Handle {
-    /// Logs so much from now on.
+    /// Sets the log level.
     pub fn set_level(&self, level: LogLevel) {
-        // Fails only where the log itself is gone, which ends with the process.
+        // Fails only if the subscriber is gone, which lives as long as the process.
         let _ = self.level.reload(filter(level));
     }
 
-    /// Lines left out because there were too many of their kind.
+    /// Number of lines suppressed by the rate limit.
     pub fn suppressed_lines(&self) -> u64 {
-        self.left_out.load(Ordering::Relaxed)
+        self.suppressed.load(Ordering::Relaxed)
     }
 }
 
-/// Begins the log on standard error. The first call in a process counts.
+/// Starts the log on standard error. Only the first call in a process has an effect.
 pub fn start(level: LogLevel, format: LogFormat) -> Handle {
     let (level, handle) = reload::Layer::new(filter(level));
-    let left_out = Arc::new(AtomicU64::new(0));
-    let bound = Bound { left_out: left_out.clone(), lines: Mutex::default() };
-    // A log that nobody reads any more is no reason to complain to it, let alone to end.
+    let suppressed = Arc::new(AtomicU64::new(0));
+    let rate_limit = RateLimit { suppressed: suppressed.clone(), lines: Mutex::default() };
+    // A failed write to standard error, such as a closed pipe, is ignored and not reported to standard error.
     let lines =
         fmt::layer().with_writer(io::stderr).with_ansi(false).with_target(false).log_internal_errors(false);
     let lines: Box<dyn Layer<_> + Send + Sync> = match format {
-        LogFormat::Human => Box::new(lines.compact().with_filter(bound)),
-        LogFormat::Json => Box::new(lines.json().flatten_event(true).with_filter(bound)),
+        LogFormat::Human => Box::new(lines.compact().with_filter(rate_limit)),
+        LogFormat::Json => Box::new(lines.json().flatten_event(true).with_filter(rate_limit)),
     };
     let _ = tracing::subscriber::set_global_default(Registry::default().with(level).with(lines));
-    Handle { level: handle, left_out }
+    Handle { level: handle, suppressed }
 }
 
 fn filter(level: LogLevel) -> LevelFilter {
@@ -66,14 +67,13 @@
     }
 }
 
-/// Lets so many lines of each origin pass in each window. Origins are places in the program: there are only as
-/// many as it has.
-struct Bound {
-    left_out: Arc<AtomicU64>,
+/// Rate limit per call site. The number of entries is bounded by the number of call sites in the program.
+struct RateLimit {
+    suppressed: Arc<AtomicU64>,
     lines: Mutex<HashMap<Identifier, (Instant, u32)>>,
 }
 
-impl<S: Subscriber> Filter<S> for Bound {
+impl<S: Subscriber> Filter<S> for RateLimit {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
@@ -81,13 +81,13 @@
     fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
         let now = Instant::now();
         let Ok(mut lines) = self.lines.lock() else { return true };
-        let (from, count) = lines.entry(event.metadata().callsite()).or_insert((now, 0));
-        if now.duration_since(*from) >= WINDOW {
-            (*from, *count) = (now, 0);
+        let (window_start, count) = lines.entry(event.metadata().callsite()).or_insert((now, 0));
+        if now.duration_since(*window_start) >= WINDOW {
+            (*window_start, *count) = (now, 0);
         }
         *count += 1;
-        let passes = *count <= MOST;
-        self.left_out.fetch_add(u64::from(!passes), Ordering::Relaxed);
+        let passes = *count <= MAX_LINES;
+        self.suppressed.fetch_add(u64::from(!passes), Ordering::Relaxed);
         passes
     }
 }
