--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -45,8 +45,8 @@
 }
 
 impl PlatformFacts {
-    pub(crate) fn of(info: Node) -> PlatformFacts {
-        let (load, specifics) = (info.at("loadInfo"), info.at("specifics"));
+    pub(crate) fn of(settings_node: Node) -> PlatformFacts {
+        let (load, specifics) = (settings_node.at("loadInfo"), settings_node.at("specifics"));
         let mut unknown_values = Vec::new();
         let mut check_value =
             |node: Node, key: String, known_values: &[&str], interpretation: &'static str| {
@@ -87,7 +87,9 @@
                 "only the primary serves the class",
             );
         }
-        for (n, class) in info.at("classes").items().unwrap_or_default().iter().map(Node::new).enumerate() {
+        for (n, class) in
+            settings_node.at("classes").items().unwrap_or_default().iter().map(Node::new).enumerate()
+        {
             let effects = ["read_like", "idempotency_key", "non_idempotent"];
             check_value(class.at("effect"), format!("classes[{n}].effect"), &effects, "never sent twice");
             let has_key = class.at("effect").text() == Some("idempotency_key");
@@ -108,11 +110,11 @@
             .filter_map(|f| Node::new(f).text())
             .collect();
         PlatformFacts {
-            domain: info.at("domainType").text().unwrap_or_default().to_string(),
+            domain: settings_node.at("domainType").text().unwrap_or_default().to_string(),
             reports,
             reports_carry: (fields.contains(&POSITION), fields.contains(&ROLE)),
             answers_carry_position: specifics.at("tellsPosition").flag(),
-            drain_grace: info.at("invariants").at("drainGrace").number(),
+            drain_grace: settings_node.at("invariants").at("drainGrace").number(),
             unknown_values,
         }
     }
--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -140,8 +140,8 @@
     /// Gives up the successor, whether or not it has accepted clients.
     fn fail(&mut self, why: String, out: &mut Vec<PredecessorAction>) {
         *self = Predecessor::default();
-        // Sent before disconnecting: a successor that sees only the disconnect takes this process for dead
-        // and goes on.
+        // Sent before disconnecting: a successor that sees only the disconnect regards this process as
+        // dead and continues.
         out.push(PredecessorAction::Send(Message::Denied { why: why.clone() }));
         out.push(PredecessorAction::Resume(why));
         out.push(PredecessorAction::Disconnect);
--- a/crates/transaction/src/health.rs
+++ b/crates/transaction/src/health.rs
@@ -85,6 +85,7 @@
     }
 }
 
+/// Counts per cell: a pair of class and group.
 type Cells = HashMap<(u16, u32), Counts>;
 
 /// Thresholds of a probation.
--- a/crates/transaction/src/history.rs
+++ b/crates/transaction/src/history.rs
@@ -272,7 +272,7 @@
                 let number = confirmed.number;
                 keep(
                     confirmed,
-                    Some(format!("the operator file is not used; generation {number} holds: {error}")),
+                    Some(format!("the operator file is not used; generation {number} is in force: {error}")),
                 )
             }
             (Ok(document), Some(confirmed)) => {
@@ -284,16 +284,16 @@
                     self.entries.iter().rev().find(|entry| entry.digest == digest.to_string());
                 let number = confirmed.number;
                 let why = match entry_of_file.map(|entry| (entry.number, entry.fate)) {
-                    None => return new(document, "changed while the daemon was down"),
+                    None => return new(document, "changed while the pooler was not running"),
                     Some((n, GenerationStatus::Confirmed)) => {
-                        format!("holds generation {n}, which {number} has replaced")
+                        format!("holds generation {n}, which generation {number} has replaced")
                     }
                     Some((n, GenerationStatus::RolledBack)) => {
                         format!("holds generation {n}, which was rolled back")
                     }
                     Some((n, _)) => format!("holds generation {n}, which was never confirmed"),
                 };
-                keep(confirmed, Some(format!("the operator file {why}; generation {number} holds")))
+                keep(confirmed, Some(format!("the operator file {why}; generation {number} is in force")))
             }
         }
     }
--- a/crates/transaction/src/machine.rs
+++ b/crates/transaction/src/machine.rs
@@ -103,7 +103,7 @@
         match self {
             RollbackReason::HealthWorsened(what) => write!(f, "health worsened: {what}"),
             RollbackReason::NotConfirmed => f.write_str("not confirmed in time"),
-            RollbackReason::Requested => f.write_str("asked for"),
+            RollbackReason::Requested => f.write_str("requested by the operator"),
             RollbackReason::RecordFailed(error) => write!(f, "the history cannot be written: {error}"),
         }
     }
