--- a/crates/daemon/src/cli/config.rs
+++ b/crates/daemon/src/cli/config.rs
@@ -1,4 +1,5 @@
-//! `dewferry config`: looks at operator's files, and drives a running daemon's changes over its control socket.
+//! `dewferry config`: checks operator's files, and changes a running pooler's configuration over its control
+//! socket.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::unix::net::UnixStream;
@@ -14,12 +15,12 @@
 use super::{fail, load, print};
 use crate::files;
 
-/// How long a daemon may take to answer a call (seconds): longer than any disk may take to write a step.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// How often a change on probation is asked after.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
+/// Time limit for the answer to a call: longer than a disk may take to write a step.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between queries for the status of a change on probation.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Look at operator's files, and change a running daemon's configuration.
+/// Check operator's files, and change a running pooler's configuration.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -28,7 +29,7 @@
     example = "dewferry config plan dewferry.toml --socket /run/dewferry/control",
     example = "dewferry config apply dewferry.toml --confirm-within 30 --note 'new quota for acme'",
     error_code(0, "done"),
-    error_code(1, "refused by the check, or something else is under way"),
+    error_code(1, "refused by the check, or another operation is in progress"),
     error_code(2, "wrong usage, or a file that cannot be read"),
     error_code(3, "the change was rolled back")
 )]
@@ -54,19 +55,19 @@
     Verify(Verify),
 }
 
-/// Print a commented operator's file that holds every setting and parses to the defaults.
+/// Print a commented operator's file with every setting at its default.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "defaults")]
 struct Defaults {}
 
-/// Say whether an operator's file can be used; with the platform's configuration, whether it fits that too.
+/// Check an operator's file; with the platform's configuration, check that it fits that too.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
     /// the operator's file
     #[argh(positional)]
     file: PathBuf,
-    /// the platform's configuration; the variable LB_CONFIG, if set, where this is not given
+    /// the platform's configuration; default: the variable LB_CONFIG, if set
     #[argh(option)]
     config: Option<PathBuf>,
     /// print one JSON object
@@ -74,7 +75,7 @@
     json: bool,
 }
 
-/// Say in what two operator's files differ, defaults included.
+/// Show the differences of two operator's files, defaults included.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 struct Diff {
@@ -89,14 +90,14 @@
     json: bool,
 }
 
-/// Say what a file would change in a running daemon, and what its check finds; nothing is changed.
+/// Show what a file would change in a running pooler, and the findings of the check; change nothing.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "plan")]
 struct Plan {
     /// the operator's file
     #[argh(positional)]
     file: PathBuf,
-    /// the daemon's control socket; the variable DEWFERRY_CONTROL where this is not given
+    /// the pooler's control socket; default: the variable DEWFERRY_CONTROL
     #[argh(option)]
     socket: Option<PathBuf>,
     /// print one JSON object
@@ -104,26 +105,26 @@
     json: bool,
 }
 
-/// Have a running daemon take a file, and wait until it stands or is rolled back.
+/// Apply a file to a running pooler, and wait until it is confirmed or rolled back.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 struct Apply {
     /// the operator's file
     #[argh(positional)]
     file: PathBuf,
-    /// what to say of it in the history
+    /// note for the history
     #[argh(option, default = "String::new()")]
     note: String,
-    /// roll back unless `config confirm` comes within so many seconds; such as 30 or 30s
+    /// roll back unless `config confirm` follows within this many seconds, such as 30 or 30s
     #[argh(option, from_str_fn(seconds))]
     confirm_within: Option<f64>,
-    /// let guarded findings of this code stand; can be given again
+    /// allow guarded findings of this code; repeatable
     #[argh(option)]
     allow: Vec<String>,
-    /// return once it is in force, without waiting for the end of its probation
+    /// return once the file is in force, without waiting for the end of the probation
     #[argh(switch)]
     no_wait: bool,
-    /// the daemon's control socket; the variable DEWFERRY_CONTROL where this is not given
+    /// the pooler's control socket; default: the variable DEWFERRY_CONTROL
     #[argh(option)]
     socket: Option<PathBuf>,
     /// print one JSON object
@@ -131,14 +132,14 @@
     json: bool,
 }
 
-/// Let the change on probation stand.
+/// Confirm the change on probation.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "confirm")]
 struct Confirm {
-    /// only where it is this generation
+    /// confirm this generation only
     #[argh(option)]
     generation: Option<u64>,
-    /// the daemon's control socket; the variable DEWFERRY_CONTROL where this is not given
+    /// the pooler's control socket; default: the variable DEWFERRY_CONTROL
     #[argh(option)]
     socket: Option<PathBuf>,
     /// print one JSON object
@@ -146,17 +147,17 @@
     json: bool,
 }
 
-/// Undo the change on probation; without one, go back to an earlier generation by a change of its own.
+/// Roll back the change on probation; without one, return to an earlier generation by a new change.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollback")]
 struct Rollback {
-    /// back to this generation; the confirmed one before the last where this is not given
+    /// generation to return to; default: the confirmed one before the current
     #[argh(option)]
     to: Option<u64>,
-    /// let guarded findings of this code stand; can be given again
+    /// allow guarded findings of this code; repeatable
     #[argh(option)]
     allow: Vec<String>,
-    /// the daemon's control socket; the variable DEWFERRY_CONTROL where this is not given
+    /// the pooler's control socket; default: the variable DEWFERRY_CONTROL
     #[argh(option)]
     socket: Option<PathBuf>,
     /// print one JSON object
@@ -164,11 +165,11 @@
     json: bool,
 }
 
-/// Say what is in force, and what is under way.
+/// Show the configuration in force, and the change in progress.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct Status {
-    /// the daemon's control socket; the variable DEWFERRY_CONTROL where this is not given
+    /// the pooler's control socket; default: the variable DEWFERRY_CONTROL
     #[argh(option)]
     socket: Option<PathBuf>,
     /// print one JSON object
@@ -176,11 +177,11 @@
     json: bool,
 }
 
-/// List the generations so far and what became of them.
+/// List the generations and their status.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 struct History {
-    /// the daemon's control socket; the variable DEWFERRY_CONTROL where this is not given
+    /// the pooler's control socket; default: the variable DEWFERRY_CONTROL
     #[argh(option)]
     socket: Option<PathBuf>,
     /// print one JSON object
@@ -192,12 +193,12 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 struct Show {
-    /// the daemon's control socket; the variable DEWFERRY_CONTROL where this is not given
+    /// the pooler's control socket; default: the variable DEWFERRY_CONTROL
     #[argh(option)]
     socket: Option<PathBuf>,
 }
 
-/// Print a file with a signature on its last line, in place of one that it may have.
+/// Print a file with a signature on its last line; replaces an existing signature.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "sign")]
 struct Sign {
@@ -209,14 +210,14 @@
     key: PathBuf,
 }
 
-/// Say whether a file's signature is that of one of the keys.
+/// Check that a file is signed with one of the keys.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "verify")]
 struct Verify {
     /// the operator's file
     #[argh(positional)]
     file: PathBuf,
-    /// a key file; can be given again
+    /// a key file; repeatable
     #[argh(option)]
     key: Vec<PathBuf>,
 }
@@ -240,21 +241,21 @@
         Command::Diff(Diff { old, new, json }) => diff(&old, &new, json),
         Command::Plan(Plan { file, socket, json }) => match text(&file) {
             Ok(text) => run_call(socket, Call::Plan { text }, json),
-            Err(fault) => fail(&fault),
+            Err(error) => fail(&error),
         },
         Command::Apply(args) => apply(args),
         Command::Confirm(Confirm { generation, socket, json }) => {
             run_call(socket, Call::Confirm { generation }, json)
         }
         Command::Rollback(Rollback { to, allow, socket, json }) => {
-            // Undone is what was asked for here: that is no failure.
+            // A rollback is what was requested here, so it is not a failure.
             match call(socket.clone(), Call::Rollback { to, allow }) {
                 Ok(response) if response.code == Code::RolledBack => {
                     print::response(&response, json);
                     ExitCode::SUCCESS
                 }
-                Ok(response) => ended(&response, json),
-                Err(fault) => fail(&fault),
+                Ok(response) => print_response(&response, json),
+                Err(error) => fail(&error),
             }
         }
         Command::Status(Status { socket, json }) => run_call(socket, Call::Status {}, json),
@@ -264,32 +265,32 @@
                 print!("{}", response.text.unwrap_or_default());
                 ExitCode::SUCCESS
             }
-            Err(fault) => fail(&fault),
+            Err(error) => fail(&error),
         },
         Command::Sign(Sign { file, key }) => {
             let signed = files::read_key(&key).and_then(|key| {
                 let text = text(&file)?;
-                bundle::sign(&text, &key).map_err(|fault| fault.to_string())
+                bundle::sign(&text, &key).map_err(|error| error.to_string())
             });
             match signed {
                 Ok(signed) => {
                     print!("{signed}");
                     ExitCode::SUCCESS
                 }
-                Err(fault) => fail(&fault),
+                Err(error) => fail(&error),
             }
         }
         Command::Verify(Verify { file, key }) => {
             let keys = key.iter().map(|path| files::read_key(path)).collect::<Result<Vec<_>, String>>();
             match keys.and_then(|keys| Ok((text(&file)?, keys))) {
-                Err(fault) => fail(&fault),
+                Err(error) => fail(&error),
                 Ok((text, keys)) => match bundle::verify(&text, &keys) {
                     Ok(id) => {
                         println!("signed with the key {id}");
                         ExitCode::SUCCESS
                     }
-                    Err(fault) => {
-                        eprintln!("dewferry: {}: {fault}", file.display());
+                    Err(error) => {
+                        eprintln!("dewferry: {}: {error}", file.display());
                         ExitCode::from(1)
                     }
                 },
@@ -298,45 +299,48 @@
     }
 }
 
-/// A file's text, once it is sure to be an operator's file.
+/// Text of a file that has been checked to be an operator's file.
 fn text(file: &Path) -> Result<String, String> {
     files::read_document(file).map(|(text, _)| text)
 }
 
-/// Whether a file can be used.
+/// Checks an operator's file, by itself or against the platform's configuration.
 pub(super) fn check_file(file: &Path, platform: Option<PathBuf>, json: bool) -> ExitCode {
     let document = match files::read_document(file) {
         Ok((_, document)) => document,
-        Err(fault) => {
+        Err(error) => {
             if json {
-                print::response(&Response::new(Code::Unreadable, fault), true);
+                print::response(&Response::new(Code::Unreadable, error), true);
                 return ExitCode::from(2);
             }
-            return fail(&fault);
+            return fail(&error);
         }
     };
     let digest = document.digest();
-    let asked = platform.is_some() || std::env::var_os("LB_CONFIG").is_some();
-    if asked {
+    let has_platform = platform.is_some() || std::env::var_os("LB_CONFIG").is_some();
+    if has_platform {
         let platform = match load(platform) {
             Ok((_, platform)) => platform,
-            Err(fault) => return fail(&fault),
+            Err(error) => return fail(&error),
         };
         if let Err(conflicts) = EffectiveConfig::new(&platform, document) {
             let mut response = Response::new(Code::Refused, "does not fit the platform's configuration");
             response.findings = conflicts
                 .into_iter()
-                .map(|c| control::Found {
+                .map(|conflict| control::Found {
                     code: "conflict".into(),
                     severity: "error".into(),
-                    what: c.to_string(),
+                    what: conflict.to_string(),
                 })
                 .collect();
-            return ended(&response, json);
+            return print_response(&response, json);
         }
     }
-    let fits = if asked { "and fits the platform's configuration" } else { "by itself" };
-    ended(&Response::new(Code::Ok, format!("usable {fits}; digest {}", digest.abbreviated())), json)
+    let extent = if has_platform { "and fits the platform's configuration" } else { "by itself" };
+    print_response(
+        &Response::new(Code::Ok, format!("usable {extent}; digest {}", digest.abbreviated())),
+        json,
+    )
 }
 
 fn diff(old: &Path, new: &Path, json: bool) -> ExitCode {
@@ -345,9 +349,9 @@
             let differences = old.differences(&new);
             let mut response = Response::new(Code::Ok, format!("{} values differ", differences.len()));
             response.changes = differences.iter().map(control::Change::from).collect();
-            ended(&response, json)
+            print_response(&response, json)
         }
-        Err(fault) => fail(&fault),
+        Err(error) => fail(&error),
     }
 }
 
@@ -355,36 +359,37 @@
     let Apply { file, note, confirm_within, allow, no_wait, socket, json } = args;
     let text = match text(&file) {
         Ok(text) => text,
-        Err(fault) => return fail(&fault),
+        Err(error) => return fail(&error),
     };
     let call_apply = Call::Apply { text, note, confirm_within_s: confirm_within, allow };
     let response = match call(socket.clone(), call_apply) {
         Ok(response) => response,
-        Err(fault) => return fail(&fault),
+        Err(error) => return fail(&error),
     };
-    let (Code::Applied, Some(number), Some(until)) = (response.code, response.generation, response.until)
+    let (Code::Applied, Some(number), Some(probation_end)) =
+        (response.code, response.generation, response.until)
     else {
-        return ended(&response, json);
+        return print_response(&response, json);
     };
     if no_wait || confirm_within.is_some() {
-        return ended(&response, json);
+        return print_response(&response, json);
     }
     if !json {
-        println!("{}; waiting for its end", response.message);
+        println!("{}; waiting for the end of its probation", response.message);
     }
-    // Past its end it can only be some moments more: the disk has to write.
-    let begun = Instant::now();
-    let patience = PATIENCE + Duration::from_secs_f64((until - now()).clamp(0.0, 86_400.0));
-    while begun.elapsed() < patience {
-        std::thread::sleep(ASK_AGAIN);
+    // After the end of the probation only the record of the result has to be written to disk.
+    let started_at = Instant::now();
+    let timeout = CALL_TIMEOUT + Duration::from_secs_f64((probation_end - now()).clamp(0.0, 86_400.0));
+    while started_at.elapsed() < timeout {
+        std::thread::sleep(POLL_INTERVAL);
         let history = match call(socket.clone(), Call::History {}) {
             Ok(response) => response.history.unwrap_or_default(),
-            Err(fault) => return fail(&fault),
+            Err(error) => return fail(&error),
         };
         let Some(entry) = history.iter().find(|entry| entry.number == number) else { break };
-        let end = match entry.fate {
+        let result = match entry.fate {
             GenerationStatus::Confirmed => {
-                Response::new(Code::Confirmed, format!("generation {number} stands"))
+                Response::new(Code::Confirmed, format!("generation {number} is confirmed"))
             }
             GenerationStatus::RolledBack => {
                 let message = format!("generation {number} was rolled back: {}", entry.why);
@@ -392,9 +397,9 @@
             }
             GenerationStatus::Staged | GenerationStatus::Applied => continue,
         };
-        return ended(&Response { generation: Some(number), ..end }, json);
+        return print_response(&Response { generation: Some(number), ..result }, json);
     }
-    fail(&format!("no word of what became of generation {number}"))
+    fail(&format!("the result of generation {number} is not known: its probation did not end in time"))
 }
 
 fn now() -> f64 {
@@ -402,36 +407,37 @@
     now.unwrap_or_default().as_secs_f64()
 }
 
-/// Makes a call, prints the answer and ends as it says.
+/// Makes a call and prints the answer; returns the exit code of the answer.
 pub(super) fn run_call(socket: Option<PathBuf>, request: Call, json: bool) -> ExitCode {
     match call(socket, request) {
-        Ok(response) => ended(&response, json),
-        Err(fault) => fail(&fault),
+        Ok(response) => print_response(&response, json),
+        Err(error) => fail(&error),
     }
 }
 
-fn ended(response: &Response, json: bool) -> ExitCode {
+fn print_response(response: &Response, json: bool) -> ExitCode {
     print::response(response, json);
     ExitCode::from(response.code.exit_code())
 }
 
-/// Makes a call on a daemon's control socket.
+/// Makes a call over a pooler's control socket.
 pub(super) fn call(socket: Option<PathBuf>, request: Call) -> Result<Response, String> {
     let path = socket.or_else(|| std::env::var_os("DEWFERRY_CONTROL").map(PathBuf::from));
     let path = path.ok_or("no control socket: give --socket or set DEWFERRY_CONTROL")?;
-    let named = |fault: &dyn std::fmt::Display| format!("{}: {fault}", path.display());
-    let mut stream = UnixStream::connect(&path).map_err(|error| named(&error))?;
-    let bounded =
-        stream.set_read_timeout(Some(PATIENCE)).and_then(|()| stream.set_write_timeout(Some(PATIENCE)));
-    bounded.map_err(|error| named(&error))?;
-    // A daemon that turns a call down may not read all of it: what it says counts, not that.
+    let with_path = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
+    let mut stream = UnixStream::connect(&path).map_err(|error| with_path(&error))?;
+    let timeouts_set = stream
+        .set_read_timeout(Some(CALL_TIMEOUT))
+        .and_then(|()| stream.set_write_timeout(Some(CALL_TIMEOUT)));
+    timeouts_set.map_err(|error| with_path(&error))?;
+    // A pooler that rejects a call may not read all of it: its answer counts, not the failed write.
     let written = stream.write_all(&Request::new(request).to_line());
     let mut line = Vec::new();
     let read = BufReader::new(stream.take(MAX_LINE_BYTES as u64)).read_until(b'\n', &mut line);
     match (written, read) {
-        (Err(error), _) if line.is_empty() => Err(named(&error)),
-        (_, Err(error)) => Err(named(&error)),
-        _ if line.is_empty() => Err(named(&"the daemon closed the connection without an answer")),
-        _ => serde_json::from_slice(&line).map_err(|error| named(&format!("not an answer: {error}"))),
+        (Err(error), _) if line.is_empty() => Err(with_path(&error)),
+        (_, Err(error)) => Err(with_path(&error)),
+        _ if line.is_empty() => Err(with_path(&"the pooler closed the connection without an answer")),
+        _ => serde_json::from_slice(&line).map_err(|error| with_path(&format!("not an answer: {error}"))),
     }
 }
--- a/crates/daemon/src/cli/control.rs
+++ b/crates/daemon/src/cli/control.rs
@@ -1,4 +1,4 @@
-//! `dewferry control`: the program as a control instance of the session directory.
+//! `dewferry control`: runs a control instance of the session directory.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,23 +17,23 @@
     example = "dewferry control --operator /etc/dewferry/dewferry.toml --name c1"
 )]
 pub(super) struct Args {
-    /// the operator's file: its peers.control, peers.keys and what goes with them, the same as at the poolers
+    /// the operator's file, with the same peers.control, peers.keys and related settings as at the poolers
     #[argh(option)]
     operator: PathBuf,
-    /// the own name, one of those in peers.control
+    /// name of this instance, one of those in peers.control
     #[argh(option)]
     name: String,
-    /// the address to listen on, where it is not the one in peers.control that others call
+    /// the address to listen on, if it differs from the one in peers.control
     #[argh(option)]
     listen: Option<SocketAddr>,
 }
 
 /// Runs the command.
 pub(super) fn run(args: Args) -> ExitCode {
-    let served = files::read_document(&args.operator)
+    let result = files::read_document(&args.operator)
         .and_then(|(_, document)| crate::net::serve_control(&document, &args.name, args.listen));
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => fail(&fault),
+        Err(error) => fail(&error),
     }
 }
--- a/crates/daemon/src/cli/fleet.rs
+++ b/crates/daemon/src/cli/fleet.rs
@@ -1,5 +1,6 @@
-//! Many instances on one machine: the processes, files and sockets of what [`fleet::Supervisor`] decides. Instances are
-//! no part of this process: they outlive it, and are found again by their control sockets.
+//! `dewferry fleet`: runs many instances on one host. Carries out the decisions of [`fleet::Supervisor`] with
+//! processes, files and sockets. Instances outlive the supervisor, which finds them again by their control
+//! sockets.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -20,20 +21,22 @@
 use crate::files;
 use crate::net::OwnedListener;
 
-/// How often processes and calls are looked at, and how often each instance that serves is asked how it goes.
-const TURN: Duration = Duration::from_millis(50);
-const ASK: Duration = Duration::from_secs(1);
-/// How long an instance, or the supervisor, may take to answer a call.
-const PATIENCE: Duration = Duration::from_millis(500);
-/// Longest call and answer (bytes); 4,096 instances take some 800 KiB.
-const LONGEST: u64 = 1024 * 1024;
-/// Longest fleet file (bytes), and how much of the end of a log is printed.
-const LONGEST_FILE: usize = 64 * 1024;
-const TAIL: u64 = 16 * 1024;
-/// Most instances: each takes a port.
-const MOST: usize = 4_096;
-
-/// Look after many instances on one machine.
+/// Interval at which processes and calls are checked.
+const LOOP_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which the status of each ready instance is queried.
+const STATUS_INTERVAL: Duration = Duration::from_secs(1);
+/// Time limit for a call to an instance or to the supervisor.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum length of a call and of an answer (bytes); the status of 4,096 instances takes about 800 KiB.
+const MAX_LINE_BYTES: u64 = 1024 * 1024;
+/// Maximum length of a fleet's file (bytes).
+const MAX_FILE_BYTES: usize = 64 * 1024;
+/// Length of the end of a log that `fleet logs` prints (bytes).
+const LOG_TAIL_BYTES: u64 = 16 * 1024;
+/// Maximum number of instances: each takes a port.
+const MAX_INSTANCES: usize = 4_096;
+
+/// Run and supervise many instances on one host.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -41,7 +44,7 @@
     example = "dewferry fleet run fleet.toml",
     example = "dewferry fleet roll fleet.toml",
     error_code(0, "done"),
-    error_code(1, "not done: the check stands in the way, or something else is under way"),
+    error_code(1, "not done: refused by the check, or another operation is in progress"),
     error_code(2, "wrong usage, or a file that cannot be read")
 )]
 pub(super) struct Args {
@@ -53,7 +56,7 @@
 #[argh(subcommand)]
 enum Verb {
     Run(Run),
-    Status(AskStatus),
+    Status(StatusArgs),
     Top(Top),
     Roll(Roll),
     Retry(Retry),
@@ -61,7 +64,7 @@
     Logs(Logs),
 }
 
-/// Start the instances, or find those that run, and look after them. Its own end does them no harm.
+/// Start the instances, or find running ones, and supervise them. Instances outlive the supervisor.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 struct Run {
@@ -70,10 +73,10 @@
     file: PathBuf,
 }
 
-/// Say how each instance does.
+/// Show the status of each instance.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
-struct AskStatus {
+struct StatusArgs {
     /// the fleet's file
     #[argh(positional)]
     file: PathBuf,
@@ -82,7 +85,7 @@
     json: bool,
 }
 
-/// The same as a table that is drawn again each second, until it is interrupted.
+/// Show the status as a table, updated each second until interrupted.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "top")]
 struct Top {
@@ -91,7 +94,7 @@
     file: PathBuf,
 }
 
-/// Replace all instances, a batch at a time, by what the files and the program are now; undone where that does harm.
+/// Replace all instances, a batch at a time, by the current files and program; undo that if it does harm.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "roll")]
 struct Roll {
@@ -100,7 +103,7 @@
     file: PathBuf,
 }
 
-/// Try an instance again that was left alone.
+/// Start an instance again that was given up after repeated crashes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "retry")]
 struct Retry {
@@ -112,7 +115,7 @@
     instance: usize,
 }
 
-/// End all instances, and the supervisor once they have ended.
+/// Stop all instances, then the supervisor.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "stop")]
 struct Stop {
@@ -137,77 +140,78 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Settings {
-    /// The folder with what the instances have.
+    /// Folder for the files of the instances.
     dir: PathBuf,
-    /// The platform's configuration; name, address and seed are each instance's own.
+    /// The platform's configuration; name, address and seed are replaced for each instance.
     platform: PathBuf,
-    /// The operator's file; control socket, state and pid file are each instance's own.
+    /// The operator's file; control socket, state folder and pid file are replaced for each instance.
     operator: PathBuf,
-    /// The first instance's address; each further one has the next port.
+    /// Address of the first instance; each further one uses the next port.
     listen: SocketAddr,
-    /// The program; this one where it is not given.
+    /// Program to run; default: this executable.
     program: Option<PathBuf>,
     #[serde(default)]
     seed: u64,
     instances: usize,
-    #[serde(default = "spread")]
+    #[serde(default = "default_spread")]
     spread_s: f64,
-    #[serde(default = "batch")]
+    #[serde(default = "default_batch")]
     batch: usize,
-    #[serde(default = "settle")]
+    #[serde(default = "default_batch_observation")]
     settle_s: f64,
-    #[serde(default = "ready")]
+    #[serde(default = "default_ready_timeout")]
     ready_within_s: f64,
-    #[serde(default = "stop")]
+    #[serde(default = "default_stop_timeout")]
     stop_within_s: f64,
-    #[serde(default = "crashes")]
+    #[serde(default = "default_max_crashes")]
     crashes: u32,
-    #[serde(default = "crash")]
+    #[serde(default = "default_crash_window")]
     crash_within_s: f64,
 }
 
-fn spread() -> f64 {
+fn default_spread() -> f64 {
     SupervisorConfig::default().spread
 }
 
-fn batch() -> usize {
+fn default_batch() -> usize {
     SupervisorConfig::default().batch
 }
 
-fn settle() -> f64 {
+fn default_batch_observation() -> f64 {
     SupervisorConfig::default().batch_observation
 }
 
-fn ready() -> f64 {
+fn default_ready_timeout() -> f64 {
     SupervisorConfig::default().ready_timeout
 }
 
-fn stop() -> f64 {
+fn default_stop_timeout() -> f64 {
     SupervisorConfig::default().stop_timeout
 }
 
-fn crashes() -> u32 {
+fn default_max_crashes() -> u32 {
     SupervisorConfig::default().max_crashes
 }
 
-fn crash() -> f64 {
+fn default_crash_window() -> f64 {
     SupervisorConfig::default().crash_window
 }
 
 impl Settings {
     fn read(path: &Path) -> Result<Settings, String> {
-        let named = |fault: &dyn std::fmt::Display| format!("{}: {fault}", path.display());
-        let text = String::from_utf8(files::read(path, LONGEST_FILE)?).map_err(|fault| named(&fault))?;
-        let settings: Settings = toml::from_str(&text).map_err(|fault| named(&fault))?;
-        let range = |key: &str, value: f64, least: f64, most: f64| {
-            if (least..=most).contains(&value) {
+        let with_path = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
+        let text =
+            String::from_utf8(files::read(path, MAX_FILE_BYTES)?).map_err(|error| with_path(&error))?;
+        let settings: Settings = toml::from_str(&text).map_err(|error| with_path(&error))?;
+        let range = |key: &str, value: f64, min: f64, max: f64| {
+            if (min..=max).contains(&value) {
                 Ok(())
             } else {
-                Err(named(&format!("{key}: {value}; accepted: {least} to {most}")))
+                Err(with_path(&format!("{key}: {value}; accepted: {min} to {max}")))
             }
         };
-        range("instances", settings.instances as f64, 1.0, MOST as f64)?;
-        range("batch", settings.batch as f64, 1.0, MOST as f64)?;
+        range("instances", settings.instances as f64, 1.0, MAX_INSTANCES as f64)?;
+        range("batch", settings.batch as f64, 1.0, MAX_INSTANCES as f64)?;
         range("crashes", settings.crashes.into(), 1.0, 1_000.0)?;
         for (key, value) in [
             ("spread_s", settings.spread_s),
@@ -219,7 +223,7 @@
             range(key, value, 0.0, 3_600.0)?;
         }
         if usize::from(settings.listen.port()) + settings.instances > 65_536 || settings.listen.port() == 0 {
-            return Err(named(&format!(
+            return Err(with_path(&format!(
                 "listen: no {} ports from {} on",
                 settings.instances, settings.listen
             )));
@@ -228,13 +232,13 @@
             [("dir", &settings.dir), ("platform", &settings.platform), ("operator", &settings.operator)]
         {
             if !path.is_absolute() {
-                return Err(named(&format!("{key}: {}; accepted: an absolute path", path.display())));
+                return Err(with_path(&format!("{key}: {}; accepted: an absolute path", path.display())));
             }
         }
         Ok(settings)
     }
 
-    fn terms(&self) -> SupervisorConfig {
+    fn supervisor_config(&self) -> SupervisorConfig {
         SupervisorConfig {
             instances: self.instances,
             spread: self.spread_s,
@@ -257,70 +261,77 @@
     }
 }
 
-/// What all instances of one form are made from.
+/// Files and program of a release.
 #[derive(Clone, Debug)]
-struct Files {
+struct ReleaseFiles {
     platform: serde_json::Value,
     operator: toml::Table,
     program: PathBuf,
 }
 
-impl Files {
-    /// Reads what the fleet's file names, and says whether it can be used: nothing is begun with files that cannot.
-    fn of(settings: &Settings) -> Result<Files, String> {
+impl ReleaseFiles {
+    /// Reads and checks the files that the fleet's file names. Nothing is started from files that are
+    /// invalid.
+    fn from_settings(settings: &Settings) -> Result<ReleaseFiles, String> {
         let program = match &settings.program {
             Some(program) => program.clone(),
             None => std::env::current_exe().map_err(|error| format!("the program's own path: {error}"))?,
         };
-        Files::read(&settings.platform, &settings.operator, program)
+        ReleaseFiles::read(&settings.platform, &settings.operator, program)
     }
 
-    /// Those that were kept as the ones that hold.
-    fn kept(folder: &Path) -> Result<Files, String> {
-        let program = files::read(&folder.join("program"), LONGEST_FILE)?;
+    /// Loads the release that was stored as the one in force.
+    fn load(folder: &Path) -> Result<ReleaseFiles, String> {
+        let program = files::read(&folder.join("program"), MAX_FILE_BYTES)?;
         let program = String::from_utf8(program).map_err(|error| error.to_string())?;
-        Files::read(&folder.join("platform.json"), &folder.join("dewferry.toml"), program.trim().into())
+        ReleaseFiles::read(
+            &folder.join("platform.json"),
+            &folder.join("dewferry.toml"),
+            program.trim().into(),
+        )
     }
 
-    fn read(platform: &Path, operator: &Path, program: PathBuf) -> Result<Files, String> {
-        let config = super::read(platform)?;
+    fn read(platform: &Path, operator: &Path, program: PathBuf) -> Result<ReleaseFiles, String> {
+        let config = super::load_file(platform)?;
         let (text, document) = files::read_document(operator)?;
-        let named = |fault: &dyn std::fmt::Display| format!("{}: {fault}", operator.display());
+        let with_path = |error: &dyn std::fmt::Display| format!("{}: {error}", operator.display());
         if document.change.require_signature {
-            return Err(named(&"change.require_signature: each instance's file differs from the signed one"));
+            return Err(with_path(
+                &"change.require_signature: each instance's file differs from the signed one",
+            ));
         }
         if document.listen.is_some() {
-            return Err(named(&"listen: each instance has an address of its own, from the fleet's file"));
+            return Err(with_path(&"listen: each instance has an address of its own, from the fleet's file"));
         }
         operator::EffectiveConfig::new(&config, document)
-            .map_err(|c| named(&crate::net::describe_conflicts(&c)))?;
+            .map_err(|c| with_path(&crate::net::describe_conflicts(&c)))?;
         let json = files::read(platform, 64 * 1024 * 1024)?;
-        Ok(Files {
+        Ok(ReleaseFiles {
             platform: serde_json::from_slice(&json).map_err(|error| error.to_string())?,
-            operator: text.parse().map_err(|error| named(&error))?,
+            operator: text.parse().map_err(|error| with_path(&error))?,
             program,
         })
     }
 
-    /// Keeps them as the ones that hold: put in place as a whole.
-    fn keep(&self, folder: &Path) -> Result<(), String> {
-        let named = |error: std::io::Error| format!("{}: {error}", folder.display());
+    /// Stores the release as the one in force, by replacing the folder.
+    fn store(&self, folder: &Path) -> Result<(), String> {
+        let with_path = |error: std::io::Error| format!("{}: {error}", folder.display());
         let new = folder.with_extension("new");
         let _ = fs::remove_dir_all(&new);
-        fs::create_dir_all(&new).map_err(named)?;
-        let write = |name: &str, text: &str| fs::write(new.join(name), text).map_err(named);
+        fs::create_dir_all(&new).map_err(with_path)?;
+        let write = |name: &str, text: &str| fs::write(new.join(name), text).map_err(with_path);
         write("platform.json", &self.platform.to_string())?;
         write("dewferry.toml", &self.operator.to_string())?;
         write("program", &self.program.to_string_lossy())?;
         let _ = fs::remove_dir_all(folder);
-        fs::rename(&new, folder).map_err(named)
+        fs::rename(&new, folder).map_err(with_path)
     }
 
-    /// Writes an instance's own files.
+    /// Writes the files of an instance.
     fn write(&self, settings: &Settings, n: usize) -> Result<(), String> {
         let folder = settings.folder(n);
-        let named = |error: std::io::Error| format!("{}: {error}", folder.display());
-        fs::create_dir_all(&folder).map_err(named)?;
+        let with_path = |error: std::io::Error| format!("{}: {error}", folder.display());
+        fs::create_dir_all(&folder).map_err(with_path)?;
         let mut platform = self.platform.clone();
         let name = platform["name"].as_str().unwrap_or("n").to_string();
         platform["name"] = format!("{name}-{n}").into();
@@ -341,22 +352,23 @@
         }
         let (file, text) = (folder.join("dewferry.toml"), operator.to_string());
         if fs::read_to_string(&file).is_ok_and(|before| before != text) {
-            // An instance's own history would hold on to what it began with last, and take an earlier file for an
-            // oversight: here it is an undo, and the fleet's word goes first.
+            // The history of the instance would keep its last configuration in force, and ignore a file that
+            // it has seen before. Here such a file is the undo of a rolling update, so the history is
+            // removed.
             match fs::remove_file(folder.join("state").join(crate::store::LOG)) {
-                Err(error) if error.kind() != std::io::ErrorKind::NotFound => return Err(named(error)),
+                Err(error) if error.kind() != std::io::ErrorKind::NotFound => return Err(with_path(error)),
                 _ => {}
             }
         }
-        fs::write(folder.join("platform.json"), platform.to_string()).map_err(named)?;
-        fs::write(file, text).map_err(named)
+        fs::write(folder.join("platform.json"), platform.to_string()).map_err(with_path)?;
+        fs::write(file, text).map_err(with_path)
     }
 }
 
 /// An instance's process.
 enum Process {
     Own(Child),
-    /// It was there before this supervisor.
+    /// Started by an earlier supervisor.
     Found(Pid),
 }
 
@@ -376,33 +388,33 @@
     }
 
     fn signal(&self, signal: Signal) {
-        // One that has ended meanwhile is found out with the next look.
+        // If the process has exited meanwhile, the next check finds that.
         if let Some(pid) = self.pid() {
             let _ = kill_process(pid, signal);
         }
     }
 }
 
-/// A call of the supervisor.
+/// A call to the supervisor.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "snake_case")]
-enum Asked {
+enum FleetCall {
     Status {},
     Roll {},
     Retry { instance: usize },
     Stop {},
 }
 
-/// How an instance does.
+/// Status of an instance.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Row {
     instance: usize,
     listen: String,
     state: String,
-    /// Where it is in its life, by its own word.
+    /// Lifecycle stage that the instance reports.
     life: String,
     pid: Option<u32>,
-    /// Ends in a row.
+    /// Consecutive crashes.
     crashes: u32,
     generation: u64,
     served: u64,
@@ -419,33 +431,35 @@
     instances: Vec<Row>,
 }
 
-/// The supervisor with its processes.
+/// The supervisor and the processes of its instances.
 struct Fleet {
     settings: Settings,
     path: PathBuf,
     supervisor: Supervisor,
-    old: Files,
-    new: Option<Files>,
+    old: ReleaseFiles,
+    new: Option<ReleaseFiles>,
     processes: Vec<Option<Process>>,
-    told: Vec<Option<Status>>,
-    asked: Vec<Instant>,
-    begun: Instant,
+    /// Last known status of each instance.
+    statuses: Vec<Option<Status>>,
+    /// When the status of each instance was last queried.
+    queried_at: Vec<Instant>,
+    started_at: Instant,
 }
 
-/// Asks a Unix socket with one line for one line.
+/// Sends one line to a Unix socket and reads one line.
 fn exchange(path: &Path, line: &[u8]) -> Result<Vec<u8>, String> {
-    let named = |error: std::io::Error| format!("{}: {error}", path.display());
-    let mut stream = UnixStream::connect(path).map_err(named)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(named)?;
-    stream.set_write_timeout(Some(PATIENCE)).map_err(named)?;
-    stream.write_all(line).map_err(named)?;
+    let with_path = |error: std::io::Error| format!("{}: {error}", path.display());
+    let mut stream = UnixStream::connect(path).map_err(with_path)?;
+    stream.set_read_timeout(Some(CALL_TIMEOUT)).map_err(with_path)?;
+    stream.set_write_timeout(Some(CALL_TIMEOUT)).map_err(with_path)?;
+    stream.write_all(line).map_err(with_path)?;
     let mut answer = Vec::new();
-    BufReader::new(stream.take(LONGEST)).read_until(b'\n', &mut answer).map_err(named)?;
+    BufReader::new(stream.take(MAX_LINE_BYTES)).read_until(b'\n', &mut answer).map_err(with_path)?;
     Ok(answer)
 }
 
-/// What an instance says of itself; none where it does not answer.
-fn ask_instance(socket: &Path) -> Option<Status> {
+/// Queries the status of an instance; `None` if it does not answer.
+fn query_status(socket: &Path) -> Option<Status> {
     let answer = exchange(socket, &Request::new(Call::Status {}).to_line()).ok()?;
     serde_json::from_slice::<Response>(&answer).ok()?.status
 }
@@ -453,55 +467,57 @@
 impl Fleet {
     fn new(path: &Path) -> Result<Fleet, String> {
         let settings = Settings::read(path)?;
-        let named = |error: std::io::Error| format!("{}: {error}", settings.dir.display());
-        fs::create_dir_all(&settings.dir).map_err(named)?;
-        // What held when the last supervisor ended holds until a roll, whatever the files say by now.
-        let held = settings.dir.join("held");
-        let old = match Files::kept(&held) {
-            Ok(kept) => kept,
-            Err(_) => Files::of(&settings).and_then(|files| files.keep(&held).map(|()| files))?,
+        let with_path = |error: std::io::Error| format!("{}: {error}", settings.dir.display());
+        fs::create_dir_all(&settings.dir).map_err(with_path)?;
+        // The release in force when the last supervisor ended stays in force until a rolling update, even if
+        // the files have changed.
+        let in_force = settings.dir.join("held");
+        let old = match ReleaseFiles::load(&in_force) {
+            Ok(files) => files,
+            Err(_) => ReleaseFiles::from_settings(&settings)
+                .and_then(|files| files.store(&in_force).map(|()| files))?,
         };
         let count = settings.instances;
         let mut fleet = Fleet {
-            supervisor: Supervisor::new(settings.terms(), settings.seed, 0.0),
+            supervisor: Supervisor::new(settings.supervisor_config(), settings.seed, 0.0),
             path: path.to_path_buf(),
             old,
             new: None,
             processes: (0..count).map(|_| None).collect(),
-            told: vec![None; count],
-            asked: vec![Instant::now(); count],
-            begun: Instant::now(),
+            statuses: vec![None; count],
+            queried_at: vec![Instant::now(); count],
+            started_at: Instant::now(),
             settings,
         };
         for n in 0..count {
-            let status = ask_instance(&fleet.settings.folder(n).join("control"));
+            let status = query_status(&fleet.settings.folder(n).join("control"));
             let pid = status.as_ref().and_then(|status| Pid::from_raw(status.pid as i32));
             if let Some(pid) = pid {
-                println!("instance {n}: found, process {}", pid.as_raw_nonzero());
-                (fleet.processes[n], fleet.told[n]) = (Some(Process::Found(pid)), status);
-                fleet.tell(Input::AlreadyRunning(n));
+                println!("instance {n}: already running as process {}", pid.as_raw_nonzero());
+                (fleet.processes[n], fleet.statuses[n]) = (Some(Process::Found(pid)), status);
+                fleet.handle(Input::AlreadyRunning(n));
             }
         }
         Ok(fleet)
     }
 
-    fn tell(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let mut actions = Vec::new();
-        self.supervisor.handle(self.begun.elapsed().as_secs_f64(), input, &mut actions);
+        self.supervisor.handle(self.started_at.elapsed().as_secs_f64(), input, &mut actions);
         for action in actions {
             match action {
-                Action::Start(n, form) => self.start(n, form),
+                Action::Start(n, release) => self.start(n, release),
                 Action::Stop(n) => self.signal(n, Signal::TERM),
                 Action::Kill(n) => self.signal(n, Signal::KILL),
-                // Everything is looked at with each turn.
+                // Everything is checked at each iteration.
                 Action::Timer(_) => {}
-                Action::Log(Some(n), words) => println!("instance {n}: {words}"),
-                Action::Log(None, words) => println!("fleet: {words}"),
+                Action::Log(Some(n), message) => println!("instance {n}: {message}"),
+                Action::Log(None, message) => println!("fleet: {message}"),
                 Action::Rolled(Release::Old) => self.new = None,
                 Action::Rolled(Release::New) => {
                     if let Some(new) = self.new.take() {
-                        if let Err(fault) = new.keep(&self.settings.dir.join("held")) {
-                            println!("fleet: what was rolled out is not on record: {fault}");
+                        if let Err(error) = new.store(&self.settings.dir.join("held")) {
+                            println!("fleet: the new release was not stored: {error}");
                         }
                         self.old = new;
                     }
@@ -514,90 +530,95 @@
         self.processes[n].iter().for_each(|process| process.signal(signal));
     }
 
-    fn start(&mut self, n: usize, form: Release) {
-        let files = match (form, &self.new) {
+    fn start(&mut self, n: usize, release: Release) {
+        let files = match (release, &self.new) {
             (Release::New, Some(new)) => new,
             _ => &self.old,
         };
         let folder = self.settings.folder(n);
-        let begun = files.write(&self.settings, n).and_then(|()| {
+        let started = files.write(&self.settings, n).and_then(|()| {
             let log = OpenOptions::new().create(true).append(true).open(folder.join("log"));
             let log = log.map_err(|error| format!("{}: {error}", folder.display()))?;
             let mut command = Command::new(&files.program);
             command.args(["serve", "--config"]).arg(folder.join("platform.json"));
             command.arg("--operator").arg(folder.join("dewferry.toml"));
-            // In a group of its own: an interrupt at the terminal is the supervisor's alone.
+            // In a process group of its own, so that an interrupt at the terminal reaches only the
+            // supervisor.
             command.process_group(0).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
             command.spawn().map_err(|error| format!("{}: {error}", files.program.display()))
         });
-        self.told[n] = None;
-        match begun {
+        self.statuses[n] = None;
+        match started {
             Ok(child) => self.processes[n] = Some(Process::Own(child)),
-            Err(fault) => {
-                println!("instance {n}: not started: {fault}");
-                self.tell(Input::Exited(n));
+            Err(error) => {
+                println!("instance {n}: not started: {error}");
+                self.handle(Input::Exited(n));
             }
         }
     }
 
-    /// Looks at all processes, and asks those that are due how they do.
-    fn look(&mut self) {
+    /// Checks all processes, and queries the status of the instances whose interval has passed.
+    fn check_processes(&mut self) {
         for n in 0..self.processes.len() {
             if self.processes[n].as_mut().is_some_and(Process::has_ended) {
-                (self.processes[n], self.told[n]) = (None, None);
-                self.tell(Input::Exited(n));
+                (self.processes[n], self.statuses[n]) = (None, None);
+                self.handle(Input::Exited(n));
             }
         }
         let states: Vec<State> = self.supervisor.states().map(|(state, _, _)| state).collect();
         for (n, state) in states.into_iter().enumerate() {
             let starting = matches!(state, State::Starting(_));
-            let due = starting || matches!(state, State::Ready(_)) && self.asked[n].elapsed() >= ASK;
+            let due = starting
+                || matches!(state, State::Ready(_)) && self.queried_at[n].elapsed() >= STATUS_INTERVAL;
             if !due || self.processes[n].is_none() {
                 continue;
             }
-            self.asked[n] = Instant::now();
+            self.queried_at[n] = Instant::now();
             let socket = self.settings.folder(n).join("control");
-            let Some(status) = ask_instance(&socket) else { continue };
+            let Some(status) = query_status(&socket) else { continue };
             let bad = status.refused + status.failed;
             let health = Health { answers: status.served + bad, not_served: bad };
             if starting && status.life == "ready" {
-                self.tell(Input::Ready(n));
+                self.handle(Input::Ready(n));
             }
-            self.told[n] = Some(status);
-            self.tell(Input::Health(n, health));
+            self.statuses[n] = Some(status);
+            self.handle(Input::Health(n, health));
         }
-        self.tell(Input::Time);
+        self.handle(Input::Time);
     }
 
-    fn answer(&mut self, asked: Asked) -> Answer {
+    fn answer(&mut self, request: FleetCall) -> Answer {
         let mut answer = Answer { done: true, ..Answer::default() };
-        match asked {
-            Asked::Status {} => answer.message = format!("{} instances", self.settings.instances),
-            Asked::Roll {} if self.supervisor.is_rolling() => {
+        match request {
+            FleetCall::Status {} => answer.message = format!("{} instances", self.settings.instances),
+            FleetCall::Roll {} if self.supervisor.is_rolling() => {
                 (answer.done, answer.message) = (false, "a roll is under way".into());
             }
-            Asked::Roll {} => match Settings::read(&self.path).and_then(|settings| Files::of(&settings)) {
-                Ok(files) => {
-                    self.new = Some(files);
-                    self.tell(Input::Roll);
-                    answer.message = "the roll has begun".into();
-                }
-                Err(fault) => {
-                    (answer.done, answer.message) = (false, format!("nothing is begun: {fault}"));
+            FleetCall::Roll {} => {
+                match Settings::read(&self.path).and_then(|settings| ReleaseFiles::from_settings(&settings)) {
+                    Ok(files) => {
+                        self.new = Some(files);
+                        self.handle(Input::Roll);
+                        answer.message = "the rolling update has started".into();
+                    }
+                    Err(error) => {
+                        (answer.done, answer.message) =
+                            (false, format!("no rolling update was started: {error}"));
+                    }
                 }
-            },
-            Asked::Retry { instance } => {
-                self.tell(Input::Retry(instance));
-                answer.message = format!("instance {instance} is tried again, where it was left alone");
             }
-            Asked::Stop {} => {
-                self.tell(Input::Stop);
-                answer.message = "all instances are to end".into();
+            FleetCall::Retry { instance } => {
+                self.handle(Input::Retry(instance));
+                answer.message = format!("instance {instance} is started again if it was given up");
+            }
+            FleetCall::Stop {} => {
+                self.handle(Input::Stop);
+                answer.message = "all instances are being stopped".into();
             }
         }
         answer.rolling = self.supervisor.is_rolling();
         for (n, (state, _, crashes)) in self.supervisor.states().enumerate() {
-            let status = self.told[n].clone().unwrap_or_default();
+            let status = self.statuses[n].clone().unwrap_or_default();
             let pid = self.processes[n].as_ref().and_then(Process::pid);
             answer.instances.push(Row {
                 instance: n,
@@ -615,21 +636,21 @@
         answer
     }
 
-    /// Takes the calls that wait.
+    /// Answers the waiting calls.
     fn serve(&mut self, bound: &OwnedListener) {
         while let Ok((stream, _)) = bound.listener.accept() {
             let stream = UnixStream::from(stream);
-            let bounded =
-                stream.set_nonblocking(false).and_then(|()| stream.set_read_timeout(Some(PATIENCE)));
-            if bounded.and_then(|()| stream.set_write_timeout(Some(PATIENCE))).is_err() {
+            let timeouts_set =
+                stream.set_nonblocking(false).and_then(|()| stream.set_read_timeout(Some(CALL_TIMEOUT)));
+            if timeouts_set.and_then(|()| stream.set_write_timeout(Some(CALL_TIMEOUT))).is_err() {
                 continue;
             }
             let mut line = Vec::new();
-            if BufReader::new((&stream).take(LONGEST)).read_until(b'\n', &mut line).is_err() {
+            if BufReader::new((&stream).take(MAX_LINE_BYTES)).read_until(b'\n', &mut line).is_err() {
                 continue;
             }
             let answer = match serde_json::from_slice(&line) {
-                Ok(asked) => self.answer(asked),
+                Ok(request) => self.answer(request),
                 Err(error) => Answer { message: format!("not a call: {error}"), ..Answer::default() },
             };
             let mut line = serde_json::to_vec(&answer).unwrap_or_default();
@@ -639,24 +660,24 @@
     }
 }
 
-fn look_after(file: &Path) -> Result<(), String> {
+fn supervise(file: &Path) -> Result<(), String> {
     let socket = Settings::read(file)?.socket();
     let folder = socket.parent().map_or_else(PathBuf::new, Path::to_path_buf);
     fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
-    // Bound first: two supervisors of one fleet would undo each other's work.
+    // Bound first, so that there is only one supervisor of a fleet: two would undo each other's work.
     let bound = OwnedListener::new(&socket).map_err(|error| format!("{}: {error}", socket.display()))?;
     let mut fleet = Fleet::new(file)?;
-    println!("fleet: looks after {} instances", fleet.settings.instances);
+    println!("fleet: supervising {} instances", fleet.settings.instances);
     while !fleet.supervisor.has_stopped() {
         fleet.serve(&bound);
-        fleet.look();
-        std::thread::sleep(TURN);
+        fleet.check_processes();
+        std::thread::sleep(LOOP_INTERVAL);
     }
     Ok(())
 }
 
-fn call(file: &Path, asked: &Asked) -> Result<Answer, String> {
-    let mut line = serde_json::to_vec(asked).map_err(|error| error.to_string())?;
+fn call(file: &Path, request: &FleetCall) -> Result<Answer, String> {
+    let mut line = serde_json::to_vec(request).map_err(|error| error.to_string())?;
     line.push(b'\n');
     let answer = exchange(&Settings::read(file)?.socket(), &line)?;
     serde_json::from_slice(&answer).map_err(|error| format!("not an answer of a supervisor: {error}"))
@@ -678,52 +699,59 @@
     text + if answer.rolling { "a roll is under way\n" } else { "" }
 }
 
-fn told(result: Result<Answer, String>, words: impl Fn(&Answer) -> String) -> ExitCode {
+fn print_result(result: Result<Answer, String>, message: impl Fn(&Answer) -> String) -> ExitCode {
     match result {
         Ok(answer) => {
-            print!("{}", words(&answer));
+            print!("{}", message(&answer));
             ExitCode::from(u8::from(!answer.done))
         }
-        Err(fault) => fail(&fault),
+        Err(error) => fail(&error),
     }
 }
 
 fn logs(file: &Path, instance: usize) -> Result<(), String> {
     let path = Settings::read(file)?.folder(instance).join("log");
-    let named = |error: std::io::Error| format!("{}: {error}", path.display());
-    let mut log = File::open(&path).map_err(named)?;
-    let length = log.metadata().map_err(named)?.len();
-    std::io::Seek::seek(&mut log, std::io::SeekFrom::Start(length.saturating_sub(TAIL))).map_err(named)?;
+    let with_path = |error: std::io::Error| format!("{}: {error}", path.display());
+    let mut log = File::open(&path).map_err(with_path)?;
+    let length = log.metadata().map_err(with_path)?.len();
+    std::io::Seek::seek(&mut log, std::io::SeekFrom::Start(length.saturating_sub(LOG_TAIL_BYTES)))
+        .map_err(with_path)?;
     let mut bytes = Vec::new();
-    log.take(TAIL).read_to_end(&mut bytes).map_err(named)?;
+    log.take(LOG_TAIL_BYTES).read_to_end(&mut bytes).map_err(with_path)?;
     print!("{}", String::from_utf8_lossy(&bytes));
     Ok(())
 }
 
-/// Runs a command of the fleet.
+/// Runs one of the commands.
 pub(super) fn run(args: Args) -> ExitCode {
-    let said = |answer: &Answer| format!("{}\n", answer.message);
+    let message_of = |answer: &Answer| format!("{}\n", answer.message);
     let done = |result: Result<(), String>| match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => fail(&fault),
+        Err(error) => fail(&error),
     };
     match args.verb {
-        Verb::Run(Run { file }) => done(look_after(&file)),
-        Verb::Status(AskStatus { file, json: false }) => told(call(&file, &Asked::Status {}), table),
-        Verb::Status(AskStatus { file, json: true }) => told(call(&file, &Asked::Status {}), |answer| {
-            serde_json::to_string(answer).unwrap_or_default() + "\n"
-        }),
+        Verb::Run(Run { file }) => done(supervise(&file)),
+        Verb::Status(StatusArgs { file, json: false }) => {
+            print_result(call(&file, &FleetCall::Status {}), table)
+        }
+        Verb::Status(StatusArgs { file, json: true }) => {
+            print_result(call(&file, &FleetCall::Status {}), |answer| {
+                serde_json::to_string(answer).unwrap_or_default() + "\n"
+            })
+        }
         Verb::Top(Top { file }) => loop {
-            match call(&file, &Asked::Status {}) {
+            match call(&file, &FleetCall::Status {}) {
                 Ok(answer) => print!("\x1b[2J\x1b[H{}", table(&answer)),
-                Err(fault) => return fail(&fault),
+                Err(error) => return fail(&error),
             }
             let _ = std::io::stdout().flush();
-            std::thread::sleep(ASK);
+            std::thread::sleep(STATUS_INTERVAL);
         },
-        Verb::Roll(Roll { file }) => told(call(&file, &Asked::Roll {}), said),
-        Verb::Retry(Retry { file, instance }) => told(call(&file, &Asked::Retry { instance }), said),
-        Verb::Stop(Stop { file }) => told(call(&file, &Asked::Stop {}), said),
+        Verb::Roll(Roll { file }) => print_result(call(&file, &FleetCall::Roll {}), message_of),
+        Verb::Retry(Retry { file, instance }) => {
+            print_result(call(&file, &FleetCall::Retry { instance }), message_of)
+        }
+        Verb::Stop(Stop { file }) => print_result(call(&file, &FleetCall::Stop {}), message_of),
         Verb::Logs(Logs { file, instance }) => done(logs(&file, instance)),
     }
 }
--- a/crates/daemon/src/cli/mod.rs
+++ b/crates/daemon/src/cli/mod.rs
@@ -18,17 +18,17 @@
 
 use crate::net::OperatorOptions;
 
-/// dewferry: a pooler that sends each read and write of a replicated database where it belongs.
+/// dewferry: a pooler that routes the reads and writes of a replicated database.
 #[derive(FromArgs)]
 #[argh(
     example = "dewferry serve --config platform.json --operator dewferry.toml",
     example = "dewferry config apply dewferry.toml --socket /run/dewferry/control --note 'raise quota'",
     error_code(0, "done"),
-    error_code(1, "refused by the check, or something else is under way"),
+    error_code(1, "refused by the check, or another operation is in progress"),
     error_code(2, "wrong usage, or a file that cannot be read"),
     error_code(3, "the change was rolled back"),
-    error_code(5, "serve --take-over: the first seconds went badly, handed back"),
-    error_code(4, "serve: ended while answers were owed; the log lists them")
+    error_code(5, "serve --take-over: the trial failed, handed back"),
+    error_code(4, "serve: exited with pending replies; the log lists them")
 )]
 struct Args {
     #[argh(subcommand)]
@@ -55,25 +55,25 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the platform's configuration; the variable LB_CONFIG where this is not given
+    /// the platform's configuration; default: the variable LB_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
-    /// the operator's file, dewferry.toml; without it nothing but the platform's word holds
+    /// the operator's file, dewferry.toml; without it only the platform's configuration applies
     #[argh(option)]
     operator: Option<PathBuf>,
-    /// folder of the history; needed to come up where the operator's file, which may name it, is bad
+    /// folder of the history; required to start if the operator's file, which may name it, is invalid
     #[argh(option)]
     state: Option<PathBuf>,
-    /// take over the listeners, and what is known, from the daemon that runs with the same operator's file
+    /// take over the listeners and the observed state from the running pooler with the same operator's file
     #[argh(switch)]
     take_over: bool,
 }
 
-/// List the sessions of ordinary clients, those that have lasted longest in their state first.
+/// List the sessions of ordinary clients, the longest in their state first.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "sessions")]
 struct Sessions {
-    /// the daemon's control socket; the variable DEWFERRY_CONTROL where this is not given
+    /// the pooler's control socket; default: the variable DEWFERRY_CONTROL
     #[argh(option)]
     socket: Option<PathBuf>,
     /// print one JSON object
@@ -86,12 +86,11 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-/// Read the platform's configuration, and the operator's file where given; say whether they can be used and what
-/// they mean.
+/// Check the platform's configuration, and the operator's file if given, and summarize them.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check-config")]
 struct CheckConfig {
-    /// the platform's configuration; the variable LB_CONFIG where this is not given
+    /// the platform's configuration; default: the variable LB_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
     /// the operator's file
@@ -102,18 +101,18 @@
     json: bool,
 }
 
-/// Runs the program as its command line says.
+/// Runs the command given on the command line.
 pub fn run() -> ExitCode {
     let Args { command } = argh::from_env();
     let result = match command {
         Command::Serve(Serve { config, operator, state, take_over }) => {
             match load(config).and_then(|(path, config)| {
                 if operator.is_none() && state.is_some() {
-                    return Err("--state without --operator: there would be no changes to keep".into());
+                    return Err("--state without --operator: there would be no changes to store".into());
                 }
                 if operator.is_none() && take_over {
                     return Err(
-                        "--take-over without --operator: it names the socket of the running daemon".into()
+                        "--take-over without --operator: the operator's file names the socket of the running pooler".into()
                     );
                 }
                 let operator = operator.map(|file| OperatorOptions { file, state, take_over });
@@ -141,7 +140,7 @@
             return config::check_file(&file, config, json);
         }
         Command::CheckConfig(CheckConfig { config, operator: None, json }) => {
-            load(config).and_then(|(_, config)| meant(&config, json))
+            load(config).and_then(|(_, config)| print_summary(&config, json))
         }
     };
     match result {
@@ -150,46 +149,46 @@
     }
 }
 
-/// Says what a platform's configuration means; the fault where something in it can't be honoured.
-fn meant(config: &Config, json: bool) -> Result<(), String> {
-    let meaning = ConfigSummary::of(config);
-    let usable = meaning.errors.is_empty();
+/// Prints the summary of a platform's configuration; returns an error if it contains unsupported statements.
+fn print_summary(config: &Config, json: bool) -> Result<(), String> {
+    let summary = ConfigSummary::of(config);
+    let usable = summary.errors.is_empty();
     let (name, listen, classes) = (&config.name, config.listen, config.classes.len());
     if json {
-        let told = serde_json::json!({
+        let output = serde_json::json!({
             "usable": usable,
             "name": name,
             "listen": listen.to_string(),
-            "meaning": meaning.lines.iter().cloned().collect::<std::collections::BTreeMap<_, _>>(),
-            "doubts": meaning.warnings,
-            "faults": meaning.errors,
+            "meaning": summary.lines.iter().cloned().collect::<std::collections::BTreeMap<_, _>>(),
+            "doubts": summary.warnings,
+            "faults": summary.errors,
         });
-        println!("{told}");
+        println!("{output}");
     } else {
         let verdict = if usable { "usable" } else { "not usable" };
-        print!("{verdict}: {name} listens on {listen} for {classes} classes of requests\n{meaning}");
+        print!("{verdict}: {name} listens on {listen} for {classes} classes of requests\n{summary}");
     }
     if usable {
         Ok(())
     } else {
-        Err(meaning.errors.join("; "))
+        Err(summary.errors.join("; "))
     }
 }
 
-/// Says why nothing was done.
+/// Prints an error; returns the exit code for wrong usage and unreadable files.
 fn fail(message: &str) -> ExitCode {
     eprintln!("dewferry: {message}");
     ExitCode::from(2)
 }
 
-/// The platform's configuration: of the path given, or of the variable's.
+/// Reads the platform's configuration from `path` or, without it, from the path in LB_CONFIG.
 fn load(path: Option<PathBuf>) -> Result<(PathBuf, Config), String> {
     let path = path.or_else(|| std::env::var_os("LB_CONFIG").map(PathBuf::from));
     let path = path.ok_or("no configuration: give --config or set LB_CONFIG")?;
-    let config = read(&path)?;
+    let config = load_file(&path)?;
     Ok((path, config))
 }
 
-fn read(path: &Path) -> Result<Config, String> {
+fn load_file(path: &Path) -> Result<Config, String> {
     Config::load(path).map_err(|error| error.to_string())
 }
--- a/crates/daemon/src/cli/print.rs
+++ b/crates/daemon/src/cli/print.rs
@@ -1,9 +1,9 @@
-//! Answers for people and for machines.
+//! Prints the answers to calls as text or JSON.
 
 use control::{Found, Response, Session, Sessions, Status};
 use transaction::Entry;
 
-/// Prints an answer: one JSON object, or lines.
+/// Prints an answer as one JSON object or as text.
 pub(super) fn response(response: &Response, json: bool) {
     if json {
         print!("{}", String::from_utf8_lossy(&response.to_line()));
@@ -21,7 +21,7 @@
         println!("  {severity:8} {code}: {what}");
     }
     if response.findings.iter().any(Found::is_guarded) {
-        println!("  what is guarded can be allowed by name: --allow CODE");
+        println!("  guarded findings can be allowed: --allow CODE");
     }
     for change in &response.changes {
         let value = |value: &Option<String>| value.clone().unwrap_or_else(|| "-".into());
@@ -41,8 +41,8 @@
         "user", "database", "from", "state", "lasts s", "member"
     );
     for Session { user, database, from, state, lasts_s, member, bound_by } in list {
-        let (member, bound) = (member.as_deref().unwrap_or("-"), bound_by.join(", "));
-        println!("{user:16} {database:16} {from:22} {state:12} {lasts_s:>9.1}  {member:16} {bound}");
+        let (member, bound_reasons) = (member.as_deref().unwrap_or("-"), bound_by.join(", "));
+        println!("{user:16} {database:16} {from:22} {state:12} {lasts_s:>9.1}  {member:16} {bound_reasons}");
     }
     if *more > 0 {
         println!("and {more} more");
@@ -56,14 +56,14 @@
     println!("confirmed   {confirmed}");
     println!(
         "stage       {stage}{}",
-        status.until.map(|until| format!(", until {}", clock(until))).unwrap_or_default()
+        status.until.map(|until| format!(", until {}", format_time(until))).unwrap_or_default()
     );
-    println!("since       {}", clock(status.since));
+    println!("since       {}", format_time(status.since));
     println!("members     {}, {} overridden", status.members, status.overrides);
     println!("in hand     {} requests", status.requests);
     println!("on disk     {}", if status.lasting { "yes" } else { "no" });
     if let Some(last) = status.last.as_ref().filter(|last| !last.why.is_empty()) {
-        println!("last        {} was undone: {}", last.number, last.why);
+        println!("last        {} was rolled back: {}", last.number, last.why);
     }
 }
 
@@ -73,15 +73,20 @@
         let fate = format!("{:?}", entry.fate).to_lowercase();
         let digest = entry.digest.get(..12).unwrap_or(&entry.digest);
         let why = if entry.why.is_empty() { String::new() } else { format!("  [{}]", entry.why) };
-        println!("{:>6}  {digest:12}  {:20}  {fate:12}  {}{why}", entry.number, clock(entry.at), entry.note);
+        println!(
+            "{:>6}  {digest:12}  {:20}  {fate:12}  {}{why}",
+            entry.number,
+            format_time(entry.at),
+            entry.note
+        );
     }
 }
 
-/// A Unix time as a date and a time of day, in UTC.
-fn clock(at: f64) -> String {
+/// Formats a Unix time as date and time in UTC.
+fn format_time(at: f64) -> String {
     let seconds = at.max(0.0) as u64;
     let (days, rest) = (seconds / 86_400, seconds % 86_400);
-    // The civil calendar from days since 1970, by eras of 400 years that begin in March.
+    // Gregorian date from days since 1970, computed in eras of 400 years that begin in March.
     let shifted = days + 719_468;
     let (era, day) = (shifted / 146_097, shifted % 146_097);
     let year = (day - day / 1_460 + day / 36_524 - day / 146_096) / 365;
@@ -95,13 +100,13 @@
 #[cfg(test)]
 mod tests {
     #[test]
-    fn a_clock_tells_the_date() {
+    fn unix_times_are_formatted_as_dates() {
         for (at, text) in [
             (0.0, "1970-01-01T00:00:00"),
             (951_782_400.0, "2000-02-29T00:00:00"),
             (1_767_225_599.9, "2025-12-31T23:59:59"),
         ] {
-            assert_eq!(super::clock(at), text);
+            assert_eq!(super::format_time(at), text);
         }
     }
 }
--- a/crates/daemon/src/cli/registry.rs
+++ b/crates/daemon/src/cli/registry.rs
@@ -1,4 +1,5 @@
-//! `dewferry registry`: looks at the list in a registry, follows it, drains members there, and writes it as a whole.
+//! `dewferry registry`: shows, checks, follows, imports and exports the list in a registry, and drains
+//! members there.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -21,12 +22,12 @@
 use crate::dial::sync_config;
 use crate::files;
 
-/// Keys that one transaction writes at the most: etcd takes 128 operations.
-const BATCH: usize = 100;
-/// A list of fewer members may be replaced by any other.
-const FEW: usize = 4;
+/// Maximum number of keys in a transaction: etcd accepts 128 operations.
+const MAX_BATCH_KEYS: usize = 100;
+/// Number of listed members from which on `registry.guard_share` limits deletions by an import.
+const MIN_GUARDED_MEMBERS: usize = 4;
 
-/// Look at the list in the registry that an operator's file names, and drain members there.
+/// Show and edit the list in the registry that an operator's file names, and drain members there.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -35,7 +36,7 @@
     example = "dewferry registry drain s-7 --operator dewferry.toml --note 'disk is failing'",
     example = "dewferry registry import list.json --operator dewferry.toml --prune --dry-run",
     error_code(0, "done"),
-    error_code(1, "a value cannot be understood, or the key was changed by somebody else meanwhile"),
+    error_code(1, "a value is malformed, or the key was changed concurrently"),
     error_code(2, "wrong usage, a file that cannot be read, or no endpoint that answers")
 )]
 pub(super) struct Args {
@@ -55,7 +56,7 @@
     Export(Export),
 }
 
-/// List the members as a pooler would understand them.
+/// List the members as a pooler parses them.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "view")]
 struct ViewArgs {
@@ -67,7 +68,7 @@
     json: bool,
 }
 
-/// Say which values cannot be understood, and why; exit code 1 where there are any.
+/// List the malformed values and their errors; exit code 1 if there are any.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
@@ -79,17 +80,17 @@
     json: bool,
 }
 
-/// Have a member complete its work and get nothing new, until it is undrained.
+/// Drain a member: it completes its work and gets no new requests until it is undrained.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 struct Drain {
     /// the member's name
     #[argh(positional)]
     member: String,
-    /// why, for other people
+    /// reason, for other operators
     #[argh(option, default = "String::new()")]
     note: String,
-    /// say what would be written, and write nothing
+    /// print what would be written, and write nothing
     #[argh(switch)]
     dry_run: bool,
     /// print one JSON object
@@ -100,14 +101,14 @@
     operator: PathBuf,
 }
 
-/// Take a drain back.
+/// Undo the drain of a member.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "undrain")]
 struct Undrain {
     /// the member's name
     #[argh(positional)]
     member: String,
-    /// say what would be written, and write nothing
+    /// print what would be written, and write nothing
     #[argh(switch)]
     dry_run: bool,
     /// print one JSON object
@@ -118,14 +119,14 @@
     operator: PathBuf,
 }
 
-/// Print the members and drains, then each change as it comes, until stopped.
+/// Print the members and drains, then each change, until stopped.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "watch")]
 struct Watch {
     /// the operator's file that names the registry
     #[argh(option)]
     operator: PathBuf,
-    /// stop after so many seconds
+    /// stop after this many seconds
     #[argh(option, long = "for")]
     seconds: Option<f64>,
     /// print one JSON object a line
@@ -133,8 +134,8 @@
     json: bool,
 }
 
-/// Write the members and drains of a file, as `export` prints it, in transactions that somebody else's change
-/// meanwhile stops; what is written already by then stays, and the same import can be run again.
+/// Write the members and drains of a file in the format of `export`, in transactions that fail if a key was
+/// changed concurrently. What was written before a failure stays; the import can be run again.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "import")]
 struct Import {
@@ -144,13 +145,13 @@
     /// the operator's file that names the registry
     #[argh(option)]
     operator: PathBuf,
-    /// delete what the file does not have, too
+    /// delete members and drains that are not in the file
     #[argh(switch)]
     prune: bool,
-    /// let it delete more than registry.guard_share of the members
+    /// allow deleting more than registry.guard_share of the members
     #[argh(switch)]
     allow_many: bool,
-    /// say what would be written, and write nothing
+    /// print what would be written, and write nothing
     #[argh(switch)]
     dry_run: bool,
     /// print one JSON object
@@ -158,7 +159,7 @@
     json: bool,
 }
 
-/// Print the members and drains as one JSON object that `import` takes.
+/// Print the members and drains as one JSON object in the format of `import`.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "export")]
 struct Export {
@@ -182,13 +183,13 @@
         Command::Import(args) => import(&args),
         Command::Export(Export { operator }) => export(&operator),
     };
-    result.unwrap_or_else(|fault| fail(&fault))
+    result.unwrap_or_else(|error| fail(&error))
 }
 
-fn understood(caller: &mut RegistryClient) -> Result<(View, Members), String> {
-    let view = caller.read_view()?;
+fn read_members(client: &mut RegistryClient) -> Result<(View, Members), String> {
+    let view = client.read_view()?;
     let mut members = Members::default();
-    members.update(&caller.settings.prefix, &view, None);
+    members.update(&client.settings.prefix, &view, None);
     Ok((view, members))
 }
 
@@ -209,7 +210,7 @@
 }
 
 fn view(operator: &Path, json: bool) -> Result<ExitCode, String> {
-    let (view, members) = understood(&mut RegistryClient::from_operator_file(operator)?)?;
+    let (view, members) = read_members(&mut RegistryClient::from_operator_file(operator)?)?;
     if json {
         let list: Vec<_> = members.all().map(object).collect();
         println!("{}", json!({"revision": view.revision, "members": list}));
@@ -222,31 +223,31 @@
 }
 
 fn check(operator: &Path, json: bool) -> Result<ExitCode, String> {
-    let mut caller = RegistryClient::from_operator_file(operator)?;
-    let (_, members) = understood(&mut caller)?;
-    let (good, bad) = (members.all().count(), members.malformed().count());
-    let warning = caller.expiry_warning();
+    let mut client = RegistryClient::from_operator_file(operator)?;
+    let (_, members) = read_members(&mut client)?;
+    let (parsed, malformed) = (members.all().count(), members.malformed().count());
+    let warning = client.expiry_warning();
     if json {
-        let poisoned: BTreeMap<&str, &str> = members.malformed().collect();
-        println!("{}", json!({"understood": good, "not_understood": poisoned, "warning": warning}));
+        let malformed: BTreeMap<&str, &str> = members.malformed().collect();
+        println!("{}", json!({"understood": parsed, "not_understood": malformed, "warning": warning}));
     } else {
         members.malformed().for_each(|(name, why)| println!("{name}: {why}"));
         warning.iter().for_each(|warning| println!("{warning}"));
-        println!("{good} members are understood, {bad} are not");
+        println!("{parsed} members are understood, {malformed} are not");
     }
-    Ok(ExitCode::from(u8::from(bad > 0)))
+    Ok(ExitCode::from(u8::from(malformed > 0)))
 }
 
-/// One thing that a command has done, or would do.
-fn say(json: bool, member: &str, state: &str, words: &str) {
+/// Prints what a command has done, or would do.
+fn report(json: bool, member: &str, state: &str, text: &str) {
     if json {
         println!("{}", json!({"member": member, "state": state}));
     } else {
-        println!("{words}");
+        println!("{text}");
     }
 }
 
-/// Writes a drain, or takes it back, if nobody has done so meanwhile.
+/// Writes or deletes a drain, unless it was changed concurrently.
 fn drain(
     operator: &Path,
     member: &str,
@@ -254,132 +255,146 @@
     dry_run: bool,
     json: bool,
 ) -> Result<ExitCode, String> {
-    let mut caller = RegistryClient::from_operator_file(operator)?;
-    let view = caller.read_view()?;
-    let prefix = &caller.settings.prefix;
+    let mut client = RegistryClient::from_operator_file(operator)?;
+    let view = client.read_view()?;
+    let prefix = &client.settings.prefix;
     if view.get(format!("{prefix}/members/{member}").as_bytes()).is_none() {
         return Err(format!("{member}: no member of that name is listed"));
     }
     let key = format!("{prefix}/drains/{member}");
-    let known = view.get(key.as_bytes());
+    let existing = view.get(key.as_bytes());
     let (state, verb) = if note.is_some() { ("drained", "write") } else { ("not drained", "delete") };
-    if known.is_some() == note.is_some() {
-        say(json, member, state, &format!("{member}: {state} already"));
+    if existing.is_some() == note.is_some() {
+        report(json, member, state, &format!("{member}: {state} already"));
         return Ok(ExitCode::SUCCESS);
     }
-    let revision = known.map_or(0, |entry| entry.revision);
+    let revision = existing.map_or(0, |entry| entry.revision);
     if dry_run {
-        say(json, member, "unchanged", &format!("would {verb} {key}, if it is still at revision {revision}"));
+        report(
+            json,
+            member,
+            "unchanged",
+            &format!("would {verb} {key}, if it is still at revision {revision}"),
+        );
         return Ok(ExitCode::SUCCESS);
     }
     let change = Change { key: key.clone().into_bytes(), revision, value: note.map(String::into_bytes) };
-    if written(&mut caller, &[change])? {
-        say(json, member, state, &format!("{member}: {state}"));
+    if write_transaction(&mut client, &[change])? {
+        report(json, member, state, &format!("{member}: {state}"));
         return Ok(ExitCode::SUCCESS);
     }
-    say(json, member, "conflict", &format!("{key}: changed by somebody else meanwhile; nothing is written"));
+    report(json, member, "conflict", &format!("{key}: changed concurrently; nothing was written"));
     Ok(ExitCode::from(1))
 }
 
-/// Has changes written in one transaction; false where somebody else has been there meanwhile.
-fn written(caller: &mut RegistryClient, changes: &[Change]) -> Result<bool, String> {
-    let answer = caller.call(wire::TXN, &wire::transaction_body(changes))?;
+/// Writes changes in one transaction. Returns false if a key was changed concurrently.
+fn write_transaction(client: &mut RegistryClient, changes: &[Change]) -> Result<bool, String> {
+    let answer = client.call(wire::TXN, &wire::transaction_body(changes))?;
     wire::parse_transaction(&answer).map_err(describe_refusal)
 }
 
-/// All members and drains, as they are exported and imported.
+/// Exported members and drains.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Whole {
-    /// Says when it was exported; not looked at by an import.
+struct ExportedList {
+    /// Revision of the export; ignored by an import.
     #[serde(default)]
     revision: u64,
     members: BTreeMap<String, serde_json::Value>,
-    /// With the note of each.
+    /// Note of each drain, by member.
     #[serde(default)]
     drains: BTreeMap<String, String>,
 }
 
 fn export(operator: &Path) -> Result<ExitCode, String> {
-    let mut caller = RegistryClient::from_operator_file(operator)?;
-    let view = caller.read_view()?;
-    let mut whole = Whole { revision: view.revision, ..Whole::default() };
+    let mut client = RegistryClient::from_operator_file(operator)?;
+    let view = client.read_view()?;
+    let mut export = ExportedList { revision: view.revision, ..ExportedList::default() };
     let (members, drains) =
-        (format!("{}/members/", caller.settings.prefix), format!("{}/drains/", caller.settings.prefix));
-    let named = |prefix: &str, key: &[u8]| String::from_utf8_lossy(&key[prefix.len()..]).into_owned();
-    let mut lost = 0;
+        (format!("{}/members/", client.settings.prefix), format!("{}/drains/", client.settings.prefix));
+    let name_of = |prefix: &str, key: &[u8]| String::from_utf8_lossy(&key[prefix.len()..]).into_owned();
+    let mut skipped = 0;
     for (key, entry) in view.with_prefix(members.as_bytes()) {
-        let name = named(&members, key);
+        let name = name_of(&members, key);
         match schema::parse_member(&name, &entry.value)
             .and_then(|_| serde_json::from_slice(&entry.value).map_err(|error| error.to_string()))
         {
-            Ok(value) => drop(whole.members.insert(name, value)),
-            Err(fault) => {
-                lost += 1;
-                eprintln!("dewferry: {name}: left out: {fault}");
+            Ok(value) => drop(export.members.insert(name, value)),
+            Err(error) => {
+                skipped += 1;
+                eprintln!("dewferry: {name}: not exported: {error}");
             }
         }
     }
     for (key, entry) in view.with_prefix(drains.as_bytes()) {
         let note = String::from_utf8_lossy(&entry.value).into_owned();
-        whole.drains.insert(named(&drains, key), note);
+        export.drains.insert(name_of(&drains, key), note);
     }
-    println!("{}", serde_json::to_string_pretty(&whole).map_err(|error| error.to_string())?);
-    Ok(ExitCode::from(u8::from(lost > 0)))
+    println!("{}", serde_json::to_string_pretty(&export).map_err(|error| error.to_string())?);
+    Ok(ExitCode::from(u8::from(skipped > 0)))
 }
 
 fn import(args: &Import) -> Result<ExitCode, String> {
-    let named = |fault: String| format!("{}: {fault}", args.file.display());
+    let with_path = |error: String| format!("{}: {error}", args.file.display());
     let bytes = files::read(&args.file, MAX_ANSWER_BYTES)?;
-    let whole: Whole = serde_json::from_slice(&bytes).map_err(|error| named(error.to_string()))?;
+    let import: ExportedList =
+        serde_json::from_slice(&bytes).map_err(|error| with_path(error.to_string()))?;
     let mut values = BTreeMap::new();
-    for (name, value) in &whole.members {
+    for (name, value) in &import.members {
         let value = value.to_string().into_bytes();
-        schema::parse_member(name, &value).map_err(|fault| named(format!("members.{name}: {fault}")))?;
+        schema::parse_member(name, &value).map_err(|error| with_path(format!("members.{name}: {error}")))?;
         values.insert(name.clone(), value);
     }
-    if let Some(name) = whole.drains.keys().find(|name| !values.contains_key(*name)) {
-        return Err(named(format!("drains.{name}: no member of that name in the file")));
+    if let Some(name) = import.drains.keys().find(|name| !values.contains_key(*name)) {
+        return Err(with_path(format!("drains.{name}: no member of that name in the file")));
     }
-    let mut caller = RegistryClient::from_operator_file(&args.operator)?;
-    let view = caller.read_view()?;
-    let prefix = caller.settings.prefix.clone();
-    let drains = whole.drains.into_iter().map(|(name, note)| (name, note.into_bytes())).collect();
-    let (mut changes, mut gone) = (Vec::new(), 0);
+    let mut client = RegistryClient::from_operator_file(&args.operator)?;
+    let view = client.read_view()?;
+    let prefix = client.settings.prefix.clone();
+    let drains = import.drains.into_iter().map(|(name, note)| (name, note.into_bytes())).collect();
+    let (mut changes, mut deletions) = (Vec::new(), 0);
     for (folder, wanted) in [("members", values), ("drains", drains)] {
-        let (found, lost) = differences(&view, &format!("{prefix}/{folder}/"), wanted, args.prune);
+        let (found, deleted) = differences(&view, &format!("{prefix}/{folder}/"), wanted, args.prune);
         changes.extend(found);
-        gone += if folder == "members" { lost } else { 0 };
+        deletions += if folder == "members" { deleted } else { 0 };
     }
     let listed = view.with_prefix(format!("{prefix}/members/").as_bytes()).count();
-    if listed >= FEW && gone as f64 > caller.settings.guard_share * listed as f64 && !args.allow_many {
-        return Err(format!("{gone} of {listed} members would be deleted; --allow-many lets that be"));
+    if listed >= MIN_GUARDED_MEMBERS
+        && deletions as f64 > client.settings.guard_share * listed as f64
+        && !args.allow_many
+    {
+        return Err(format!("{deletions} of {listed} members would be deleted; --allow-many allows that"));
     }
     let count = changes.len();
-    let mut done = 0;
+    let mut written = 0;
     if args.dry_run && !args.json {
         for change in &changes {
             let verb = if change.value.is_some() { "write" } else { "delete" };
             println!("would {verb} {}", String::from_utf8_lossy(&change.key));
         }
     }
-    for batch in changes.chunks(BATCH).filter(|_| !args.dry_run) {
-        if !written(&mut caller, batch)? {
+    for batch in changes.chunks(MAX_BATCH_KEYS).filter(|_| !args.dry_run) {
+        if !write_transaction(&mut client, batch)? {
             break;
         }
-        done += batch.len();
+        written += batch.len();
     }
-    let whole = args.dry_run || done == count;
+    let complete = args.dry_run || written == count;
     if args.json {
-        println!("{}", json!({"changes": count, "written": done, "conflict": !whole}));
+        println!("{}", json!({"changes": count, "written": written, "conflict": !complete}));
     } else {
-        let end = if whole { "" } else { "; the next were changed by somebody else meanwhile: run it again" };
-        println!("{done} of {count} keys written{end}");
+        let end = if complete {
+            ""
+        } else {
+            "; a key of the next batch was changed concurrently: run the import again"
+        };
+        println!("{written} of {count} keys written{end}");
     }
-    Ok(ExitCode::from(u8::from(!whole)))
+    Ok(ExitCode::from(u8::from(!complete)))
 }
 
-/// What would make the keys under a prefix what is wanted, and how many of them would be deleted.
+/// Returns the changes that turn the keys under `prefix` into `wanted`, and the number of deletions among
+/// them.
 fn differences(
     view: &View,
     prefix: &str,
@@ -393,34 +408,35 @@
             changes.push(Change { key: key.clone(), revision: entry.revision, value: None });
         }
     }
-    let gone = changes.len();
+    let deletions = changes.len();
     for (name, value) in wanted {
         let key = format!("{prefix}{name}").into_bytes();
-        let known = view.get(&key);
-        // Spaces and the order of keys in a JSON value are no difference.
+        let existing = view.get(&key);
+        // JSON values are compared without regard to white space and the order of keys.
         let read = |bytes: &[u8]| serde_json::from_slice::<serde_json::Value>(bytes).ok();
-        let same =
-            |known: &[u8]| known == value || read(known).is_some_and(|known| read(&value) == Some(known));
-        if !known.is_some_and(|entry| same(&entry.value)) {
-            let revision = known.map_or(0, |entry| entry.revision);
+        let same = |existing: &[u8]| {
+            existing == value || read(existing).is_some_and(|existing| read(&value) == Some(existing))
+        };
+        if !existing.is_some_and(|entry| same(&entry.value)) {
+            let revision = existing.map_or(0, |entry| entry.revision);
             changes.push(Change { key, revision, value: Some(value) });
         }
     }
-    (changes, gone)
+    (changes, deletions)
 }
 
-/// Follows the list with the same machine as a pooler does.
+/// Follows the list with the state machine that poolers use.
 fn watch(args: &Watch) -> Result<ExitCode, String> {
-    let mut caller = RegistryClient::from_operator_file(&args.operator)?;
-    let settings = caller.settings.clone();
+    let mut client = RegistryClient::from_operator_file(&args.operator)?;
+    let settings = client.settings.clone();
     let seed = now().to_bits() ^ u64::from(std::process::id());
     let endpoints = Endpoints::new(settings.endpoints.len(), Pacing::default(), seed, now());
-    // Whoever looks is shown what is there, however much has gone.
+    // Shows each list as it is, however many members were removed.
     let guard = SyncConfig { max_removed_share: 1.0, ..sync_config(&settings) };
     let prefix = format!("{}/", settings.prefix).into_bytes();
     let mut sync = RegistrySync::new(prefix.clone(), endpoints, guard, View::default());
     let (mut members, budget) = (Members::default(), Budget::new(4 * MAX_ANSWER_BYTES));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut inputs = vec![Input::Start];
     let mut open = None;
     loop {
@@ -429,26 +445,31 @@
         for action in actions {
             match action {
                 Action::Login(call, _) => {
-                    let token = caller.login();
+                    let token = client.login();
                     inputs
                         .push(token.map_or(Input::Disconnected(call), |token| Input::Token(call, Ok(token))));
                 }
                 Action::Read(call, at, range) => {
-                    let answer = caller.call_endpoint(at, wire::RANGE, &range.body());
+                    let answer = client.call_endpoint(at, wire::RANGE, &range.body());
                     inputs.push(answer.map_or(Input::Disconnected(call), |body| {
                         Input::Page(call, wire::parse_page(&body))
                     }));
                 }
                 Action::Watch(call, at, revision) => {
                     let body = wire::watch_body(&prefix, &wire::prefix_end(&prefix), revision);
-                    match caller.connect(at, wire::WATCH, &body, &budget) {
-                        Ok(link) => {
-                            open = Some((call, link, ResponseReader::default(), Lines::new(MAX_ANSWER_BYTES)))
+                    match client.connect(at, wire::WATCH, &body, &budget) {
+                        Ok(transport) => {
+                            open = Some((
+                                call,
+                                transport,
+                                ResponseReader::default(),
+                                Lines::new(MAX_ANSWER_BYTES),
+                            ))
                         }
                         Err(_) => inputs.push(Input::Disconnected(call)),
                     }
                 }
-                Action::Close(call) => drop(open.take_if(|(own, ..)| *own == call)),
+                Action::Close(call) => drop(open.take_if(|(open_call, ..)| *open_call == call)),
                 Action::Changed(keys) => {
                     let revision = sync.view().revision;
                     for listing in members.update(&settings.prefix, sync.view(), keys.as_deref()) {
@@ -462,24 +483,25 @@
                 Action::Notice(notice) => eprintln!("dewferry: {notice:?}"),
             }
         }
-        if args.seconds.is_some_and(|seconds| begun.elapsed().as_secs_f64() >= seconds) {
+        if args.seconds.is_some_and(|seconds| started_at.elapsed().as_secs_f64() >= seconds) {
             return Ok(ExitCode::SUCCESS);
         }
         if !inputs.is_empty() {
             continue;
         }
-        let left = args.seconds.map_or(f64::INFINITY, |seconds| seconds - begun.elapsed().as_secs_f64());
-        let wait = Duration::from_secs_f64((sync.next_due() - now()).min(left).clamp(0.0, 1.0));
+        let time_left =
+            args.seconds.map_or(f64::INFINITY, |seconds| seconds - started_at.elapsed().as_secs_f64());
+        let wait = Duration::from_secs_f64((sync.next_due() - now()).min(time_left).clamp(0.0, 1.0));
         match &mut open {
             None => std::thread::sleep(wait),
-            Some((call, (patient, link), answer, lines)) => {
-                let turned = patient.set_timeout(wait).and_then(|()| patient.turn(link));
-                let told = turned.and_then(|fill| {
+            Some((call, (stream, transport), reader, lines)) => {
+                let stepped = stream.set_timeout(wait).and_then(|()| stream.step(transport));
+                let ended = stepped.and_then(|fill| {
                     while let Some(piece) =
-                        answer.next(&mut link.inbox).map_err(|f| f.description().to_string())?
+                        reader.next(&mut transport.inbox).map_err(|f| f.description().to_string())?
                     {
                         if let Piece::Body(bytes) = piece {
-                            lines.push(&bytes).map_err(|_| "a line too long".to_string())?;
+                            lines.push(&bytes).map_err(|_| "line too long".to_string())?;
                         }
                         while let Some(line) = lines.take() {
                             inputs.push(Input::WatchMessage(*call, wire::parse_watch_message(&line)));
@@ -487,7 +509,7 @@
                     }
                     Ok(fill == Fill::Ended)
                 });
-                if told != Ok(false) {
+                if ended != Ok(false) {
                     inputs.push(Input::Disconnected(*call));
                 }
             }
--- a/crates/daemon/src/cli/route.rs
+++ b/crates/daemon/src/cli/route.rs
@@ -1,4 +1,4 @@
-//! `dewferry route`: where a statement of an ordinary client belongs, and why.
+//! `dewferry route`: how a statement of an ordinary client is routed, and why.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,7 +12,7 @@
 use super::{fail, load};
 use crate::files;
 
-/// Say where what ordinary clients ask belongs.
+/// Explain the routing of ordinary clients.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -32,29 +32,29 @@
     Explain(Explain),
 }
 
-/// Say which class, tenant and group a statement gets, and why.
+/// Show which class, tenant and group a statement gets, and why.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 struct Explain {
-    /// the statement, or several
+    /// one or several statements
     #[argh(positional)]
     sql: String,
-    /// who asks
+    /// user of the session
     #[argh(option, default = "String::new()")]
     user: String,
-    /// of which database
+    /// database of the session
     #[argh(option, default = "String::new()")]
     database: String,
-    /// under which application_name
+    /// application_name of the session
     #[argh(option, default = "String::new()")]
     application: String,
-    /// the class that the session has asked for by SET dewferry.class
+    /// class that the session has set by SET dewferry.class
     #[argh(option)]
     class: Option<String>,
     /// the operator's file
     #[argh(option)]
     operator: PathBuf,
-    /// the platform's configuration; the variable LB_CONFIG where this is not given
+    /// the platform's configuration; default: the variable LB_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
     /// print one JSON object
@@ -64,7 +64,7 @@
 
 /// Runs one of the commands.
 pub(super) fn run(Args { command: Command::Explain(args) }: Args) -> ExitCode {
-    explain(&args).map_or_else(|fault| fail(&fault), |()| ExitCode::SUCCESS)
+    explain(&args).map_or_else(|error| fail(&error), |()| ExitCode::SUCCESS)
 }
 
 fn explain(args: &Explain) -> Result<(), String> {
@@ -82,30 +82,30 @@
         class: args.class.as_deref(),
         read_only: reads,
     });
-    let statements = kinds(&scan);
+    let statements = describe_statements(&scan);
     if args.json {
         let object = json!({"statements": statements, "reads": reads, "class": route.class, "tenant": route.tenant,
             "group": route.group, "primary": route.primary_only, "because": route.reasons});
         println!("{object}");
         return Ok(());
     }
-    statements.iter().for_each(|words| println!("statement: {words}"));
-    route.reasons.iter().for_each(|words| println!("because:   {words}"));
+    statements.iter().for_each(|line| println!("statement: {line}"));
+    route.reasons.iter().for_each(|line| println!("because:   {line}"));
     let tenant = if route.tenant.is_empty() { "no tenant" } else { &route.tenant };
-    let where_to = if route.primary_only { "the primary" } else { "a replica, or the primary" };
-    println!("class {}, {tenant}, group {}: {where_to}", route.class, route.group);
+    let target = if route.primary_only { "the primary" } else { "a replica, or the primary" };
+    println!("class {}, {tenant}, group {}: {target}", route.class, route.group);
     Ok(())
 }
 
-/// Each statement in words.
-fn kinds(scan: &Scan) -> Vec<String> {
-    let one = |statement: &sql::Statement| {
+/// Describes each statement.
+fn describe_statements(scan: &Scan) -> Vec<String> {
+    let describe = |statement: &sql::Statement| {
         let kind = match &statement.kind {
             Kind::Read => "a read".to_string(),
             Kind::Write => "a write".to_string(),
             Kind::Control(control) => format!("transaction control ({control:?})"),
             Kind::Session(change) => format!("session state ({change:?})"),
-            Kind::Unknown(why) => format!("unknown ({why}), taken for a write"),
+            Kind::Unknown(why) => format!("unknown ({why}), treated as a write"),
         };
         let pins: Vec<&str> = statement.pins.iter().map(|pin| pin.describe()).collect();
         match pins.as_slice() {
@@ -113,5 +113,5 @@
             pins => format!("{kind}; binds the session to its connection: {}", pins.join(", ")),
         }
     };
-    scan.statements.iter().map(one).collect()
+    scan.statements.iter().map(describe).collect()
 }
--- a/crates/daemon/src/cli/users.rs
+++ b/crates/daemon/src/cli/users.rs
@@ -1,4 +1,4 @@
-//! `dewferry users`: the file of those whom the front for ordinary clients knows.
+//! `dewferry users`: edits the file of users for ordinary clients.
 
 use std::io::{Read, Write};
 use std::os::unix::fs::OpenOptionsExt;
@@ -12,10 +12,10 @@
 use super::fail;
 use crate::files;
 
-/// Longest password that is read (bytes).
-const LONGEST: u64 = 1_024;
+/// Maximum length of a password (bytes).
+const MAX_PASSWORD_BYTES: u64 = 1_024;
 
-/// Write the file of users that pool.users names. Passwords are not kept, only what checks them.
+/// Edit the file of users that pool.users names. It stores password verifiers, not passwords.
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -39,19 +39,19 @@
     List(List),
 }
 
-/// Add a user, or give one another password, which is read from the standard input, one line.
+/// Add a user or change a password, which is read as one line from standard input.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "add")]
 struct Add {
     /// the user's name
     #[argh(positional)]
     name: String,
-    /// the file; made where there is none
+    /// the file; created if it does not exist
     #[argh(option)]
     file: PathBuf,
 }
 
-/// Take a user away.
+/// Remove a user.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "remove")]
 struct Remove {
@@ -82,21 +82,24 @@
         Command::Remove(Remove { name, file }) => remove(&name, &file),
         Command::List(List { file, json }) => list(&file, json),
     };
-    result.unwrap_or_else(|fault| fail(&fault))
+    result.unwrap_or_else(|error| fail(&error))
 }
 
 fn add(name: &str, file: &Path) -> Result<ExitCode, String> {
     let mut users = if file.exists() { files::read_users(file)? } else { Users::default() };
     let mut password = String::new();
-    let read = std::io::stdin().take(LONGEST + 1).read_to_string(&mut password);
+    let read = std::io::stdin().take(MAX_PASSWORD_BYTES + 1).read_to_string(&mut password);
     read.map_err(|error| format!("the password: {error}"))?;
     let password = password.strip_suffix('\n').unwrap_or(&password);
-    // What SASLprep would change is not undone here: such a password would fit nobody's.
+    // SASLprep is not implemented here, so a password with characters that it would change is rejected:
+    // clients would derive their proof from another password.
     if password.is_empty()
-        || password.len() as u64 > LONGEST
+        || password.len() as u64 > MAX_PASSWORD_BYTES
         || !password.chars().all(|c| (' '..='~').contains(&c))
     {
-        return Err(format!("the password: accepted: one line of 1 to {LONGEST} printable ASCII characters"));
+        return Err(format!(
+            "the password: accepted: one line of 1 to {MAX_PASSWORD_BYTES} printable ASCII characters"
+        ));
     }
     let mut salt = [0; 16];
     files::fill_random(&mut salt)?;
@@ -129,12 +132,13 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Puts a new file in the place of the old one, which a pooler may be reading.
+/// Replaces the file by renaming, since a pooler may be reading it.
 fn write(file: &Path, users: &Users) -> Result<(), String> {
-    let named = |error: std::io::Error| format!("{}: {error}", file.display());
-    let new = file.with_extension("new");
+    let with_path = |error: std::io::Error| format!("{}: {error}", file.display());
+    let temporary = file.with_extension("new");
     let mut options = std::fs::OpenOptions::new();
-    let mut out = options.create(true).truncate(true).write(true).mode(0o600).open(&new).map_err(named)?;
-    out.write_all(users.to_text().as_bytes()).and_then(|()| out.sync_all()).map_err(named)?;
-    std::fs::rename(&new, file).map_err(named)
+    let mut out =
+        options.create(true).truncate(true).write(true).mode(0o600).open(&temporary).map_err(with_path)?;
+    out.write_all(users.to_text().as_bytes()).and_then(|()| out.sync_all()).map_err(with_path)?;
+    std::fs::rename(&temporary, file).map_err(with_path)
 }
