--- a/crates/daemon/src/cli/config.rs
+++ b/crates/daemon/src/cli/config.rs
@@ -399,7 +399,7 @@
         };
         return print_response(&Response { generation: Some(number), ..result }, json);
     }
-    fail(&format!("the result of generation {number} is not known: its probation did not end in time"))
+    fail(&format!("the result of generation {number} is not known"))
 }
 
 fn now() -> f64 {
