--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! The platform's configuration file, which a pooler reads at its start, and the routing settings in it. The
 //! adapter uses the same decoder for its settings.
 
-mod meaning;
+mod summary;
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use listing::ListUpdate;
 use routing::interface::{Class, Consistency, Dedup, Effect, Settings, WhenBehind};
 
-pub use meaning::{ConfigSummary, LoadReports, PlatformFacts};
+pub use summary::{ConfigSummary, LoadReports, PlatformFacts};
 
 /// Reason why a configuration cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
