--- a/crates/scale/src/commands.rs
+++ b/crates/scale/src/commands.rs
@@ -1,4 +1,5 @@
-//! The command's lines at a worker: read by a thread of their own, taken up between two turns of the loop.
+//! Commands received by a worker. A separate thread reads them; the worker takes them between two iterations
+//! of its event loop.
 
 use std::cell::Cell;
 use std::io::{self, BufRead, Write};
@@ -9,26 +10,26 @@
 
 use crate::protocol::{Assignment, Command, Reply};
 
-/// The lines that have come.
+/// Commands received and not taken yet.
 pub struct Commands {
-    lines: Receiver<Command>,
+    received: Receiver<Command>,
     waker: Arc<OnceLock<Waker>>,
     ended: Cell<bool>,
 }
 
 impl Commands {
-    /// Reads what the worker is to be, then commands until the input ends. A line that is none ends it as well.
+    /// Reads the assignment, then starts to read commands until the input ends or a line is not a command.
     pub fn read() -> io::Result<(Assignment, Commands)> {
         let mut first = String::new();
         io::stdin().lock().read_line(&mut first)?;
         let assignment = serde_json::from_str(&first)?;
-        let (sender, lines) = channel();
+        let (sender, received) = channel();
         let waker: Arc<OnceLock<Waker>> = Arc::default();
-        let wakes = waker.clone();
+        let thread_waker = waker.clone();
         std::thread::spawn(move || {
             let commands = io::stdin().lock().lines().map_while(Result::ok);
             let commands = commands.map_while(|line| serde_json::from_str(&line).ok());
-            let wake = || wakes.get().map(Waker::wake);
+            let wake = || thread_waker.get().map(Waker::wake);
             commands.for_each(|command| {
                 let _ = sender.send(command);
                 wake();
@@ -36,31 +37,31 @@
             drop(sender);
             wake();
         });
-        Ok((assignment, Commands { lines, waker, ended: Cell::new(false) }))
+        Ok((assignment, Commands { received, waker, ended: Cell::new(false) }))
     }
 
-    /// Wakes a poll with each line that comes, and with the end.
-    pub fn wake(&self, waker: Waker) {
-        // A line that came before is waited for: the poll is woken for it as well.
+    /// Sets the waker that is triggered for each command and for the end of the input.
+    pub fn set_waker(&self, waker: Waker) {
+        // A command may have arrived before the waker was set, so the poll is woken once here.
         let _ = waker.wake();
         let _ = self.waker.set(waker);
     }
 
-    /// The next command that has come.
+    /// Returns the next command, if one has been received.
     pub fn next(&self) -> Option<Command> {
-        let next = self.lines.try_recv();
+        let next = self.received.try_recv();
         self.ended.set(matches!(next, Err(TryRecvError::Disconnected)));
         next.ok()
     }
 
-    /// Whether the last call of [`Commands::next`] has found the end.
+    /// Returns true if the last call of [`Commands::next`] found the end of the input.
     pub fn ended(&self) -> bool {
         self.ended.get()
     }
 }
 
-/// Answers a command.
-pub fn answer(reply: &Reply) -> io::Result<()> {
+/// Writes the reply to a command.
+pub fn send_reply(reply: &Reply) -> io::Result<()> {
     let mut out = io::stdout().lock();
     serde_json::to_writer(&mut out, reply)?;
     out.write_all(b"\n")?;
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -1,36 +1,37 @@
-//! Why a run ends before its plan does.
+//! Errors that end a run early.
 
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 
-/// What stopped a run.
+/// Error that ended a run.
 #[derive(Debug)]
 pub enum ScaleError {
-    /// An option's value that cannot be used: the option, the value, and what is accepted.
+    /// Invalid value of an option: the option, the value, and the accepted values.
     Option(&'static str, String, String),
-    /// A plan that this machine cannot hold: what it needs, what there is, and of what.
-    BeyondMachine { what: &'static str, needed: u64, most: u64 },
-    /// The processes of the run took more resident memory together than the run may.
-    Memory { used: u64, most: u64 },
-    /// The machine was too busy for the figures to mean anything.
+    /// The run needs more of a resource than this host allows.
+    ExceedsHost { resource: &'static str, needed: u64, max: u64 },
+    /// The resident memory of all processes of the run exceeded the limit (bytes).
+    Memory { used: u64, max: u64 },
+    /// The host was too busy for meaningful figures.
     Overloaded { size: usize, late_s: f64, busy_percent: f64 },
-    /// The time that the run may take is over.
-    Time { most_s: u64 },
-    /// A signal asked the run to end.
+    /// The run reached its time limit.
+    TimeLimit { limit_s: u64 },
+    /// A signal ended the run.
     Interrupted,
-    /// A process of the run could not be started, ended, or answered nonsense.
+    /// A process of the run could not be started, ended early or sent an invalid reply.
     Process(String),
-    /// A file that cannot be read or written.
+    /// A file could not be read or written.
     File(PathBuf, io::Error),
 }
 
-/// A timer that comes later than this (seconds) means that the machine is too busy: half a lease, after which a pooler
-/// doubts itself and the figures are of that.
-pub const LATEST_TIMER: f64 = 0.225;
-/// A process that takes more of a core than this (percent) falls behind its own load.
-pub const BUSIEST_PERCENT: f64 = 80.0;
-const MEGABYTE: u64 = 1_000_000;
+/// Maximum delay of a timer (seconds). It is half a lease: with longer delays a pooler's own state becomes
+/// uncertain, and the figures would measure that instead.
+pub const MAX_TIMER_DELAY: f64 = 0.225;
+/// Maximum share of a core that a process of hollow poolers may use (percent). Above it, the process falls
+/// behind its own load.
+pub const MAX_PROCESS_PERCENT: f64 = 80.0;
+const BYTES_PER_MEGABYTE: u64 = 1_000_000;
 
 impl fmt::Display for ScaleError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -38,22 +39,22 @@
             ScaleError::Option(name, value, accepted) => {
                 write!(f, "{name}: '{value}' is not accepted; accepted: {accepted}")
             }
-            ScaleError::BeyondMachine { what, needed, most } => {
-                write!(f, "beyond this machine: the run needs {needed} {what}, and {most} are allowed")
+            ScaleError::ExceedsHost { resource, needed, max } => {
+                write!(f, "beyond this machine: the run needs {needed} {resource}, and {max} are allowed")
             }
-            ScaleError::Memory { used, most } => write!(
+            ScaleError::Memory { used, max } => write!(
                 f,
                 "stopped: the run's processes hold {} MB, and {} MB (half of the machine's memory) are allowed",
-                used / MEGABYTE,
-                most / MEGABYTE
+                used / BYTES_PER_MEGABYTE,
+                max / BYTES_PER_MEGABYTE
             ),
             ScaleError::Overloaded { size, late_s, busy_percent } => write!(
                 f,
-                "size {size} is beyond this machine: a timer came {late_s:.3} s late ({LATEST_TIMER} s are allowed), and a \
-                 process of hollow poolers took {busy_percent:.0}% of a core ({BUSIEST_PERCENT}% are allowed; see --per-process)"
+                "size {size} is beyond this machine: a timer came {late_s:.3} s late ({MAX_TIMER_DELAY} s are allowed), and a \
+                 process of hollow poolers took {busy_percent:.0}% of a core ({MAX_PROCESS_PERCENT}% are allowed; see --per-process)"
             ),
-            ScaleError::Time { most_s } => {
-                write!(f, "stopped: the run has taken the {most_s} s that --most-seconds allows")
+            ScaleError::TimeLimit { limit_s } => {
+                write!(f, "stopped: the run has taken the {limit_s} s that --most-seconds allows")
             }
             ScaleError::Interrupted => f.write_str("stopped by a signal"),
             ScaleError::Process(text) => f.write_str(text),
--- a/crates/scale/src/hollow/load.rs
+++ b/crates/scale/src/hollow/load.rs
@@ -1,5 +1,5 @@
-//! A modelled load at a pooler that talks to others: sessions write and read, the databases are not asked. What a read
-//! might see is held against what its session was answered.
+//! Modelled load at a hollow pooler: sessions write and read without members. Each read is checked against
+//! the answered writes of its session.
 
 use std::collections::VecDeque;
 
@@ -7,176 +7,192 @@
 use super::sessions::{Sessions, Ticket};
 use super::World;
 
-/// What each request of ten is.
+/// The kinds of ten successive requests.
 const PATTERN: [Request; 10] = {
     use Request::*;
     [Write, OwnRead, OtherRead, Write, OwnRead, OtherRead, Write, OwnRead, OtherRead, Write]
 };
-/// Sessions of a pooler, which write in turn.
-const SESSIONS: u64 = 1_000;
-/// Longest work of a write at its database (seconds).
-const WORK: f64 = 0.05;
-/// A write that waits for leave to be sent is refused after so long (seconds): 1.2 leases, as in the pooler.
-const HOLD: f64 = 1.2 * LEASE;
-/// Arrivals that are waited for at a time; the oldest is forgotten beyond.
-const MOST_ARRIVALS: usize = 1_000;
-/// A write is not answered any more, and an arrival not waited for, after so long (seconds): the deadline of writes.
-const GIVEN_UP: f64 = 3.0;
-const MICROSECONDS: f64 = 1e6;
+/// Number of sessions of a pooler, which write round-robin.
+const SESSIONS_PER_POOLER: u64 = 1_000;
+/// Maximum time of a write at its member (seconds).
+const MAX_WORK_TIME: f64 = 0.05;
+/// Maximum time for which a write is held until it may be sent (seconds): 1.2 leases, as in the real pooler.
+/// Then it is refused.
+const MAX_HOLD: f64 = 1.2 * LEASE;
+/// Maximum number of tracked arrivals; if there are more, the oldest one is dropped.
+const MAX_ARRIVALS: usize = 1_000;
+/// Time after which a write is not answered any more and an arrival is not tracked any more (seconds): the
+/// deadline of the class of writes.
+const WRITE_DEADLINE: f64 = 3.0;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 #[derive(Clone, Copy)]
 enum Request {
     /// A session of this pooler writes.
     Write,
-    /// The session that wrote here last reads.
+    /// The session that wrote last at this pooler reads.
     OwnRead,
-    /// A session that wrote at the next pooler reads here.
+    /// A session of the next pooler reads at this one.
     OtherRead,
 }
 
-/// A write that is under way.
+/// A write in progress.
 struct Write {
     ticket: Ticket,
     session: u64,
-    begun: f64,
-    /// How long it waited for leave to be sent (seconds).
-    held: f64,
+    begun_at: f64,
+    /// How long it was held until it might be sent (seconds).
+    hold_time: f64,
     stage: Stage,
 }
 
 enum Stage {
-    /// Waits for leave to be sent.
+    /// Held until it may be sent.
     Held,
-    /// Is at the database until then.
+    /// In progress at the member until this time.
     Sent(f64),
-    /// Waits for leave to be answered; the commit's position.
+    /// Committed at this position; held until it may be answered.
     Committed(f64),
 }
 
-/// The requests of a pooler.
+/// The modelled load of a pooler.
 pub(super) struct Load {
     number: usize,
     writes: Vec<Write>,
-    /// Sessions that came from another pooler and are not owned yet, with when they came.
+    /// Sessions that arrived from another pooler and still have to read at the primary, with their time of
+    /// arrival.
     arrivals: VecDeque<(u64, f64)>,
-    asked: usize,
-    written: u64,
+    requests_made: usize,
+    writes_begun: u64,
     rng: fastrand::Rng,
 }
 
 impl Load {
     pub fn new(number: usize, seed: u64) -> Load {
         let rng = fastrand::Rng::with_seed(seed);
-        Load { number, writes: Vec::new(), arrivals: VecDeque::new(), asked: number, written: 0, rng }
+        Load {
+            number,
+            writes: Vec::new(),
+            arrivals: VecDeque::new(),
+            requests_made: number,
+            writes_begun: 0,
+            rng,
+        }
     }
 
-    /// How long until the next request (seconds): evenly, a little off the beat of all others.
-    pub fn pause(&mut self, requests_per_s: f64) -> f64 {
+    /// Returns the time until the next request (seconds): 0.5 to 1.5 mean intervals, so that poolers don't
+    /// act in step.
+    pub fn next_interval(&mut self, requests_per_s: f64) -> f64 {
         (0.5 + self.rng.f64()) / requests_per_s
     }
 
-    /// The next request comes.
-    pub fn request(&mut self, known: &mut impl Sessions, world: &mut World) {
-        let request = PATTERN[self.asked % PATTERN.len()];
-        self.asked += 1;
+    /// Makes the next request.
+    pub fn request(&mut self, sessions: &mut impl Sessions, world: &mut World) {
+        let request = PATTERN[self.requests_made % PATTERN.len()];
+        self.requests_made += 1;
         match request {
-            Request::Write => self.write(known, world),
+            Request::Write => self.write(sessions, world),
             Request::OwnRead => {
-                let session = self.session(self.number, self.written.saturating_sub(1));
-                read(session, known, world);
+                let session = self.session_id(self.number, self.writes_begun.saturating_sub(1));
+                read(session, sessions, world);
             }
             Request::OtherRead => {
-                let (first, last) = world.fleet.poolers;
-                let next = if self.number + 1 < last { self.number + 1 } else { first };
-                let session = self.session(next, self.written.saturating_sub(1));
-                self.arrive(session, known, world);
+                let (first, end) = world.fleet.poolers;
+                let next = if self.number + 1 < end { self.number + 1 } else { first };
+                let session = self.session_id(next, self.writes_begun.saturating_sub(1));
+                self.arrive(session, sessions, world);
             }
         }
     }
 
-    /// A session that wrote at another pooler reads here.
-    fn arrive(&mut self, session: u64, known: &mut impl Sessions, world: &mut World) {
+    /// A session of another pooler reads here.
+    fn arrive(&mut self, session: u64, sessions: &mut impl Sessions, world: &mut World) {
         let now = world.clock.now();
-        read(session, known, world);
-        if self.arrivals.len() == MOST_ARRIVALS {
+        read(session, sessions, world);
+        if self.arrivals.len() == MAX_ARRIVALS {
             self.arrivals.pop_front();
         }
         self.arrivals.push_back((session, now));
-        self.go_on_with_arrivals(known, world);
+        self.advance_arrivals(sessions, world);
     }
 
-    /// Notes how long sessions that have arrived read at the primary.
-    fn go_on_with_arrivals(&mut self, known: &mut impl Sessions, world: &mut World) {
+    /// Records how long arrived sessions had to read at the primary.
+    fn advance_arrivals(&mut self, sessions: &mut impl Sessions, world: &mut World) {
         let now = world.clock.now();
         self.arrivals.retain(|(session, since)| {
-            let waits = known.need(now, &session_name(*session)).is_none();
-            if !waits {
-                world.load.arrivals_us.push(((now - since) * MICROSECONDS) as u64);
+            let at_primary = sessions.required_position(now, &session_name(*session)).is_none();
+            if !at_primary {
+                world.load.arrivals_us.push(((now - since) * MICROS_PER_SECOND) as u64);
             }
-            waits && now < since + GIVEN_UP
+            at_primary && now < since + WRITE_DEADLINE
         });
     }
 
-    fn session(&self, pooler: usize, written: u64) -> u64 {
-        pooler as u64 * SESSIONS + written % SESSIONS
+    fn session_id(&self, pooler: usize, writes_begun: u64) -> u64 {
+        pooler as u64 * SESSIONS_PER_POOLER + writes_begun % SESSIONS_PER_POOLER
     }
 
-    fn write(&mut self, known: &mut impl Sessions, world: &mut World) {
+    fn write(&mut self, sessions: &mut impl Sessions, world: &mut World) {
         let now = world.clock.now();
-        let session = self.session(self.number, self.written);
-        self.written += 1;
-        let Some(ticket) = known.write_begins(now, &session_name(session)) else {
+        let session = self.session_id(self.number, self.writes_begun);
+        self.writes_begun += 1;
+        let Some(ticket) = sessions.begin_write(now, &session_name(session)) else {
             world.load.refused += 1;
             return;
         };
-        self.writes.push(Write { ticket, session, begun: now, held: 0.0, stage: Stage::Held });
+        self.writes.push(Write { ticket, session, begun_at: now, hold_time: 0.0, stage: Stage::Held });
     }
 
-    /// Goes on with the writes under way; when the next of them is due.
-    pub fn go_on(&mut self, known: &mut impl Sessions, world: &mut World) -> f64 {
-        self.go_on_with_arrivals(known, world);
-        let mut due = f64::INFINITY;
+    /// Advances the arrivals and the writes in progress. Returns when the next write is due.
+    pub fn advance(&mut self, sessions: &mut impl Sessions, world: &mut World) -> f64 {
+        self.advance_arrivals(sessions, world);
+        let mut due_at = f64::INFINITY;
         let writes = std::mem::take(&mut self.writes);
         for mut write in writes {
-            if let Some(at) = self.step(&mut write, known, world) {
-                due = due.min(at);
+            if let Some(at) = self.advance_write(&mut write, sessions, world) {
+                due_at = due_at.min(at);
                 self.writes.push(write);
             }
         }
-        due
+        due_at
     }
 
-    /// One write goes on as far as it can; when it is due again, none once it is over.
-    fn step(&mut self, write: &mut Write, known: &mut impl Sessions, world: &mut World) -> Option<f64> {
+    /// Advances a write as far as possible. Returns when it is due again, or `None` if it has ended.
+    fn advance_write(
+        &mut self,
+        write: &mut Write,
+        sessions: &mut impl Sessions,
+        world: &mut World,
+    ) -> Option<f64> {
         let now = world.clock.now();
         if let Stage::Held = write.stage {
-            if !known.may_send(now, write.ticket) {
-                if now < write.begun + HOLD && !known.is_hopeless(now) {
-                    return Some(write.begun + HOLD);
+            if !sessions.may_send(now, write.ticket) {
+                if now < write.begun_at + MAX_HOLD && !sessions.cannot_be_sent(now) {
+                    return Some(write.begun_at + MAX_HOLD);
                 }
-                known.forget(now, write.ticket);
+                sessions.forget(now, write.ticket);
                 world.load.refused += 1;
                 return None;
             }
-            write.held = now - write.begun;
-            write.stage = Stage::Sent(now + WORK * self.rng.f64());
+            write.hold_time = now - write.begun_at;
+            write.stage = Stage::Sent(now + MAX_WORK_TIME * self.rng.f64());
         }
         if let Stage::Sent(until) = write.stage {
             if now < until {
                 return Some(until);
             }
-            known.write_committed(now, write.ticket, now);
+            sessions.write_committed(now, write.ticket, now);
             write.stage = Stage::Committed(now);
         }
         let Stage::Committed(position) = write.stage else { return None };
-        if !known.may_answer(now, write.ticket) {
-            return (now < write.begun + GIVEN_UP).then_some(write.begun + GIVEN_UP);
+        if !sessions.may_answer(now, write.ticket) {
+            return (now < write.begun_at + WRITE_DEADLINE).then_some(write.begun_at + WRITE_DEADLINE);
         }
-        known.forget(now, write.ticket);
+        sessions.forget(now, write.ticket);
         world.load.answered += 1;
-        world.load.waits_us.push(((write.held + now - position) * MICROSECONDS) as u64);
-        let known = world.answered.entry(write.session).or_insert(position);
-        *known = known.max(position);
+        world.load.waits_us.push(((write.hold_time + now - position) * MICROS_PER_SECOND) as u64);
+        let latest = world.answered_positions.entry(write.session).or_insert(position);
+        *latest = latest.max(position);
         None
     }
 }
@@ -185,10 +201,11 @@
     format!("s{session}")
 }
 
-/// A session reads: what it may see is held against what it was answered, whichever pooler answered it.
-fn read(session: u64, known: &mut impl Sessions, world: &mut World) {
-    let answered = world.answered.get(&session).copied().unwrap_or(f64::NEG_INFINITY);
-    match known.need(world.clock.now(), &session_name(session)) {
+/// A session reads. The position that the read requires is checked against the position of the session's
+/// latest answered write at any pooler of the process.
+fn read(session: u64, sessions: &mut impl Sessions, world: &mut World) {
+    let answered = world.answered_positions.get(&session).copied().unwrap_or(f64::NEG_INFINITY);
+    match sessions.required_position(world.clock.now(), &session_name(session)) {
         Some(position) => {
             world.load.reads_anywhere += 1;
             world.load.stale += u64::from(position < answered);
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -1,5 +1,6 @@
-//! Hollow poolers: the state machines of a pooler ([`routing::Policy`], [`listing::follow`], [`replication::Node`]) over
-//! real sockets on loopback, many to a process, without clients and without connections to databases.
+//! Hollow poolers: the state machines of a pooler ([`routing::Policy`], [`listing::follow`],
+//! [`replication::Node`], [`directory::Client`]) over real sockets on loopback, many in a process, without
+//! clients and server connections.
 
 mod directory;
 mod load;
@@ -23,12 +24,12 @@
 use crate::traffic::Traffic;
 use timers::Timers;
 
-/// Bytes that the buffers of all poolers of a process may take together.
-const BUFFERS: usize = 2 << 30;
-/// The zone in which discovery stands.
+/// Maximum size of the buffers of all poolers of a process together (bytes).
+const BUFFER_BUDGET_BYTES: usize = 2 << 30;
+/// The zone of discovery.
 const DISCOVERY_ZONE: usize = 0;
 
-/// What all poolers of a process share.
+/// State shared by all poolers of a process.
 struct World {
     clock: Clock,
     network: Network,
@@ -38,27 +39,27 @@
     budget: Budget,
     traffic: Traffic,
     /// Zones that are cut off from all others.
-    cut: Vec<usize>,
-    /// When each pooler heard of each version of the list: the version, its place, and Unix seconds.
-    heard: Vec<(u64, usize, f64)>,
-    /// The primary that word is expected of: its group and name.
-    expected: Option<(u32, String)>,
-    /// When each pooler had word of it: its place, and Unix seconds.
-    heard_primary: BTreeMap<usize, f64>,
+    cut_zones: Vec<usize>,
+    /// When each pooler received each version of the list: the version, the pooler's index, and Unix seconds.
+    list_received: Vec<(u64, usize, f64)>,
+    /// The primary of which reports are expected: its group and name.
+    expected_primary: Option<(u32, String)>,
+    /// When each pooler received a report of it: the pooler's index, and Unix seconds.
+    primary_received: BTreeMap<usize, f64>,
     load: LoadCounts,
-    /// The position of each session's latest answered write, whichever pooler answered it.
-    answered: HashMap<u64, f64>,
+    /// Position of each session's latest answered write at any pooler of the process.
+    answered_positions: HashMap<u64, f64>,
     streams_wanted: u64,
 }
 
 impl World {
-    /// Whether nothing passes between two zones.
-    fn apart(&self, zone: usize, other: usize) -> bool {
-        self.cut.contains(&zone) != self.cut.contains(&other)
+    /// Returns true if a partition separates two zones.
+    fn is_partitioned(&self, zone: usize, other: usize) -> bool {
+        self.cut_zones.contains(&zone) != self.cut_zones.contains(&other)
     }
 
-    /// How far a pooler's discovery is.
-    fn way_to_discovery(zone: usize) -> Distance {
+    /// Returns the distance from a zone to discovery.
+    fn distance_to_discovery(zone: usize) -> Distance {
         Distance::between(zone, DISCOVERY_ZONE)
     }
 }
--- a/crates/scale/src/hollow/timers.rs
+++ b/crates/scale/src/hollow/timers.rs
@@ -1,71 +1,72 @@
-//! Timers of all poolers of a process. None is withdrawn: whoever is told looks whether it still matters.
+//! Timers of all poolers of a process. Timers are never cancelled: their owner checks whether they still
+//! apply.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-const NANOSECONDS: f64 = 1e9;
+const NANOS_PER_SECOND: f64 = 1e9;
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Due {
+pub(super) enum TimerKind {
     /// The pooler starts.
     Start,
-    /// A timer of the decisions, with its cookie.
+    /// A timer of the policy, with its cookie.
     Policy(u64),
-    /// The connections to discovery are to be looked at.
+    /// The connections to discovery are due for a check.
     Discovery,
-    /// Other poolers are to be asked, answered or looked at.
+    /// The state exchange or the session directory is due.
     Peers,
-    /// The next request of the modelled load comes.
+    /// The next request of the modelled load is due.
     Request,
 }
 
-/// Which life of which pooler a timer belongs to.
+/// The pooler and its generation that a timer belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Owner {
-    /// Its place in this process.
-    pub place: usize,
-    /// Rises with each start: a timer of an earlier life is passed over.
-    pub life: u32,
+    /// Index of the pooler in this process.
+    pub index: usize,
+    /// Increases with each start and kill of the pooler. Timers of earlier generations are ignored.
+    pub generation: u32,
 }
 
-/// Timers, the earliest first; those of one time in the order in which they were set.
+/// Pending timers, earliest first; those with equal times in the order in which they were set.
 #[derive(Default)]
 pub(super) struct Timers {
-    heap: BinaryHeap<Reverse<(u64, u64, Owner, Due)>>,
-    set: u64,
-    /// By how much the latest timer since the last look came late (seconds).
-    latest: f64,
+    heap: BinaryHeap<Reverse<(u64, u64, Owner, TimerKind)>>,
+    set_count: u64,
+    /// Maximum delay of a timer since the last call of [`Timers::take_max_delay`] (seconds).
+    max_delay: f64,
 }
 
 impl Timers {
-    pub fn set(&mut self, at: f64, owner: Owner, due: Due) {
-        self.set += 1;
-        self.heap.push(Reverse(((at * NANOSECONDS) as u64, self.set, owner, due)));
+    pub fn set(&mut self, at: f64, owner: Owner, kind: TimerKind) {
+        self.set_count += 1;
+        self.heap.push(Reverse(((at * NANOS_PER_SECOND) as u64, self.set_count, owner, kind)));
     }
 
-    /// How long until the next timer.
-    pub fn patience(&self, now: f64) -> Option<Duration> {
+    /// Returns the time until the next timer.
+    pub fn time_to_next(&self, now: f64) -> Option<Duration> {
         let Reverse((at, ..)) = self.heap.peek()?;
-        let seconds = *at as f64 / NANOSECONDS - now;
+        let seconds = *at as f64 / NANOS_PER_SECOND - now;
         Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::ZERO))
     }
 
-    /// What came due by `now`.
-    pub fn due(&mut self, now: f64) -> Option<(Owner, Due)> {
-        let Reverse((at, _, owner, due)) = *self.heap.peek()?;
-        let late = now - at as f64 / NANOSECONDS;
-        if late < 0.0 {
+    /// Removes and returns the earliest timer if it is due at `now`.
+    pub fn pop_due(&mut self, now: f64) -> Option<(Owner, TimerKind)> {
+        let Reverse((at, _, owner, kind)) = *self.heap.peek()?;
+        let delay = now - at as f64 / NANOS_PER_SECOND;
+        if delay < 0.0 {
             return None;
         }
         self.heap.pop();
-        self.latest = self.latest.max(late);
-        Some((owner, due))
+        self.max_delay = self.max_delay.max(delay);
+        Some((owner, kind))
     }
 
-    /// By how much the latest timer since the last call came late (seconds).
-    pub fn take_latest(&mut self) -> f64 {
-        std::mem::take(&mut self.latest)
+    /// Returns the maximum delay of a timer since the last call (seconds).
+    pub fn take_max_delay(&mut self) -> f64 {
+        std::mem::take(&mut self.max_delay)
     }
 }
--- a/crates/scale/src/hollow/watch.rs
+++ b/crates/scale/src/hollow/watch.rs
@@ -1,4 +1,4 @@
-//! A connection on which a hollow pooler follows the list, as the pooler has it.
+//! A connection on which a hollow pooler follows the list, as in the real pooler.
 
 use std::net::SocketAddr;
 
@@ -7,37 +7,37 @@
 use listing::follow::ConnectionId;
 use mio::net::TcpStream;
 
-/// The connection.
+/// A connection to discovery.
 pub(super) struct Watch {
-    pub line: ConnectionId,
+    pub id: ConnectionId,
     pub stream: TcpStream,
     connection: Connection,
 }
 
 impl Watch {
-    /// Calls for what has changed since that version.
+    /// Connects and requests the changes since version `since`.
     pub fn open(
-        line: ConnectionId,
+        id: ConnectionId,
         address: SocketAddr,
         since: u64,
         budget: &Budget,
     ) -> Result<Watch, ConnectionError> {
         let stream = TcpStream::connect(address).map_err(|_| "no connection")?;
-        Ok(Watch { line, stream, connection: Connection::new(address, since, budget)? })
+        Ok(Watch { id, stream, connection: Connection::new(address, since, budget)? })
     }
 
-    /// Whether a document has begun and not ended.
-    pub fn begun(&self) -> bool {
+    /// Returns true if a document has begun and not ended.
+    pub fn in_document(&self) -> bool {
         self.connection.in_document()
     }
 
-    /// What has passed since the last call.
-    pub fn take_passed(&mut self) -> ByteCounts {
+    /// Returns the bytes sent and received since the last call.
+    pub fn take_byte_counts(&mut self) -> ByteCounts {
         self.connection.take_byte_counts()
     }
 
-    /// Writes and reads as far as it goes; `pieces` takes what is whole of the answer.
-    pub fn turn(&mut self, pieces: &mut Vec<json::Piece>) -> Result<(), ConnectionError> {
+    /// Writes and reads until it would block. Appends the complete documents and empty lines to `pieces`.
+    pub fn transfer(&mut self, pieces: &mut Vec<json::Piece>) -> Result<(), ConnectionError> {
         if self.stream.peer_addr().is_err() {
             return match self.stream.take_error() {
                 Ok(None) => Ok(()),
--- a/crates/scale/src/hollow/worker.rs
+++ b/crates/scale/src/hollow/worker.rs
@@ -1,50 +1,51 @@
-//! A process of hollow poolers: one thread, one poll, the command's lines between turns.
+//! A process of hollow poolers: one thread with one event loop, which handles commands between two
+//! iterations.
 
 use std::io;
 
 use buffer::Budget;
 use mio::{Events, Poll, Token, Waker};
 
-use super::pooler::{Pooler, SOURCES};
-use super::timers::{Due, Owner, Timers};
-use super::{World, BUFFERS};
+use super::pooler::{Pooler, SOURCES_PER_POOLER};
+use super::timers::{Owner, TimerKind, Timers};
+use super::{World, BUFFER_BUDGET_BYTES};
 use crate::clock::Clock;
-use crate::commands::{answer, Commands};
+use crate::commands::{send_reply, Commands};
 use crate::protocol::{Command, HollowFleet, LoadCounts, Reply, Sample, State};
 use crate::traffic::Traffic;
 
-/// Events fetched in one go.
-const BATCH: usize = 1_024;
-/// The token of the command's lines.
+/// Maximum number of events per poll.
+const MAX_EVENTS: usize = 1_024;
+/// Token of the waker for commands.
 const COMMANDS: Token = Token(usize::MAX);
 
 /// The poolers and what they share.
 struct Worker {
     world: World,
-    /// By place; none where one does not run.
+    /// By index; `None` for a pooler that does not run.
     poolers: Vec<Option<Pooler>>,
-    lives: Vec<u32>,
+    generations: Vec<u32>,
 }
 
-/// Runs until the command's lines end.
+/// Runs until the input with commands ends.
 pub fn run(fleet: HollowFleet, commands: Commands) -> io::Result<()> {
     let mut poll = Poll::new()?;
-    commands.wake(Waker::new(poll.registry(), COMMANDS)?);
+    commands.set_waker(Waker::new(poll.registry(), COMMANDS)?);
     let mut worker = Worker::new(fleet, &poll)?;
-    answer(&Reply::Ready)?;
-    let mut events = Events::with_capacity(BATCH);
+    send_reply(&Reply::Ready)?;
+    let mut events = Events::with_capacity(MAX_EVENTS);
     loop {
-        let patience = worker.world.timers.patience(worker.world.clock.now());
-        match poll.poll(&mut events, patience) {
+        let timeout = worker.world.timers.time_to_next(worker.world.clock.now());
+        match poll.poll(&mut events, timeout) {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
             result => result?,
         }
         for event in &events {
-            worker.ready(event.token());
+            worker.on_ready(event.token());
         }
-        worker.timers()?;
+        worker.process_timers()?;
         while let Some(command) = commands.next() {
-            answer(&worker.command(command))?;
+            send_reply(&worker.execute(command))?;
         }
         if commands.ended() {
             return Ok(());
@@ -61,63 +62,64 @@
             fleet,
             registry: poll.registry().try_clone()?,
             timers: Timers::default(),
-            budget: Budget::new(BUFFERS),
+            budget: Budget::new(BUFFER_BUDGET_BYTES),
             traffic: Traffic::default(),
-            cut: Vec::new(),
-            heard: Vec::new(),
-            expected: None,
-            heard_primary: Default::default(),
+            cut_zones: Vec::new(),
+            list_received: Vec::new(),
+            expected_primary: None,
+            primary_received: Default::default(),
             load: LoadCounts::default(),
-            answered: Default::default(),
+            answered_positions: Default::default(),
             streams_wanted: 0,
         };
         let poolers = (0..count).map(|_| None).collect();
-        Ok(Worker { world, poolers, lives: vec![0; count] })
+        Ok(Worker { world, poolers, generations: vec![0; count] })
     }
 
-    /// The poolers of all workers start evenly over the time that is given.
+    /// Schedules the starts of the poolers. The starts of all workers together are evenly distributed over
+    /// `start_within_s`.
     fn schedule_starts(&mut self) {
         let (now, first) = (self.world.clock.now(), self.world.fleet.poolers.0);
-        let step = self.world.fleet.start_within_s / self.world.fleet.fleet as f64;
-        for place in 0..self.poolers.len() {
-            let at = now + step * (first + place) as f64;
-            self.world.timers.set(at, Owner { place, life: 0 }, Due::Start);
+        let interval = self.world.fleet.start_within_s / self.world.fleet.fleet as f64;
+        for index in 0..self.poolers.len() {
+            let at = now + interval * (first + index) as f64;
+            self.world.timers.set(at, Owner { index, generation: 0 }, TimerKind::Start);
         }
     }
 
-    fn ready(&mut self, token: Token) {
+    fn on_ready(&mut self, token: Token) {
         if token == COMMANDS {
             return;
         }
-        if let Some(Some(pooler)) = self.poolers.get_mut(token.0 / SOURCES) {
-            pooler.ready(token.0 % SOURCES, &mut self.world);
+        if let Some(Some(pooler)) = self.poolers.get_mut(token.0 / SOURCES_PER_POOLER) {
+            pooler.on_ready(token.0 % SOURCES_PER_POOLER, &mut self.world);
         }
     }
 
-    fn timers(&mut self) -> io::Result<()> {
+    fn process_timers(&mut self) -> io::Result<()> {
         let now = self.world.clock.now();
-        while let Some((owner, due)) = self.world.timers.due(now) {
-            if self.lives[owner.place] != owner.life {
+        while let Some((owner, kind)) = self.world.timers.pop_due(now) {
+            if self.generations[owner.index] != owner.generation {
                 continue;
             }
-            match (due, &mut self.poolers[owner.place]) {
-                (Due::Start, None) => self.start(owner.place)?,
-                (due, Some(pooler)) => pooler.due(due, &mut self.world),
+            match (kind, &mut self.poolers[owner.index]) {
+                (TimerKind::Start, None) => self.start(owner.index)?,
+                (kind, Some(pooler)) => pooler.on_timer(kind, &mut self.world),
                 _ => {}
             }
         }
         Ok(())
     }
 
-    fn start(&mut self, place: usize) -> io::Result<()> {
-        let number = self.world.fleet.poolers.0 + place;
-        self.lives[place] += 1;
-        let owner = Owner { place, life: self.lives[place] };
-        self.poolers[place] = Some(Pooler::start(number, owner, &mut self.world)?);
+    fn start(&mut self, index: usize) -> io::Result<()> {
+        let number = self.world.fleet.poolers.0 + index;
+        self.generations[index] += 1;
+        let owner = Owner { index, generation: self.generations[index] };
+        self.poolers[index] = Some(Pooler::start(number, owner, &mut self.world)?);
         Ok(())
     }
 
-    fn command(&mut self, command: Command) -> Reply {
+    fn execute(&mut self, command: Command) -> Reply {
         match command {
             Command::Begin => {
                 self.schedule_starts();
@@ -125,31 +127,32 @@
             }
             Command::Sample => Reply::Sample(Box::new(self.sample())),
             Command::State => Reply::State(self.state()),
-            Command::Heard(version) => Reply::Heard(self.heard(version)),
-            Command::ExpectPrimary(group, database) => {
-                self.world.expected = Some((group, database));
-                self.world.heard_primary.clear();
+            Command::ListTimes(version) => Reply::Times(self.list_times(version)),
+            Command::ExpectPrimary(group, member) => {
+                self.world.expected_primary = Some((group, member));
+                self.world.primary_received.clear();
                 Reply::Done
             }
-            Command::FindPrimary { pooler, database } => {
-                let place = self.places(&[pooler]).first().copied();
-                if let Some(pooler) = place.and_then(|place| self.poolers[place].as_mut()) {
-                    pooler.finds_primary(&database, &mut self.world);
+            Command::ObservePrimary { pooler, database: member } => {
+                let index = self.indices(&[pooler]).first().copied();
+                if let Some(pooler) = index.and_then(|index| self.poolers[index].as_mut()) {
+                    pooler.observe_primary(&member, &mut self.world);
                 }
                 Reply::Done
             }
-            Command::HeardPrimary => Reply::Heard(self.world.heard_primary.values().copied().collect()),
+            Command::PrimaryTimes => Reply::Times(self.world.primary_received.values().copied().collect()),
             Command::Cut(zones) => {
-                self.world.cut = zones;
-                // What waits at a socket is not told again: it is looked at now.
+                self.world.cut_zones = zones;
+                // Data that arrived at a socket during a partition causes no further event, so it is read
+                // now.
                 let running = self.poolers.iter_mut().flatten();
-                running.for_each(|pooler| pooler.look_at_watches(&mut self.world));
+                running.for_each(|pooler| pooler.process_watches(&mut self.world));
                 Reply::Done
             }
             Command::Kill(numbers) => {
-                for place in self.places(&numbers) {
-                    self.poolers[place] = None;
-                    self.lives[place] += 1;
+                for index in self.indices(&numbers) {
+                    self.poolers[index] = None;
+                    self.generations[index] += 1;
                 }
                 Reply::Done
             }
@@ -159,25 +162,25 @@
     }
 
     fn start_all(&mut self, numbers: &[usize]) -> Reply {
-        for place in self.places(numbers) {
-            if self.poolers[place].is_some() {
+        for index in self.indices(numbers) {
+            if self.poolers[index].is_some() {
                 continue;
             }
-            if let Err(error) = self.start(place) {
+            if let Err(error) = self.start(index) {
                 return Reply::Failed(error.to_string());
             }
         }
         Reply::Done
     }
 
-    /// The places of those numbers that are here.
-    fn places(&self, numbers: &[usize]) -> Vec<usize> {
-        let (first, last) = self.world.fleet.poolers;
-        numbers.iter().filter(|n| (first..last).contains(n)).map(|n| n - first).collect()
+    /// Returns the indices of those poolers that this worker has.
+    fn indices(&self, numbers: &[usize]) -> Vec<usize> {
+        let (first, end) = self.world.fleet.poolers;
+        numbers.iter().filter(|n| (first..end).contains(n)).map(|n| n - first).collect()
     }
 
     fn sample(&mut self) -> Sample {
-        let latest_timer_s = self.world.timers.take_latest();
+        let latest_timer_s = self.world.timers.take_max_delay();
         let sample = Sample {
             at: self.world.clock.now(),
             traffic: self.world.traffic.clone(),
@@ -194,10 +197,10 @@
         let now = self.world.clock.now();
         for pooler in self.poolers.iter_mut().flatten() {
             state.running += 1;
-            state.lists.push((pooler.version, pooler.list_sum()));
+            state.lists.push((pooler.version, pooler.list_checksum()));
             if let Some(peers) = &mut pooler.peers {
                 state.alive.push(peers.node.reachable_instances());
-                state.whole.push(peers.node.primary_reason(now).is_none());
+                state.can_read_replicas.push(peers.node.primary_reason(now).is_none());
             }
             if let Some(directory) = &pooler.directory {
                 state.quorate.push(directory.is_quorate(now));
@@ -206,12 +209,13 @@
         state
     }
 
-    /// When each pooler first heard of that version, or of a later one. Earlier versions are forgotten.
-    fn heard(&mut self, version: u64) -> Vec<f64> {
-        self.world.heard.retain(|(of, _, _)| *of >= version);
+    /// Returns when each pooler first received this version of the list or a later one. Forgets earlier
+    /// versions.
+    fn list_times(&mut self, version: u64) -> Vec<f64> {
+        self.world.list_received.retain(|(received_version, _, _)| *received_version >= version);
         let mut first = std::collections::BTreeMap::new();
-        for (_, place, at) in &self.world.heard {
-            first.entry(*place).or_insert(*at);
+        for (_, index, at) in &self.world.list_received {
+            first.entry(*index).or_insert(*at);
         }
         first.into_values().collect()
     }
--- a/crates/scale/src/kinds/change.rs
+++ b/crates/scale/src/kinds/change.rs
@@ -1,75 +1,80 @@
-//! Something changes: how soon all poolers have heard.
+//! Measures how soon a change has reached all poolers.
 
 use super::{Kind, Measurement};
 use crate::error::ScaleError;
 use crate::fleet::Fleet;
 use crate::protocol::Command;
-use crate::settings::database_name;
+use crate::settings::member_name;
 
-/// Pause between two changes (seconds), after all have heard of the first.
-const PAUSE: f64 = 0.2;
+/// Delay between a change that has reached all poolers and the next one, and interval between two queries for
+/// reports of a new primary (seconds).
+const CHANGE_INTERVAL: f64 = 0.2;
 
-/// A database leaves the list and comes back, as often as the options say.
-pub fn list(fleet: &mut Fleet, repeat: usize) -> Result<Measurement, ScaleError> {
-    let mut measured = Measurement::new(Kind::ChangeList, fleet, repeat);
-    let (mut times, mut last) = (Vec::new(), Vec::new());
+/// Alternately removes a member from the list and puts it back, as often as `--changes` says.
+pub fn list_changes(fleet: &mut Fleet, repeat: usize) -> Result<Measurement, ScaleError> {
+    let mut measurement = Measurement::new(Kind::ChangeList, fleet, repeat);
+    let (mut delays, mut last_delays) = (Vec::new(), Vec::new());
     let poolers = fleet.hollow_poolers().len();
     for change in 0..fleet.run.options.changes {
-        // A database leaves with each even change and is back with the next.
-        let (database, serving) = ((change / 2) % fleet.run.options.databases, change % 2 == 1);
-        let (version, at) = fleet.change_list(database, serving)?;
-        if fleet.settle(fleet.size)?.is_none() {
-            measured.faults.push(format!("the fleet has not come to rest after version {version}"));
+        // Each even change removes a member; the next one puts it back.
+        let (member, serving) = ((change / 2) % fleet.run.options.databases, change % 2 == 1);
+        let (version, at) = fleet.change_list(member, serving)?;
+        if fleet.wait_until_converged(fleet.size)?.is_none() {
+            measurement
+                .faults
+                .push(format!("the fleet did not converge after version {version} of the list"));
         }
-        let heard: Vec<f64> = fleet.heard(version)?.iter().map(|heard| heard - at).collect();
-        measured.expect(heard.len() == poolers, || {
-            format!("{} of {poolers} have heard of version {version}", heard.len())
+        let received: Vec<f64> =
+            fleet.list_times(version)?.iter().map(|received_at| received_at - at).collect();
+        measurement.check(received.len() == poolers, || {
+            format!("{} of {poolers} poolers received version {version} of the list", received.len())
         });
-        last.push(heard.iter().copied().fold(0.0, f64::max));
-        times.extend(heard);
-        fleet.wait(PAUSE)?;
+        last_delays.push(received.iter().copied().fold(0.0, f64::max));
+        delays.extend(received);
+        fleet.wait(CHANGE_INTERVAL)?;
     }
-    measured.times("heard", &times);
-    measured.times("last_heard", &last);
-    measured.check_lists(fleet)?;
-    Ok(measured)
+    measurement.record_times("heard", &delays);
+    measurement.record_times("last_heard", &last_delays);
+    measurement.check_lists(fleet)?;
+    Ok(measurement)
 }
 
-/// One pooler finds out that a database is the primary of its group, each time of another group: how soon all others that
-/// it talks to have word of it.
-pub fn primary(fleet: &mut Fleet, repeat: usize) -> Result<Measurement, ScaleError> {
-    let mut measured = Measurement::new(Kind::ChangePrimary, fleet, repeat);
-    let (mut times, mut last) = (Vec::new(), Vec::new());
+/// One pooler observes that a member is the primary of its group, for each change in another group. Measures
+/// how soon all other poolers have received the report.
+pub fn primary_changes(fleet: &mut Fleet, repeat: usize) -> Result<Measurement, ScaleError> {
+    let mut measurement = Measurement::new(Kind::ChangePrimary, fleet, repeat);
+    let (mut delays, mut last_delays) = (Vec::new(), Vec::new());
     let (databases, group_size) = (fleet.run.options.databases, fleet.run.options.group);
     let poolers = fleet.hollow_poolers();
     for change in 0..fleet.run.options.changes.min(databases.div_ceil(group_size)) {
-        let name = database_name(change * group_size);
-        fleet.ask(&Command::ExpectPrimary(change as u32, name.clone()))?;
+        let name = member_name(change * group_size);
+        fleet.request(&Command::ExpectPrimary(change as u32, name.clone()))?;
         let pooler = poolers.start + change % poolers.len();
         let at = fleet.run.clock.now();
-        fleet.ask(&Command::FindPrimary { pooler, database: name })?;
-        // The one that finds it needs no word of it.
-        let others = poolers.len() - 1;
-        let heard = heard_primary(fleet, others)?;
-        measured.expect(heard.len() == others, || {
-            format!("{} of {others} have heard of primary {change}", heard.len())
+        fleet.request(&Command::ObservePrimary { pooler, database: name })?;
+        // The pooler that observed the primary receives no report.
+        let other_poolers = poolers.len() - 1;
+        let received = wait_for_reports(fleet, other_poolers)?;
+        measurement.check(received.len() == other_poolers, || {
+            format!("{} of {other_poolers} poolers received the report of primary {change}", received.len())
         });
-        last.push(heard.iter().copied().fold(at, f64::max) - at);
-        times.extend(heard.iter().map(|heard| heard - at));
+        last_delays.push(received.iter().copied().fold(at, f64::max) - at);
+        delays.extend(received.iter().map(|received_at| received_at - at));
     }
-    measured.times("heard", &times);
-    measured.times("last_heard", &last);
-    Ok(measured)
+    measurement.record_times("heard", &delays);
+    measurement.record_times("last_heard", &last_delays);
+    Ok(measurement)
 }
 
-/// Waits until so many poolers have word of the primary that is expected; when each of those had that have.
-fn heard_primary(fleet: &mut Fleet, poolers: usize) -> Result<Vec<f64>, ScaleError> {
-    let until = fleet.run.clock.now() + fleet.run.options.settle;
+/// Waits until `poolers` poolers have received a report of the expected primary, or the time limit is over.
+/// Returns the times at which the reports were received.
+fn wait_for_reports(fleet: &mut Fleet, poolers: usize) -> Result<Vec<f64>, ScaleError> {
+    let deadline = fleet.run.clock.now() + fleet.run.options.settle;
     loop {
-        let heard = fleet.gather(&Command::HeardPrimary)?;
-        if heard.len() == poolers || fleet.run.clock.now() > until {
-            return Ok(heard);
+        let received = fleet.collect_times(&Command::PrimaryTimes)?;
+        if received.len() == poolers || fleet.run.clock.now() > deadline {
+            return Ok(received);
         }
-        fleet.wait(PAUSE)?;
+        fleet.wait(CHANGE_INTERVAL)?;
     }
 }
--- a/crates/scale/src/kinds/join.rs
+++ b/crates/scale/src/kinds/join.rs
@@ -1,37 +1,40 @@
-//! All poolers of a fleet start, at once or within a time that is given, until all hold the list and know each other.
+//! Measures the start of all poolers of a fleet, at once or distributed over `--start-within`, until the
+//! fleet has converged.
 
 use super::{Kind, Measurement};
 use crate::error::ScaleError;
 use crate::fleet::Fleet;
 use crate::traffic::Direction;
 
-/// Starts the poolers of a fleet.
+/// Starts the poolers of a fleet and measures until it has converged.
 pub fn run(fleet: &mut Fleet, repeat: usize) -> Result<Measurement, ScaleError> {
-    let mut measured = Measurement::new(Kind::Join, fleet, repeat);
+    let mut measurement = Measurement::new(Kind::Join, fleet, repeat);
     let before = fleet.sample()?;
-    let begun = fleet.begin(repeat)?;
-    let settled = fleet.settle(fleet.size)?;
+    let started_at = fleet.start_poolers(repeat)?;
+    let converged_at = fleet.wait_until_converged(fleet.size)?;
     let after = fleet.sample()?;
     let interval = fleet.interval(&before, &after);
-    let heard: Vec<f64> = fleet.heard(1)?.iter().map(|at| at - begun).collect();
-    measured.times("list_held", &heard);
+    let list_delays: Vec<f64> = fleet.list_times(1)?.iter().map(|at| at - started_at).collect();
+    measurement.record_times("list_held", &list_delays);
     let poolers = fleet.hollow_poolers().len();
-    measured.expect(heard.len() == poolers, || format!("{} of {poolers} have a list", heard.len()));
-    match settled {
-        Some(at) => measured.figure("settled_s", at - begun),
+    measurement.check(list_delays.len() == poolers, || {
+        format!("{} of {poolers} poolers have a list", list_delays.len())
+    });
+    match converged_at {
+        Some(at) => measurement.record("settled_s", at - started_at),
         None => {
-            let standing = fleet.standing(false)?.hollow;
-            measured.faults.push(format!("the fleet has not come to rest: {}", standing.summary()));
+            let state = fleet.state(false)?.hollow;
+            measurement.faults.push(format!("the fleet did not converge: {}", state.summary()));
         }
     }
     if poolers > 0 {
-        let each = 1.0 / poolers as f64;
-        measured.traffic = interval.traffic.scaled(each);
+        let per_pooler = 1.0 / poolers as f64;
+        measurement.traffic = interval.traffic.scaled(per_pooler);
         let sent = interval.traffic.sum(|(_, _, direction)| *direction == Direction::Sent);
         let received = interval.traffic.sum(|(_, _, direction)| *direction == Direction::Received);
-        measured.figure("sent_bytes", sent.bytes * each);
-        measured.figure("received_bytes", received.bytes * each);
-        measured.figure("processor_s", interval.hollow_processor_s * each);
+        measurement.record("sent_bytes", sent.bytes * per_pooler);
+        measurement.record("received_bytes", received.bytes * per_pooler);
+        measurement.record("processor_s", interval.hollow_processor_s * per_pooler);
     }
-    Ok(measured)
+    Ok(measurement)
 }
--- a/crates/scale/src/kinds/mod.rs
+++ b/crates/scale/src/kinds/mod.rs
@@ -1,4 +1,4 @@
-//! Kinds of run: what happens to a fleet, and what is measured of it.
+//! Kinds of run: what happens to a fleet, and which figures are measured.
 
 mod change;
 mod hold;
@@ -19,9 +19,9 @@
 
 pub use join::run as join;
 
-/// Significant digits of a distribution.
-const DIGITS: u8 = 3;
-const MICROSECONDS: f64 = 1e6;
+/// Significant digits of the values in a distribution.
+const SIGNIFICANT_DIGITS: u8 = 3;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// What happens to a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
@@ -31,19 +31,19 @@
     Join,
     /// Nothing happens.
     Hold,
-    /// A database leaves the list, or comes back.
+    /// A member is removed from the list, or put back.
     ChangeList,
-    /// One pooler finds a new primary; the others hear of it where they talk.
+    /// One pooler observes a new primary and reports it to the others. Only where poolers exchange state.
     ChangePrimary,
-    /// One pooler is killed and starts again.
+    /// One pooler is killed and restarted.
     LoseOne,
-    /// A tenth of the poolers are killed and start again.
+    /// A tenth of the poolers are killed and restarted.
     LoseTenth,
-    /// The poolers of a zone are killed and start again.
+    /// The poolers of a zone are killed and restarted.
     LoseZone,
-    /// The poolers of a region are cut off from all others and from discovery, and are back later.
+    /// The poolers of a region are cut off from all others and from discovery, and reconnected later.
     LoseRegion,
-    /// A control instance is killed and starts again.
+    /// A control instance is killed and restarted.
     LoseControl,
 }
 
@@ -61,7 +61,7 @@
         Kind::LoseControl,
     ];
 
-    /// The word for it on the command line and in reports.
+    /// Returns the name on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Join => "join",
@@ -76,8 +76,8 @@
         }
     }
 
-    /// The words for all kinds.
-    pub fn names() -> String {
+    /// Returns the names of all kinds, separated by commas.
+    pub fn all_names() -> String {
         Kind::ALL.map(Kind::name).join(", ")
     }
 }
@@ -86,8 +86,8 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Kind, String> {
-        let known = Kind::ALL.into_iter().find(|kind| kind.name() == text);
-        known.ok_or_else(|| format!("'{text}' is no kind of run; accepted: {}", Kind::names()))
+        let kind = Kind::ALL.into_iter().find(|kind| kind.name() == text);
+        kind.ok_or_else(|| format!("'{text}' is no kind of run; accepted: {}", Kind::all_names()))
     }
 }
 
@@ -97,93 +97,104 @@
     }
 }
 
-/// What was measured of a fleet in one kind of run.
+/// Result of one kind of run on one fleet.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measurement {
-    /// The kind.
+    /// The kind of run.
     pub kind: Kind,
-    /// How the poolers know what sessions wrote at each other.
+    /// How the poolers learn about writes made through other poolers.
     pub coordination: Coordination,
-    /// Poolers of the fleet.
+    /// Number of poolers of the fleet.
     pub size: usize,
-    /// Which fleet of that size, from 0.
+    /// Number of the fleet among those of this size, from 0.
     pub repeat: usize,
-    /// Figures by name; the name ends with the unit.
+    /// Figures by name. The name of a figure with a unit ends with the unit.
     pub figures: BTreeMap<String, f64>,
-    /// Messages and bytes a second of one hollow pooler.
+    /// Messages and bytes of one hollow pooler: per second, or in total for [`Kind::Join`].
     pub traffic: Traffic,
-    /// What went against safety, in words.
+    /// Descriptions of failed safety checks.
     pub faults: Vec<String>,
 }
 
 impl Measurement {
-    /// Nothing measured yet.
+    /// Returns a result without figures.
     pub fn new(kind: Kind, fleet: &Fleet, repeat: usize) -> Measurement {
         let (coordination, size) = (fleet.coordination, fleet.size);
         let (figures, traffic, faults) = (BTreeMap::new(), Traffic::default(), Vec::new());
         Measurement { kind, coordination, size, repeat, figures, traffic, faults }
     }
 
-    /// Notes a figure.
-    pub fn figure(&mut self, name: &str, value: f64) {
+    /// Records a figure.
+    pub fn record(&mut self, name: &str, value: f64) {
         self.figures.insert(name.to_string(), value);
     }
 
-    /// Notes the median, the 99th percentile and the most of times in seconds, to microseconds.
-    pub fn times(&mut self, name: &str, seconds: &[f64]) {
-        let Ok(mut histogram) = Histogram::<u64>::new(DIGITS) else { return };
+    /// Records the median, the 99th percentile and the maximum of times (seconds), with microsecond
+    /// resolution.
+    pub fn record_times(&mut self, name: &str, seconds: &[f64]) {
+        let Ok(mut histogram) = Histogram::<u64>::new(SIGNIFICANT_DIGITS) else { return };
         for seconds in seconds {
-            let _ = histogram.record((seconds.max(0.0) * MICROSECONDS) as u64);
+            let _ = histogram.record((seconds.max(0.0) * MICROS_PER_SECOND) as u64);
         }
-        let shown = |value: u64| value as f64 / MICROSECONDS;
+        let in_seconds = |value: u64| value as f64 / MICROS_PER_SECOND;
         if !histogram.is_empty() {
-            self.figure(&format!("{name}_p50_s"), shown(histogram.value_at_quantile(0.5)));
-            self.figure(&format!("{name}_p99_s"), shown(histogram.value_at_quantile(0.99)));
-            self.figure(&format!("{name}_max_s"), shown(histogram.max()));
+            self.record(&format!("{name}_p50_s"), in_seconds(histogram.value_at_quantile(0.5)));
+            self.record(&format!("{name}_p99_s"), in_seconds(histogram.value_at_quantile(0.99)));
+            self.record(&format!("{name}_max_s"), in_seconds(histogram.max()));
         }
     }
 
-    /// Notes what went against safety, where it did.
-    pub fn expect(&mut self, holds: bool, fault: impl FnOnce() -> String) {
-        if !holds {
+    /// Records a fault if a safety check failed.
+    pub fn check(&mut self, passed: bool, fault: impl FnOnce() -> String) {
+        if !passed {
             self.faults.push(fault());
         }
     }
 
-    /// Looks whether all poolers that run hold the latest list, the same one, and wanted nothing that hollow poolers do
-    /// not have.
+    /// Checks that all running poolers have the latest list with the same members, and that no hollow pooler
+    /// needed a stream, which hollow poolers do not support.
     pub fn check_lists(&mut self, fleet: &mut Fleet) -> Result<(), ScaleError> {
-        let version = fleet.version()?;
-        let standing = fleet.standing(true)?;
-        let behind = standing.hollow.lists.iter().filter(|(held, _)| *held != version).count();
-        self.expect(behind == 0, || format!("{behind} poolers do not hold version {version} of the list"));
-        let first = standing.hollow.lists.first().map(|(_, sum)| *sum);
-        let other = standing.hollow.lists.iter().filter(|(_, sum)| Some(*sum) != first).count();
-        self.expect(other == 0, || format!("{other} poolers hold another list than the first one does"));
-        let behind = standing.real.iter().filter(|(_, held)| *held != Some(version)).count();
-        self.expect(behind == 0, || format!("{behind} real poolers do not know all at version {version}"));
-        let wanted = standing.hollow.streams_wanted;
-        self.expect(wanted == 0, || {
-            format!("logs were to be fetched over streams {wanted} times, which hollow poolers do not have")
+        let version = fleet.list_version()?;
+        let state = fleet.state(true)?;
+        let behind = state.hollow.lists.iter().filter(|(list_version, _)| *list_version != version).count();
+        self.check(behind == 0, || format!("{behind} poolers do not have version {version} of the list"));
+        let first_checksum = state.hollow.lists.first().map(|(_, checksum)| *checksum);
+        let differing =
+            state.hollow.lists.iter().filter(|(_, checksum)| Some(*checksum) != first_checksum).count();
+        self.check(differing == 0, || {
+            format!("the list of {differing} poolers differs from that of the first one")
+        });
+        let behind = state.real.iter().filter(|(_, list_version)| *list_version != Some(version)).count();
+        self.check(behind == 0, || {
+            format!("{behind} real poolers do not see all instances at version {version} of the list")
+        });
+        let wanted = state.hollow.streams_wanted;
+        self.check(wanted == 0, || {
+            format!(
+                "logs were to be fetched over streams {wanted} times, which hollow poolers do not support"
+            )
         });
         Ok(())
     }
 }
 
-/// What happens to a fleet that has joined.
+/// Runs a kind on a fleet that has joined. Returns `None` if the kind does not apply to the fleet's
+/// coordination, or is [`Kind::Join`].
 pub fn run(kind: Kind, fleet: &mut Fleet, repeat: usize) -> Result<Option<Measurement>, ScaleError> {
     match kind {
         Kind::Join => Ok(None),
         Kind::Hold => hold::run(fleet, repeat).map(Some),
-        Kind::ChangeList => change::list(fleet, repeat).map(Some),
+        Kind::ChangeList => change::list_changes(fleet, repeat).map(Some),
         Kind::ChangePrimary if fleet.coordination == Coordination::Peers => {
-            change::primary(fleet, repeat).map(Some)
+            change::primary_changes(fleet, repeat).map(Some)
         }
         Kind::ChangePrimary => Ok(None),
-        Kind::LoseOne | Kind::LoseTenth | Kind::LoseZone => lose::killed(kind, fleet, repeat).map(Some),
-        Kind::LoseRegion => lose::cut_off(fleet, repeat).map(Some),
+        Kind::LoseOne | Kind::LoseTenth | Kind::LoseZone => {
+            lose::restart_poolers(kind, fleet, repeat).map(Some)
+        }
+        Kind::LoseRegion => lose::cut_off_region(fleet, repeat).map(Some),
         Kind::LoseControl if fleet.coordination == Coordination::Directory => {
-            lose::control(fleet, repeat).map(Some)
+            lose::restart_control(fleet, repeat).map(Some)
         }
         Kind::LoseControl => Ok(None),
     }
--- a/crates/scale/src/layout.rs
+++ b/crates/scale/src/layout.rs
@@ -1,45 +1,46 @@
-//! Where everything of a run stands: zones and regions, and the loopback address of each pooler, database and service.
-//! Each run takes one network of 127.0.0.0/8 for itself, so that two runs never meet; all ports lie below those that
-//! the kernel hands out.
+//! Layout of a run: zones and regions, and the loopback address of each pooler, member and service. Each run
+//! claims one network of 127.0.0.0/8 for itself, so that two runs never share an address. All ports lie below
+//! the kernel's ephemeral ports.
 
 use std::net::{IpAddr, SocketAddr, TcpListener};
 
 use serde::{Deserialize, Serialize};
 
-/// Zones of each region, as at the target: three regions with eight zones.
-const ZONES_OF_REGIONS: [usize; REGIONS] = [3, 3, 2];
-/// Regions.
+/// Number of zones of each region, as in the target deployment: three regions with eight zones.
+const ZONES_PER_REGION: [usize; REGIONS] = [3, 3, 2];
+/// Number of regions.
 pub const REGIONS: usize = 3;
-/// Zones of all regions.
+/// Number of zones of all regions.
 pub const ZONES: usize = 8;
-/// Most poolers or databases that the addresses of a network have room for.
-pub const MOST: usize = 64 * 256;
-/// Ports of what stands on the addresses of a network.
-pub const PORTS: [u16; 5] = [PEER_PORT, CONTROL_PORT, CLIENT_PORT, DATABASE_PORT, DISCOVERY_PORT];
+/// Maximum number of poolers or members for which a network has addresses.
+pub const MAX_ADDRESSES: usize = 64 * 256;
+/// Ports of all listeners of a network.
+pub const PORTS: [u16; 5] = [PEER_PORT, CONTROL_PORT, CLIENT_PORT, MEMBER_PORT, DISCOVERY_PORT];
 const PEER_PORT: u16 = 7_000;
 const CONTROL_PORT: u16 = 7_100;
 const CLIENT_PORT: u16 = 6_432;
-const DATABASE_PORT: u16 = 5_432;
+const MEMBER_PORT: u16 = 5_432;
 const DISCOVERY_PORT: u16 = 8_500;
-/// Networks are taken from here on.
+/// Second octets of the first and the last network.
 const FIRST_NETWORK: u8 = 64;
 const LAST_NETWORK: u8 = 250;
 
-/// Services have numbers: the claim of the network, discovery, then control instances.
+/// Number of the first control instance among the services. The claim of the network and discovery come
+/// before it.
 const FIRST_CONTROL: usize = 2;
 
-/// First numbers of the blocks of 64 subnets: poolers, databases, clients' side of real poolers, services.
-const POOLERS: u8 = 0;
-const DATABASES: u8 = 64;
-const CLIENTS: u8 = 128;
-const SERVICES: u8 = 192;
+/// Third octets at which the blocks of 64 subnets begin.
+const POOLER_BLOCK: u8 = 0;
+const MEMBER_BLOCK: u8 = 64;
+const CLIENT_BLOCK: u8 = 128;
+const SERVICE_BLOCK: u8 = 192;
 
-/// Which loopback network a run uses.
+/// Loopback network of a run, by its second octet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Network(u8);
 
 impl Network {
-    /// Takes a network that no other run holds, for as long as the listener is kept.
+    /// Claims a network that no other run uses. The claim lasts until the returned listener is dropped.
     pub fn claim() -> Option<(Network, TcpListener)> {
         (FIRST_NETWORK..=LAST_NETWORK).find_map(|number| {
             let network = Network(number);
@@ -52,98 +53,99 @@
     }
 
     fn service(self, number: usize, port: u16) -> SocketAddr {
-        self.address(SERVICES, number, port)
+        self.address(SERVICE_BLOCK, number, port)
     }
 
-    /// Where the discovery stand-in listens.
+    /// Returns the address of the stand-in for discovery.
     pub fn discovery(self) -> SocketAddr {
         self.service(1, DISCOVERY_PORT)
     }
 
-    /// Where other poolers reach a pooler.
+    /// Returns the address at which other instances reach a pooler.
     pub fn pooler(self, number: usize) -> SocketAddr {
-        self.address(POOLERS, number, PEER_PORT)
+        self.address(POOLER_BLOCK, number, PEER_PORT)
     }
 
-    /// Where clients reach a real pooler.
+    /// Returns the address at which clients reach a real pooler.
     pub fn clients(self, number: usize) -> SocketAddr {
-        self.address(CLIENTS, number, CLIENT_PORT)
+        self.address(CLIENT_BLOCK, number, CLIENT_PORT)
     }
 
-    /// Where a database listens.
-    pub fn database(self, number: usize) -> SocketAddr {
-        self.address(DATABASES, number, DATABASE_PORT)
+    /// Returns the address of a member.
+    pub fn member(self, number: usize) -> SocketAddr {
+        self.address(MEMBER_BLOCK, number, MEMBER_PORT)
     }
 
-    /// Where a control instance listens.
+    /// Returns the address of a control instance.
     pub fn control(self, number: usize) -> SocketAddr {
         self.service(FIRST_CONTROL + number, CONTROL_PORT)
     }
 
-    /// The control instance that listens at an address; none where it is no control instance's.
+    /// Returns the number of the control instance with this address, or `None` if no control instance has it.
     pub fn control_at(self, address: SocketAddr) -> Option<usize> {
         let IpAddr::V4(ip) = address.ip() else { return None };
         let [_, network, block, low] = ip.octets();
-        let known = network == self.0 && block == SERVICES && address.port() == CONTROL_PORT;
-        known.then(|| usize::from(low).checked_sub(FIRST_CONTROL)).flatten()
+        let matches = network == self.0 && block == SERVICE_BLOCK && address.port() == CONTROL_PORT;
+        matches.then(|| usize::from(low).checked_sub(FIRST_CONTROL)).flatten()
     }
 
-    /// The pooler that is reached at an address; none where it is no pooler's.
+    /// Returns the number of the pooler with this address, or `None` if no pooler has it.
     pub fn pooler_at(self, address: SocketAddr) -> Option<usize> {
         let IpAddr::V4(ip) = address.ip() else { return None };
         let [_, network, high, low] = ip.octets();
-        let known = network == self.0 && high < DATABASES && address.port() == PEER_PORT;
-        known.then_some(usize::from(high) << 8 | usize::from(low))
+        let matches = network == self.0 && high < MEMBER_BLOCK && address.port() == PEER_PORT;
+        matches.then_some(usize::from(high) << 8 | usize::from(low))
     }
 }
 
-/// The zone of a pooler or database: they are spread over the zones in turn.
+/// Returns the zone of a pooler or member. They are distributed over the zones round-robin.
 pub fn zone_of(number: usize) -> usize {
     number % ZONES
 }
 
-/// The zone of a control instance: they are spread over the regions in turn, and over the zones of each.
+/// Returns the zone of a control instance. They are distributed round-robin over the regions, and over the
+/// zones of each region.
 pub fn control_zone(number: usize) -> usize {
     let zones = zones_of(number % REGIONS);
     zones[number / REGIONS % zones.len()]
 }
 
-/// The region of a zone.
+/// Returns the region of a zone.
 pub fn region_of(zone: usize) -> usize {
     let mut end = 0;
-    let holds = |zones: &usize| {
+    let contains_zone = |zones: &usize| {
         end += zones;
         zone < end
     };
-    ZONES_OF_REGIONS.iter().position(holds).unwrap_or(REGIONS - 1)
+    ZONES_PER_REGION.iter().position(contains_zone).unwrap_or(REGIONS - 1)
 }
 
-/// The zones of a region.
+/// Returns the zones of a region.
 pub fn zones_of(region: usize) -> Vec<usize> {
     (0..ZONES).filter(|zone| region_of(*zone) == region).collect()
 }
 
-/// A zone's name, as in settings and lists.
+/// Returns the name of a zone, as in settings and lists.
 pub fn zone_name(zone: usize) -> String {
     format!("zone-{zone}")
 }
 
-/// How far apart two zones are.
+/// Distance between two zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Distance {
-    /// One zone.
+    /// The same zone.
     OwnZone,
-    /// Two zones of a region.
+    /// Two zones of one region.
     OtherZone,
-    /// Two regions.
+    /// Zones of two regions.
     OtherRegion,
 }
 
 impl Distance {
-    /// All of them, nearest first.
+    /// All distances, nearest first.
     pub const ALL: [Distance; 3] = [Distance::OwnZone, Distance::OtherZone, Distance::OtherRegion];
 
-    /// Between two zones.
+    /// Returns the distance between two zones.
     pub fn between(zone: usize, other: usize) -> Distance {
         if zone == other {
             Distance::OwnZone
@@ -154,7 +156,7 @@
         }
     }
 
-    /// The word for it in reports.
+    /// Returns the name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Distance::OwnZone => "own zone",
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,5 +1,5 @@
-//! Fleets of hollow poolers on loopback: what control costs a pooler and how soon all have heard, by the number of
-//! poolers. See docs/scale.md.
+//! Runs fleets of hollow poolers on loopback and measures the cost of control per pooler and the time until a
+//! change has reached all poolers, by the number of poolers. See docs/scale.md.
 #![warn(missing_docs)]
 
 mod clock;
@@ -18,7 +18,7 @@
 mod report;
 mod run;
 mod settings;
-mod standin;
+mod stand_in;
 mod traffic;
 
 use std::ffi::OsString;
@@ -26,43 +26,43 @@
 
 use protocol::Assignment;
 
-/// Exit status of a run in which a check of safety failed.
-const UNSAFE: u8 = 1;
-/// Exit status of a run that was stopped or not understood, and of a process of a run that failed.
-const STOPPED: u8 = 2;
+/// Exit status of a run in which a safety check failed.
+const EXIT_UNSAFE: u8 = 1;
+/// Exit status of a run that was stopped or had invalid arguments, and of a worker process that failed.
+const EXIT_STOPPED: u8 = 2;
 
-/// Runs the command, or one of its processes, as the arguments say.
+/// Runs the command, or one of its child processes, depending on the first argument.
 pub fn main() -> ExitCode {
     let mut arguments = std::env::args_os().skip(1);
     let first = arguments.next();
-    let is = |word: &str| first.as_deref() == Some(OsString::from(word).as_os_str());
-    if is(process::WORKER) {
+    let first_is = |subcommand: &str| first.as_deref() == Some(OsString::from(subcommand).as_os_str());
+    if first_is(process::WORKER_SUBCOMMAND) {
         return match worker() {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => fail(&error),
         };
     }
-    if is(process::BOUND) {
-        return fail(&process::become_bound(arguments));
+    if first_is(process::EXEC_SUBCOMMAND) {
+        return fail(&process::exec_program(arguments));
     }
     match run::run(argh::from_env()) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(UNSAFE),
+        Ok(false) => ExitCode::from(EXIT_UNSAFE),
         Err(error) => fail(&error),
     }
 }
 
 fn fail(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("scale: {error}");
-    ExitCode::from(STOPPED)
+    ExitCode::from(EXIT_STOPPED)
 }
 
-/// A process of a run: what it is to be comes as its first line.
+/// Runs a worker process. Its first input line is its assignment.
 fn worker() -> std::io::Result<()> {
-    process::end_with_parent()?;
+    process::exit_with_parent()?;
     let (assignment, commands) = commands::Commands::read()?;
     match assignment {
         Assignment::Hollow(fleet) => hollow::run(fleet, commands),
-        Assignment::Discovery(terms) => standin::discovery::run(&terms, commands),
+        Assignment::Discovery(config) => stand_in::discovery::run(&config, commands),
     }
 }
--- a/crates/scale/src/limits.rs
+++ b/crates/scale/src/limits.rs
@@ -1,4 +1,4 @@
-//! What a run may take of the machine, checked before it begins and while it lasts.
+//! Limits on the resources of the host that a run may use, checked before and during the run.
 
 use std::cell::Cell;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,103 +8,104 @@
 use measure::{Host, Process};
 
 use crate::error::ScaleError;
-use crate::layout::{MOST, PORTS};
+use crate::layout::{MAX_ADDRESSES, PORTS};
 
-/// Most processes of a run, the command itself included.
-pub const MOST_PROCESSES: usize = 300;
-/// Descriptors that a process needs beside those of its poolers.
+/// Maximum number of processes of a run, including the command itself.
+pub const MAX_PROCESSES: usize = 300;
+/// Descriptors that a process needs in addition to those of its poolers.
 const SPARE_DESCRIPTORS: u64 = 64;
-/// Descriptors of a hollow pooler at the most: its socket towards others and three connections to discovery.
-const DESCRIPTORS_EACH: u64 = 4;
-/// Pause between two looks at the run's limits.
-const LOOK: Duration = Duration::from_millis(250);
+/// Maximum number of descriptors of a hollow pooler: its socket for peers and three connections to discovery.
+const DESCRIPTORS_PER_POOLER: u64 = 4;
+/// Interval between two checks of the run's limits.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a run is going to need at the most.
+/// Maximum resources that a run requires.
 #[derive(Clone, Copy, Debug)]
-pub struct Needs {
-    /// Poolers, hollow and real.
+pub struct Requirements {
+    /// Number of poolers, hollow and real.
     pub poolers: usize,
-    /// Databases on the list.
-    pub databases: usize,
-    /// Processes, the command itself included.
+    /// Number of members on the list.
+    pub members: usize,
+    /// Number of processes, including the command itself.
     pub processes: usize,
-    /// Hollow poolers of one process.
+    /// Hollow poolers per process.
     pub hollow_per_process: usize,
 }
 
 /// The limits of a run.
 pub struct Limits {
-    most_memory: u64,
-    most_seconds: u64,
-    begun: Instant,
+    max_memory: u64,
+    max_seconds: u64,
+    started_at: Instant,
     interrupted: Arc<AtomicBool>,
-    /// The most memory (bytes) and processes that were seen.
+    /// Maximum memory (bytes) and number of processes observed so far.
     peaks: Cell<(u64, usize)>,
 }
 
 impl Limits {
-    /// Checks that the machine can hold the plan, and begins to count its time.
+    /// Checks that the host has the required resources, and starts the run's time limit.
     pub fn check(
-        machine: &Host,
-        needs: Needs,
-        most_seconds: u64,
+        host: &Host,
+        required: Requirements,
+        max_seconds: u64,
         interrupted: Arc<AtomicBool>,
     ) -> Result<Limits, ScaleError> {
-        let within = |what, needed: u64, most: u64| {
-            (needed <= most).then_some(()).ok_or(ScaleError::BeyondMachine { what, needed, most })
+        let within = |resource, needed: u64, max: u64| {
+            (needed <= max).then_some(()).ok_or(ScaleError::ExceedsHost { resource, needed, max })
         };
-        within("addresses of poolers", needs.poolers as u64, MOST as u64)?;
-        within("addresses of databases", needs.databases as u64, MOST as u64)?;
-        within("processes", needs.processes as u64, MOST_PROCESSES as u64)?;
-        let hollow = needs.hollow_per_process as u64 * DESCRIPTORS_EACH + SPARE_DESCRIPTORS;
-        within("descriptors in a process of hollow poolers", hollow, machine.descriptors)?;
-        let discovery = needs.poolers as u64 * 2 + SPARE_DESCRIPTORS;
-        within("descriptors in the stand-in for discovery", discovery, machine.descriptors)?;
-        // Guards against a port that the kernel has given to a connection when a listener wants it.
+        within("addresses of poolers", required.poolers as u64, MAX_ADDRESSES as u64)?;
+        within("addresses of database servers", required.members as u64, MAX_ADDRESSES as u64)?;
+        within("processes", required.processes as u64, MAX_PROCESSES as u64)?;
+        let hollow = required.hollow_per_process as u64 * DESCRIPTORS_PER_POOLER + SPARE_DESCRIPTORS;
+        within("descriptors in a process of hollow poolers", hollow, host.descriptors)?;
+        let discovery = required.poolers as u64 * 2 + SPARE_DESCRIPTORS;
+        within("descriptors in the stand-in for discovery", discovery, host.descriptors)?;
+        // Guards against a listener's port that the kernel has already assigned to an outgoing connection.
         let highest = u64::from(PORTS.into_iter().max().unwrap_or_default());
-        within("as the highest port of a listener", highest, u64::from(machine.ephemeral_ports.0) - 1)?;
+        within("as the highest port of a listener", highest, u64::from(host.ephemeral_ports.0) - 1)?;
         Ok(Limits {
-            most_memory: machine.memory / 2,
-            most_seconds,
-            begun: Instant::now(),
+            max_memory: host.memory / 2,
+            max_seconds,
+            started_at: Instant::now(),
             interrupted,
             peaks: Cell::default(),
         })
     }
 
-    /// Checks the time, the memory of these processes, and whether a signal has come.
-    pub fn look(&self, processes: &[u32]) -> Result<(), ScaleError> {
+    /// Checks for a signal, the time limit and the memory of these processes.
+    pub fn check_usage(&self, processes: &[u32]) -> Result<(), ScaleError> {
         if self.interrupted.load(Ordering::SeqCst) {
             return Err(ScaleError::Interrupted);
         }
-        if self.begun.elapsed().as_secs() >= self.most_seconds {
-            return Err(ScaleError::Time { most_s: self.most_seconds });
+        if self.started_at.elapsed().as_secs() >= self.max_seconds {
+            return Err(ScaleError::TimeLimit { limit_s: self.max_seconds });
         }
         let samples = processes.iter().filter_map(|pid| Process(*pid).sample().ok());
         let used: u64 = samples.map(|sample| sample.resident).sum();
-        let (memory, count) = self.peaks.get();
-        self.peaks.set((memory.max(used), count.max(processes.len() + 1)));
-        if used > self.most_memory {
-            return Err(ScaleError::Memory { used, most: self.most_memory });
+        let (memory, process_count) = self.peaks.get();
+        self.peaks.set((memory.max(used), process_count.max(processes.len() + 1)));
+        if used > self.max_memory {
+            return Err(ScaleError::Memory { used, max: self.max_memory });
         }
         Ok(())
     }
 
-    /// The most memory (bytes) and processes, the command itself included, that were seen.
+    /// Returns the maximum memory (bytes) and number of processes, including the command itself, observed so
+    /// far.
     pub fn peaks(&self) -> (u64, usize) {
         self.peaks.get()
     }
 
-    /// Lets time pass, with looks at the limits.
+    /// Sleeps for `time` and checks the limits meanwhile.
     pub fn wait(&self, time: Duration, processes: &[u32]) -> Result<(), ScaleError> {
-        let until = Instant::now() + time;
+        let deadline = Instant::now() + time;
         loop {
-            self.look(processes)?;
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            self.check_usage(processes)?;
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(LOOK));
+            std::thread::sleep(remaining.min(CHECK_INTERVAL));
         }
     }
 }
--- a/crates/scale/src/limits/tests.rs
+++ b/crates/scale/src/limits/tests.rs
@@ -1,54 +1,55 @@
 use super::*;
 
-fn machine() -> Host {
-    Host::current().expect("a machine")
+fn host() -> Host {
+    Host::current().expect("the host's properties")
 }
 
-fn needs() -> Needs {
-    Needs { poolers: 20, databases: 10, processes: 4, hollow_per_process: 10 }
+fn requirements() -> Requirements {
+    Requirements { poolers: 20, members: 10, processes: 4, hollow_per_process: 10 }
 }
 
-fn check(machine: &Host, needs: Needs, seconds: u64) -> Result<Limits, ScaleError> {
-    Limits::check(machine, needs, seconds, Arc::default())
+fn check(host: &Host, requirements: Requirements, seconds: u64) -> Result<Limits, ScaleError> {
+    Limits::check(host, requirements, seconds, Arc::default())
 }
 
-fn refused(machine: &Host, needs: Needs) -> String {
-    check(machine, needs, 60).err().expect("it is refused").to_string()
+fn rejection(host: &Host, requirements: Requirements) -> String {
+    check(host, requirements, 60).err().expect("the run is rejected").to_string()
 }
 
 #[test]
-fn a_plan_beyond_the_machine_is_refused() {
-    assert!(check(&machine(), needs(), 60).is_ok());
-    let few = Host { descriptors: 100, ..machine() };
+fn a_run_that_exceeds_a_limit_of_the_host_is_rejected() {
+    assert!(check(&host(), requirements(), 60).is_ok());
+    let few_descriptors = Host { descriptors: 100, ..host() };
     assert_eq!(
-        refused(&few, needs()),
+        rejection(&few_descriptors, requirements()),
         "beyond this machine: the run needs 104 descriptors in a process of hollow poolers, and 100 are allowed"
     );
-    let low = Host { ephemeral_ports: (7_000, 60_999), ..machine() };
+    let low_ports = Host { ephemeral_ports: (7_000, 60_999), ..host() };
     assert_eq!(
-        refused(&low, needs()),
+        rejection(&low_ports, requirements()),
         "beyond this machine: the run needs 8500 as the highest port of a listener, and 6999 are allowed"
     );
-    let many = Needs { processes: MOST_PROCESSES + 1, ..needs() };
-    assert!(refused(&machine(), many).contains("301 processes, and 300 are allowed"));
+    let many_processes = Requirements { processes: MAX_PROCESSES + 1, ..requirements() };
+    assert!(rejection(&host(), many_processes).contains("301 processes, and 300 are allowed"));
 }
 
 #[test]
-fn a_run_that_takes_over_half_of_the_memory_is_stopped() {
-    let small = Host { memory: 2_000_000, ..machine() };
-    let limits = check(&small, needs(), 60).expect("a plan");
+fn a_run_that_uses_over_half_of_the_memory_is_stopped() {
+    let small_host = Host { memory: 2_000_000, ..host() };
+    let limits = check(&small_host, requirements(), 60).expect("a run within the limits");
     let own = std::process::id();
-    let error = limits.look(&[own]).expect_err("this process holds more than a megabyte").to_string();
+    let error = limits.check_usage(&[own]).expect_err("this process uses more than a megabyte").to_string();
     assert!(error.contains("and 1 MB (half of the machine's memory) are allowed"), "{error}");
     assert_eq!(limits.peaks().1, 2, "the process and the command");
 }
 
 #[test]
-fn a_run_is_stopped_by_its_time_and_by_a_signal() {
-    let limits = check(&machine(), needs(), 0).expect("a plan");
-    assert!(matches!(limits.wait(Duration::from_secs(5), &[]), Err(ScaleError::Time { most_s: 0 })));
+fn the_time_limit_and_a_signal_stop_a_run() {
+    let limits = check(&host(), requirements(), 0).expect("a run within the limits");
+    assert!(matches!(limits.wait(Duration::from_secs(5), &[]), Err(ScaleError::TimeLimit { limit_s: 0 })));
     let interrupted = Arc::new(AtomicBool::new(false));
-    let limits = Limits::check(&machine(), needs(), 60, interrupted.clone()).expect("a plan");
+    let limits =
+        Limits::check(&host(), requirements(), 60, interrupted.clone()).expect("a run within the limits");
     assert!(limits.wait(Duration::ZERO, &[]).is_ok());
     interrupted.store(true, Ordering::SeqCst);
     assert!(matches!(limits.wait(Duration::from_secs(5), &[]), Err(ScaleError::Interrupted)));
--- a/crates/scale/src/options.rs
+++ b/crates/scale/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line options.
 
 use std::path::PathBuf;
 use std::str::FromStr;
@@ -9,23 +9,26 @@
 use crate::kinds::Kind;
 use crate::protocol::Coordination;
 
-/// Longest that a run may be allowed to take (seconds).
-const MOST_SECONDS: u64 = 6 * 3_600;
-/// Hollow poolers of one process. A process has one thread: those that talk are kept so few that at a hundred poolers it
-/// needs no more than a part of a core.
-const PER_PROCESS: usize = 100;
-const TALKING_PER_PROCESS: usize = 10;
-/// Control instances of a directory: a group at the least.
-const CONTROL: std::ops::RangeInclusive<usize> = 3..=64;
-/// Most repeats of a point.
-const MOST_REPEATS: usize = 20;
-/// Most requests a second of the modelled load at a pooler.
-const MOST_REQUESTS_PER_S: f64 = 1_000.0;
+/// Maximum value of `--most-seconds`.
+const MAX_RUN_SECONDS: u64 = 6 * 3_600;
+/// Default number of hollow poolers per process where they do not exchange state with each other.
+const POOLERS_PER_PROCESS: usize = 100;
+/// Default number of hollow poolers per process where they exchange state with each other. A process has one
+/// thread; with this number it uses only a part of a core in a fleet of a hundred poolers.
+const SHARING_PER_PROCESS: usize = 10;
+/// Accepted numbers of control instances; the minimum is one group of the directory.
+const CONTROL_INSTANCES: std::ops::RangeInclusive<usize> = 3..=64;
+/// Maximum number of fleets of each size.
+const MAX_REPEATS: usize = 20;
+/// Maximum rate of the modelled load at each pooler (requests per second).
+const MAX_REQUESTS_PER_S: f64 = 1_000.0;
 
-/// Runs fleets of hollow poolers on loopback and measures what control costs a pooler and how soon all have heard.
-/// Kinds: join (all start at once), hold (nothing happens), change-list, change-primary (with --talk), lose-one, lose-tenth, lose-zone, lose-region
-/// (cut off and back), lose-control (with --control: one control instance is killed and starts again). Every fleet joins; the other kinds follow on it in the order given. The exit status is 0 where
-/// the run is complete and safe, 1 where a check of safety failed, 2 where it was stopped or not understood.
+/// Runs fleets of hollow poolers on loopback and measures the cost of control per pooler and how soon a
+/// change has reached all poolers. Kinds: join (all start at once), hold (nothing happens), change-list,
+/// change-primary (with --talk), lose-one, lose-tenth, lose-zone (poolers are killed and restarted),
+/// lose-region (cut off and reconnected), lose-control (with --control: one control instance is killed and
+/// restarted). Every fleet joins first; the other kinds follow in the given order. The exit status is 0 if
+/// the run is complete and safe, 1 if a safety check failed, 2 if it was stopped or an argument is invalid.
 #[derive(Clone, Debug, FromArgs)]
 #[argh(
     example = "scale join hold change-list --sizes 50,100,200,400 --report docs/scale",
@@ -33,76 +36,77 @@
     example = "scale hold --sizes 50,100,200,400 --talk --control 13 --requests 10 --databases 10"
 )]
 pub struct Options {
-    /// kinds of run, in this order
+    /// kinds of run, in the order in which they are made
     #[argh(positional)]
     pub kinds: Vec<Kind>,
     /// numbers of poolers, as 50,100,200
     #[argh(option, default = "Sizes(vec![20])")]
     pub sizes: Sizes,
-    /// how many poolers of each fleet are processes of dewferry, not hollow
+    /// number of poolers of each fleet that are processes of dewferry instead of hollow ones
     #[argh(option, default = "0")]
     pub real: usize,
-    /// the program of the real poolers; where not given, dewferry beside this command
+    /// program of the real poolers and control instances; default: dewferry in the folder of this command
     #[argh(option)]
     pub program: Option<PathBuf>,
-    /// databases on the list
+    /// database servers on the list
     #[argh(option, default = "1600")]
     pub databases: usize,
-    /// databases of a group
+    /// database servers per group
     #[argh(option, default = "4")]
     pub group: usize,
-    /// poolers talk to each other, as with [peers] in the operator's file
+    /// poolers exchange state with each other, as with peers.seeds in the operator's file
     #[argh(switch)]
     pub talk: bool,
-    /// control instances (processes of dewferry) that keep whose sessions are whose, as with peers.control; beside --talk every
-    /// size is run both ways
+    /// control instances (processes of dewferry) that record which pooler owns a session, as with
+    /// peers.control; together with --talk every size is run both ways
     #[argh(option, default = "0")]
     pub control: usize,
-    /// poolers of the largest fleet that talks where --control is given as well
+    /// size of the largest fleet that is run with --talk if --control is given as well
     #[argh(option, default = "100")]
     pub talk_most: usize,
-    /// requests a second at each hollow pooler where they talk or have control instances, four in ten of them writes
+    /// requests per second at each hollow pooler, with --talk or --control; four in ten are writes
     #[argh(option, default = "0.0")]
     pub requests: f64,
     /// fleets of each size
     #[argh(option, default = "1")]
     pub repeats: usize,
-    /// seconds for which hold measures
+    /// seconds that hold measures
     #[argh(option, default = "10.0")]
     pub window: f64,
-    /// seconds within which the poolers of a fleet start
+    /// seconds over which the starts of a fleet's poolers are distributed
     #[argh(option, default = "0.0")]
     pub start_within: f64,
-    /// seconds for which lose-region cuts a region off
+    /// seconds that lose-region cuts a region off
     #[argh(option, default = "60.0")]
     pub cut: f64,
     /// changes that change-list and change-primary make
     #[argh(option, default = "10")]
     pub changes: usize,
-    /// seconds within which a fleet must have come to rest; what takes longer is a fault
+    /// seconds within which a fleet must converge; if it takes longer, the run reports a fault
     #[argh(option, default = "60.0")]
     pub settle: f64,
-    /// hollow poolers of one process: 100, or 10 with --talk, where not given
+    /// hollow poolers per process; default: 100, or 10 with --talk
     #[argh(option)]
     pub per_process: Option<usize>,
-    /// go on although the machine is too busy for the figures to mean anything: only counts and safety are of use
+    /// continue even if the host is too busy for meaningful times: only counts and safety checks are valid
+    /// then
     #[argh(switch)]
     pub counts_only: bool,
-    /// seconds that the whole run may take
+    /// time limit of the whole run (seconds)
     #[argh(option, default = "600")]
     pub most_seconds: u64,
-    /// of all random numbers
+    /// seed of all random numbers
     #[argh(option, default = "1")]
     pub seed: u64,
-    /// a folder for report.md, report.json and plots; without it the report is only printed
+    /// folder for report.md, report.json and the plots; without it the report is only printed
     #[argh(option)]
     pub report: Option<PathBuf>,
-    /// print the report as one JSON document
+    /// print the report as a JSON document
     #[argh(switch)]
     pub json: bool,
 }
 
-/// Numbers of poolers, rising.
+/// Numbers of poolers, in ascending order without duplicates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sizes(pub Vec<usize>);
 
@@ -120,96 +124,96 @@
 }
 
 impl Options {
-    /// Checks what one option alone cannot tell.
+    /// Checks the options' ranges and combinations.
     pub fn check(&self) -> Result<(), ScaleError> {
         let smallest = self.sizes.0.first().copied().unwrap_or_default();
-        let fault = |name, value: &dyn ToString, accepted: String| {
+        let invalid = |name, value: &dyn ToString, accepted: String| {
             Err(ScaleError::Option(name, value.to_string(), accepted))
         };
-        let seconds = |value: f64| value.is_finite() && value >= 0.0;
+        let is_duration = |value: f64| value.is_finite() && value >= 0.0;
         if self.kinds.is_empty() {
-            return fault("kinds", &"", format!("one or more of {}", Kind::names()));
+            return invalid("kinds", &"", format!("one or more of {}", Kind::all_names()));
         }
         if self.real > smallest {
-            return fault("--real", &self.real, format!("up to the smallest size, {smallest}"));
+            return invalid("--real", &self.real, format!("up to the smallest size, {smallest}"));
         }
         if self.databases == 0 {
-            return fault("--databases", &self.databases, String::from("from 1 on"));
+            return invalid("--databases", &self.databases, String::from("from 1 on"));
         }
-        if !(1..=MOST_REPEATS).contains(&self.repeats) {
-            return fault("--repeats", &self.repeats, format!("1 to {MOST_REPEATS}"));
+        if !(1..=MAX_REPEATS).contains(&self.repeats) {
+            return invalid("--repeats", &self.repeats, format!("1 to {MAX_REPEATS}"));
         }
-        if !(1..=MOST_SECONDS).contains(&self.most_seconds) {
-            return fault("--most-seconds", &self.most_seconds, format!("1 to {MOST_SECONDS}"));
+        if !(1..=MAX_RUN_SECONDS).contains(&self.most_seconds) {
+            return invalid("--most-seconds", &self.most_seconds, format!("1 to {MAX_RUN_SECONDS}"));
         }
         if self.per_process == Some(0) {
-            return fault("--per-process", &0, String::from("from 1 on"));
+            return invalid("--per-process", &0, String::from("from 1 on"));
         }
-        if !(0.0..=MOST_REQUESTS_PER_S).contains(&self.requests) {
-            return fault("--requests", &self.requests, format!("0 to {MOST_REQUESTS_PER_S}"));
+        if !(0.0..=MAX_REQUESTS_PER_S).contains(&self.requests) {
+            return invalid("--requests", &self.requests, format!("0 to {MAX_REQUESTS_PER_S}"));
         }
         if self.kinds.contains(&Kind::ChangePrimary) && (!self.talk || self.real == smallest) {
             let accepted = String::from("only together with --talk, and with hollow poolers");
-            return fault("kinds", &Kind::ChangePrimary, accepted);
+            return invalid("kinds", &Kind::ChangePrimary, accepted);
         }
         if self.group == 0 {
-            return fault("--group", &self.group, String::from("from 1 on"));
+            return invalid("--group", &self.group, String::from("from 1 on"));
         }
         if self.requests > 0.0 && !self.talk && self.control == 0 {
             let accepted = String::from("only together with --talk or --control");
-            return fault("--requests", &self.requests, accepted);
+            return invalid("--requests", &self.requests, accepted);
         }
-        if self.control != 0 && !CONTROL.contains(&self.control) {
-            let accepted = format!("0, or {} to {}", CONTROL.start(), CONTROL.end());
-            return fault("--control", &self.control, accepted);
+        if self.control != 0 && !CONTROL_INSTANCES.contains(&self.control) {
+            let accepted = format!("0, or {} to {}", CONTROL_INSTANCES.start(), CONTROL_INSTANCES.end());
+            return invalid("--control", &self.control, accepted);
         }
         if self.kinds.contains(&Kind::LoseControl) && self.control == 0 {
-            return fault("kinds", &Kind::LoseControl, String::from("only together with --control"));
+            return invalid("kinds", &Kind::LoseControl, String::from("only together with --control"));
         }
-        let times = [("--window", self.window), ("--settle", self.settle)];
-        for (name, value) in times {
-            if !seconds(value) || value == 0.0 {
-                return fault(name, &value, String::from("seconds above 0"));
+        let durations = [("--window", self.window), ("--settle", self.settle)];
+        for (name, value) in durations {
+            if !is_duration(value) || value == 0.0 {
+                return invalid(name, &value, String::from("seconds above 0"));
             }
         }
         for (name, value) in [("--start-within", self.start_within), ("--cut", self.cut)] {
-            if !seconds(value) {
-                return fault(name, &value, String::from("seconds from 0 on"));
+            if !is_duration(value) {
+                return invalid(name, &value, String::from("seconds from 0 on"));
             }
         }
         Ok(())
     }
 
-    /// The ways in which a fleet of that size is run, one after another.
+    /// Returns the kinds of coordination with which a fleet of this size is run, in order.
     pub fn coordinations(&self, size: usize) -> Vec<Coordination> {
-        let talks = self.talk && (self.control == 0 || size <= self.talk_most);
-        let mut ways = Vec::new();
-        if talks {
-            ways.push(Coordination::Peers);
+        let with_peers = self.talk && (self.control == 0 || size <= self.talk_most);
+        let mut coordinations = Vec::new();
+        if with_peers {
+            coordinations.push(Coordination::Peers);
         }
         if self.control > 0 {
-            ways.push(Coordination::Directory);
+            coordinations.push(Coordination::Directory);
         }
-        if ways.is_empty() {
-            ways.push(Coordination::None);
+        if coordinations.is_empty() {
+            coordinations.push(Coordination::None);
         }
-        ways
+        coordinations
     }
 
-    /// Hollow poolers of one process.
+    /// Returns the number of hollow poolers per process.
     pub fn per_process(&self, coordination: Coordination) -> usize {
         self.per_process.unwrap_or(match coordination {
-            Coordination::Peers => TALKING_PER_PROCESS,
-            Coordination::None | Coordination::Directory => PER_PROCESS,
+            Coordination::Peers => SHARING_PER_PROCESS,
+            Coordination::None | Coordination::Directory => POOLERS_PER_PROCESS,
         })
     }
 
-    /// Processes of hollow poolers that a fleet of that size has.
+    /// Returns the number of processes of hollow poolers of a fleet of this size.
     pub fn hollow_processes(&self, size: usize, coordination: Coordination) -> usize {
         (size - self.real).div_ceil(self.per_process(coordination))
     }
 
-    /// Control instances of a fleet.
+    /// Returns the number of control instances of a fleet.
     pub fn control_instances(&self, coordination: Coordination) -> usize {
         if coordination == Coordination::Directory {
             self.control
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -1,5 +1,6 @@
-//! Processes of a run: workers that are talked to line by line, and programs that end with the command. None outlives
-//! it: a worker ends when its input does, and every process asks the kernel to be killed when its parent ends.
+//! Child processes of a run: workers, which exchange one JSON document per line with the command, and other
+//! programs. None outlives the command: a worker exits at the end of its input, and the kernel kills every
+//! child process when its parent exits.
 
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::process::CommandExt;
@@ -13,67 +14,69 @@
 use crate::error::ScaleError;
 use crate::protocol::{Assignment, Command, Reply};
 
-/// The word that makes this program a worker.
-pub const WORKER: &str = "worker";
-/// The word that makes this program become another one, which ends with the command.
-pub const BOUND: &str = "bound";
-/// Longest time that a worker may take for an answer.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Argument that makes this program a worker.
+pub const WORKER_SUBCOMMAND: &str = "worker";
+/// Argument that makes this program execute another one, which is killed when the command exits.
+pub const EXEC_SUBCOMMAND: &str = "bound";
+/// Time limit for the reply of a worker.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Asks the kernel to kill this process when its parent ends.
-pub fn end_with_parent() -> std::io::Result<()> {
+/// Asks the kernel to kill this process when its parent exits.
+pub fn exit_with_parent() -> std::io::Result<()> {
     set_parent_process_death_signal(Some(Signal::KILL))?;
-    // The parent may have ended before that: this process then belongs to the first one.
+    // The parent may have exited before the call above; the process is then a child of init.
     match getppid() {
         Some(parent) if !parent.is_init() => Ok(()),
-        _ => Err(std::io::Error::other("the command has ended")),
+        _ => Err(std::io::Error::other("the parent process has exited")),
     }
 }
 
-/// Becomes the program that these arguments name, which ends with the command. Returns only where that fails.
-pub fn become_bound(mut arguments: impl Iterator<Item = std::ffi::OsString>) -> std::io::Error {
-    let Some(program) = arguments.next() else { return std::io::Error::other("no program is named") };
-    match end_with_parent() {
+/// Replaces this process with the program given by the arguments, which is killed when the command exits.
+/// Returns only if that fails.
+pub fn exec_program(mut arguments: impl Iterator<Item = std::ffi::OsString>) -> std::io::Error {
+    let Some(program) = arguments.next() else { return std::io::Error::other("no program given") };
+    match exit_with_parent() {
         Ok(()) => Program::new(program).args(arguments).exec(),
         Err(error) => error,
     }
 }
 
-/// A program that ends with the command: this one, which becomes the other.
-pub fn bound(command: &PathBuf, program: &PathBuf) -> Program {
-    let mut bound = Program::new(command);
-    bound.arg(BOUND).arg(program);
-    bound
+/// Returns a command that runs `program` through [`EXEC_SUBCOMMAND`], so that it is killed when this process
+/// exits.
+pub fn killed_with_parent(command: &PathBuf, program: &PathBuf) -> Program {
+    let mut wrapper = Program::new(command);
+    wrapper.arg(EXEC_SUBCOMMAND).arg(program);
+    wrapper
 }
 
-/// A process that is killed when this is dropped.
-pub struct Bound(pub Child);
+/// A child process that is killed when this value is dropped.
+pub struct KillOnDrop(pub Child);
 
-impl Drop for Bound {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// A worker.
+/// A worker process.
 pub struct Worker {
-    process: Bound,
+    process: KillOnDrop,
     input: ChildStdin,
     replies: Receiver<String>,
     name: String,
 }
 
 impl Worker {
-    /// Starts this command's program as a worker and waits until it is ready.
+    /// Starts this program as a worker and waits until it is ready.
     pub fn start(command: &PathBuf, name: &str, assignment: &Assignment) -> Result<Worker, ScaleError> {
         let failed = |error: &dyn std::fmt::Display| ScaleError::Process(format!("{name}: {error}"));
         let mut program = Program::new(command);
-        program.arg(WORKER).stdin(Stdio::piped()).stdout(Stdio::piped());
-        let mut process = Bound(program.spawn().map_err(|error| failed(&error))?);
+        program.arg(WORKER_SUBCOMMAND).stdin(Stdio::piped()).stdout(Stdio::piped());
+        let mut process = KillOnDrop(program.spawn().map_err(|error| failed(&error))?);
         let (input, output) = (process.0.stdin.take(), process.0.stdout.take());
         let (Some(mut input), Some(output)) = (input, output) else {
-            return Err(failed(&"no way to talk to it"));
+            return Err(failed(&"its standard input or output is missing"));
         };
         let (sender, replies) = channel();
         std::thread::spawn(move || {
@@ -84,41 +87,43 @@
         let mut worker = Worker { process, input, replies, name: name.to_string() };
         match worker.reply()? {
             Reply::Ready => Ok(worker),
-            other => Err(worker.failed(&format!("an unexpected answer: {other:?}"))),
+            other => Err(worker.error(&format!("unexpected reply: {other:?}"))),
         }
     }
 
-    /// Its number at the kernel.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.process.0.id()
     }
 
-    /// Sends a command; its answer is to be taken by [`Worker::reply`].
+    /// Sends a command. The caller reads its reply with [`Worker::reply`].
     pub fn send(&mut self, command: &Command) -> Result<(), ScaleError> {
-        let text = serde_json::to_string(command).map_err(|error| self.failed(&error.to_string()))?;
-        writeln!(self.input, "{text}").map_err(|error| self.failed(&error.to_string()))
+        let text = serde_json::to_string(command).map_err(|error| self.error(&error.to_string()))?;
+        writeln!(self.input, "{text}").map_err(|error| self.error(&error.to_string()))
     }
 
-    /// The answer to the command sent first.
+    /// Waits for the reply to the oldest command without one.
     pub fn reply(&mut self) -> Result<Reply, ScaleError> {
-        let line = self.replies.recv_timeout(PATIENCE).map_err(|error| match error {
-            RecvTimeoutError::Timeout => self.failed(&format!("no answer within {} s", PATIENCE.as_secs())),
-            RecvTimeoutError::Disconnected => self.failed("it has ended"),
+        let line = self.replies.recv_timeout(REPLY_TIMEOUT).map_err(|error| match error {
+            RecvTimeoutError::Timeout => {
+                self.error(&format!("no reply within {} s", REPLY_TIMEOUT.as_secs()))
+            }
+            RecvTimeoutError::Disconnected => self.error("the process has exited"),
         })?;
         match serde_json::from_str(&line) {
-            Ok(Reply::Failed(why)) => Err(self.failed(&why)),
+            Ok(Reply::Failed(why)) => Err(self.error(&why)),
             Ok(reply) => Ok(reply),
-            Err(error) => Err(self.failed(&format!("an answer that is none: {error}"))),
+            Err(error) => Err(self.error(&format!("invalid reply: {error}"))),
         }
     }
 
-    /// Sends a command and waits for its answer.
-    pub fn ask(&mut self, command: &Command) -> Result<Reply, ScaleError> {
+    /// Sends a command and waits for its reply.
+    pub fn request(&mut self, command: &Command) -> Result<Reply, ScaleError> {
         self.send(command)?;
         self.reply()
     }
 
-    fn failed(&self, why: &str) -> ScaleError {
+    fn error(&self, why: &str) -> ScaleError {
         ScaleError::Process(format!("{}: {why}", self.name))
     }
 }
--- a/crates/scale/src/protocol.rs
+++ b/crates/scale/src/protocol.rs
@@ -1,5 +1,5 @@
-//! What the command and its worker processes say to each other: a JSON document a line, over the worker's standard
-//! input and output. A worker ends when its input does, so that none outlives the command.
+//! Messages between the command and its worker processes: one JSON document per line over the worker's
+//! standard input and output. A worker exits at the end of its input, so that none outlives the command.
 
 use std::fmt;
 
@@ -8,24 +8,24 @@
 use crate::layout::Network;
 use crate::traffic::Traffic;
 
-/// What a worker is to be; the first line that it reads.
+/// Role of a worker; the first line that it reads.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Assignment {
     /// Hollow poolers.
     Hollow(HollowFleet),
     /// The stand-in for discovery.
-    Discovery(DiscoveryTerms),
+    Discovery(DiscoveryConfig),
 }
 
-/// How poolers know what sessions wrote at each other.
+/// How poolers learn about the writes that sessions made through other poolers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Coordination {
-    /// Not at all: they only follow the list.
+    /// Not at all: poolers only follow the list.
     None,
-    /// Each shares with every other, as with `peers.seeds` in the operator's file.
+    /// Each pooler exchanges state with every other one, as with `peers.seeds` in the operator's file.
     Peers,
-    /// Control instances keep who owns a session, as with `peers.control`.
+    /// Control instances record which pooler owns a session, as with `peers.control`.
     Directory,
 }
 
@@ -44,88 +44,94 @@
 pub struct HollowFleet {
     /// The run's network.
     pub network: Network,
-    /// The numbers of the poolers: from the first up to the second, not included.
+    /// Range of the poolers' numbers: the first one, and one past the last.
     pub poolers: (usize, usize),
-    /// How many poolers there are in all workers.
+    /// Number of poolers of all workers.
     pub fleet: usize,
-    /// Of all random numbers.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// How they know what sessions wrote at each other.
+    /// How the poolers learn about writes made through other poolers.
     pub coordination: Coordination,
-    /// Control instances, with a directory.
+    /// Number of control instances, if the coordination is [`Coordination::Directory`].
     pub control: usize,
-    /// How many poolers all others know as seeds.
+    /// Number of poolers that are configured as seeds at all others.
     pub seeds: usize,
-    /// Requests a second at each pooler, where they talk: four in ten are writes of sessions, the others reads.
+    /// Rate of the modelled load at each pooler (requests per second): four in ten requests are writes, the
+    /// others reads. Used unless the coordination is [`Coordination::None`].
     pub requests_per_s: f64,
-    /// The poolers start one after another within so many seconds.
+    /// Time over which the starts of all poolers are distributed evenly (seconds).
     pub start_within_s: f64,
 }
 
-/// What the stand-in for discovery is told.
+/// Configuration of the stand-in for discovery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DiscoveryTerms {
+pub struct DiscoveryConfig {
     /// The run's network.
     pub network: Network,
-    /// Databases on the list.
+    /// Members on the list.
     pub databases: usize,
-    /// Databases of a group.
+    /// Members per group.
     pub group_size: usize,
 }
 
-/// What a worker is asked to do. Each is answered by one [`Reply`].
+/// Command to a worker. Each is answered by one [`Reply`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
-    /// Start the poolers.
+    /// Starts all poolers.
     Begin,
-    /// Tell the counters.
+    /// Returns the counters.
     Sample,
-    /// Tell how things stand at each pooler.
+    /// Returns the state of the poolers.
     State,
-    /// Tell when each pooler heard of the list of that version, or of a later one.
-    Heard(u64),
-    /// Drain a database, or let it serve again; answered with the new version and its time.
+    /// Returns when each pooler received the list of this version or of a later one.
+    #[serde(rename = "Heard")]
+    ListTimes(u64),
+    /// Removes a member from the list or puts it back; answered with the new version and its time.
     List {
-        /// Its number.
+        /// Number of the member.
         database: usize,
-        /// Whether it takes work from now on.
+        /// Whether the member is on the list from now on.
         serving: bool,
     },
-    /// Expect word of a new primary: the group and the database's name.
+    /// Records from now on when reports of a new primary arrive: the group and the member's name.
     ExpectPrimary(u32, String),
-    /// The pooler of that number, if it is here, finds out that the database is primary now.
-    FindPrimary {
-        /// The pooler.
+    /// If this worker has the pooler, the pooler observes that the member is primary now.
+    #[serde(rename = "FindPrimary")]
+    ObservePrimary {
+        /// Number of the pooler.
         pooler: usize,
-        /// The database's name.
+        /// Name of the member.
         database: String,
     },
-    /// Tell when each pooler had word of the primary that is expected.
-    HeardPrimary,
-    /// Cut the zones off from all others, in both directions; none at all heals the network.
+    /// Returns when each pooler received a report of the expected primary.
+    #[serde(rename = "HeardPrimary")]
+    PrimaryTimes,
+    /// Cuts these zones off from all others, in both directions. An empty list ends the partition.
     Cut(Vec<usize>),
-    /// Kill those poolers that are here: nothing of them is left, and nobody is told.
+    /// Kills those of the poolers that this worker has: their state is dropped and no other pooler is
+    /// notified.
     Kill(Vec<usize>),
-    /// Start those poolers that are here and do not run.
+    /// Starts those of the poolers that this worker has and that do not run.
     Start(Vec<usize>),
 }
 
-/// A worker's answer.
+/// Reply of a worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
     /// The worker is ready.
     Ready,
     /// The counters.
     Sample(Box<Sample>),
-    /// How things stand.
+    /// The state of the poolers.
     State(State),
-    /// When the poolers heard (Unix seconds).
-    Heard(Vec<f64>),
-    /// A list of that version is told since then (Unix seconds).
+    /// Times at which poolers received something (Unix seconds).
+    #[serde(rename = "Heard")]
+    Times(Vec<f64>),
+    /// Version of the list, and when discovery began to send it (Unix seconds).
     Version(u64, f64),
-    /// Done.
+    /// The command succeeded.
     Done,
-    /// It could not be done.
+    /// The command failed for this reason.
     Failed(String),
 }
 
@@ -136,52 +142,55 @@
     pub at: f64,
     /// Messages and bytes.
     pub traffic: Traffic,
-    /// By how much the latest timer since the last sample came late (seconds).
+    /// Maximum delay of a timer since the last sample (seconds).
     pub latest_timer_s: f64,
-    /// Writes answered, refused, and reads, of the modelled load.
+    /// Results of the modelled load.
     pub load: LoadCounts,
 }
 
-/// What came of the modelled load.
+/// Results of the modelled load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadCounts {
-    /// Writes that were answered.
+    /// Answered writes.
     pub answered: u64,
-    /// Writes that were refused before they were sent.
+    /// Writes refused before they were sent.
     pub refused: u64,
     /// Reads that may go to a replica.
     pub reads_anywhere: u64,
     /// Reads that only the primary may serve.
     pub reads_at_primary: u64,
-    /// Reads that might have seen less than their session was answered. Must be 0.
+    /// Reads that might have missed an answered write of their session. Must be 0.
     pub stale: u64,
-    /// How long answered writes waited for other poolers, before they were sent and before they were answered, since the
-    /// last sample (microseconds).
+    /// Time that each answered write waited for other instances before it was sent and before it was
+    /// answered, since the last sample (microseconds).
     pub waits_us: Vec<u64>,
-    /// How long sessions that came from another pooler read at the primary until they were owned, since the last sample
-    /// (microseconds).
+    /// Time for which each session that moved here from another pooler had to read at the primary, since the
+    /// last sample (microseconds).
     pub arrivals_us: Vec<u64>,
 }
 
-/// How things stand at the poolers of a worker.
+/// State of the poolers of a worker.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// Poolers that run.
+    /// Number of running poolers.
     pub running: usize,
-    /// Of each pooler that runs: the version of its list, and a sum over what its decisions hold of it.
+    /// For each running pooler: the version of its list, and a checksum of the members in its policy.
     pub lists: Vec<(u64, u64)>,
-    /// Of each pooler that runs, where they talk: how many it takes for alive, itself included.
+    /// For each running pooler that exchanges state: the number of instances it considers alive, including
+    /// itself.
     pub alive: Vec<usize>,
-    /// Of each pooler that runs, where they talk: whether its reads go by what it knows of the others.
-    pub whole: Vec<bool>,
-    /// Of each pooler that runs, with a directory: whether every group of control instances has a quorum for it.
+    /// For each running pooler that exchanges state: whether reads of sessions may use replicas.
+    #[serde(rename = "whole")]
+    pub can_read_replicas: Vec<bool>,
+    /// For each running pooler with a session directory: whether it has a quorum of every group of control
+    /// instances.
     pub quorate: Vec<bool>,
-    /// Logs that would have been fetched over streams, which hollow poolers do not have. Must be 0.
+    /// Number of logs to be fetched over streams, which hollow poolers do not support. Must be 0.
     pub streams_wanted: u64,
 }
 
 impl LoadCounts {
-    /// Adds another worker's counts.
+    /// Adds the counts of another worker.
     pub fn add(&mut self, other: LoadCounts) {
         self.answered += other.answered;
         self.refused += other.refused;
@@ -194,9 +203,10 @@
 }
 
 impl State {
-    /// Whether reads go by what is known of the others at all poolers. Without reads nobody asks for that.
-    pub fn all_whole(&self) -> bool {
-        self.whole.iter().all(|whole| *whole)
+    /// Returns true if reads of sessions may use replicas at all poolers. Only meaningful under load:
+    /// without reads, no leases are requested.
+    pub fn all_can_read_replicas(&self) -> bool {
+        self.can_read_replicas.iter().all(|confirmed| *confirmed)
     }
 
     /// Adds the poolers of another worker.
@@ -204,36 +214,39 @@
         self.running += other.running;
         self.lists.extend(other.lists);
         self.alive.extend(other.alive);
-        self.whole.extend(other.whole);
+        self.can_read_replicas.extend(other.can_read_replicas);
         self.quorate.extend(other.quorate);
         self.streams_wanted += other.streams_wanted;
     }
 
-    /// Whether so many run, all hold the list of that version, and those that talk each take `alive` for alive or have a
-    /// quorum of every group.
-    pub fn settled(&self, running: usize, alive: usize, version: u64) -> bool {
+    /// Returns true if `running` poolers run, all have version `version` of the list, those that exchange
+    /// state each consider `alive` instances alive, and those with a directory have a quorum of every group.
+    pub fn has_converged(&self, running: usize, alive: usize, version: u64) -> bool {
         self.running == running
-            && self.lists.iter().all(|(held, _)| *held == version)
+            && self.lists.iter().all(|(list_version, _)| *list_version == version)
             && self.alive.iter().all(|count| *count == alive)
             && self.quorate.iter().all(|quorate| *quorate)
     }
 
-    /// How things stand, in words.
+    /// Describes the state in one line.
     pub fn summary(&self) -> String {
         let range = |values: &mut dyn Iterator<Item = u64>| {
             let values: Vec<u64> = values.collect();
             format!("{} to {}", values.iter().min().unwrap_or(&0), values.iter().max().unwrap_or(&0))
         };
-        let mut text =
-            format!("{} run, lists {}", self.running, range(&mut self.lists.iter().map(|(held, _)| *held)));
+        let mut text = format!(
+            "{} poolers run, list versions {}",
+            self.running,
+            range(&mut self.lists.iter().map(|(list_version, _)| *list_version))
+        );
         if !self.alive.is_empty() {
-            let whole = self.whole.iter().filter(|whole| **whole).count();
+            let confirmed = self.can_read_replicas.iter().filter(|confirmed| **confirmed).count();
             let alive = range(&mut self.alive.iter().map(|alive| *alive as u64));
-            text += &format!(", each takes {alive} for alive, {whole} go by what they know");
+            text += &format!(", each considers {alive} instances alive, {confirmed} can read from replicas");
         }
         if !self.quorate.is_empty() {
             let quorate = self.quorate.iter().filter(|quorate| **quorate).count();
-            text += &format!(", {quorate} have a quorum of every group");
+            text += &format!(", {quorate} have a quorum of every control group");
         }
         text
     }
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -1,4 +1,5 @@
-//! Real poolers of a run: processes of `dewferry` with files of their own in a folder that goes with them.
+//! Real poolers and control instances of a run: processes of `dewferry`, whose files are in the run's
+//! temporary folder.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -10,66 +11,66 @@
 
 use crate::error::ScaleError;
 use crate::layout::{control_zone, region_of, zone_of, Network};
-use crate::process::{bound, Bound};
+use crate::process::{killed_with_parent, KillOnDrop};
 use crate::protocol::Coordination;
-use crate::settings::{control_name, platform, pooler_name, region_name, KEY};
+use crate::settings::{control_name, platform_config, pooler_name, region_name, KEY};
 
-/// Where the programs of a run are, and its files.
+/// Paths of the programs and files of a run.
 pub struct Programs {
-    /// This command.
+    /// The program of this command.
     pub command: PathBuf,
-    /// The pooler.
+    /// The program `dewferry`.
     pub pooler: PathBuf,
-    /// A folder of the run's own, removed at its end.
+    /// Temporary folder of the run, removed at its end.
     pub folder: PathBuf,
 }
 
-/// What a real pooler is told.
-pub struct RealTerms {
+/// Configuration of a real pooler.
+pub struct RealPoolerConfig {
     /// The run's network.
     pub network: Network,
-    /// Its number.
+    /// Number of the pooler.
     pub number: usize,
-    /// Poolers in all.
+    /// Number of poolers of the fleet.
     pub fleet: usize,
-    /// Of its random numbers.
+    /// Seed of its random numbers.
     pub seed: u64,
-    /// How it knows what sessions wrote at others.
+    /// How it learns about writes made through other poolers.
     pub coordination: Coordination,
-    /// Control instances, with a directory.
+    /// Number of control instances, if the coordination is [`Coordination::Directory`].
     pub control: usize,
-    /// How many poolers all others know as seeds.
+    /// Number of poolers that are configured as seeds at all others.
     pub seeds: usize,
 }
 
-/// A running process of the pooler.
-pub struct Real {
-    process: Bound,
+/// A running real pooler.
+pub struct RealPooler {
+    process: KillOnDrop,
     socket: PathBuf,
     program: PathBuf,
 }
 
-/// What a real pooler says of itself and the others; a part of what `dewferry peers status --json` prints.
+/// Status of a real pooler and its peers; a part of the output of `dewferry peers status --json`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RealStatus {
-    /// The instances that it knows.
+    /// The instances known to it, including itself.
     pub instances: Vec<RealInstance>,
-    /// Bytes sent to others since its start.
+    /// Bytes sent to peers since its start.
     pub sent_bytes: u64,
-    /// Bytes received from others since its start.
+    /// Bytes received from peers since its start.
     pub received_bytes: u64,
 }
 
-/// An instance as a real pooler knows it.
+/// An instance as seen by a real pooler.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RealInstance {
     /// `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// What it works by, as it says.
+    /// The versions that the instance reported.
     pub versions: Option<RealVersions>,
 }
 
-/// What an instance works by.
+/// Versions that an instance uses.
 #[derive(Clone, Debug, Deserialize)]
 pub struct RealVersions {
     /// The version of its list.
@@ -77,40 +78,40 @@
 }
 
 impl RealStatus {
-    /// How many it takes for alive, itself included.
+    /// Returns the number of instances that it considers alive, including itself.
     pub fn alive(&self) -> usize {
         self.instances.iter().filter(|instance| instance.state == "alive").count()
     }
 }
 
-impl Real {
-    /// Starts one.
-    pub fn start(programs: &Programs, terms: &RealTerms) -> Result<Real, ScaleError> {
-        let name = pooler_name(terms.number);
+impl RealPooler {
+    /// Starts a real pooler.
+    pub fn start(programs: &Programs, config: &RealPoolerConfig) -> Result<RealPooler, ScaleError> {
+        let name = pooler_name(config.number);
         let folder = programs.folder.join(&name);
         std::fs::create_dir_all(&folder).map_err(|error| ScaleError::File(folder.clone(), error))?;
         let socket = folder.join("control");
-        let zone = zone_of(terms.number);
-        let text = platform(terms.network, terms.number, zone, terms.fleet, terms.seed);
+        let zone = zone_of(config.number);
+        let text = platform_config(config.network, config.number, zone, config.fleet, config.seed);
         let settings = folder.join("platform.json");
         write_file(&settings, &text)?;
         let operator = folder.join("dewferry.toml");
         write_file(&folder.join("key"), KEY)?;
-        write_file(&operator, &operator_text(terms, &folder))?;
+        write_file(&operator, &operator_config(config, &folder))?;
         let path = folder.join("log");
         let log = File::create(&path).map_err(|error| ScaleError::File(path, error))?;
-        let mut program = bound(&programs.command, &programs.pooler);
+        let mut program = killed_with_parent(&programs.command, &programs.pooler);
         program.args(["serve", "--config"]).arg(settings).arg("--operator").arg(operator).stderr(log);
         let process = program.spawn().map_err(|error| ScaleError::Process(format!("{name}: {error}")))?;
-        Ok(Real { process: Bound(process), socket, program: programs.pooler.clone() })
+        Ok(RealPooler { process: KillOnDrop(process), socket, program: programs.pooler.clone() })
     }
 
-    /// Its number at the kernel.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.process.0.id()
     }
 
-    /// What it says of itself and the others; none while it cannot be asked.
+    /// Queries the status. Returns `None` while the pooler cannot be reached.
     pub fn status(&self) -> Option<RealStatus> {
         let mut program = Program::new(&self.program);
         program.args(["peers", "status", "--json"]).env("DEWFERRY_CONTROL", &self.socket);
@@ -119,25 +120,26 @@
     }
 }
 
-fn operator_text(terms: &RealTerms, folder: &Path) -> String {
+fn operator_config(config: &RealPoolerConfig, folder: &Path) -> String {
     let socket = folder.join("control");
     let mut text = format!("control.socket = \"{}\"\nlog.level = \"info\"\n", socket.display());
-    let others = match terms.coordination {
+    let coordination_setting = match config.coordination {
         Coordination::None => return text,
         Coordination::Peers => {
             let seeds: Vec<String> =
-                (0..terms.seeds).map(|seed| format!("\"{}\"", terms.network.pooler(seed))).collect();
+                (0..config.seeds).map(|seed| format!("\"{}\"", config.network.pooler(seed))).collect();
             format!("seeds = [{}]\n", seeds.join(", "))
         }
-        Coordination::Directory => control_listed(terms.network, terms.control),
+        Coordination::Directory => control_setting(config.network, config.control),
     };
-    let (listen, key) = (terms.network.pooler(terms.number), folder.join("key"));
-    text += &format!("[peers]\nlisten = \"{listen}\"\nkeys = [\"{}\"]\n{others}", key.display());
+    let (listen, key) = (config.network.pooler(config.number), folder.join("key"));
+    text +=
+        &format!("[peers]\nlisten = \"{listen}\"\nkeys = [\"{}\"]\n{coordination_setting}", key.display());
     text
 }
 
-/// The setting that names the control instances.
-fn control_listed(network: Network, count: usize) -> String {
+/// Returns the setting `peers.control`, which lists the control instances.
+fn control_setting(network: Network, count: usize) -> String {
     let entry = |number: usize| {
         let (name, address) = (control_name(number), network.control(number));
         let region = region_name(region_of(control_zone(number)));
@@ -148,10 +150,10 @@
 }
 
 /// A running control instance.
-pub struct ControlInstance(Bound);
+pub struct ControlInstance(KillOnDrop);
 
 impl ControlInstance {
-    /// Starts one of so many.
+    /// Starts control instance `number` of `count`.
     pub fn start(
         programs: &Programs,
         network: Network,
@@ -163,24 +165,24 @@
         std::fs::create_dir_all(&folder).map_err(|error| ScaleError::File(folder.clone(), error))?;
         write_file(&folder.join("key"), KEY)?;
         let operator = folder.join("dewferry.toml");
-        let listed = control_listed(network, count);
+        let setting = control_setting(network, count);
         let key = folder.join("key");
-        write_file(&operator, &format!("[peers]\nkeys = [\"{}\"]\n{listed}", key.display()))?;
+        write_file(&operator, &format!("[peers]\nkeys = [\"{}\"]\n{setting}", key.display()))?;
         let path = folder.join("log");
         let log = File::create(&path).map_err(|error| ScaleError::File(path, error))?;
-        let mut program = bound(&programs.command, &programs.pooler);
+        let mut program = killed_with_parent(&programs.command, &programs.pooler);
         program.args(["control", "--name", &name, "--operator"]).arg(operator).stderr(log);
         let process = program.spawn().map_err(|error| ScaleError::Process(format!("{name}: {error}")))?;
-        Ok(ControlInstance(Bound(process)))
+        Ok(ControlInstance(KillOnDrop(process)))
     }
 
-    /// Its number at the kernel.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.0 .0.id()
     }
 }
 
-/// Writes a file that only its owner may read, as the pooler demands of keys.
+/// Writes a file that only its owner may read, as the pooler requires for keys.
 fn write_file(path: &Path, text: &str) -> Result<(), ScaleError> {
     let failed = |error| ScaleError::File(path.to_path_buf(), error);
     let mut options = OpenOptions::new();
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -1,4 +1,5 @@
-//! The report of a run: figures by size with their spread, curves fitted over the sizes, what went against safety.
+//! Report of a run: figures by fleet size with their deviation, curves fitted over the sizes, and failed
+//! safety checks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -11,12 +12,13 @@
 use crate::protocol::Coordination;
 use crate::traffic::{Direction, Traffic};
 
-/// The size that the fits are carried to, as an extrapolation where it was not measured.
-const TARGET: f64 = 1_300.0;
-/// Sizes that a fit with a square term needs at the least: one more than it has coefficients.
-const SIZES_OF_SQUARE: usize = 4;
-const SIZES_OF_LINE: usize = 3;
-/// Counts of a whole fleet, and signs of how busy the machine was.
+/// Fleet size for which the fits are evaluated; an extrapolation if it is beyond the measured sizes.
+const TARGET_SIZE: f64 = 1_300.0;
+/// Minimum number of sizes for a fit with a square term: one more than it has coefficients.
+const MIN_SIZES_FOR_SQUARE: usize = 4;
+/// Minimum number of sizes for a linear fit: one more than it has coefficients.
+const MIN_SIZES_FOR_LINE: usize = 3;
+/// Figures without fits: counts of the complete fleet, and indicators of the host's load.
 const NOT_FITTED: [&str; 11] = [
     "arrivals",
     "busiest_control_processor_percent",
@@ -31,77 +33,77 @@
     "writes_refused_without",
 ];
 
-/// What stands together in a report.
+/// Key of a section of the report.
 type Section = (Coordination, Kind);
 
-fn section_of(measured: &Measurement) -> Section {
-    (measured.coordination, measured.kind)
+fn section_of(measurement: &Measurement) -> Section {
+    (measurement.coordination, measurement.kind)
 }
 
-/// All of a run.
+/// Report of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Whether all that was planned was measured.
+    /// True if all planned measurements were made.
     pub complete: bool,
-    /// What stopped the run, where it is partial.
+    /// What stopped the run, if the report is partial.
     pub stopped_by: Option<String>,
     /// The command line.
     pub command: String,
-    /// Where it ran.
+    /// The host of the run.
     pub machine: Host,
-    /// The most resident memory that the run's processes held together when it was looked at (bytes), and the most
-    /// processes, the command itself included.
+    /// Maximum resident memory of all processes of the run together, as sampled (bytes).
     pub peak_memory: u64,
-    /// See above.
+    /// Maximum number of processes, including the command itself.
     pub peak_processes: usize,
-    /// How long it took (seconds).
+    /// Duration of the run (seconds).
     pub seconds: f64,
-    /// Each measurement.
+    /// All measurements.
     pub measurements: Vec<Measurement>,
-    /// Curves over the sizes.
+    /// Curves fitted over the sizes.
     pub fits: Vec<Fitted>,
 }
 
-/// Curves of one figure over the sizes, all repeats together.
+/// Curves of one figure, fitted over the sizes and all repeats.
 #[derive(Clone, Debug, Serialize)]
 pub struct Fitted {
     /// The kind of run.
     pub kind: Kind,
-    /// How the poolers knew what sessions wrote at each other.
+    /// How the poolers learned about writes made through other poolers.
     pub coordination: Coordination,
-    /// The figure.
+    /// Name of the figure.
     pub figure: String,
-    /// What was measured.
+    /// The measured values.
     pub points: Vec<Point>,
     /// A straight line.
     pub linear: Fit,
-    /// A line with a square term, where there are sizes enough.
+    /// A line with a square term, if there are enough sizes.
     pub square: Option<Fit>,
 }
 
 impl Report {
-    /// What went against safety, with where.
+    /// Returns the failed safety checks, each with the measurement it belongs to.
     pub fn faults(&self) -> Vec<String> {
-        let of = |m: &Measurement| {
-            let place = format!("{}, {} at {} poolers, repeat {}", m.kind, m.coordination, m.size, m.repeat);
-            m.faults.iter().map(move |fault| format!("{place}: {fault}")).collect::<Vec<_>>()
+        let describe_faults = |m: &Measurement| {
+            let location =
+                format!("{}, {} at {} poolers, repeat {}", m.kind, m.coordination, m.size, m.repeat);
+            m.faults.iter().map(move |fault| format!("{location}: {fault}")).collect::<Vec<_>>()
         };
-        self.measurements.iter().flat_map(of).collect()
+        self.measurements.iter().flat_map(describe_faults).collect()
     }
 
-    /// The report as text in Markdown.
+    /// Returns the report in Markdown.
     pub fn markdown(&self) -> String {
         let mut text = String::from("# Scale run\n\n");
         if let Some(why) = &self.stopped_by {
             let _ = writeln!(text, "**This report is partial**: {why}.\n");
         }
-        self.describe(&mut text);
+        self.write_run_description(&mut text);
         for section in self.sections() {
             let (coordination, kind) = section;
             let _ = writeln!(text, "\n## {kind}, {coordination}\n");
-            self.figures(section, &mut text);
-            self.fitted(section, &mut text);
-            self.traffic(section, &mut text);
+            self.write_figures(section, &mut text);
+            self.write_fits(section, &mut text);
+            self.write_traffic(section, &mut text);
         }
         let faults = self.faults();
         let _ = writeln!(text, "\n## Safety\n");
@@ -114,17 +116,17 @@
         text
     }
 
-    fn describe(&self, text: &mut String) {
-        let machine = &self.machine;
+    fn write_run_description(&self, text: &mut String) {
+        let host = &self.machine;
         let _ = writeln!(text, "Command: `{}`\n", self.command);
         let _ = writeln!(
             text,
             "Machine: {} cores of {}, {:.1} GB of memory, Linux {}. The run took {:.0} s, {} processes and {:.0} MB of \
              resident memory at the most.",
-            machine.cores,
-            machine.processor,
-            machine.memory as f64 / 1e9,
-            machine.kernel,
+            host.cores,
+            host.processor,
+            host.memory as f64 / 1e9,
+            host.kernel,
             self.seconds,
             self.peak_processes,
             self.peak_memory as f64 / 1e6
@@ -140,32 +142,35 @@
         self.measurements.iter().map(section_of).collect()
     }
 
-    fn of(&self, section: Section) -> impl Iterator<Item = &Measurement> {
-        self.measurements.iter().filter(move |measured| section_of(measured) == section)
+    fn measurements_of(&self, section: Section) -> impl Iterator<Item = &Measurement> {
+        self.measurements.iter().filter(move |measurement| section_of(measurement) == section)
     }
 
-    /// A line for each figure, a column for each size: the mean over repeats and, with several, its deviation.
-    fn figures(&self, section: Section, text: &mut String) {
-        let sizes: BTreeSet<usize> = self.of(section).map(|measured| measured.size).collect();
+    /// Writes a row for each figure and a column for each size: the mean over the repeats and, with more than
+    /// one, the deviation.
+    fn write_figures(&self, section: Section, text: &mut String) {
+        let sizes: BTreeSet<usize> =
+            self.measurements_of(section).map(|measurement| measurement.size).collect();
         let names: BTreeSet<&String> =
-            self.of(section).flat_map(|measured| measured.figures.keys()).collect();
-        let heads: Vec<String> = sizes.iter().map(|size| format!("{size} poolers")).collect();
-        let _ = writeln!(text, "| figure | {} |", heads.join(" | "));
+            self.measurements_of(section).flat_map(|measurement| measurement.figures.keys()).collect();
+        let headings: Vec<String> = sizes.iter().map(|size| format!("{size} poolers")).collect();
+        let _ = writeln!(text, "| figure | {} |", headings.join(" | "));
         let _ = writeln!(text, "| --- |{}", " --- |".repeat(sizes.len()));
         for name in names {
             let cells: Vec<String> = sizes
                 .iter()
                 .map(|size| {
-                    let at_size = self.of(section).filter(|measured| measured.size == *size);
+                    let at_size =
+                        self.measurements_of(section).filter(|measurement| measurement.size == *size);
                     let values: Vec<f64> = at_size.filter_map(|m| m.figures.get(name).copied()).collect();
-                    Spread::of(&values).map_or_else(String::new, |spread| shown(&spread))
+                    Spread::of(&values).map_or_else(String::new, |spread| format_spread(&spread))
                 })
                 .collect();
             let _ = writeln!(text, "| {name} | {} |", cells.join(" | "));
         }
     }
 
-    fn fitted(&self, section: Section, text: &mut String) {
+    fn write_fits(&self, section: Section, text: &mut String) {
         let of_section = |fitted: &&Fitted| (fitted.coordination, fitted.kind) == section;
         let fits: Vec<&Fitted> = self.fits.iter().filter(of_section).collect();
         if fits.is_empty() {
@@ -178,7 +183,7 @@
         );
         let _ = writeln!(
             text,
-            "| figure | slope | residuals | slope beside a square term | square term | residuals | line at {TARGET} | curve at {TARGET} |"
+            "| figure | slope | residuals | slope beside a square term | square term | residuals | line at {TARGET_SIZE} | curve at {TARGET_SIZE} |"
         );
         let _ = writeln!(text, "| --- | --- | --- | --- | --- | --- | --- | --- |");
         for fitted in fits {
@@ -186,15 +191,17 @@
         }
     }
 
-    /// Messages and bytes a second of a pooler by kind, direction and distance, at the largest size.
-    fn traffic(&self, section: Section, text: &mut String) {
-        let Some(largest) = self.of(section).map(|measured| measured.size).max() else { return };
-        let at_largest: Vec<&Measurement> =
-            self.of(section).filter(|measured| measured.size == largest).collect();
+    /// Writes the messages and bytes of one pooler by kind, direction and distance, at the largest size.
+    fn write_traffic(&self, section: Section, text: &mut String) {
+        let Some(largest) = self.measurements_of(section).map(|measurement| measurement.size).max() else {
+            return;
+        };
+        let measurements: Vec<&Measurement> =
+            self.measurements_of(section).filter(|measurement| measurement.size == largest).collect();
         let mut mean = Traffic::default();
-        at_largest
+        measurements
             .iter()
-            .for_each(|measured| mean.add(&measured.traffic.scaled(1.0 / at_largest.len() as f64)));
+            .for_each(|measurement| mean.add(&measurement.traffic.scaled(1.0 / measurements.len() as f64)));
         if mean.flows().next().is_none() {
             return;
         }
@@ -209,14 +216,16 @@
                 message.name(),
                 direction.name(),
                 distance.name(),
-                number(count.messages),
-                number(count.bytes)
+                format_number(count.messages),
+                format_number(count.bytes)
             );
         }
         for direction in [Direction::Sent, Direction::Received] {
             for distance in Distance::ALL {
-                let sum = mean.sum(|(_, way, of)| *way == distance && *of == direction);
-                let (messages, bytes) = (number(sum.messages), number(sum.bytes));
+                let sum = mean.sum(|(_, flow_distance, flow_direction)| {
+                    *flow_distance == distance && *flow_direction == direction
+                });
+                let (messages, bytes) = (format_number(sum.messages), format_number(sum.bytes));
                 let (direction, distance) = (direction.name(), distance.name());
                 let _ = writeln!(text, "| all | {direction} | {distance} | {messages} | {bytes} |");
             }
@@ -225,13 +234,13 @@
 }
 
 impl Fitted {
-    /// Curves over the measurements of each kind and figure that has sizes enough.
+    /// Fits curves to each figure of each section that has enough sizes.
     pub fn all(measurements: &[Measurement]) -> Vec<Fitted> {
         let mut points: BTreeMap<(Section, &String), Vec<Point>> = BTreeMap::new();
-        for measured in measurements {
-            for (name, value) in measured.figures.iter().filter(|(name, _)| is_fitted(name)) {
-                let of = points.entry((section_of(measured), name)).or_default();
-                of.push(Point::new(measured.size as f64, *value));
+        for measurement in measurements {
+            for (name, value) in measurement.figures.iter().filter(|(name, _)| is_fitted(name)) {
+                let values = points.entry((section_of(measurement), name)).or_default();
+                values.push(Point::new(measurement.size as f64, *value));
             }
         }
         points
@@ -244,56 +253,62 @@
         let mut sizes: Vec<u64> = points.iter().map(|point| point.size as u64).collect();
         sizes.sort_unstable();
         sizes.dedup();
-        if sizes.len() < SIZES_OF_LINE {
+        if sizes.len() < MIN_SIZES_FOR_LINE {
             return None;
         }
         let linear = Fit::linear(&points).ok()?;
-        let square = (sizes.len() >= SIZES_OF_SQUARE).then(|| Fit::square(&points).ok()).flatten();
+        let square = (sizes.len() >= MIN_SIZES_FOR_SQUARE).then(|| Fit::square(&points).ok()).flatten();
         Some(Fitted { kind, coordination, figure: figure.to_string(), points, linear, square })
     }
 
     fn row(&self) -> String {
-        let error = |of: measure::Coefficient| format!("{} ± {}", number(of.value), number(of.error));
+        let with_error = |coefficient: measure::Coefficient| {
+            format!("{} ± {}", format_number(coefficient.value), format_number(coefficient.error))
+        };
         let linear = &self.linear;
-        let line =
-            format!("| {} | {} | {} |", self.figure, error(linear.slope), number(linear.residual_deviation));
-        let target = |fit: &Fit| {
-            let mark = if fit.extrapolates(TARGET) { " (extrapolated)" } else { "" };
-            format!("{}{mark}", number(fit.value_at(TARGET)))
+        let line = format!(
+            "| {} | {} | {} |",
+            self.figure,
+            with_error(linear.slope),
+            format_number(linear.residual_deviation)
+        );
+        let at_target = |fit: &Fit| {
+            let note = if fit.extrapolates(TARGET_SIZE) { " (extrapolated)" } else { "" };
+            format!("{}{note}", format_number(fit.value_at(TARGET_SIZE)))
         };
         match &self.square {
             Some(square) => format!(
                 "{line} {} | {} | {} | {} | {} |",
-                error(square.slope),
-                square.square.map_or_else(String::new, error),
-                number(square.residual_deviation),
-                target(linear),
-                target(square)
+                with_error(square.slope),
+                square.square.map_or_else(String::new, with_error),
+                format_number(square.residual_deviation),
+                at_target(linear),
+                at_target(square)
             ),
-            None => format!("{line} | | | {} | |", target(linear)),
+            None => format!("{line} | | | {} | |", at_target(linear)),
         }
     }
 }
 
-/// Whether a figure is one whose growth with the size says something.
+/// Returns true if curves are fitted to this figure.
 fn is_fitted(figure: &str) -> bool {
     !NOT_FITTED.contains(&figure)
 }
 
-fn shown(spread: &Spread) -> String {
+fn format_spread(spread: &Spread) -> String {
     match spread.count {
-        1 => number(spread.mean),
-        _ => format!("{} ± {}", number(spread.mean), number(spread.deviation)),
+        1 => format_number(spread.mean),
+        _ => format!("{} ± {}", format_number(spread.mean), format_number(spread.deviation)),
     }
 }
 
-/// A number with some four significant digits.
-fn number(value: f64) -> String {
+/// Formats a number with about four significant digits.
+fn format_number(value: f64) -> String {
     match value.abs() {
         _ if !value.is_finite() => String::from("unknown"),
-        size if size >= 1_000.0 => format!("{value:.0}"),
-        size if size >= 10.0 => format!("{value:.1}"),
-        size if size >= 0.01 || size == 0.0 => format!("{value:.3}"),
+        magnitude if magnitude >= 1_000.0 => format!("{value:.0}"),
+        magnitude if magnitude >= 10.0 => format!("{value:.1}"),
+        magnitude if magnitude >= 0.01 || magnitude == 0.0 => format!("{value:.3}"),
         _ => format!("{value:.2e}"),
     }
 }
--- /dev/null
+++ b/crates/scale/src/stand_in/mod.rs
@@ -0,0 +1,4 @@
+//! Stand-ins for services that poolers use.
+
+pub mod discovery;
+mod list;
--- a/crates/scale/src/standin/mod.rs
+++ /dev/null
@@ -1,4 +0,0 @@
-//! Stand-ins for what poolers talk to.
-
-pub mod discovery;
-mod list;
--- a/crates/scale/src/traffic.rs
+++ b/crates/scale/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Messages and bytes, counted by kind, by how far they go and by direction.
+//! Counts of messages and bytes by kind, distance and direction.
 
 use std::collections::BTreeMap;
 
@@ -9,104 +9,107 @@
 
 use crate::layout::Distance;
 
-/// What a message is for.
+/// Kind of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
-    /// A call for the list at discovery.
+pub enum MessageKind {
+    /// A request to discovery for the list.
     ListCall,
-    /// What discovery answers: the list, its changes, empty lines.
+    /// A response of discovery: the list, a change of it, or an empty line.
     List,
-    /// A question for a lease, or for word of each other.
+    /// A lease request, or a heartbeat in the form of a request without a lease.
     Ask,
-    /// The answer to such a question.
+    /// The answer to a lease request or heartbeat.
     Grant,
     /// Facts of a log.
     Push,
-    /// Word of how far a log has been read.
+    /// Position up to which a log has been read.
     Read,
-    /// How databases look to the speaker.
+    /// The sender's observations of members.
     Views,
-    /// Membership's own (SWIM).
+    /// A message of the membership protocol (SWIM).
     Swim,
-    /// Who is there.
+    /// A part of the list of known instances.
     Roster,
     /// A heartbeat to a control instance.
     Heartbeat,
     /// The answer to a heartbeat.
     HeartbeatAck,
-    /// A claim of a session, at a control instance.
+    /// A claim of a session, sent to a control instance.
     Claim,
     /// The answer to a claim.
     ClaimReply,
-    /// A question to the former owner of a session.
+    /// A handover request to the former owner of a session.
     Handover,
-    /// The answer to such a question.
+    /// The answer to a handover request.
     HandoverReply,
-    /// All other kinds.
+    /// Any other message.
     Other,
 }
 
-impl Kind {
-    /// The kind of a datagram between poolers, by the number that stands behind its head.
-    pub fn of_datagram(sealed: &[u8]) -> Kind {
+impl MessageKind {
+    /// Returns the kind of a datagram between poolers, from the kind byte that follows its header.
+    pub fn of_datagram(sealed: &[u8]) -> MessageKind {
         let message = &sealed[..sealed.len().saturating_sub(SEAL_BYTES)];
-        let number =
+        let kind =
             postcard::take_from_bytes::<Header>(message).ok().and_then(|(_, rest)| rest.first().copied());
-        match number {
-            Some(1) => Kind::Ask,
-            Some(2) => Kind::Grant,
-            Some(3) => Kind::Push,
-            Some(4) => Kind::Read,
-            Some(5) => Kind::Views,
-            Some(6) => Kind::Swim,
-            Some(11) => Kind::Roster,
-            _ => Kind::Other,
+        match kind {
+            Some(1) => MessageKind::Ask,
+            Some(2) => MessageKind::Grant,
+            Some(3) => MessageKind::Push,
+            Some(4) => MessageKind::Read,
+            Some(5) => MessageKind::Views,
+            Some(6) => MessageKind::Swim,
+            Some(11) => MessageKind::Roster,
+            _ => MessageKind::Other,
         }
     }
 
-    /// The kind of a datagram of the session directory.
-    pub fn of_directory(bytes: &[u8]) -> Kind {
+    /// Returns the kind of a datagram of the session directory.
+    pub fn of_directory(bytes: &[u8]) -> MessageKind {
         match Purpose::of_datagram(bytes) {
-            Some(Purpose::Heartbeat) => Kind::Heartbeat,
-            Some(Purpose::HeartbeatAck) => Kind::HeartbeatAck,
-            Some(Purpose::Claim) => Kind::Claim,
-            Some(Purpose::ClaimReply) => Kind::ClaimReply,
-            Some(Purpose::Handover) => Kind::Handover,
-            Some(Purpose::HandoverReply) => Kind::HandoverReply,
-            Some(Purpose::Leave) | None => Kind::Other,
+            Some(Purpose::Heartbeat) => MessageKind::Heartbeat,
+            Some(Purpose::HeartbeatAck) => MessageKind::HeartbeatAck,
+            Some(Purpose::Claim) => MessageKind::Claim,
+            Some(Purpose::ClaimReply) => MessageKind::ClaimReply,
+            Some(Purpose::Handover) => MessageKind::Handover,
+            Some(Purpose::HandoverReply) => MessageKind::HandoverReply,
+            Some(Purpose::Leave) | None => MessageKind::Other,
         }
     }
 
-    /// Whether it passes between a pooler and a control instance.
+    /// Returns true if messages of this kind pass between a pooler and a control instance.
     pub fn is_with_control(self) -> bool {
-        matches!(self, Kind::Heartbeat | Kind::HeartbeatAck | Kind::Claim | Kind::ClaimReply)
+        matches!(
+            self,
+            MessageKind::Heartbeat | MessageKind::HeartbeatAck | MessageKind::Claim | MessageKind::ClaimReply
+        )
     }
 
-    /// The word for it in reports.
+    /// Returns the name in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::ListCall => "list call",
-            Kind::List => "list",
-            Kind::Ask => "ask",
-            Kind::Grant => "grant",
-            Kind::Push => "push",
-            Kind::Read => "read",
-            Kind::Views => "views",
-            Kind::Swim => "swim",
-            Kind::Roster => "roster",
-            Kind::Heartbeat => "heartbeat",
-            Kind::HeartbeatAck => "heartbeat answer",
-            Kind::Claim => "claim",
-            Kind::ClaimReply => "claim answer",
-            Kind::Handover => "handover",
-            Kind::HandoverReply => "handover answer",
-            Kind::Other => "other",
+            MessageKind::ListCall => "list call",
+            MessageKind::List => "list",
+            MessageKind::Ask => "ask",
+            MessageKind::Grant => "grant",
+            MessageKind::Push => "push",
+            MessageKind::Read => "read",
+            MessageKind::Views => "views",
+            MessageKind::Swim => "swim",
+            MessageKind::Roster => "roster",
+            MessageKind::Heartbeat => "heartbeat",
+            MessageKind::HeartbeatAck => "heartbeat answer",
+            MessageKind::Claim => "claim",
+            MessageKind::ClaimReply => "claim answer",
+            MessageKind::Handover => "handover",
+            MessageKind::HandoverReply => "handover answer",
+            MessageKind::Other => "other",
         }
     }
 }
 
-/// Which way a message goes, seen from the pooler.
+/// Direction of a message, as seen from the pooler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Direction {
@@ -117,7 +120,7 @@
 }
 
 impl Direction {
-    /// The word for it in reports.
+    /// Returns the name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Direction::Sent => "sent",
@@ -126,19 +129,19 @@
     }
 }
 
-/// What is counted together.
-pub type Flow = (Kind, Distance, Direction);
+/// Messages that are counted together.
+pub type Flow = (MessageKind, Distance, Direction);
 
 /// Messages and bytes of a flow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Count {
-    /// Messages; on a stream, documents and empty lines.
+    /// Number of messages; on a stream, of documents and empty lines.
     pub messages: f64,
-    /// Bytes as handed to the socket or taken from it, without the headers of IP, UDP and TCP.
+    /// Bytes written to or read from sockets, without the headers of IP, UDP and TCP.
     pub bytes: f64,
 }
 
-/// All flows.
+/// Counts of all flows.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Vec<(Flow, Count)>", into = "Vec<(Flow, Count)>")]
 pub struct Traffic(BTreeMap<Flow, Count>);
@@ -156,24 +159,24 @@
 }
 
 impl Traffic {
-    /// Counts messages of so many bytes together.
+    /// Adds `messages` messages with `bytes` bytes in total.
     pub fn count(&mut self, flow: Flow, messages: usize, bytes: usize) {
         let count = self.0.entry(flow).or_default();
         count.messages += messages as f64;
         count.bytes += bytes as f64;
     }
 
-    /// What has come since an earlier count.
+    /// Returns the difference from earlier counts.
     pub fn since(&self, earlier: &Traffic) -> Traffic {
         let difference = self.0.iter().map(|(flow, count)| {
-            let before = earlier.0.get(flow).copied().unwrap_or_default();
-            let messages = count.messages - before.messages;
-            (*flow, Count { messages, bytes: count.bytes - before.bytes })
+            let earlier_count = earlier.0.get(flow).copied().unwrap_or_default();
+            let messages = count.messages - earlier_count.messages;
+            (*flow, Count { messages, bytes: count.bytes - earlier_count.bytes })
         });
         Traffic(difference.collect())
     }
 
-    /// Adds another's counts.
+    /// Adds the counts of `other`.
     pub fn add(&mut self, other: &Traffic) {
         for (flow, count) in &other.0 {
             let sum = self.0.entry(*flow).or_default();
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Each count times a factor: a rate of a pooler, say.
+    /// Returns all counts multiplied by a factor, for example to get the rate of one pooler.
     pub fn scaled(&self, factor: f64) -> Traffic {
         let scaled = |(flow, count): (&Flow, &Count)| {
             (*flow, Count { messages: count.messages * factor, bytes: count.bytes * factor })
@@ -190,16 +193,16 @@
         Traffic(self.0.iter().map(scaled).collect())
     }
 
-    /// The sum over the flows that are chosen.
-    pub fn sum(&self, chosen: impl Fn(&Flow) -> bool) -> Count {
-        let counts = self.0.iter().filter(|(flow, _)| chosen(flow)).map(|(_, count)| count);
+    /// Returns the sum over the selected flows.
+    pub fn sum(&self, selected: impl Fn(&Flow) -> bool) -> Count {
+        let counts = self.0.iter().filter(|(flow, _)| selected(flow)).map(|(_, count)| count);
         counts.fold(Count::default(), |sum, count| Count {
             messages: sum.messages + count.messages,
             bytes: sum.bytes + count.bytes,
         })
     }
 
-    /// All flows with their counts.
+    /// Returns all flows with their counts.
     pub fn flows(&self) -> impl Iterator<Item = (&Flow, &Count)> {
         self.0.iter()
     }
