--- a/crates/pooling/src/lib.rs
+++ b/crates/pooling/src/lib.rs
@@ -1,18 +1,19 @@
-//! Sessions of ordinary PostgreSQL clients over server connections that they share. No I/O: messages go in, messages
-//! and wishes come out.
+//! Sessions of ordinary PostgreSQL clients over shared server connections. No I/O: messages go in, messages
+//! and requested actions come out.
 //!
-//! [`Session`] is one client's session: it asks for a server when it needs one, brings the server's connection to the
-//! session's state, passes messages on, and lets go of it when nothing of the session hangs on it.
-//! [`ServerSessionState`] is what is known of a server connection's state, [`SettingsTracker`] the settings of both
-//! through transactions, [`Pools`] says when a connection is opened, used again, waited for or closed.
+//! [`Session`] is one client's session: it requests a server connection when it needs one, synchronizes the
+//! connection's settings with the session's, forwards messages, and releases the connection when no state of
+//! the session depends on it. [`ServerSessionState`] is the tracked state of a server connection,
+//! [`SettingsTracker`] follows the settings of both through transactions, and [`Pools`] decides when a
+//! connection is opened, reused or closed, and who waits for one.
 #![warn(missing_docs)]
 
 mod pool;
-mod remote;
+mod server_state;
 mod session;
-mod vars;
+mod settings;
 
 pub use pool::{Acquisition, Key, PoolLimits, Pools};
-pub use remote::{PreparedStatement, ServerSessionState, StatementDigest};
+pub use server_state::{PreparedStatement, ServerSessionState, StatementDigest};
 pub use session::{can_run_on_replica, Action, DetachReason, Disposition, Mode, ServerRequest, Session};
-pub use vars::{Effect, SettingsTracker};
+pub use settings::{Effect, SettingsTracker};
--- a/crates/pooling/src/pool.rs
+++ b/crates/pooling/src/pool.rs
@@ -1,9 +1,9 @@
-//! When a server connection is opened, used again, waited for or closed.
+//! Decides when server connections are opened, reused and closed, and who waits for one.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Connections that can stand for one another: of one member, user and database.
+/// Identifies interchangeable connections: those to one member, for one user and database.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key {
     /// The member.
@@ -14,23 +14,24 @@
     pub database: Rc<str>,
 }
 
-/// Bounds of the pools; times in seconds.
+/// Limits of the pools; times in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// Most connections in all.
+    /// Maximum number of connections over all keys.
     pub max_connections: usize,
-    /// Most connections of one key.
+    /// Maximum number of connections of one key.
     pub max_per_key: usize,
-    /// So many more of one key, for whoever has waited for `reserve_after`.
+    /// Additional connections of one key, for requests that have waited for `reserve_after`.
     pub reserve_per_key: usize,
-    /// How long somebody waits before the reserve is for him.
+    /// How long a request waits before it may use the reserve.
     pub reserve_after: f64,
-    /// A connection that nobody has used for so long is closed ...
+    /// A connection that has been idle for this long is closed, unless its key has no more than
+    /// `min_per_key`.
     pub idle_timeout: f64,
-    /// ... unless there are no more of its key than this.
+    /// Connections of one key that are not closed for being idle.
     pub min_per_key: usize,
-    /// A connection is not used again once it is so old, less up to a tenth that is drawn for each: those that were
-    /// opened together are not closed together.
+    /// Age from which a connection is not reused, shortened at random by up to a tenth for each connection,
+    /// so that connections opened together are not closed together.
     pub max_lifetime: f64,
 }
 
@@ -48,62 +49,64 @@
     }
 }
 
-/// What a session that wants a connection gets.
+/// The result of a request for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acquisition {
-    /// This one.
+    /// Use this idle connection.
     Reuse(u64),
-    /// A new one.
+    /// Open a new connection.
     Open,
-    /// A new one, once this idle one of another key is closed.
+    /// Close this idle connection, then open a new one.
     ReplaceIdle(u64),
-    /// None yet: its ticket is called when one is free.
+    /// None is available: the ticket is queued, and [`Pools::next_ticket`] returns it when one is.
     Wait,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
-    /// Closed from then on, once it is idle.
-    old: f64,
-    /// Since when it has been idle; none while it is used.
-    idle: Option<f64>,
-    /// The state that it was left in.
-    state: u64,
+struct PooledConnection {
+    /// Time from which the connection is closed once it is idle.
+    retire_at: f64,
+    /// Time since which the connection has been idle; none while it is in use.
+    idle_since: Option<f64>,
+    /// Hash of the settings that the connection was released with.
+    settings_hash: u64,
 }
 
-/// Those that wait for a connection of one key, by tenant: each tenant has its turn.
+/// The requests that wait for a connection of one key, by tenant; the tenants are served round-robin.
 #[derive(Default)]
 struct Queue {
-    /// Tickets, with the time since when each waits.
+    /// Tickets in order of arrival, each with the time at which it was queued.
     tenants: BTreeMap<String, VecDeque<(u64, f64)>>,
     /// The tenant that was served last.
-    last: String,
+    last_tenant: String,
 }
 
 impl Queue {
-    fn next(&mut self) -> Option<u64> {
-        let after = self
-            .tenants
-            .range::<str, _>((std::ops::Bound::Excluded(self.last.as_str()), std::ops::Bound::Unbounded));
+    /// Removes the first ticket of the tenant whose turn it is.
+    fn pop_next(&mut self) -> Option<u64> {
+        let after = self.tenants.range::<str, _>((
+            std::ops::Bound::Excluded(self.last_tenant.as_str()),
+            std::ops::Bound::Unbounded,
+        ));
         let tenant = after.map(|(tenant, _)| tenant).next().or_else(|| self.tenants.keys().next())?.clone();
         let waiting = self.tenants.get_mut(&tenant)?;
         let ticket = waiting.pop_front().map(|(ticket, _)| ticket);
         if waiting.is_empty() {
             self.tenants.remove(&tenant);
         }
-        self.last = tenant;
+        self.last_tenant = tenant;
         ticket
     }
 
-    /// Since when the one that has waited longest waits.
-    fn since(&self) -> f64 {
+    /// Returns when the oldest ticket was queued.
+    fn oldest_since(&self) -> f64 {
         let first = self.tenants.values().filter_map(|waiting| waiting.front());
         first.map(|(_, since)| *since).fold(f64::INFINITY, f64::min)
     }
 
-    /// The ticket that has waited longest.
-    fn oldest(&mut self) -> Option<u64> {
-        let since = self.since();
+    /// Removes the ticket that has waited longest.
+    fn pop_oldest(&mut self) -> Option<u64> {
+        let since = self.oldest_since();
         let waiting =
             self.tenants.values_mut().find(|waiting| waiting.front().is_some_and(|f| f.1 <= since))?;
         let ticket = waiting.pop_front().map(|(ticket, _)| ticket);
@@ -112,64 +115,81 @@
     }
 
     fn remove(&mut self, ticket: u64) {
-        self.tenants.values_mut().for_each(|waiting| waiting.retain(|known| known.0 != ticket));
+        self.tenants.values_mut().for_each(|waiting| waiting.retain(|queued| queued.0 != ticket));
         self.tenants.retain(|_, waiting| !waiting.is_empty());
     }
 }
 
-/// All connections to servers, by number, and who waits for one.
+/// All server connections, by number, and the requests that wait for one.
 pub struct Pools {
-    pace: PoolLimits,
-    known: HashMap<Key, BTreeMap<u64, Known>>,
+    limits: PoolLimits,
+    connections: HashMap<Key, BTreeMap<u64, PooledConnection>>,
     count: usize,
     queues: BTreeMap<Key, Queue>,
-    /// Whose turn it is to open a connection out of the reserve.
-    reserved: Option<u64>,
+    /// The ticket that may open a connection from the reserve.
+    reserve_ticket: Option<u64>,
     rng: fastrand::Rng,
 }
 
 impl Pools {
-    /// No connections yet.
-    pub fn new(pace: PoolLimits, seed: u64) -> Pools {
+    /// Creates pools without connections; `seed` determines the random lifetimes.
+    pub fn new(limits: PoolLimits, seed: u64) -> Pools {
         let rng = fastrand::Rng::with_seed(seed);
-        Pools { pace, known: HashMap::new(), count: 0, queues: BTreeMap::new(), reserved: None, rng }
+        Pools {
+            limits,
+            connections: HashMap::new(),
+            count: 0,
+            queues: BTreeMap::new(),
+            reserve_ticket: None,
+            rng,
+        }
     }
 
-    /// How many connections there are.
+    /// Returns the number of connections.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// How many wait.
+    /// Returns the number of queued tickets.
     pub fn waiting(&self) -> usize {
         self.queues.values().flat_map(|queue| queue.tenants.values()).map(VecDeque::len).sum()
     }
 
-    /// A session wants a connection; one that was left in its state is the best.
-    pub fn acquire(&mut self, now: f64, key: &Key, state: u64, tenant: &str, ticket: u64) -> Acquisition {
-        let reserve =
-            self.reserved.take_if(|reserved| *reserved == ticket).map_or(0, |_| self.pace.reserve_per_key);
-        let each = self.known.entry(key.clone()).or_default();
-        // Of one state, the one that was used last: the others may grow old and be closed.
-        let idle = each
-            .iter()
-            .filter_map(|(n, known)| known.idle.filter(|_| now < known.old).map(|at| (n, known, at)));
+    /// Requests a connection for a session. An idle connection that was released with the session's settings
+    /// is preferred.
+    pub fn acquire(
+        &mut self,
+        now: f64,
+        key: &Key,
+        settings_hash: u64,
+        tenant: &str,
+        ticket: u64,
+    ) -> Acquisition {
+        let reserve = self
+            .reserve_ticket
+            .take_if(|reserved| *reserved == ticket)
+            .map_or(0, |_| self.limits.reserve_per_key);
+        let of_key = self.connections.entry(key.clone()).or_default();
+        // Among equals, the most recently used one is taken, so that the others reach the idle timeout.
+        let idle = of_key.iter().filter_map(|(n, connection)| {
+            connection.idle_since.filter(|_| now < connection.retire_at).map(|at| (n, connection, at))
+        });
         let best = idle.max_by(|a, b| {
-            (a.1.state == state, a.2)
-                .partial_cmp(&(b.1.state == state, b.2))
+            (a.1.settings_hash == settings_hash, a.2)
+                .partial_cmp(&(b.1.settings_hash == settings_hash, b.2))
                 .unwrap_or(std::cmp::Ordering::Equal)
         });
         if let Some(number) = best.map(|(number, ..)| *number) {
-            if let Some(known) = each.get_mut(&number) {
-                known.idle = None;
+            if let Some(connection) = of_key.get_mut(&number) {
+                connection.idle_since = None;
             }
             return Acquisition::Reuse(number);
         }
-        if each.len() < self.pace.max_per_key + reserve {
-            if self.count < self.pace.max_connections {
+        if of_key.len() < self.limits.max_per_key + reserve {
+            if self.count < self.limits.max_connections {
                 return Acquisition::Open;
             }
-            if let Some(other) = self.idlest() {
+            if let Some(other) = self.longest_idle() {
                 return Acquisition::ReplaceIdle(other);
             }
         }
@@ -178,93 +198,107 @@
         Acquisition::Wait
     }
 
-    /// The connection that has been idle for longest.
-    fn idlest(&self) -> Option<u64> {
-        let all = self.known.values().flatten();
-        let idle = all.filter_map(|(number, known)| known.idle.map(|since| (*number, since)));
+    /// Returns the connection that has been idle for longest.
+    fn longest_idle(&self) -> Option<u64> {
+        let all = self.connections.values().flatten();
+        let idle = all.filter_map(|(number, connection)| connection.idle_since.map(|since| (*number, since)));
         idle.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(number, _)| number)
     }
 
-    /// Whether one more connection of a key may be opened.
+    /// Returns true if the limits permit one more connection of a key.
     pub fn can_open(&self, key: &Key) -> bool {
-        self.count < self.pace.max_connections
-            && self.known.get(key).map_or(0, BTreeMap::len) < self.pace.max_per_key
+        self.count < self.limits.max_connections
+            && self.connections.get(key).map_or(0, BTreeMap::len) < self.limits.max_per_key
     }
 
-    /// A connection is being made, and used by whoever asked for it.
+    /// Records that a connection is being opened, in use by the session that requested it.
     pub fn opened(&mut self, now: f64, key: &Key, number: u64) {
-        let old = now + self.pace.max_lifetime * (1.0 - 0.1 * self.rng.f64());
-        self.known.entry(key.clone()).or_default().insert(number, Known { old, idle: None, state: 0 });
+        let retire_at = now + self.limits.max_lifetime * (1.0 - 0.1 * self.rng.f64());
+        self.connections
+            .entry(key.clone())
+            .or_default()
+            .insert(number, PooledConnection { retire_at, idle_since: None, settings_hash: 0 });
         self.count += 1;
     }
 
-    /// A connection is no longer used, in this state. Whether it is kept.
-    pub fn release(&mut self, now: f64, key: &Key, number: u64, state: u64) -> bool {
-        let Some(known) = self.known.get_mut(key).and_then(|each| each.get_mut(&number)) else {
+    /// Records that a connection is idle, with the hash of its settings. Returns false if the connection is
+    /// unknown or too old for reuse.
+    pub fn release(&mut self, now: f64, key: &Key, number: u64, settings_hash: u64) -> bool {
+        let Some(connection) = self.connections.get_mut(key).and_then(|of_key| of_key.get_mut(&number))
+        else {
             return false;
         };
-        (known.idle, known.state) = (Some(now), state);
-        now < known.old
+        (connection.idle_since, connection.settings_hash) = (Some(now), settings_hash);
+        now < connection.retire_at
     }
 
-    /// A connection has been closed.
+    /// Removes a connection that has been closed.
     pub fn closed(&mut self, key: &Key, number: u64) {
-        let Some(each) = self.known.get_mut(key) else { return };
-        self.count -= usize::from(each.remove(&number).is_some());
-        if each.is_empty() {
-            self.known.remove(key);
+        let Some(of_key) = self.connections.get_mut(key) else { return };
+        self.count -= usize::from(of_key.remove(&number).is_some());
+        if of_key.is_empty() {
+            self.connections.remove(key);
         }
     }
 
-    /// Whose turn it is, where a connection of a key can be had now; it has to ask again.
+    /// Removes and returns the next ticket for which a connection is available now; its owner must call
+    /// [`Pools::acquire`] again.
     pub fn next_ticket(&mut self, now: f64) -> Option<u64> {
-        let free = |pools: &Pools, key: &Key| {
-            let each = pools.known.get(key);
-            let idle = each.is_some_and(|each| each.values().any(|k| k.idle.is_some() && now < k.old));
-            let room = each.map_or(0, BTreeMap::len) < pools.pace.max_per_key;
-            idle || room && (pools.count < pools.pace.max_connections || pools.idlest().is_some())
+        let available = |pools: &Pools, key: &Key| {
+            let of_key = pools.connections.get(key);
+            let idle = of_key
+                .is_some_and(|of_key| of_key.values().any(|k| k.idle_since.is_some() && now < k.retire_at));
+            let room = of_key.map_or(0, BTreeMap::len) < pools.limits.max_per_key;
+            idle || room && (pools.count < pools.limits.max_connections || pools.longest_idle().is_some())
         };
-        let reserve = |pools: &Pools, (key, queue): (&Key, &Queue)| {
-            let waited = now - queue.since() >= pools.pace.reserve_after;
-            let room = pools.known.get(key).map_or(0, BTreeMap::len)
-                < pools.pace.max_per_key + pools.pace.reserve_per_key;
-            waited && room && (pools.count < pools.pace.max_connections || pools.idlest().is_some())
+        let reserve_due = |pools: &Pools, (key, queue): (&Key, &Queue)| {
+            let waited = now - queue.oldest_since() >= pools.limits.reserve_after;
+            let room = pools.connections.get(key).map_or(0, BTreeMap::len)
+                < pools.limits.max_per_key + pools.limits.reserve_per_key;
+            waited && room && (pools.count < pools.limits.max_connections || pools.longest_idle().is_some())
         };
-        let key = self.queues.keys().find(|key| free(self, key)).cloned();
-        let (key, out_of_reserve) = match key {
+        let found = self.queues.keys().find(|key| available(self, key)).cloned();
+        let (key, from_reserve) = match found {
             Some(key) => (key, false),
-            None => (self.queues.iter().find(|one| reserve(self, *one)).map(|(key, _)| key.clone())?, true),
+            None => (
+                self.queues.iter().find(|entry| reserve_due(self, *entry)).map(|(key, _)| key.clone())?,
+                true,
+            ),
         };
         let queue = self.queues.get_mut(&key)?;
-        let ticket = if out_of_reserve { queue.oldest() } else { queue.next() };
-        self.reserved = ticket.filter(|_| out_of_reserve);
+        let ticket = if from_reserve { queue.pop_oldest() } else { queue.pop_next() };
+        self.reserve_ticket = ticket.filter(|_| from_reserve);
         if queue.tenants.is_empty() {
             self.queues.remove(&key);
         }
         ticket
     }
 
-    /// Who has waited with this ticket waits no longer.
+    /// Removes a ticket from its queue.
     pub fn cancel_wait(&mut self, ticket: u64) {
         self.queues.values_mut().for_each(|queue| queue.remove(ticket));
         self.queues.retain(|_, queue| !queue.tenants.is_empty());
     }
 
-    /// The idle connections that are to be closed: too old, or unused for too long.
+    /// Returns the idle connections that have reached their lifetime or the idle timeout.
     pub fn expired_connections(&mut self, now: f64) -> Vec<u64> {
-        let mut due = Vec::new();
-        for each in self.known.values() {
-            let mut left = each.len();
-            let mut idle: Vec<_> =
-                each.iter().filter_map(|(n, k)| k.idle.map(|since| (since, *n, k.old))).collect();
+        let mut expired = Vec::new();
+        for of_key in self.connections.values() {
+            let mut left = of_key.len();
+            let mut idle: Vec<_> = of_key
+                .iter()
+                .filter_map(|(n, k)| k.idle_since.map(|since| (since, *n, k.retire_at)))
+                .collect();
             idle.sort_by(|a, b| a.0.total_cmp(&b.0));
-            for (since, number, old) in idle {
-                if now >= old || (now >= since + self.pace.idle_timeout && left > self.pace.min_per_key) {
-                    due.push(number);
+            for (since, number, retire_at) in idle {
+                if now >= retire_at
+                    || (now >= since + self.limits.idle_timeout && left > self.limits.min_per_key)
+                {
+                    expired.push(number);
                     left -= 1;
                 }
             }
         }
-        due
+        expired
     }
 }
--- /dev/null
+++ b/crates/pooling/src/server_state.rs
@@ -0,0 +1,131 @@
+//! The tracked state of a server connection: its settings and prepared statements.
+
+use std::collections::{BTreeMap, HashMap};
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::rc::Rc;
+
+use sha2::{Digest as _, Sha256};
+
+use crate::settings::Settings;
+
+/// Digest of a prepared statement's text and parameter types.
+pub type StatementDigest = [u8; 16];
+
+/// A statement that a client has prepared.
+#[derive(Debug, PartialEq, Eq)]
+pub struct PreparedStatement {
+    /// Digest of text and types; determines the statement's name on the servers.
+    pub digest: StatementDigest,
+    /// SQL text.
+    pub text: String,
+    /// Parameter types, as sent by the client.
+    pub types: Vec<u8>,
+    /// Classification of the text.
+    pub scan: sql::Scan,
+}
+
+impl PreparedStatement {
+    /// Creates a statement from its text and parameter types.
+    pub fn new(text: &str, types: &[u8]) -> Rc<PreparedStatement> {
+        let hash = Sha256::new().chain_update(types).chain_update([0]).chain_update(text).finalize();
+        let mut digest = StatementDigest::default();
+        digest.copy_from_slice(&hash[..16]);
+        Rc::new(PreparedStatement { digest, text: text.into(), types: types.into(), scan: sql::scan(text) })
+    }
+
+    /// Returns the statement's name on the servers.
+    pub fn name(&self) -> String {
+        format!("dewferry_{}", hex::encode(self.digest))
+    }
+}
+
+/// Returns the name on the servers of the statement with this digest.
+pub(crate) fn server_name(digest: &StatementDigest) -> String {
+    format!("dewferry_{}", hex::encode(digest))
+}
+
+/// Returns a hash of settings; equal settings have equal hashes.
+pub(crate) fn settings_hash(settings: &Settings) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    settings.hash(&mut hasher);
+    hasher.finish()
+}
+
+/// The tracked state of a server connection.
+#[derive(Debug, Default)]
+pub struct ServerSessionState {
+    /// Settings that differ from those that the connection started with.
+    pub settings: Settings,
+    /// Values of the settings that the server reported in ParameterStatus messages.
+    pub parameters: BTreeMap<String, String>,
+    /// Statements prepared on the connection, each with the value of `clock` at its last use.
+    statements: HashMap<StatementDigest, u64>,
+    /// Statements that must be closed before they can be prepared again.
+    stale: Vec<StatementDigest>,
+    /// The unnamed statement.
+    pub(crate) unnamed: Option<StatementDigest>,
+    /// Counts the uses of statements; orders them by their last use.
+    clock: u64,
+    /// Maximum number of prepared statements.
+    max_statements: usize,
+}
+
+impl ServerSessionState {
+    /// Creates the state of a new connection that keeps at most `max_statements` statements prepared.
+    pub fn new(max_statements: usize) -> ServerSessionState {
+        ServerSessionState { max_statements: max_statements.max(1), ..ServerSessionState::default() }
+    }
+
+    /// Returns true if a statement is prepared, and counts that as a use.
+    pub(crate) fn is_prepared(&mut self, digest: &StatementDigest) -> bool {
+        self.clock += 1;
+        let clock = self.clock;
+        self.statements.get_mut(digest).map(|used| *used = clock).is_some()
+    }
+
+    /// Records that a statement is being prepared. Returns the statements that must be closed first: a stale
+    /// one of the same digest, and the least recently used one if the limit is reached.
+    pub(crate) fn add_statement(&mut self, digest: StatementDigest) -> Vec<StatementDigest> {
+        let mut to_close = Vec::new();
+        if let Some(at) = self.stale.iter().position(|known| *known == digest) {
+            to_close.push(self.stale.swap_remove(at));
+        }
+        while self.statements.len() >= self.max_statements {
+            let oldest = self.statements.iter().min_by_key(|(_, used)| **used).map(|(digest, _)| *digest);
+            let Some(oldest) = oldest else { break };
+            self.statements.remove(&oldest);
+            to_close.push(oldest);
+        }
+        self.clock += 1;
+        self.statements.insert(digest, self.clock);
+        to_close
+    }
+
+    /// Removes a statement whose Parse failed.
+    pub(crate) fn remove_statement(&mut self, digest: &StatementDigest) {
+        self.statements.remove(digest);
+    }
+
+    /// Marks all statements as stale: each is closed and prepared again at its next use.
+    pub(crate) fn mark_stale(&mut self) {
+        self.stale.extend(self.statements.drain().map(|(digest, _)| digest));
+        self.unnamed = None;
+    }
+
+    /// Removes all statements, after the server has deallocated them.
+    pub(crate) fn clear_statements(&mut self) {
+        self.statements.clear();
+        self.stale.clear();
+        self.unnamed = None;
+    }
+
+    /// Returns a hash of the connection's settings.
+    pub fn settings_hash(&self) -> u64 {
+        settings_hash(&self.settings)
+    }
+
+    /// Returns the number of statements that exist on the server, stale ones included.
+    pub fn prepared_count(&self) -> usize {
+        self.statements.len() + self.stale.len()
+    }
+}
--- a/crates/pooling/src/session.rs
+++ b/crates/pooling/src/session.rs
@@ -1,4 +1,4 @@
-//! One client's session.
+//! The state machine of one client's session.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
@@ -7,72 +7,74 @@
 use pgwire::{error_code, error_response, sqlstate, Message};
 use sql::{Change, Control, Kind, Pin, Scan};
 
-use crate::remote::{self, PreparedStatement, ServerSessionState, StatementDigest};
-use crate::vars::{Effect, Settings, SettingsTracker};
+use crate::server_state::{self, PreparedStatement, ServerSessionState, StatementDigest};
+use crate::settings::{Effect, Settings, SettingsTracker};
 
-/// Most statements that a session keeps prepared, and most bytes of their texts.
-const MOST_STATEMENTS: usize = 1_000;
-const MOST_TEXT: usize = 1024 * 1024;
-/// Most bytes of a batch that are held until its end is seen; a longer one is taken for one that writes.
-const MOST_HELD: usize = 256 * 1024;
-/// The setting by which a session asks for a class.
-const CLASS: &str = "dewferry.class";
+/// Maximum number of statements that a session keeps prepared; also the maximum number of its portals.
+const MAX_STATEMENTS: usize = 1_000;
+/// Maximum size of the texts of a session's prepared statements (bytes).
+const MAX_STATEMENT_BYTES: usize = 1024 * 1024;
+/// Maximum size of a batch that is queued until its end arrives (bytes). A longer batch is treated as one
+/// that writes.
+const MAX_QUEUED_BYTES: usize = 256 * 1024;
+/// The setting with which a session selects a class.
+const CLASS_SETTING: &str = "dewferry.class";
 
-/// For how long a session keeps a server connection.
+/// How long a session keeps a server connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// For a statement; there are no transactions of several.
+    /// For one statement; multi-statement transactions are rejected.
     Statement,
-    /// For a transaction.
+    /// For one transaction.
     #[default]
     Transaction,
-    /// Until it ends.
+    /// Until the session ends.
     Session,
 }
 
-/// What a session needs a server for.
+/// A session's request for a server connection, with what routing depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerRequest {
-    /// Whether it is known to read only.
+    /// Whether the request is known to be read-only.
     pub read_only: bool,
-    /// The leading comment of its first statement.
+    /// The leading comment of the first text that has one.
     pub comment: Option<String>,
-    /// The class that the session has asked for.
+    /// The class that the session has selected.
     pub class: Option<String>,
-    /// The application's present name.
+    /// The current `application_name`; empty where none is set.
     pub application: String,
 }
 
-/// What becomes of the server connection that a session lets go of.
+/// What happens to a server connection that a session releases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// Another session may have it.
+    /// Another session may use it.
     Reuse,
-    /// It has what belongs to this session alone: it is closed.
+    /// It holds state of this session and must be closed.
     Close,
 }
 
-/// What the driver is to do, in this order.
+/// An action that the driver must perform; actions are performed in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send this to the client.
+    /// Send these bytes to the client.
     SendToClient(Vec<u8>),
-    /// Send this to the server.
+    /// Send these bytes to the server.
     SendToServer(Vec<u8>),
-    /// Find a server; tell of it by [`Session::attach`] or [`Session::server_refused`].
+    /// Find a server connection, then call [`Session::attach`] or [`Session::server_refused`].
     RequestServer(ServerRequest),
-    /// The server connection is no longer needed.
+    /// Take back the server connection.
     ReleaseServer(Disposition),
-    /// End the client's connection once all is sent.
+    /// Close the client's connection once all data has been sent.
     CloseClient,
 }
 
-/// Why a server connection is taken from a session.
+/// Why a session loses its server connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DetachReason {
-    /// It ended, or told what it must not.
+    /// The connection ended, or the server violated the protocol.
     Lost,
-    /// Its server is drained, and the time for open transactions is over.
+    /// The server is being drained, and the time for open transactions is over.
     Drained,
     /// The client left its transaction idle for too long.
     IdleInTransaction,
@@ -81,61 +83,63 @@
 }
 
 impl DetachReason {
-    fn told(self) -> (&'static str, &'static str) {
+    /// Returns the SQLSTATE and the message for the client.
+    fn sqlstate_and_message(self) -> (&'static str, &'static str) {
         match self {
             DetachReason::Lost => (
                 sqlstate::CONNECTION_FAILURE,
-                "the server's connection was lost; what the transaction did is undone",
+                "connection to the server was lost; the transaction was rolled back",
             ),
             DetachReason::Drained => {
-                (sqlstate::ADMIN_SHUTDOWN, "the server is drained; what the transaction did is undone")
+                (sqlstate::ADMIN_SHUTDOWN, "the server is being drained; the transaction was rolled back")
             }
             DetachReason::IdleInTransaction => (
                 sqlstate::IDLE_IN_TRANSACTION_TIMEOUT,
-                "the transaction was idle for too long; what it did is undone",
+                "the transaction was idle for too long and was rolled back",
             ),
             DetachReason::StatementTimeout => {
-                (sqlstate::QUERY_CANCELED, "the statement took too long; what the transaction did is undone")
+                (sqlstate::QUERY_CANCELED, "the statement took too long; the transaction was rolled back")
             }
         }
     }
 }
 
-/// What the server is to answer next.
+/// A pending reply of the server, or an entry that keeps replies of the session itself in order.
 #[derive(Debug)]
-enum Expect {
-    /// To what brings it to the session's state.
+enum ExpectedReply {
+    /// All replies to the SQL that synchronizes the settings.
     Setup,
-    /// A ParseComplete, which the client is told of or not; of a statement with a name, or of the one without.
+    /// ParseComplete; `forward` if the client receives it, `named` unless it is the unnamed statement.
     Parse {
         digest: StatementDigest,
-        told: bool,
+        forward: bool,
         named: bool,
     },
-    /// A CloseComplete.
+    /// CloseComplete; `forward` if the client receives it.
     Close {
-        told: bool,
+        forward: bool,
     },
     Bind,
     Describe,
     Execute(Effect),
-    /// ReadyForQuery behind a batch.
+    /// ReadyForQuery at the end of a batch.
     Sync,
-    /// All answers to a simple query; the effects of its statements.
+    /// All replies to a simple query, with the effects of its statements.
     Query(VecDeque<Effect>),
-    /// Nothing: the client has ended its data here.
+    /// No reply: marks where the client ended its COPY data.
     DataEnd,
-    /// Nothing: this is told once all before it is, with ReadyForQuery behind it or not.
+    /// No reply: these bytes are sent to the client in turn, followed by ReadyForQuery if the flag is set.
     Local(Vec<u8>, bool),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Without a server, and without need of one.
+    /// Has no server connection and needs none.
     Idle,
-    Wanting,
+    /// Waits for the server connection that it has requested.
+    Waiting,
     Attached,
-    /// In a transaction whose server is gone, until the client ends it.
+    /// In a transaction whose server connection is lost, until the client ends the transaction.
     Aborted,
 }
 
@@ -143,177 +147,187 @@
 pub struct Session {
     mode: Mode,
     stage: Stage,
-    vars: SettingsTracker,
+    settings: SettingsTracker,
+    /// The class selected by `SET dewferry.class` as a statement of its own.
     class: Option<String>,
     statements: HashMap<String, Rc<PreparedStatement>>,
-    text: usize,
+    /// Total size of the statements' texts.
+    statement_bytes: usize,
     portals: HashMap<String, Rc<PreparedStatement>>,
-    remote: ServerSessionState,
-    expected: VecDeque<Expect>,
-    held: Vec<Message>,
-    /// The state of the transaction as the server told it last.
+    server_state: ServerSessionState,
+    expected: VecDeque<ExpectedReply>,
+    /// Messages that wait for a server connection.
+    queued: Vec<Message>,
+    /// Transaction status of the server's last ReadyForQuery.
     status: u8,
-    /// Whether something has failed since.
+    /// Whether an error has arrived since then.
     failed: bool,
-    /// Whether a batch has begun that no Sync has ended.
-    open: bool,
-    /// After an error in a batch everything up to Sync is passed over.
+    /// Whether a batch has begun that is not yet ended by Sync.
+    in_batch: bool,
+    /// After an error in a batch, all messages up to Sync are skipped.
     skipping: bool,
-    /// In a lost transaction, whether the batch ends it.
-    ending: bool,
-    /// Why the transaction was lost, until the client is told.
-    cut: Option<DetachReason>,
+    /// Whether the current batch ends the lost transaction.
+    ending_aborted: bool,
+    /// Why the transaction was lost, until the client has received the error.
+    detach_reason: Option<DetachReason>,
+    /// State that binds the session to its server connection.
     pins: BTreeSet<Pin>,
-    /// What the client knows of the server's settings.
-    told: BTreeMap<String, String>,
-    denied: bool,
-    /// Whether the server takes data of a COPY in a batch, and passes over all else, Sync too.
+    /// Server settings last reported to the client.
+    reported: BTreeMap<String, String>,
+    /// Whether the server has rejected a write since `take_write_denied` was called last.
+    write_denied: bool,
+    /// Whether the server is receiving COPY data in a batch, during which it ignores Sync and all other
+    /// messages.
     copying: bool,
 }
 
 impl Session {
-    /// A session of these options, whose client was told these settings of the server.
-    pub fn new(mode: Mode, start: Settings, told: BTreeMap<String, String>) -> Session {
+    /// Creates a session that starts with the settings `start`, whose client has received the server settings
+    /// `reported`.
+    pub fn new(mode: Mode, start: Settings, reported: BTreeMap<String, String>) -> Session {
         Session {
             mode,
             stage: Stage::Idle,
-            vars: SettingsTracker::new(start),
+            settings: SettingsTracker::new(start),
             class: None,
             statements: HashMap::new(),
-            text: 0,
+            statement_bytes: 0,
             portals: HashMap::new(),
-            remote: ServerSessionState::default(),
+            server_state: ServerSessionState::default(),
             expected: VecDeque::new(),
-            held: Vec::new(),
+            queued: Vec::new(),
             status: b'I',
             failed: false,
-            open: false,
+            in_batch: false,
             skipping: false,
-            ending: false,
-            cut: None,
+            ending_aborted: false,
+            detach_reason: None,
             pins: BTreeSet::new(),
-            told,
-            denied: false,
+            reported,
+            write_denied: false,
             copying: false,
         }
     }
 
-    /// Whether the client's next message may be given.
+    /// Returns true if the client's next message may be passed in.
     pub fn accepts_message(&self) -> bool {
-        self.stage != Stage::Wanting
+        self.stage != Stage::Waiting
     }
 
-    /// Whether it is on a server connection.
+    /// Returns true if the session has a server connection.
     pub fn is_attached(&self) -> bool {
         self.stage == Stage::Attached
     }
 
-    /// Whether it is in a transaction.
+    /// Returns true if the session is in a transaction.
     pub fn in_transaction(&self) -> bool {
         self.status != b'I'
     }
 
-    /// Whether the server owes it an answer.
+    /// Returns true if replies are pending.
     pub fn awaits_reply(&self) -> bool {
         !self.expected.is_empty()
     }
 
-    /// What binds it to its server connection.
+    /// Returns the reasons that bind the session to its server connection.
     pub fn pins(&self) -> impl Iterator<Item = Pin> + '_ {
         self.pins.iter().copied()
     }
 
-    /// Whether the server has turned a write away since this was asked last: it is no primary.
+    /// Returns true if the server has rejected a write since the last call, and so is not the primary.
     pub fn take_write_denied(&mut self) -> bool {
-        std::mem::take(&mut self.denied)
+        std::mem::take(&mut self.write_denied)
     }
 
-    /// What is known of the connection that was let go of.
+    /// Takes the tracked state of the released connection.
     pub fn take_server_state(&mut self) -> ServerSessionState {
-        std::mem::take(&mut self.remote)
+        std::mem::take(&mut self.server_state)
     }
 
-    /// Its settings as a number: connections that were left with the same need nothing to be brought to them.
+    /// Returns a hash of the session's settings. A connection released with the same hash needs no
+    /// synchronization.
     pub fn settings_hash(&self) -> u64 {
-        remote::state(self.vars.session_settings())
+        server_state::settings_hash(self.settings.session_settings())
     }
 
-    /// Takes a message of the client's.
+    /// Handles a message from the client.
     pub fn handle_client_message(&mut self, message: Message, out: &mut Vec<Action>) {
         if message.kind == b'X' {
             return out.push(Action::CloseClient);
         }
         match self.stage {
-            Stage::Idle => self.idle(message, out),
-            Stage::Wanting => self.held.push(message),
-            Stage::Attached => self.forward(message, out),
-            Stage::Aborted => self.aborted(message, out),
+            Stage::Idle => self.handle_idle(message, out),
+            Stage::Waiting => self.queued.push(message),
+            Stage::Attached => self.handle_attached(message, out),
+            Stage::Aborted => self.handle_aborted(message, out),
         }
     }
 
-    fn idle(&mut self, message: Message, out: &mut Vec<Action>) {
+    /// Handles a client message while the session has no server connection.
+    fn handle_idle(&mut self, message: Message, out: &mut Vec<Action>) {
         match message.kind {
-            b'S' if self.skipping || self.held.is_empty() => {
+            b'S' if self.skipping || self.queued.is_empty() => {
                 self.skipping = false;
                 out.push(Action::SendToClient(wire::ready_for_query(b'I')));
             }
             _ if self.skipping => {}
-            b'H' if self.held.is_empty() => {}
-            // Of a COPY that is over.
+            b'H' if self.queued.is_empty() => {}
+            // Data of a COPY that has already ended.
             b'd' | b'c' | b'f' => {}
-            b'Q' if self.held.is_empty() => {
-                let Some(text) = wire::read_query(&message.body) else { return self.violation(out) };
+            b'Q' if self.queued.is_empty() => {
+                let Some(text) = wire::read_query(&message.body) else { return self.protocol_violation(out) };
                 let scan = sql::scan(text);
                 if scan.statements.is_empty() {
                     return out.push(Action::SendToClient(
                         [wire::empty_message(b'I'), wire::ready_for_query(b'I')].concat(),
                     ));
                 }
-                if let Some(answer) = self.own(&scan) {
+                if let Some(answer) = self.answer_locally(&scan) {
                     return out.push(Action::SendToClient([answer, wire::ready_for_query(b'I')].concat()));
                 }
-                self.held.push(message);
-                self.want(out);
+                self.queued.push(message);
+                self.request_server(out);
             }
             b'P' | b'B' | b'D' | b'E' | b'C' => {
-                self.held.push(message);
-                if self.held.iter().map(|message| message.body.len()).sum::<usize>() > MOST_HELD {
-                    self.want(out);
+                self.queued.push(message);
+                if self.queued.iter().map(|message| message.body.len()).sum::<usize>() > MAX_QUEUED_BYTES {
+                    self.request_server(out);
                 }
             }
             b'Q' | b'S' | b'H' | b'F' => {
-                self.held.push(message);
-                self.want(out);
+                self.queued.push(message);
+                self.request_server(out);
             }
-            _ => self.violation(out),
+            _ => self.protocol_violation(out),
         }
     }
 
-    /// Answers to what the session does by itself: asking for a class, or being told that there is no such thing as a
-    /// transaction here.
-    fn own(&mut self, scan: &Scan) -> Option<Vec<u8>> {
+    /// Returns the reply to a statement that needs no server: one that selects a class, or one that begins a
+    /// transaction where the mode permits none.
+    fn answer_locally(&mut self, scan: &Scan) -> Option<Vec<u8>> {
         let [statement] = &scan.statements[..] else {
-            return self.begins(scan).then(no_transactions);
+            return self.begins_forbidden_transaction(scan).then(no_transactions_error);
         };
         match &statement.kind {
-            Kind::Session(Change::Set { name, value, local: false }) if name == CLASS => {
+            Kind::Session(Change::Set { name, value, local: false }) if name == CLASS_SETTING => {
                 self.class = Some(value.trim_matches('\'').to_string());
                 Some(wire::message_of_strings(b'C', &["SET"], &[]))
             }
-            Kind::Session(Change::Reset(name)) if name == CLASS => {
+            Kind::Session(Change::Reset(name)) if name == CLASS_SETTING => {
                 self.class = None;
                 Some(wire::message_of_strings(b'C', &["RESET"], &[]))
             }
-            _ => self.begins(scan).then(no_transactions),
+            _ => self.begins_forbidden_transaction(scan).then(no_transactions_error),
         }
     }
 
-    fn begins(&self, scan: &Scan) -> bool {
+    /// Returns true if a statement begins a transaction and the mode permits none.
+    fn begins_forbidden_transaction(&self, scan: &Scan) -> bool {
         let begins = |s: &sql::Statement| matches!(s.kind, Kind::Control(Control::Begin { .. }));
         self.mode == Mode::Statement && scan.statements.iter().any(begins)
     }
 
-    fn violation(&mut self, out: &mut Vec<Action>) {
+    fn protocol_violation(&mut self, out: &mut Vec<Action>) {
         out.push(Action::SendToClient(error_response(
             "FATAL",
             sqlstate::PROTOCOL_VIOLATION,
@@ -323,14 +337,15 @@
         out.push(Action::CloseClient);
     }
 
-    fn want(&mut self, out: &mut Vec<Action>) {
-        self.stage = Stage::Wanting;
+    /// Requests a server connection for the queued messages.
+    fn request_server(&mut self, out: &mut Vec<Action>) {
+        self.stage = Stage::Waiting;
         let mut comment = None;
-        // What comes behind a Flush, or behind what is held at most, is not known yet.
-        let whole = matches!(self.held.last(), Some(Message { kind: b'Q' | b'S', .. }));
-        let mut reads = whole && self.pins.is_empty() && self.mode != Mode::Session;
+        // Messages that follow a Flush, or the maximum that is queued, are not known yet.
+        let complete = matches!(self.queued.last(), Some(Message { kind: b'Q' | b'S', .. }));
+        let mut read_only = complete && self.pins.is_empty() && self.mode != Mode::Session;
         let mut parsed: HashMap<&str, Scan> = HashMap::new();
-        for message in &self.held {
+        for message in &self.queued {
             let scan = match message.kind {
                 b'Q' => wire::read_query(&message.body).map(sql::scan),
                 b'P' => wire::read_parse(&message.body).map(|(name, text, _)| {
@@ -347,85 +362,90 @@
                 b'D' | b'E' | b'C' | b'S' | b'H' => continue,
                 _ => None,
             };
-            reads &= scan.as_ref().is_some_and(can_run_on_replica);
+            read_only &= scan.as_ref().is_some_and(can_run_on_replica);
             comment = comment.or(scan.and_then(|scan| scan.comment));
         }
         let application = self
-            .vars
+            .settings
             .session_settings()
             .get("application_name")
             .map(|name| name.trim_matches('\'').to_string());
         let application = application.unwrap_or_default();
-        // Asked for by a simple statement of its own, or within a batch like any other setting.
-        let set = self.vars.session_settings().get(CLASS).map(|class| class.trim_matches('\'').to_string());
+        // The class is selected by a simple statement of its own, or in a batch like any other setting.
+        let set = self
+            .settings
+            .session_settings()
+            .get(CLASS_SETTING)
+            .map(|class| class.trim_matches('\'').to_string());
         let class = self.class.clone().or(set);
-        out.push(Action::RequestServer(ServerRequest { read_only: reads, comment, class, application }));
+        out.push(Action::RequestServer(ServerRequest { read_only, comment, class, application }));
     }
 
-    /// There is a server connection; `remote` is what is known of it.
-    pub fn attach(&mut self, mut remote: ServerSessionState, out: &mut Vec<Action>) {
+    /// Attaches the session to a server connection with this tracked state.
+    pub fn attach(&mut self, mut server_state: ServerSessionState, out: &mut Vec<Action>) {
         self.stage = Stage::Attached;
-        self.vars.attach(std::mem::take(&mut remote.settings));
-        self.remote = remote;
-        self.bring(out);
-        for message in std::mem::take(&mut self.held) {
-            self.forward(message, out);
+        self.settings.attach(std::mem::take(&mut server_state.settings));
+        self.server_state = server_state;
+        self.synchronize(out);
+        for message in std::mem::take(&mut self.queued) {
+            self.handle_attached(message, out);
         }
     }
 
-    /// Brings the connection to the session's state, ahead of what follows.
-    fn bring(&mut self, out: &mut Vec<Action>) {
-        match self.vars.sync_sql() {
+    /// Sends the SQL that changes the connection's settings to the session's, ahead of further messages.
+    fn synchronize(&mut self, out: &mut Vec<Action>) {
+        match self.settings.sync_sql() {
             Some(text) => {
                 out.push(Action::SendToServer(pgwire::query(text.as_bytes())));
-                self.expected.push_back(Expect::Setup);
-                self.vars.mark_synchronized();
+                self.expected.push_back(ExpectedReply::Setup);
+                self.settings.mark_synchronized();
             }
-            None => self.tell(out),
+            None => self.report_parameters(out),
         }
     }
 
-    /// Tells the client what is different in the server's settings from what it knows.
-    fn tell(&mut self, out: &mut Vec<Action>) {
-        for (name, value) in &self.remote.parameters {
-            if self.told.get(name) != Some(value) {
-                self.told.insert(name.clone(), value.clone());
+    /// Reports the server settings that differ from those last reported to the client.
+    fn report_parameters(&mut self, out: &mut Vec<Action>) {
+        for (name, value) in &self.server_state.parameters {
+            if self.reported.get(name) != Some(value) {
+                self.reported.insert(name.clone(), value.clone());
                 out.push(Action::SendToClient(wire::message_of_strings(b'S', &[name, value], &[])));
             }
         }
     }
 
-    /// No server is to be had; the client is told why.
-    pub fn server_refused(&mut self, code: &str, what: &str, detail: Option<&str>, out: &mut Vec<Action>) {
-        if self.stage != Stage::Wanting {
+    /// Handles that no server connection is available: the client receives this error.
+    pub fn server_refused(&mut self, code: &str, text: &str, detail: Option<&str>, out: &mut Vec<Action>) {
+        if self.stage != Stage::Waiting {
             return;
         }
         self.stage = Stage::Idle;
-        let held = std::mem::take(&mut self.held);
-        out.push(Action::SendToClient(error_response("ERROR", code, what, detail)));
-        let ended = matches!(held.last(), Some(Message { kind: b'Q' | b'S' | b'F', .. }));
+        let queued = std::mem::take(&mut self.queued);
+        out.push(Action::SendToClient(error_response("ERROR", code, text, detail)));
+        let ended = matches!(queued.last(), Some(Message { kind: b'Q' | b'S' | b'F', .. }));
         self.skipping = !ended;
         if ended {
             out.push(Action::SendToClient(wire::ready_for_query(b'I')));
         }
     }
 
-    /// An error of the session's own in a batch, behind all that was asked before.
-    fn fault(&mut self, code: &str, what: &str, out: &mut Vec<Action>) {
+    /// Answers a message of a batch with an error of the session itself, after the replies that are pending.
+    fn reply_error(&mut self, code: &str, text: &str, out: &mut Vec<Action>) {
         self.skipping = true;
-        self.expected.push_back(Expect::Local(error_response("ERROR", code, what, None), false));
-        self.advance(out);
+        self.expected.push_back(ExpectedReply::Local(error_response("ERROR", code, text, None), false));
+        self.send_local_replies(out);
     }
 
-    fn local(&mut self, bytes: Vec<u8>, out: &mut Vec<Action>) {
-        self.expected.push_back(Expect::Local(bytes, false));
-        self.advance(out);
+    /// Answers a message of a batch without the server, after the replies that are pending.
+    fn reply_locally(&mut self, bytes: Vec<u8>, out: &mut Vec<Action>) {
+        self.expected.push_back(ExpectedReply::Local(bytes, false));
+        self.send_local_replies(out);
     }
 
-    /// Tells the client what is its turn and needs no server.
-    fn advance(&mut self, out: &mut Vec<Action>) {
-        while let Some(Expect::Local(..) | Expect::DataEnd) = self.expected.front() {
-            let Some(Expect::Local(mut bytes, ready)) = self.expected.pop_front() else { continue };
+    /// Sends the session's own replies that no server reply precedes any more.
+    fn send_local_replies(&mut self, out: &mut Vec<Action>) {
+        while let Some(ExpectedReply::Local(..) | ExpectedReply::DataEnd) = self.expected.front() {
+            let Some(ExpectedReply::Local(mut bytes, ready)) = self.expected.pop_front() else { continue };
             if ready {
                 bytes.extend(wire::ready_for_query(self.status));
             }
@@ -433,131 +453,138 @@
         }
     }
 
-    fn forward(&mut self, message: Message, out: &mut Vec<Action>) {
-        if self.expected.is_empty() && self.status == b'I' && !self.open {
-            // What RESET ALL has taken from a session that stays is given back.
-            self.bring(out);
+    /// Handles a client message while the session has a server connection.
+    fn handle_attached(&mut self, message: Message, out: &mut Vec<Action>) {
+        if self.expected.is_empty() && self.status == b'I' && !self.in_batch {
+            // A session that keeps its connection is synchronized again after a RESET ALL.
+            self.synchronize(out);
         }
         let body = &message.body;
         match message.kind {
             b'S' => {
-                (self.open, self.skipping) = (false, false);
+                (self.in_batch, self.skipping) = (false, false);
                 if !self.copying {
-                    self.expected.push_back(Expect::Sync);
+                    self.expected.push_back(ExpectedReply::Sync);
                 }
                 out.push(Action::SendToServer(wire::empty_message(b'S')));
             }
             _ if self.skipping => {}
             b'Q' => {
-                let Some(text) = wire::read_query(body) else { return self.violation(out) };
+                let Some(text) = wire::read_query(body) else { return self.protocol_violation(out) };
                 let scan = sql::scan(text);
-                if let Some(answer) = self.own(&scan) {
-                    self.expected.push_back(Expect::Local(answer, true));
-                    return self.advance(out);
+                if let Some(answer) = self.answer_locally(&scan) {
+                    self.expected.push_back(ExpectedReply::Local(answer, true));
+                    return self.send_local_replies(out);
                 }
                 self.pins.extend(scan.statements.iter().flat_map(|statement| statement.pins.iter().copied()));
                 let effects = scan.statements.iter().map(|statement| Effect::of(&statement.kind)).collect();
-                self.remote.unnamed = None;
-                self.open = false;
-                self.expected.push_back(Expect::Query(effects));
+                self.server_state.unnamed = None;
+                self.in_batch = false;
+                self.expected.push_back(ExpectedReply::Query(effects));
                 out.push(Action::SendToServer(wire::copy_message(&message)));
             }
             b'F' => {
-                self.expected.push_back(Expect::Query(VecDeque::new()));
+                self.expected.push_back(ExpectedReply::Query(VecDeque::new()));
                 out.push(Action::SendToServer(wire::copy_message(&message)));
             }
             b'H' => out.push(Action::SendToServer(wire::empty_message(b'H'))),
-            // Data of a COPY, as long as one may be under way.
+            // Data of a COPY, as long as one may be in progress.
             b'd' | b'c' | b'f'
-                if matches!(self.expected.front(), Some(Expect::Query(_) | Expect::Execute(_))) =>
+                if matches!(
+                    self.expected.front(),
+                    Some(ExpectedReply::Query(_) | ExpectedReply::Execute(_))
+                ) =>
             {
                 if message.kind != b'd' {
                     self.copying = false;
-                    self.expected.push_back(Expect::DataEnd);
+                    self.expected.push_back(ExpectedReply::DataEnd);
                 }
                 out.push(Action::SendToServer(wire::copy_message(&message)));
             }
             b'd' | b'c' | b'f' => {}
             b'P' => match wire::read_parse(body) {
                 Some((name, text, types)) => self.parse(name, text, types, out),
-                None => self.violation(out),
+                None => self.protocol_violation(out),
             },
             b'B' => match wire::read_bind(body) {
                 Some((portal, name, rest)) => self.bind(portal, name, rest, out),
-                None => self.violation(out),
+                None => self.protocol_violation(out),
             },
             b'D' | b'C' => match wire::read_target(body) {
                 Some((b'S', name)) if message.kind == b'D' => self.describe(name, out),
                 Some((b'S', name)) => {
-                    self.open = true;
+                    self.in_batch = true;
                     if let Some(known) = self.statements.remove(name) {
-                        self.text -= known.text.len();
+                        self.statement_bytes -= known.text.len();
                     }
-                    // It stays prepared at the server, where others may use it.
-                    self.local(wire::empty_message(b'3'), out);
+                    // It stays prepared on the server, where other sessions may use it.
+                    self.reply_locally(wire::empty_message(b'3'), out);
                 }
                 Some((_, portal)) => {
-                    self.open = true;
+                    self.in_batch = true;
                     if message.kind == b'C' {
                         self.portals.remove(portal);
-                        self.expected.push_back(Expect::Close { told: true });
+                        self.expected.push_back(ExpectedReply::Close { forward: true });
                     } else {
-                        self.expected.push_back(Expect::Describe);
+                        self.expected.push_back(ExpectedReply::Describe);
                     }
                     out.push(Action::SendToServer(wire::copy_message(&message)));
                 }
-                None => self.violation(out),
+                None => self.protocol_violation(out),
             },
             b'E' => match wire::read_execute(body) {
                 Some(portal) => {
-                    self.open = true;
+                    self.in_batch = true;
                     let scan = self.portals.get(portal).map(|prepared| &prepared.scan);
                     let statement = scan.and_then(|scan| scan.statements.first());
                     let effect = statement.map_or(Effect::None, |statement| Effect::of(&statement.kind));
-                    self.expected.push_back(Expect::Execute(effect));
+                    self.expected.push_back(ExpectedReply::Execute(effect));
                     out.push(Action::SendToServer(wire::copy_message(&message)));
                 }
-                None => self.violation(out),
+                None => self.protocol_violation(out),
             },
-            _ => self.violation(out),
+            _ => self.protocol_violation(out),
         }
     }
 
     fn parse(&mut self, name: &str, text: &str, types: &[u8], out: &mut Vec<Action>) {
-        self.open = true;
+        self.in_batch = true;
         if !name.is_empty() && self.statements.contains_key(name) {
-            return self.fault(
+            return self.reply_error(
                 sqlstate::DUPLICATE_STATEMENT,
                 &format!("prepared statement \"{name}\" already exists"),
                 out,
             );
         }
         let prepared = PreparedStatement::new(text, types);
-        let begins = self.begins(&prepared.scan);
-        if begins {
-            return self.fault(sqlstate::FEATURE_NOT_SUPPORTED, NO_TRANSACTIONS, out);
+        let forbidden = self.begins_forbidden_transaction(&prepared.scan);
+        if forbidden {
+            return self.reply_error(sqlstate::FEATURE_NOT_SUPPORTED, NO_TRANSACTIONS, out);
         }
         if let Some(old) = self.statements.remove(name) {
-            self.text -= old.text.len();
+            self.statement_bytes -= old.text.len();
         }
-        if self.statements.len() >= MOST_STATEMENTS || self.text + text.len() > MOST_TEXT {
-            let what = format!("over {MOST_STATEMENTS} prepared statements, or {MOST_TEXT} bytes of them");
-            return self.fault(sqlstate::CONFIGURATION_LIMIT_EXCEEDED, &what, out);
+        if self.statements.len() >= MAX_STATEMENTS || self.statement_bytes + text.len() > MAX_STATEMENT_BYTES
+        {
+            let text = format!(
+                "more than {MAX_STATEMENTS} prepared statements, or {MAX_STATEMENT_BYTES} bytes of statement text"
+            );
+            return self.reply_error(sqlstate::CONFIGURATION_LIMIT_EXCEEDED, &text, out);
         }
-        self.text += text.len();
+        self.statement_bytes += text.len();
         self.statements.insert(name.to_string(), prepared.clone());
         if name.is_empty() {
             return self.send_unnamed(&prepared, true, out);
         }
-        if self.remote.has(&prepared.digest) {
-            return self.local(wire::empty_message(b'1'), out);
+        if self.server_state.is_prepared(&prepared.digest) {
+            return self.reply_locally(wire::empty_message(b'1'), out);
         }
         self.send_named(&prepared, true, out);
     }
 
-    fn send_unnamed(&mut self, prepared: &PreparedStatement, told: bool, out: &mut Vec<Action>) {
-        self.remote.unnamed = Some(prepared.digest);
-        self.expected.push_back(Expect::Parse { digest: prepared.digest, told, named: false });
+    fn send_unnamed(&mut self, prepared: &PreparedStatement, forward: bool, out: &mut Vec<Action>) {
+        self.server_state.unnamed = Some(prepared.digest);
+        self.expected.push_back(ExpectedReply::Parse { digest: prepared.digest, forward, named: false });
         out.push(Action::SendToServer(wire::message_of_strings(
             b'P',
             &["", &prepared.text],
@@ -565,12 +592,16 @@
         )));
     }
 
-    fn send_named(&mut self, prepared: &PreparedStatement, told: bool, out: &mut Vec<Action>) {
-        for old in self.remote.add(prepared.digest) {
-            self.expected.push_back(Expect::Close { told: false });
-            out.push(Action::SendToServer(wire::target_message(b'C', b'S', &remote::name(&old))));
+    fn send_named(&mut self, prepared: &PreparedStatement, forward: bool, out: &mut Vec<Action>) {
+        for old in self.server_state.add_statement(prepared.digest) {
+            self.expected.push_back(ExpectedReply::Close { forward: false });
+            out.push(Action::SendToServer(wire::target_message(
+                b'C',
+                b'S',
+                &server_state::server_name(&old),
+            )));
         }
-        self.expected.push_back(Expect::Parse { digest: prepared.digest, told, named: true });
+        self.expected.push_back(ExpectedReply::Parse { digest: prepared.digest, forward, named: true });
         out.push(Action::SendToServer(wire::message_of_strings(
             b'P',
             &[&prepared.name(), &prepared.text],
@@ -578,10 +609,15 @@
         )));
     }
 
-    /// Sees to it that a statement is prepared at the server; its name there.
-    fn ensure(&mut self, name: &str, out: &mut Vec<Action>) -> Option<(String, Rc<PreparedStatement>)> {
+    /// Prepares a statement on the server unless it is prepared there. Returns its name on the server, and
+    /// the statement.
+    fn ensure_prepared(
+        &mut self,
+        name: &str,
+        out: &mut Vec<Action>,
+    ) -> Option<(String, Rc<PreparedStatement>)> {
         let Some(prepared) = self.statements.get(name).cloned() else {
-            self.fault(
+            self.reply_error(
                 sqlstate::INVALID_STATEMENT_NAME,
                 &format!("prepared statement \"{name}\" does not exist"),
                 out,
@@ -589,61 +625,61 @@
             return None;
         };
         if name.is_empty() {
-            if self.remote.unnamed != Some(prepared.digest) {
+            if self.server_state.unnamed != Some(prepared.digest) {
                 self.send_unnamed(&prepared, false, out);
             }
             return Some((String::new(), prepared));
         }
-        if !self.remote.has(&prepared.digest) {
+        if !self.server_state.is_prepared(&prepared.digest) {
             self.send_named(&prepared, false, out);
         }
         Some((prepared.name(), prepared))
     }
 
     fn bind(&mut self, portal: &str, name: &str, rest: &[u8], out: &mut Vec<Action>) {
-        self.open = true;
-        let Some((there, prepared)) = self.ensure(name, out) else { return };
+        self.in_batch = true;
+        let Some((server_name, prepared)) = self.ensure_prepared(name, out) else { return };
         self.pins
             .extend(prepared.scan.statements.iter().flat_map(|statement| statement.pins.iter().copied()));
-        if self.portals.len() >= MOST_STATEMENTS && !self.portals.contains_key(portal) {
-            return self.fault(
+        if self.portals.len() >= MAX_STATEMENTS && !self.portals.contains_key(portal) {
+            return self.reply_error(
                 sqlstate::CONFIGURATION_LIMIT_EXCEEDED,
-                &format!("over {MOST_STATEMENTS} portals"),
+                &format!("more than {MAX_STATEMENTS} portals"),
                 out,
             );
         }
         self.portals.insert(portal.to_string(), prepared);
-        self.expected.push_back(Expect::Bind);
-        out.push(Action::SendToServer(wire::message_of_strings(b'B', &[portal, &there], rest)));
+        self.expected.push_back(ExpectedReply::Bind);
+        out.push(Action::SendToServer(wire::message_of_strings(b'B', &[portal, &server_name], rest)));
     }
 
     fn describe(&mut self, name: &str, out: &mut Vec<Action>) {
-        self.open = true;
-        let Some((there, _)) = self.ensure(name, out) else { return };
-        self.expected.push_back(Expect::Describe);
-        out.push(Action::SendToServer(wire::target_message(b'D', b'S', &there)));
+        self.in_batch = true;
+        let Some((server_name, _)) = self.ensure_prepared(name, out) else { return };
+        self.expected.push_back(ExpectedReply::Describe);
+        out.push(Action::SendToServer(wire::target_message(b'D', b'S', &server_name)));
     }
 
-    /// Takes what comes from the server.
+    /// Handles a message, or a part of one, from the server.
     pub fn handle_server_piece(&mut self, piece: Piece, out: &mut Vec<Action>) {
         let message = match piece {
             Piece::Part(bytes) => return out.push(Action::SendToClient(bytes)),
             Piece::Message(message) => message,
         };
-        let setup = matches!(self.expected.front(), Some(Expect::Setup));
+        let setup = matches!(self.expected.front(), Some(ExpectedReply::Setup));
         match message.kind {
             b'S' => {
                 if let Some((name, value)) = pgwire::read_parameter_status(&message.body) {
-                    self.remote.parameters.insert(name.into(), value.into());
+                    self.server_state.parameters.insert(name.into(), value.into());
                 }
                 if !setup {
-                    self.tell(out);
+                    self.report_parameters(out);
                 }
             }
             b'A' if !self.pins.contains(&Pin::Listen) => {}
-            b'Z' => self.ready(message.body.first().copied().unwrap_or(b'I'), out),
+            b'Z' => self.handle_ready(message.body.first().copied().unwrap_or(b'I'), out),
             b'E' if setup => {
-                // A setting that the server does not take (any more).
+                // The server rejects a setting of the session.
                 out.push(Action::SendToClient(error_response(
                     "FATAL",
                     sqlstate::INVALID_PARAMETER_VALUE,
@@ -651,106 +687,108 @@
                     None,
                 )));
                 out.push(Action::ReleaseServer(Disposition::Close));
-                self.leave();
+                self.detach();
                 out.push(Action::CloseClient);
             }
-            b'E' => self.error(&message, out),
+            b'E' => self.handle_error(&message, out),
             _ if setup => {}
             kind @ (b'1' | b'2' | b'3') => {
-                let told = match (kind, self.expected.front()) {
-                    (b'1', Some(Expect::Parse { told, .. })) | (b'3', Some(Expect::Close { told })) => *told,
-                    (b'2', Some(Expect::Bind)) => true,
-                    _ => return self.foreign(out),
+                let forward = match (kind, self.expected.front()) {
+                    (b'1', Some(ExpectedReply::Parse { forward, .. }))
+                    | (b'3', Some(ExpectedReply::Close { forward })) => *forward,
+                    (b'2', Some(ExpectedReply::Bind)) => true,
+                    _ => return self.unexpected_reply(out),
                 };
                 self.expected.pop_front();
-                if told {
+                if forward {
                     out.push(Action::SendToClient(wire::empty_message(kind)));
                 }
             }
             b'C' => {
-                self.complete(wire::read_command_tag(&message.body));
+                self.statement_completed(wire::read_command_tag(&message.body));
                 out.push(Action::SendToClient(wire::copy_message(&message)));
             }
             kind => {
-                if kind == b'G' && matches!(self.expected.front(), Some(Expect::Execute(_))) {
-                    self.copies();
+                if kind == b'G' && matches!(self.expected.front(), Some(ExpectedReply::Execute(_))) {
+                    self.copy_started();
                 }
-                let over = match self.expected.front() {
-                    Some(Expect::Describe) => matches!(kind, b'T' | b'n'),
-                    Some(Expect::Execute(_)) => matches!(kind, b's' | b'I'),
+                let finished = match self.expected.front() {
+                    Some(ExpectedReply::Describe) => matches!(kind, b'T' | b'n'),
+                    Some(ExpectedReply::Execute(_)) => matches!(kind, b's' | b'I'),
                     _ => false,
                 };
-                if over {
+                if finished {
                     self.expected.pop_front();
                 }
                 out.push(Action::SendToClient(wire::copy_message(&message)));
             }
         }
-        self.advance(out);
+        self.send_local_replies(out);
     }
 
-    /// The server has told what nobody asked for: nothing on the connection can be relied on any more.
-    fn foreign(&mut self, out: &mut Vec<Action>) {
+    /// Handles a message that answers no request: the connection's state is unreliable, so it is closed.
+    fn unexpected_reply(&mut self, out: &mut Vec<Action>) {
         out.push(Action::ReleaseServer(Disposition::Close));
         self.server_detached(DetachReason::Lost, out);
     }
 
-    /// The server takes data from now on: each Sync that comes before the data's end is passed over there.
-    fn copies(&mut self) {
-        let end = self.expected.iter().position(|expect| matches!(expect, Expect::DataEnd));
+    /// Handles the start of a COPY from the client in a batch: the server ignores each Sync before the end of
+    /// the data.
+    fn copy_started(&mut self) {
+        let end = self.expected.iter().position(|expect| matches!(expect, ExpectedReply::DataEnd));
         self.copying = end.is_none();
-        let mut at = 0;
+        let mut index = 0;
         self.expected.retain(|expect| {
-            at += 1;
-            !matches!(expect, Expect::Sync) || end.is_some_and(|end| at > end)
+            index += 1;
+            !matches!(expect, ExpectedReply::Sync) || end.is_some_and(|end| index > end)
         });
     }
 
-    /// A statement has run.
-    fn complete(&mut self, tag: &str) {
+    /// Applies the effect of a completed statement.
+    fn statement_completed(&mut self, tag: &str) {
         let effect = match self.expected.front_mut() {
-            Some(Expect::Execute(_)) => match self.expected.pop_front() {
-                Some(Expect::Execute(effect)) => effect,
+            Some(ExpectedReply::Execute(_)) => match self.expected.pop_front() {
+                Some(ExpectedReply::Execute(effect)) => effect,
                 _ => return,
             },
-            Some(Expect::Query(effects)) => effects.pop_front().unwrap_or(Effect::None),
+            Some(ExpectedReply::Query(effects)) => effects.pop_front().unwrap_or(Effect::None),
             _ => return,
         };
         if matches!(effect, Effect::DiscardAll | Effect::DeallocateAll) {
             self.statements.clear();
-            self.text = 0;
-            self.remote.forget();
+            self.statement_bytes = 0;
+            self.server_state.clear_statements();
         }
         if effect == Effect::DiscardAll {
             self.portals.clear();
             self.pins.clear();
             self.class = None;
         }
-        self.vars.apply(&effect, tag);
+        self.settings.apply(&effect, tag);
     }
 
-    fn error(&mut self, message: &Message, out: &mut Vec<Action>) {
-        let (number, _) = error_code(&message.body);
+    fn handle_error(&mut self, message: &Message, out: &mut Vec<Action>) {
+        let (code, _) = error_code(&message.body);
         (self.failed, self.copying) = (true, false);
-        self.denied |= number == sqlstate::READ_ONLY_TRANSACTION;
-        if number == sqlstate::INVALID_STATEMENT_NAME
+        self.write_denied |= code == sqlstate::READ_ONLY_TRANSACTION;
+        if code == sqlstate::INVALID_STATEMENT_NAME
             || wire::read_error_text(&message.body).contains("cached plan must not change")
         {
-            self.remote.stale();
+            self.server_state.mark_stale();
         }
         out.push(Action::SendToClient(wire::copy_message(message)));
-        if matches!(self.expected.front(), None | Some(Expect::Query(_))) {
+        if matches!(self.expected.front(), None | Some(ExpectedReply::Query(_))) {
             return;
         }
-        // The server passes over all up to the next Sync.
+        // The server skips all messages up to the next Sync.
         while let Some(expect) = self.expected.front() {
             match expect {
-                Expect::Sync => return,
-                Expect::Parse { digest, named: true, .. } => {
+                ExpectedReply::Sync => return,
+                ExpectedReply::Parse { digest, named: true, .. } => {
                     let digest = *digest;
-                    self.remote.lack(&digest);
+                    self.server_state.remove_statement(&digest);
                 }
-                Expect::Parse { .. } => self.remote.unnamed = None,
+                ExpectedReply::Parse { .. } => self.server_state.unnamed = None,
                 _ => {}
             }
             self.expected.pop_front();
@@ -758,103 +796,104 @@
         self.skipping = true;
     }
 
-    fn ready(&mut self, status: u8, out: &mut Vec<Action>) {
+    fn handle_ready(&mut self, status: u8, out: &mut Vec<Action>) {
         match self.expected.front() {
-            Some(Expect::Setup) => {
+            Some(ExpectedReply::Setup) => {
                 self.expected.pop_front();
-                return self.tell(out);
+                return self.report_parameters(out);
             }
-            Some(Expect::Query(_) | Expect::Sync) => drop(self.expected.pop_front()),
-            _ => return self.foreign(out),
+            Some(ExpectedReply::Query(_) | ExpectedReply::Sync) => drop(self.expected.pop_front()),
+            _ => return self.unexpected_reply(out),
         }
         self.status = status;
         let failed = std::mem::take(&mut self.failed);
         if status == b'I' {
-            self.vars.end_transaction(failed);
+            self.settings.end_transaction(failed);
             self.portals.clear();
         }
         out.push(Action::SendToClient(wire::ready_for_query(status)));
-        self.advance(out);
-        let free = self.status == b'I' && self.expected.is_empty() && !self.open;
-        if free && self.pins.is_empty() && self.mode != Mode::Session {
-            self.leave();
+        self.send_local_replies(out);
+        let releasable = self.status == b'I' && self.expected.is_empty() && !self.in_batch;
+        if releasable && self.pins.is_empty() && self.mode != Mode::Session {
+            self.detach();
             out.push(Action::ReleaseServer(Disposition::Reuse));
         }
     }
 
-    /// Is without a server from now on.
-    fn leave(&mut self) {
+    /// Detaches the session from its server connection.
+    fn detach(&mut self) {
         self.stage = Stage::Idle;
-        self.remote.settings = self.vars.detach();
+        self.server_state.settings = self.settings.detach();
         self.portals.clear();
         self.expected.clear();
-        (self.status, self.failed, self.open, self.copying) = (b'I', false, false, false);
+        (self.status, self.failed, self.in_batch, self.copying) = (b'I', false, false, false);
     }
 
-    /// The client has left; what becomes of the server connection, where it is on one.
+    /// Handles that the client has disconnected. Returns what happens to the server connection, if there is
+    /// one.
     pub fn client_disconnected(&mut self) -> Option<Disposition> {
         if self.stage != Stage::Attached {
             return None;
         }
-        let clean = self.status == b'I' && self.expected.is_empty() && !self.open && self.pins.is_empty();
-        self.leave();
+        let clean = self.status == b'I' && self.expected.is_empty() && !self.in_batch && self.pins.is_empty();
+        self.detach();
         Some(if clean { Disposition::Reuse } else { Disposition::Close })
     }
 
-    /// The server connection is gone, or is taken away. What cannot have run is told as such, and what may have is
-    /// not.
-    pub fn server_detached(&mut self, cut: DetachReason, out: &mut Vec<Action>) {
+    /// Handles that the server connection is lost or taken away. The client's errors distinguish requests
+    /// that were certainly rolled back from those that may have been committed.
+    pub fn server_detached(&mut self, reason: DetachReason, out: &mut Vec<Action>) {
         if self.stage != Stage::Attached {
             return;
         }
         let in_transaction = self.in_transaction();
         let commits = |effect: &Effect| *effect == Effect::Commit;
-        let (mut points, mut unknown) = (0, false);
+        let (mut ready_count, mut unknown) = (0, false);
         for expect in &self.expected {
             match expect {
-                Expect::Query(effects) => {
-                    points += 1;
-                    // What stands outside of a transaction commits by itself.
+                ExpectedReply::Query(effects) => {
+                    ready_count += 1;
+                    // A statement outside of a transaction commits by itself.
                     unknown |= !in_transaction || effects.iter().any(commits);
                 }
-                Expect::Execute(effect) => unknown |= !in_transaction || commits(effect),
-                Expect::Sync => points += 1,
+                ExpectedReply::Execute(effect) => unknown |= !in_transaction || commits(effect),
+                ExpectedReply::Sync => ready_count += 1,
                 _ => {}
             }
         }
-        let (mut number, mut what) = cut.told();
-        if unknown && cut != DetachReason::StatementTimeout {
-            (number, what) = (
+        let (mut code, mut text) = reason.sqlstate_and_message();
+        if unknown && reason != DetachReason::StatementTimeout {
+            (code, text) = (
                 sqlstate::TRANSACTION_RESOLUTION_UNKNOWN,
-                "the server's connection was lost: what was asked may have run or not",
+                "connection to the server was lost: it is unknown whether the request was executed",
             );
         }
-        let open = self.open && !self.skipping;
-        let bound = !self.pins.is_empty();
+        let in_batch = self.in_batch && !self.skipping;
+        let pinned = !self.pins.is_empty();
         let aborted = in_transaction && !unknown;
-        self.leave();
-        if bound {
-            // What bound the session to its connection is lost with it.
-            out.push(Action::SendToClient(error_response("FATAL", number, what, None)));
+        self.detach();
+        if pinned {
+            // The state that bound the session to its connection is lost with it.
+            out.push(Action::SendToClient(error_response("FATAL", code, text, None)));
             return out.push(Action::CloseClient);
         }
         if aborted {
-            (self.stage, self.status, self.ending) = (Stage::Aborted, b'E', false);
+            (self.stage, self.status, self.ending_aborted) = (Stage::Aborted, b'E', false);
         }
-        for _ in 0..points {
-            out.push(Action::SendToClient(error_response("ERROR", number, what, None)));
+        for _ in 0..ready_count {
+            out.push(Action::SendToClient(error_response("ERROR", code, text, None)));
             out.push(Action::SendToClient(wire::ready_for_query(self.status)));
         }
-        if open {
+        if in_batch {
             self.skipping = true;
-            out.push(Action::SendToClient(error_response("ERROR", number, what, None)));
-        } else if points == 0 && aborted {
-            self.cut = Some(cut);
+            out.push(Action::SendToClient(error_response("ERROR", code, text, None)));
+        } else if ready_count == 0 && aborted {
+            self.detach_reason = Some(reason);
         }
     }
 
-    /// In a transaction whose server is gone there is nothing to be done but to end it.
-    fn aborted(&mut self, message: Message, out: &mut Vec<Action>) {
+    /// Handles a client message in a transaction whose server connection is lost and which the client must end.
+    fn handle_aborted(&mut self, message: Message, out: &mut Vec<Action>) {
         let ends = |scan: &Scan| {
             let first = scan.statements.first().map(|statement| &statement.kind);
             matches!(first, Some(Kind::Control(Control::Commit | Control::Rollback)))
@@ -865,35 +904,36 @@
                     [wire::message_of_strings(b'C', &["ROLLBACK"], &[]), wire::ready_for_query(b'I')]
                         .concat(),
                 ));
-                self.end_aborted();
+                self.end_aborted_transaction();
             }
             b'S' => {
                 self.skipping = false;
-                if std::mem::take(&mut self.ending) {
-                    self.end_aborted();
+                if std::mem::take(&mut self.ending_aborted) {
+                    self.end_aborted_transaction();
                 }
                 out.push(Action::SendToClient(wire::ready_for_query(self.status)));
             }
             _ if self.skipping => {}
             b'P' if wire::read_parse(&message.body).is_some_and(|(_, text, _)| ends(&sql::scan(text))) => {
-                self.ending = true;
+                self.ending_aborted = true;
                 out.push(Action::SendToClient(wire::empty_message(b'1')));
             }
-            b'B' if self.ending => out.push(Action::SendToClient(wire::empty_message(b'2'))),
-            b'D' if self.ending => out.push(Action::SendToClient(wire::empty_message(b'n'))),
-            b'E' if self.ending => {
+            b'B' if self.ending_aborted => out.push(Action::SendToClient(wire::empty_message(b'2'))),
+            b'D' if self.ending_aborted => out.push(Action::SendToClient(wire::empty_message(b'n'))),
+            b'E' if self.ending_aborted => {
                 out.push(Action::SendToClient(wire::message_of_strings(b'C', &["ROLLBACK"], &[])))
             }
-            // Drivers close statements when it suits them; that is no use of the transaction.
+            // Drivers close statements at any time; that does not use the transaction.
             b'C' => out.push(Action::SendToClient(wire::empty_message(b'3'))),
             b'H' | b'd' | b'c' | b'f' => {}
             kind => {
                 let aborted = (
                     sqlstate::IN_FAILED_TRANSACTION,
-                    "the transaction was lost with its server: ROLLBACK ends it",
+                    "the transaction was lost with its server connection; end it with ROLLBACK",
                 );
-                let (number, what) = self.cut.take().map_or(aborted, DetachReason::told);
-                out.push(Action::SendToClient(error_response("ERROR", number, what, None)));
+                let (code, text) =
+                    self.detach_reason.take().map_or(aborted, DetachReason::sqlstate_and_message);
+                out.push(Action::SendToClient(error_response("ERROR", code, text, None)));
                 if kind == b'Q' || kind == b'F' {
                     out.push(Action::SendToClient(wire::ready_for_query(b'E')));
                 } else {
@@ -903,18 +943,18 @@
         }
     }
 
-    fn end_aborted(&mut self) {
-        (self.stage, self.status, self.cut) = (Stage::Idle, b'I', None);
+    fn end_aborted_transaction(&mut self) {
+        (self.stage, self.status, self.detach_reason) = (Stage::Idle, b'I', None);
     }
 }
 
-const NO_TRANSACTIONS: &str = "transactions of several statements need pool.mode transaction or session";
+const NO_TRANSACTIONS: &str = "multi-statement transactions require pool.mode transaction or session";
 
-fn no_transactions() -> Vec<u8> {
+fn no_transactions_error() -> Vec<u8> {
     error_response("ERROR", sqlstate::FEATURE_NOT_SUPPORTED, NO_TRANSACTIONS, None)
 }
 
-/// Whether a text may go to a server that takes no writes.
+/// Returns true if a text may be sent to a server that accepts no writes.
 pub fn can_run_on_replica(scan: &Scan) -> bool {
     let read_only = |kind: &Kind| matches!(kind, Kind::Control(Control::Begin { read_only: Some(true) }));
     match &scan.statements[..] {
--- a/crates/pooling/tests/machine.rs
+++ b/crates/pooling/tests/machine.rs
@@ -1,4 +1,4 @@
-//! Single cases of a session, fed by hand, and what no session may be upset by.
+//! Single cases of sessions and pools, and arbitrary messages that must not break a session.
 
 use std::collections::BTreeMap;
 
@@ -22,13 +22,13 @@
     message(kind, &[text.as_bytes(), b"\0"].concat())
 }
 
-fn give(session: &mut Session, messages: Vec<Message>) -> Vec<Action> {
+fn from_client(session: &mut Session, messages: Vec<Message>) -> Vec<Action> {
     let mut out = Vec::new();
     messages.into_iter().for_each(|message| session.handle_client_message(message, &mut out));
     out
 }
 
-fn tell(session: &mut Session, messages: Vec<Message>) -> Vec<Action> {
+fn from_server(session: &mut Session, messages: Vec<Message>) -> Vec<Action> {
     let mut out = Vec::new();
     messages.into_iter().for_each(|message| session.handle_server_piece(Piece::Message(message), &mut out));
     out
@@ -40,7 +40,7 @@
     out
 }
 
-/// The kinds of the messages that the client is told, and of those that the server is.
+/// Returns the kinds of the messages to the client, and of those to the server.
 fn kinds(actions: &[Action]) -> (String, String) {
     let (mut client, mut server) = (String::new(), String::new());
     for action in actions {
@@ -58,12 +58,13 @@
     (client, server)
 }
 
-fn code(actions: &[Action]) -> Vec<String> {
-    let bytes = actions.iter().filter_map(|action| match action {
+/// Returns the SQLSTATEs of the errors sent to the client.
+fn sqlstates(actions: &[Action]) -> Vec<String> {
+    let codes = actions.iter().filter_map(|action| match action {
         Action::SendToClient(bytes) if bytes[0] == b'E' => Some(pgwire::error_code(&bytes[5..]).0),
         _ => None,
     });
-    bytes.collect()
+    codes.collect()
 }
 
 fn parse(name: &str, sql: &str) -> Message {
@@ -87,38 +88,38 @@
 }
 
 #[test]
-fn a_pipeline_of_500_with_an_error_in_the_third_is_passed_over_to_its_sync() {
+fn an_error_in_a_pipeline_of_500_skips_the_rest_up_to_sync() {
     let mut session = session(Mode::Transaction);
     let mut batch = Vec::new();
     (0..500).for_each(|n| batch.extend([parse("", &format!("SELECT {n}")), bind(""), execute()]));
     batch.push(sync());
-    let actions = give(&mut session, batch);
-    assert!(matches!(&actions[..], [Action::RequestServer(want)] if want.read_only));
+    let actions = from_client(&mut session, batch);
+    assert!(matches!(&actions[..], [Action::RequestServer(request)] if request.read_only));
     assert_eq!(kinds(&attach(&mut session)).1.len(), 1_501);
-    let whole = || [message(b'1', b""), message(b'2', b""), text(b'C', "SELECT 1")];
-    let mut answers: Vec<Message> = [whole(), whole()].into_iter().flatten().collect();
+    let replies = || [message(b'1', b""), message(b'2', b""), text(b'C', "SELECT 1")];
+    let mut answers: Vec<Message> = [replies(), replies()].into_iter().flatten().collect();
     answers.push(text(b'E', "SERROR\0C42601\0Mno\0"));
-    assert_eq!(kinds(&tell(&mut session, answers)).0, "12C12CE");
-    let actions = tell(&mut session, vec![ready(b'I')]);
+    assert_eq!(kinds(&from_server(&mut session, answers)).0, "12C12CE");
+    let actions = from_server(&mut session, vec![ready(b'I')]);
     assert_eq!(actions.last(), Some(&Action::ReleaseServer(Disposition::Reuse)));
 }
 
 #[test]
-fn a_batch_without_its_sync_keeps_the_connection() {
+fn a_client_that_leaves_in_a_batch_before_sync_closes_the_connection() {
     let mut session = session(Mode::Transaction);
-    give(&mut session, vec![parse("", "SELECT 1"), bind(""), message(b'H', b"")]);
+    from_client(&mut session, vec![parse("", "SELECT 1"), bind(""), message(b'H', b"")]);
     attach(&mut session);
-    tell(&mut session, vec![message(b'1', b""), message(b'2', b"")]);
+    from_server(&mut session, vec![message(b'1', b""), message(b'2', b"")]);
     assert_eq!(session.client_disconnected(), Some(Disposition::Close), "between Parse and Sync");
 }
 
 #[test]
-fn the_same_name_for_two_texts_of_two_clients_is_two_statements() {
+fn two_clients_may_use_one_statement_name_for_different_texts() {
     let (mut one, mut two) = (session(Mode::Transaction), session(Mode::Transaction));
-    let prepare = |session: &mut Session, sql: &str, remote| {
-        give(session, vec![parse("p", sql), sync()]);
+    let prepare = |session: &mut Session, sql: &str, state| {
+        from_client(session, vec![parse("p", sql), sync()]);
         let mut out = Vec::new();
-        session.attach(remote, &mut out);
+        session.attach(state, &mut out);
         let sent = out.iter().find_map(|action| match action {
             Action::SendToServer(bytes) if bytes[0] == b'P' => {
                 Some(wire::read_parse(&bytes[5..]).unwrap().0.to_string())
@@ -129,42 +130,42 @@
         if sent.is_some() {
             answers.insert(0, message(b'1', b""));
         }
-        let told = kinds(&[out, tell(session, answers)].concat()).0;
-        (sent, told, session.take_server_state())
+        let reply = kinds(&[out, from_server(session, answers)].concat()).0;
+        (sent, reply, session.take_server_state())
     };
-    let (first, told, remote) = prepare(&mut one, "SELECT 1", ServerSessionState::new(10));
-    assert_eq!(told, "1Z");
-    let (second, told, remote) = prepare(&mut two, "SELECT 2", remote);
-    assert_eq!(told, "1Z");
+    let (first, reply, state) = prepare(&mut one, "SELECT 1", ServerSessionState::new(10));
+    assert_eq!(reply, "1Z");
+    let (second, reply, state) = prepare(&mut two, "SELECT 2", state);
+    assert_eq!(reply, "1Z");
     assert_ne!(first.unwrap(), second.unwrap());
     let mut three = session(Mode::Transaction);
-    let (sent, told, _) = prepare(&mut three, "SELECT 1", remote);
-    assert_eq!((sent, &*told), (None, "1Z"), "prepared there already: told without asking");
-    let again = give(&mut three, vec![parse("p", "SELECT 3"), sync()]);
+    let (sent, reply, _) = prepare(&mut three, "SELECT 1", state);
+    assert_eq!((sent, &*reply), (None, "1Z"), "already prepared on the server: answered locally");
+    let again = from_client(&mut three, vec![parse("p", "SELECT 3"), sync()]);
     assert!(matches!(again[..], [Action::RequestServer(_)]));
-    assert_eq!(code(&attach(&mut three)), ["42P05"]);
+    assert_eq!(sqlstates(&attach(&mut three)), ["42P05"]);
 }
 
 #[test]
-fn the_statement_used_longest_ago_makes_room_at_the_server() {
+fn the_least_recently_used_statement_is_closed_at_the_limit() {
     let mut session = session(Mode::Transaction);
-    let mut remote = ServerSessionState::new(2);
+    let mut state = ServerSessionState::new(2);
     for n in 0..4 {
-        give(&mut session, vec![parse(&format!("p{n}"), &format!("SELECT {n}")), sync()]);
+        from_client(&mut session, vec![parse(&format!("p{n}"), &format!("SELECT {n}")), sync()]);
         let mut out = Vec::new();
-        session.attach(remote, &mut out);
+        session.attach(state, &mut out);
         let (_, sent) = kinds(&out);
         assert_eq!(sent, if n < 2 { "PS" } else { "CPS" });
         let closed = message(b'3', b"");
         let answers = [closed, message(b'1', b""), ready(b'I')].into_iter().skip(usize::from(n < 2));
-        assert_eq!(kinds(&tell(&mut session, answers.collect())).0, "1Z");
-        remote = session.take_server_state();
-        assert!(remote.prepared_count() <= 2);
+        assert_eq!(kinds(&from_server(&mut session, answers.collect())).0, "1Z");
+        state = session.take_server_state();
+        assert!(state.prepared_count() <= 2);
     }
-    // The first is gone there, and is prepared anew unseen.
-    give(&mut session, vec![bind("p0"), execute(), sync()]);
+    // The first statement has been closed on the server, and is prepared again without the client noticing.
+    from_client(&mut session, vec![bind("p0"), execute(), sync()]);
     let mut out = Vec::new();
-    session.attach(remote, &mut out);
+    session.attach(state, &mut out);
     assert_eq!(kinds(&out).1, "CPBES");
 }
 
@@ -176,24 +177,30 @@
 #[case("SELECT take()", false)]
 #[case("SELECT 1; DELETE FROM items", false)]
 #[case("BEGIN READ ONLY; SELECT 1", false)]
-fn what_may_go_to_a_replica(#[case] sql: &str, #[case] reads: bool) {
-    let actions = give(&mut session(Mode::Transaction), vec![text(b'Q', sql)]);
-    assert!(matches!(&actions[..], [Action::RequestServer(want)] if want.read_only == reads), "{actions:?}");
-    let actions = give(&mut session(Mode::Session), vec![text(b'Q', sql)]);
-    assert!(matches!(&actions[..], [Action::RequestServer(want)] if !want.read_only));
+fn read_only_texts_are_requested_as_read_only_except_in_session_mode(
+    #[case] sql: &str,
+    #[case] read_only: bool,
+) {
+    let actions = from_client(&mut session(Mode::Transaction), vec![text(b'Q', sql)]);
+    assert!(
+        matches!(&actions[..], [Action::RequestServer(request)] if request.read_only == read_only),
+        "{actions:?}"
+    );
+    let actions = from_client(&mut session(Mode::Session), vec![text(b'Q', sql)]);
+    assert!(matches!(&actions[..], [Action::RequestServer(request)] if !request.read_only));
 }
 
 #[test]
-fn without_transactions_begin_is_turned_down_and_costs_no_server() {
-    let actions = give(&mut session(Mode::Statement), vec![text(b'Q', "BEGIN")]);
-    assert_eq!((code(&actions), kinds(&actions).0), (vec!["0A000".into()], "EZ".into()));
+fn statement_mode_rejects_begin_without_requesting_a_server() {
+    let actions = from_client(&mut session(Mode::Statement), vec![text(b'Q', "BEGIN")]);
+    assert_eq!((sqlstates(&actions), kinds(&actions).0), (vec!["0A000".into()], "EZ".into()));
 }
 
 #[test]
-fn who_is_refused_is_told_once_and_in_step() {
+fn a_refused_server_request_is_answered_with_one_error() {
     let mut session = session(Mode::Transaction);
     let mut refused = |messages| {
-        give(&mut session, messages);
+        from_client(&mut session, messages);
         let mut out = Vec::new();
         session.server_refused("53300", "later", Some("200"), &mut out);
         kinds(&out).0
@@ -201,50 +208,50 @@
     assert_eq!(refused(vec![text(b'Q', "SELECT 1")]), "EZ");
     assert_eq!(refused(vec![parse("", "SELECT 1"), sync()]), "EZ");
     assert_eq!(refused(vec![parse("", "SELECT 1"), message(b'H', b"")]), "E");
-    // The rest of that batch is passed over.
-    assert_eq!(kinds(&give(&mut session, vec![bind(""), execute(), sync()])).0, "Z");
+    // The rest of that batch is skipped.
+    assert_eq!(kinds(&from_client(&mut session, vec![bind(""), execute(), sync()])).0, "Z");
 }
 
 #[rstest]
 #[case::reading(vec![text(b'Q', "SELECT 1")], vec![], "08007", "EZ", b'I')]
 #[case::in_a_transaction(vec![text(b'Q', "BEGIN"), text(b'Q', "SELECT 1")], vec![text(b'C', "BEGIN"), ready(b'T')], "08006", "EZ", b'E')]
 #[case::committing(vec![text(b'Q', "BEGIN"), text(b'Q', "COMMIT")], vec![text(b'C', "BEGIN"), ready(b'T')], "08007", "EZ", b'I')]
-fn a_lost_server_is_told_with_what_may_have_run(
-    #[case] asked: Vec<Message>,
+fn a_lost_server_connection_is_reported_by_what_may_have_been_executed(
+    #[case] requests: Vec<Message>,
     #[case] answers: Vec<Message>,
-    #[case] number: &str,
-    #[case] told: &str,
+    #[case] sqlstate: &str,
+    #[case] replies: &str,
     #[case] status: u8,
 ) {
     let mut session = session(Mode::Transaction);
-    let mut asked = asked.into_iter();
-    give(&mut session, asked.by_ref().take(1).collect());
+    let mut requests = requests.into_iter();
+    from_client(&mut session, requests.by_ref().take(1).collect());
     attach(&mut session);
-    tell(&mut session, answers);
-    give(&mut session, asked.collect());
+    from_server(&mut session, answers);
+    from_client(&mut session, requests.collect());
     let mut out = Vec::new();
     session.server_detached(DetachReason::Lost, &mut out);
-    assert_eq!((code(&out), kinds(&out).0), (vec![number.to_string()], told.to_string()));
+    assert_eq!((sqlstates(&out), kinds(&out).0), (vec![sqlstate.to_string()], replies.to_string()));
     assert_eq!(session.in_transaction(), status == b'E');
     if status == b'E' {
-        let actions = give(&mut session, vec![parse("", "ROLLBACK"), bind(""), execute(), sync()]);
+        let actions = from_client(&mut session, vec![parse("", "ROLLBACK"), bind(""), execute(), sync()]);
         assert_eq!(kinds(&actions).0, "12CZ");
         assert!(!session.in_transaction());
     }
 }
 
 #[test]
-fn a_connection_that_tells_what_nobody_asked_is_given_up() {
+fn an_unexpected_reply_closes_the_server_connection() {
     let mut session = session(Mode::Transaction);
-    give(&mut session, vec![text(b'Q', "SELECT 1")]);
+    from_client(&mut session, vec![text(b'Q', "SELECT 1")]);
     attach(&mut session);
-    let actions = tell(&mut session, vec![message(b'2', b"")]);
+    let actions = from_server(&mut session, vec![message(b'2', b"")]);
     assert!(actions.contains(&Action::ReleaseServer(Disposition::Close)));
-    assert_eq!(code(&actions), ["08007"]);
+    assert_eq!(sqlstates(&actions), ["08007"]);
 }
 
-/// One sound message of each type that a client may send.
-fn sound() -> Vec<Message> {
+/// Returns one valid message of each type that a client may send.
+fn valid_messages() -> Vec<Message> {
     let target = |kind, of| message(kind, &[of, b'p', 0]);
     vec![
         text(b'Q', "SELECT 1"),
@@ -267,35 +274,35 @@
 }
 
 #[test]
-fn a_message_of_every_type_cut_and_lengthened_at_each_byte_upsets_nothing() {
-    for whole in sound() {
-        for length in 0..whole.body.len() + 3 {
+fn messages_of_every_type_truncated_or_extended_cause_no_panic() {
+    for valid in valid_messages() {
+        for length in 0..valid.body.len() + 3 {
             for attached in [false, true] {
-                let mut body = whole.body.clone();
+                let mut body = valid.body.clone();
                 body.resize(length, 0xff);
                 let mut session = session(Mode::Transaction);
                 if attached {
-                    give(&mut session, vec![text(b'Q', "BEGIN")]);
+                    from_client(&mut session, vec![text(b'Q', "BEGIN")]);
                     attach(&mut session);
-                    tell(&mut session, vec![text(b'C', "BEGIN"), ready(b'T')]);
+                    from_server(&mut session, vec![text(b'C', "BEGIN"), ready(b'T')]);
                 }
-                give(&mut session, vec![message(whole.kind, &body), sync()]);
+                from_client(&mut session, vec![message(valid.kind, &body), sync()]);
             }
         }
     }
 }
 
 proptest! {
-    /// Whatever client and server say in whatever order, it comes to an end of some sort, and what a session lets go
-    /// of for others has nothing open.
+    /// Messages of client and server in any order cause no panic, and a connection that is released for reuse
+    /// has no open transaction and no pending reply.
     #[test]
-    fn no_order_of_messages_upsets_it(steps in prop::collection::vec((0..5u8, 0..16usize, any::<u8>()), 0..60)) {
+    fn messages_in_any_order_cause_no_panic(steps in prop::collection::vec((0..5u8, 0..16usize, any::<u8>()), 0..60)) {
         let mut session = session(Mode::Transaction);
         for (who, which, byte) in steps {
             let mut out = Vec::new();
             match who {
                 0 | 1 => {
-                    let all = sound();
+                    let all = valid_messages();
                     session.handle_client_message(message(all[which % all.len()].kind, &all[which % all.len()].body), &mut out);
                 }
                 2 => {
@@ -328,21 +335,21 @@
 }
 
 #[test]
-fn connections_are_opened_used_again_waited_for_and_closed() {
-    let pace = PoolLimits {
+fn pools_open_reuse_and_close_connections_and_queue_requests() {
+    let limits = PoolLimits {
         max_connections: 3,
         max_per_key: 2,
         idle_timeout: 10.0,
         max_lifetime: 100.0,
         ..PoolLimits::default()
     };
-    let mut pools = Pools::new(pace, 1);
+    let mut pools = Pools::new(limits, 1);
     let (a, b) = (key("a"), key("b"));
     for number in [1, 2] {
         assert_eq!(pools.acquire(0.0, &a, 0, "t", number), Acquisition::Open);
         pools.opened(0.0, &a, number);
     }
-    // Tenants have their turn, whoever has come first.
+    // Tenants are served round-robin, regardless of the order of arrival.
     for (ticket, tenant) in [(10, "x"), (11, "x"), (12, "x"), (13, "y")] {
         assert_eq!(pools.acquire(0.0, &a, 0, tenant, ticket), Acquisition::Wait);
     }
@@ -354,54 +361,62 @@
     assert_eq!(pools.next_ticket(1.0), Some(13));
     pools.cancel_wait(11);
     assert_eq!((pools.next_ticket(1.0), pools.next_ticket(1.0), pools.waiting()), (Some(12), None, 0));
-    // Of two that rest, the one that was left in the same state.
+    // Of two idle connections, the one released with the same settings is reused.
     assert!(pools.release(2.0, &a, 2, 9));
     assert_eq!(pools.acquire(2.0, &a, 7, "t", 20), Acquisition::Reuse(1));
     assert_eq!(pools.acquire(2.0, &b, 0, "t", 21), Acquisition::Open);
     pools.opened(2.0, &b, 3);
-    assert_eq!(pools.acquire(2.0, &key("c"), 0, "t", 22), Acquisition::ReplaceIdle(2), "the bound of all");
+    assert_eq!(
+        pools.acquire(2.0, &key("c"), 0, "t", 22),
+        Acquisition::ReplaceIdle(2),
+        "max_connections is reached"
+    );
     assert_eq!(pools.expired_connections(11.0), Vec::<u64>::new());
     assert_eq!(pools.expired_connections(12.5), [2]);
     pools.closed(&a, 2);
-    assert!(!pools.release(101.0, &a, 1, 0), "too old to be used again");
+    assert!(!pools.release(101.0, &a, 1, 0), "beyond its maximum lifetime");
     assert_eq!(pools.expired_connections(101.0), [1]);
     assert_eq!(pools.count(), 2);
 }
 
 #[test]
-fn the_reserve_is_for_whoever_has_waited_longest() {
-    let pace = PoolLimits {
+fn the_reserve_goes_to_the_request_that_has_waited_longest() {
+    let limits = PoolLimits {
         max_connections: 3,
         max_per_key: 1,
         reserve_per_key: 1,
         reserve_after: 0.5,
         ..PoolLimits::default()
     };
-    let (mut pools, a) = (Pools::new(pace, 1), key("a"));
+    let (mut pools, a) = (Pools::new(limits, 1), key("a"));
     assert_eq!(pools.acquire(0.0, &a, 0, "t", 1), Acquisition::Open);
     pools.opened(0.0, &a, 1);
-    // Whose tenant has its turn first is not who has waited longest.
+    // The tenant that is next in turn is not that of the oldest request.
     for (ticket, tenant, now) in [(2, "z", 0.1), (3, "b", 0.2)] {
         assert_eq!(pools.acquire(now, &a, 0, tenant, ticket), Acquisition::Wait);
     }
-    assert_eq!(pools.next_ticket(0.5), None, "not waited for long enough");
+    assert_eq!(pools.next_ticket(0.5), None, "none has waited for reserve_after");
     assert_eq!(pools.next_ticket(0.6), Some(2));
-    assert_eq!(pools.acquire(0.6, &a, 0, "b", 4), Acquisition::Wait, "not for one who has just come");
+    assert_eq!(
+        pools.acquire(0.6, &a, 0, "b", 4),
+        Acquisition::Wait,
+        "not for a request that has just arrived"
+    );
     assert_eq!(pools.acquire(0.6, &a, 0, "z", 2), Acquisition::Open);
     pools.opened(0.6, &a, 2);
     assert_eq!(pools.next_ticket(9.0), None, "the reserve is used up");
 }
 
 #[test]
-fn a_client_that_vanishes_inside_a_copy_takes_its_connection_along() {
+fn a_client_that_disconnects_during_a_copy_closes_the_server_connection() {
     let mut session = session(Mode::Transaction);
-    give(&mut session, vec![text(b'Q', "COPY items FROM STDIN")]);
+    from_client(&mut session, vec![text(b'Q', "COPY items FROM STDIN")]);
     attach(&mut session);
-    tell(&mut session, vec![message(b'G', b"\0\0\0")]);
-    give(&mut session, vec![message(b'd', b"half a li")]);
+    from_server(&mut session, vec![message(b'G', b"\0\0\0")]);
+    from_client(&mut session, vec![message(b'd', b"half a li")]);
     assert_eq!(
         session.client_disconnected(),
         Some(Disposition::Close),
-        "the server must not take what came for all there is"
+        "the server must not treat the data so far as complete"
     );
 }
--- a/crates/pooling/tests/mixed.rs
+++ b/crates/pooling/tests/mixed.rs
@@ -1,8 +1,8 @@
-//! Many sessions with settings, transactions and prepared statements over few connections to a server that keeps the
-//! state of each, with clients that vanish and connections that die: nobody misses what is his or sees what is
-//! another's, and each request has its one answer.
+//! Many sessions with settings, transactions and prepared statements share a few connections to a simulated
+//! server, while clients disconnect and connections fail. Each session must find its own state and never that
+//! of another session, and each request must get exactly one answer.
 //!
-//! `MIXED=1000000 cargo test --release -p pooling --test mixed` plays so many requests.
+//! `MIXED=1000000 cargo test --release -p pooling --test mixed` runs that many requests.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,12 +10,12 @@
 use pgwire::{error_response, Message};
 use pooling::{Action, DetachReason, Disposition, Mode, ServerSessionState, Session};
 
-/// A server's side of one connection, as far as it is asked here.
+/// Simulates the server's side of one connection, as far as this test uses it.
 #[derive(Default)]
-struct Db {
-    now: BTreeMap<String, String>,
-    kept: BTreeMap<String, String>,
-    marks: Vec<(String, BTreeMap<String, String>)>,
+struct SimulatedServer {
+    current: BTreeMap<String, String>,
+    committed: BTreeMap<String, String>,
+    savepoints: Vec<(String, BTreeMap<String, String>)>,
     statements: BTreeMap<String, String>,
     portals: BTreeMap<String, String>,
     status: u8,
@@ -31,24 +31,24 @@
     message(kind, [text.as_bytes(), b"\0"].concat())
 }
 
-impl Db {
-    fn new() -> Db {
-        Db { status: b'I', ..Db::default() }
+impl SimulatedServer {
+    fn new() -> SimulatedServer {
+        SimulatedServer { status: b'I', ..SimulatedServer::default() }
     }
 
-    /// What the server answers to bytes that hold whole messages.
-    fn take(&mut self, mut bytes: &[u8]) -> Vec<Message> {
+    /// Returns the server's replies to bytes that hold complete messages.
+    fn receive(&mut self, mut bytes: &[u8]) -> Vec<Message> {
         let mut out = Vec::new();
         while !bytes.is_empty() {
             let length = u32::from_be_bytes(bytes[1..5].try_into().unwrap()) as usize;
             let (kind, body) = (bytes[0], &bytes[5..length + 1]);
             bytes = &bytes[length + 1..];
-            self.one(kind, body, &mut out);
+            self.handle(kind, body, &mut out);
         }
         out
     }
 
-    fn one(&mut self, kind: u8, body: &[u8], out: &mut Vec<Message>) {
+    fn handle(&mut self, kind: u8, body: &[u8], out: &mut Vec<Message>) {
         match kind {
             b'Q' => {
                 let sql = wire::read_query(body).unwrap().to_string();
@@ -67,7 +67,7 @@
             b'P' => {
                 let (name, sql, _) = wire::read_parse(body).unwrap();
                 if !name.is_empty() && self.statements.contains_key(name) {
-                    return self.fail("42P05", out);
+                    return self.fail_batch("42P05", out);
                 }
                 self.statements.insert(name.into(), sql.into());
                 out.push(message(b'1', Vec::new()));
@@ -76,7 +76,7 @@
                 let (portal, name, _) = wire::read_bind(body).unwrap();
                 match self.statements.get(name).cloned() {
                     Some(sql) => drop(self.portals.insert(portal.into(), sql)),
-                    None => return self.fail("26000", out),
+                    None => return self.fail_batch("26000", out),
                 }
                 out.push(message(b'2', Vec::new()));
             }
@@ -95,7 +95,8 @@
         }
     }
 
-    fn fail(&mut self, code: &str, out: &mut Vec<Message>) {
+    /// Fails a batch: messages up to Sync are skipped.
+    fn fail_batch(&mut self, code: &str, out: &mut Vec<Message>) {
         self.skipping = true;
         self.error(code, out);
     }
@@ -112,18 +113,18 @@
     fn ready(&mut self, out: &mut Vec<Message>) {
         let failed = std::mem::take(&mut self.failed);
         if self.status == b'I' {
-            self.end(!failed);
+            self.end_transaction(!failed);
         }
         out.push(message(b'Z', vec![self.status]));
     }
 
-    fn end(&mut self, keep: bool) {
-        if keep {
-            self.kept = self.now.clone();
+    fn end_transaction(&mut self, commit: bool) {
+        if commit {
+            self.committed = self.current.clone();
         } else {
-            self.now = self.kept.clone();
+            self.current = self.committed.clone();
         }
-        self.marks.clear();
+        self.savepoints.clear();
         self.status = b'I';
     }
 
@@ -139,41 +140,41 @@
                 "BEGIN"
             }
             ["COMMIT"] => {
-                let good = self.status != b'E';
-                self.end(good);
-                if good {
+                let succeeded = self.status != b'E';
+                self.end_transaction(succeeded);
+                if succeeded {
                     "COMMIT"
                 } else {
                     "ROLLBACK"
                 }
             }
             ["ROLLBACK"] => {
-                self.end(false);
+                self.end_transaction(false);
                 "ROLLBACK"
             }
             ["SAVEPOINT", name] => {
-                self.marks.push((name.to_string(), self.now.clone()));
+                self.savepoints.push((name.to_string(), self.current.clone()));
                 "SAVEPOINT"
             }
             ["ROLLBACK", "TO", name] => {
-                let at = self.marks.iter().rposition(|(known, _)| known == name).unwrap();
-                self.now = self.marks[at].1.clone();
+                let index = self.savepoints.iter().rposition(|(known, _)| known == name).unwrap();
+                self.current = self.savepoints[index].1.clone();
                 "ROLLBACK"
             }
             ["SET", name, "TO", value] => {
-                self.now.insert(name.to_string(), value.trim_matches('\'').into());
+                self.current.insert(name.to_string(), value.trim_matches('\'').into());
                 "SET"
             }
             ["RESET", "ALL"] => {
-                self.now.clear();
+                self.current.clear();
                 "RESET"
             }
             ["RESET", name] => {
-                self.now.remove(*name);
+                self.current.remove(*name);
                 "RESET"
             }
             ["DISCARD", "ALL"] => {
-                self.now.clear();
+                self.current.clear();
                 self.statements.clear();
                 "DISCARD ALL"
             }
@@ -182,10 +183,10 @@
                 return false;
             }
             ["SHOW", name] => {
-                out.push(text(b'N', self.now.get(*name).map_or("", |value| value)));
+                out.push(text(b'N', self.current.get(*name).map_or("", |value| value)));
                 "SHOW"
             }
-            // What it is, is its answer.
+            // Any other statement is answered with its own text.
             _ => {
                 out.push(text(b'N', sql));
                 "SELECT 1"
@@ -196,12 +197,12 @@
     }
 }
 
-/// What a client knows it must find.
+/// The state that a client must find.
 #[derive(Clone, Default)]
 struct Model {
-    now: BTreeMap<String, String>,
-    kept: BTreeMap<String, String>,
-    mark: Option<BTreeMap<String, String>>,
+    current: BTreeMap<String, String>,
+    committed: BTreeMap<String, String>,
+    savepoint: Option<BTreeMap<String, String>>,
     open: bool,
     broken: bool,
     statements: BTreeMap<String, String>,
@@ -210,22 +211,22 @@
 struct Client {
     session: Session,
     model: Model,
-    /// The number of its connection, where it is on one.
-    at: Option<usize>,
-    wants: bool,
-    /// What it was told since its last request.
-    told: Vec<Message>,
+    /// Index of its server connection, where it has one.
+    server: Option<usize>,
+    waiting: bool,
+    /// Messages received since its last request.
+    received: Vec<Message>,
 }
 
 struct World {
     clients: Vec<Client>,
-    /// Each connection with what is known of it; none known while it is used.
-    servers: Vec<(Db, Option<ServerSessionState>)>,
+    /// Each connection with its tracked state, which is absent while a session uses it.
+    servers: Vec<(SimulatedServer, Option<ServerSessionState>)>,
     waiting: VecDeque<usize>,
     rng: fastrand::Rng,
     answered: u64,
-    /// How often a connection changed hands.
-    moved: u64,
+    /// How often a connection was assigned to a session.
+    assignments: u64,
 }
 
 const NAMES: [&str; 3] = ["app.a", "app.b", "app.c"];
@@ -233,13 +234,13 @@
 impl World {
     fn client(&mut self) -> Client {
         let start = BTreeMap::from([("app.c".to_string(), "'start'".to_string())]);
-        let now = BTreeMap::from([("app.c".to_string(), "start".to_string())]);
-        let model = Model { now: now.clone(), kept: now, ..Model::default() };
+        let current = BTreeMap::from([("app.c".to_string(), "start".to_string())]);
+        let model = Model { current: current.clone(), committed: current, ..Model::default() };
         let session = Session::new(Mode::Transaction, start, BTreeMap::new());
-        Client { session, model, at: None, wants: false, told: Vec::new() }
+        Client { session, model, server: None, waiting: false, received: Vec::new() }
     }
 
-    fn act(&mut self, n: usize, actions: Vec<Action>) {
+    fn perform(&mut self, n: usize, actions: Vec<Action>) {
         let mut queue = VecDeque::from(actions);
         while let Some(action) = queue.pop_front() {
             match action {
@@ -247,50 +248,50 @@
                     while !bytes.is_empty() {
                         let length = u32::from_be_bytes(bytes[1..5].try_into().unwrap()) as usize;
                         let rest = bytes.split_off(length + 1);
-                        self.clients[n].told.push(message(bytes[0], bytes[5..].to_vec()));
+                        self.clients[n].received.push(message(bytes[0], bytes[5..].to_vec()));
                         bytes = rest;
                     }
                 }
                 Action::SendToServer(bytes) => {
-                    let at = self.clients[n].at.unwrap();
-                    for answer in self.servers[at].0.take(&bytes) {
+                    let server = self.clients[n].server.unwrap();
+                    for answer in self.servers[server].0.receive(&bytes) {
                         let mut more = Vec::new();
                         self.clients[n].session.handle_server_piece(Piece::Message(answer), &mut more);
                         queue.extend(more);
                     }
                 }
                 Action::RequestServer(_) => {
-                    self.clients[n].wants = true;
+                    self.clients[n].waiting = true;
                     self.waiting.push_back(n);
                 }
-                Action::ReleaseServer(ended) => self.release(n, ended),
-                Action::CloseClient => panic!("no client is sent away here"),
+                Action::ReleaseServer(disposition) => self.release(n, disposition),
+                Action::CloseClient => panic!("a client was disconnected"),
             }
         }
     }
 
-    fn release(&mut self, n: usize, ended: Disposition) {
-        let at = self.clients[n].at.take().unwrap();
-        let remote = self.clients[n].session.take_server_state();
-        self.servers[at].1 = match ended {
-            Disposition::Reuse => Some(remote),
+    fn release(&mut self, n: usize, disposition: Disposition) {
+        let server = self.clients[n].server.take().unwrap();
+        let state = self.clients[n].session.take_server_state();
+        self.servers[server].1 = match disposition {
+            Disposition::Reuse => Some(state),
             Disposition::Close => {
-                self.servers[at].0 = Db::new();
+                self.servers[server].0 = SimulatedServer::new();
                 Some(ServerSessionState::new(4))
             }
         };
     }
 
-    /// Gives connections to those who wait, as long as there are any.
-    fn serve(&mut self) {
-        while let Some(at) = self.servers.iter().position(|(_, remote)| remote.is_some()) {
+    /// Assigns free connections to waiting sessions.
+    fn assign(&mut self) {
+        while let Some(server) = self.servers.iter().position(|(_, state)| state.is_some()) {
             let Some(n) = self.waiting.pop_front() else { return };
-            let remote = self.servers[at].1.take().unwrap();
-            (self.clients[n].at, self.clients[n].wants) = (Some(at), false);
-            self.moved += 1;
+            let state = self.servers[server].1.take().unwrap();
+            (self.clients[n].server, self.clients[n].waiting) = (Some(server), false);
+            self.assignments += 1;
             let mut actions = Vec::new();
-            self.clients[n].session.attach(remote, &mut actions);
-            self.act(n, actions);
+            self.clients[n].session.attach(state, &mut actions);
+            self.perform(n, actions);
         }
     }
 
@@ -298,51 +299,54 @@
         for message in messages {
             let mut actions = Vec::new();
             self.clients[n].session.handle_client_message(message, &mut actions);
-            self.act(n, actions);
+            self.perform(n, actions);
         }
     }
 
-    /// What a client was told once it is ready again: the texts of rows, and the codes of errors.
+    /// Returns the answer once ReadyForQuery has arrived: the texts of rows, and the SQLSTATEs of errors.
     fn answer(&mut self, n: usize) -> Option<(Vec<String>, Vec<String>)> {
-        let told = &self.clients[n].told;
-        let last = told.last().is_some_and(|message| message.kind == b'Z');
-        if !last {
+        let received = &self.clients[n].received;
+        let complete = received.last().is_some_and(|message| message.kind == b'Z');
+        if !complete {
             return None;
         }
-        let told = std::mem::take(&mut self.clients[n].told);
-        assert_eq!(told.iter().filter(|message| message.kind == b'Z').count(), 1, "one answer");
-        let rows =
-            told.iter().filter(|m| m.kind == b'N').map(|m| wire::read_query(&m.body).unwrap().to_string());
-        let codes = told.iter().filter(|m| m.kind == b'E').map(|m| pgwire::error_code(&m.body).0);
+        let received = std::mem::take(&mut self.clients[n].received);
+        assert_eq!(received.iter().filter(|message| message.kind == b'Z').count(), 1, "one answer");
+        let rows = received
+            .iter()
+            .filter(|m| m.kind == b'N')
+            .map(|m| wire::read_query(&m.body).unwrap().to_string());
+        let codes = received.iter().filter(|m| m.kind == b'E').map(|m| pgwire::error_code(&m.body).0);
         self.answered += 1;
         Some((rows.collect(), codes.collect()))
     }
 
     fn query(&mut self, n: usize, sql: &str) -> Option<(Vec<String>, Vec<String>)> {
         self.send(n, vec![text(b'Q', sql)]);
-        self.serve();
+        self.assign();
         self.answer(n)
     }
 
-    /// One request of a client's, whose connection may have to be waited for: then others end theirs first.
+    /// Makes a request; if no connection is free, other clients end their transactions first.
     fn ask(&mut self, n: usize, sql: &str) -> (Vec<String>, Vec<String>) {
         if let Some(answer) = self.query(n, sql) {
             return answer;
         }
-        self.free();
+        self.free_connections();
         self.answer(n).expect("an answer")
     }
 
-    /// Ends the transactions that hold up those who wait.
-    fn free(&mut self) {
-        while let Some(holder) = self.clients.iter().position(|client| client.at.is_some()) {
+    /// Ends the transactions that keep waiting sessions from getting a connection.
+    fn free_connections(&mut self) {
+        while let Some(holder) = self.clients.iter().position(|client| client.server.is_some()) {
             if self.waiting.is_empty() {
                 return;
             }
-            let (rows, codes) = self.query(holder, "ROLLBACK").expect("it is on a connection");
+            let (rows, codes) = self.query(holder, "ROLLBACK").expect("the session has a connection");
             assert!(rows.is_empty() && codes.is_empty());
             let model = &mut self.clients[holder].model;
-            (model.open, model.broken, model.mark, model.now) = (false, false, None, model.kept.clone());
+            (model.open, model.broken, model.savepoint, model.current) =
+                (false, false, None, model.committed.clone());
         }
     }
 
@@ -358,9 +362,9 @@
                 if model.broken {
                     return assert_eq!(codes, ["25P02"]);
                 }
-                model.now.insert(name.into(), value);
+                model.current.insert(name.into(), value);
                 if !model.open {
-                    model.kept = model.now.clone();
+                    model.committed = model.current.clone();
                 }
             }
             4..=8 => {
@@ -368,7 +372,7 @@
                 if model.broken {
                     return assert_eq!(codes, ["25P02"]);
                 }
-                assert_eq!(rows, [model.now.get(name).cloned().unwrap_or_default()], "{name} of {n}");
+                assert_eq!(rows, [model.current.get(name).cloned().unwrap_or_default()], "{name} of {n}");
             }
             9..=10 if !model.open => {
                 self.ask(n, "BEGIN");
@@ -378,27 +382,28 @@
                 self.ask(n, "COMMIT");
                 let model = &mut self.clients[n].model;
                 if model.broken {
-                    model.now = model.kept.clone();
+                    model.current = model.committed.clone();
                 } else {
-                    model.kept = model.now.clone();
+                    model.committed = model.current.clone();
                 }
-                (model.open, model.broken, model.mark) = (false, false, None);
+                (model.open, model.broken, model.savepoint) = (false, false, None);
             }
             11 if model.open => {
                 self.ask(n, "ROLLBACK");
                 let model = &mut self.clients[n].model;
-                (model.open, model.broken, model.mark, model.now) = (false, false, None, model.kept.clone());
+                (model.open, model.broken, model.savepoint, model.current) =
+                    (false, false, None, model.committed.clone());
             }
-            12 if model.open && !model.broken && model.mark.is_none() => {
+            12 if model.open && !model.broken && model.savepoint.is_none() => {
                 self.ask(n, "SAVEPOINT a");
-                self.clients[n].model.mark = Some(model.now);
+                self.clients[n].model.savepoint = Some(model.current);
             }
             12 if model.open && !model.broken => {
                 self.ask(n, "ROLLBACK TO a");
-                self.clients[n].model.now = model.mark.unwrap();
+                self.clients[n].model.current = model.savepoint.unwrap();
             }
             13 => {
-                // Several in one text: what fails takes the whole of it with it, outside of a transaction.
+                // Several statements in one text: outside of a transaction, an error rolls back all of them.
                 let (_, codes) = self.ask(n, &format!("SET {name} TO 'gone'; FAIL"));
                 assert_eq!(codes.len(), 1);
                 let model = &mut self.clients[n].model;
@@ -408,20 +413,20 @@
                 let discard = self.rng.bool();
                 self.ask(n, if discard { "DISCARD ALL" } else { "RESET ALL" });
                 let model = &mut self.clients[n].model;
-                model.now = BTreeMap::from([("app.c".to_string(), "start".to_string())]);
-                model.kept = model.now.clone();
+                model.current = BTreeMap::from([("app.c".to_string(), "start".to_string())]);
+                model.committed = model.current.clone();
                 if discard {
                     model.statements.clear();
                 }
             }
-            15 => self.vanish(n),
-            16 if self.rng.u32(..4) == 0 => self.die(n),
-            _ => self.prepared(n),
+            15 => self.disconnect(n),
+            16 if self.rng.u32(..4) == 0 => self.fail_server(n),
+            _ => self.use_prepared(n),
         }
     }
 
-    /// A statement that is prepared once and used ever after, under one of few names.
-    fn prepared(&mut self, n: usize) {
+    /// Uses a prepared statement under one of a few names, and prepares it at its first use.
+    fn use_prepared(&mut self, n: usize) {
         let name = format!("p{}", self.rng.u32(..3));
         let model = self.clients[n].model.clone();
         let mut batch = Vec::new();
@@ -437,13 +442,13 @@
         batch.push(message(b'E', b"\0\0\0\0\0".to_vec()));
         batch.push(message(b'S', Vec::new()));
         self.send(n, batch);
-        self.serve();
+        self.assign();
         let answer = self.answer(n).or_else(|| {
-            self.free();
+            self.free_connections();
             self.answer(n)
         });
         let (rows, codes) = answer.expect("an answer");
-        // In a failed transaction the statement is known to the session all the same.
+        // The session keeps the statement even in a failed transaction.
         self.clients[n].model.statements.insert(name, sql.clone());
         if model.broken {
             return assert_eq!(codes, ["25P02"]);
@@ -451,52 +456,59 @@
         assert_eq!((rows, codes), (vec![sql], Vec::new()), "of {n}");
     }
 
-    /// A client leaves without a word, and another comes.
-    fn vanish(&mut self, n: usize) {
-        if let Some(ended) = self.clients[n].session.client_disconnected() {
-            self.release(n, ended);
+    /// Disconnects a client, and connects a new one in its place.
+    fn disconnect(&mut self, n: usize) {
+        if let Some(disposition) = self.clients[n].session.client_disconnected() {
+            self.release(n, disposition);
         }
         self.clients[n] = self.client();
-        self.serve();
+        self.assign();
     }
 
-    /// A connection dies under its session.
-    fn die(&mut self, n: usize) {
-        let Some(at) = self.clients[n].at else { return };
+    /// Makes the server connection of a session fail.
+    fn fail_server(&mut self, n: usize) {
+        let Some(server) = self.clients[n].server else { return };
         let mut actions = Vec::new();
         self.clients[n].session.server_detached(DetachReason::Lost, &mut actions);
-        self.servers[at] = (Db::new(), Some(ServerSessionState::new(4)));
-        self.clients[n].at = None;
-        self.act(n, actions);
-        assert!(self.clients[n].told.is_empty(), "nothing was asked");
+        self.servers[server] = (SimulatedServer::new(), Some(ServerSessionState::new(4)));
+        self.clients[n].server = None;
+        self.perform(n, actions);
+        assert!(self.clients[n].received.is_empty(), "no request was pending");
         let (_, codes) = self.ask(n, "SELECT 1");
         assert_eq!(codes, ["08006"]);
         let (_, codes) = self.ask(n, "SHOW app.a");
         assert_eq!(codes, ["25P02"]);
         assert_eq!(self.ask(n, "COMMIT").1, Vec::<String>::new());
         let model = &mut self.clients[n].model;
-        (model.open, model.broken, model.mark, model.now) = (false, false, None, model.kept.clone());
+        (model.open, model.broken, model.savepoint, model.current) =
+            (false, false, None, model.committed.clone());
     }
 }
 
 #[test]
-fn nobody_misses_what_is_his_or_sees_what_is_another_s() {
-    let most: u64 = std::env::var("MIXED").ok().and_then(|most| most.parse().ok()).unwrap_or(60_000);
-    let (seeds, mut answered, mut moved) = (20, 0, 0);
+fn sessions_find_their_own_state_and_no_other() {
+    let requests: u64 = std::env::var("MIXED").ok().and_then(|count| count.parse().ok()).unwrap_or(60_000);
+    let (seeds, mut answered, mut assignments) = (20, 0, 0);
     for seed in 0..seeds {
         let rng = fastrand::Rng::with_seed(seed);
-        let servers = (0..3).map(|_| (Db::new(), Some(ServerSessionState::new(4)))).collect();
-        let mut world =
-            World { clients: Vec::new(), servers, waiting: VecDeque::new(), rng, answered: 0, moved: 0 };
+        let servers = (0..3).map(|_| (SimulatedServer::new(), Some(ServerSessionState::new(4)))).collect();
+        let mut world = World {
+            clients: Vec::new(),
+            servers,
+            waiting: VecDeque::new(),
+            rng,
+            answered: 0,
+            assignments: 0,
+        };
         for _ in 0..8 {
             let client = world.client();
             world.clients.push(client);
         }
-        while world.answered < most / seeds {
+        while world.answered < requests / seeds {
             world.step();
         }
-        (answered, moved) = (answered + world.answered, moved + world.moved);
+        (answered, assignments) = (answered + world.answered, assignments + world.assignments);
     }
-    println!("{answered} requests in {seeds} seeds; connections changed hands {moved} times");
-    assert!(moved > answered / 4);
+    println!("{answered} requests in {seeds} seeds; connections were assigned {assignments} times");
+    assert!(assignments > answered / 4);
 }
