--- a/crates/sql/src/kind.rs
+++ b/crates/sql/src/kind.rs
@@ -1,13 +1,13 @@
-//! What each statement of a text is.
+//! Classifies the statements of a text.
 
 use crate::lexer::{Lexer, Token};
 
-/// Most statements of one text that are told apart; a text with more is of one unknown kind.
-const MOST: usize = 256;
+/// Maximum number of statements in one text; a text with more is classified as one unknown statement.
+const MAX_STATEMENTS: usize = 256;
 
-/// Functions that neither write nor keep anything, of those that are used most. A read that calls any other is of
-/// an unknown kind: what a function does, its name does not say.
-const PURE: &[&str] = &[
+/// Common functions that neither write nor change the session, in alphabetical order. A query that calls any
+/// other function is of an unknown kind, since a function's name does not tell what it does.
+const READ_ONLY_FUNCTIONS: &[&str] = &[
     "abs",
     "age",
     "array_agg",
@@ -129,8 +129,8 @@
     "width_bucket",
 ];
 
-/// Words that may stand before a parenthesis without being functions.
-const GRAMMAR: &[&str] = &[
+/// Keywords that may precede a parenthesis without being function names.
+const KEYWORDS_BEFORE_PARENTHESIS: &[&str] = &[
     "all",
     "and",
     "any",
@@ -201,73 +201,73 @@
     "within",
 ];
 
-/// Control of transactions.
+/// A transaction control statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Control {
-    /// Begins one; whether it says of itself that it only reads.
+    /// Begins a transaction.
     Begin {
         /// `READ ONLY` or `READ WRITE`, where given.
         read_only: Option<bool>,
     },
-    /// Ends one and keeps what it did.
+    /// Commits a transaction.
     Commit,
-    /// Ends one and undoes what it did.
+    /// Rolls back a transaction.
     Rollback,
-    /// Sets a mark of this name.
+    /// Sets a savepoint of this name.
     Savepoint(String),
-    /// Undoes what came after a mark.
+    /// Rolls back to a savepoint.
     RollbackTo(String),
-    /// Forgets a mark.
+    /// Releases a savepoint.
     Release(String),
-    /// The first phase of two.
+    /// The first phase of a two-phase commit (`PREPARE TRANSACTION`).
     Prepare,
 }
 
-/// What a statement changes of its session, in a way that can be carried over to another connection.
+/// A change of session state that can be reproduced on another connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A setting, in lower case; its value as written, without the quotes of a single quoted text.
+    /// Sets a setting.
     Set {
-        /// Its name.
+        /// Its name in lower case.
         name: String,
-        /// Its value as SQL.
+        /// Its value as SQL text.
         value: String,
-        /// Whether it lasts for the transaction alone.
+        /// Whether it applies to the current transaction only (`SET LOCAL`).
         local: bool,
     },
-    /// A setting goes back to what it was at the session's start.
+    /// Resets a setting to its value at the session's start.
     Reset(String),
-    /// All settings do.
+    /// Resets all settings.
     ResetAll,
-    /// All that the session has goes.
+    /// Discards all state of the session.
     DiscardAll,
-    /// All prepared statements go.
+    /// Deallocates all prepared statements.
     DeallocateAll,
 }
 
-/// What binds a session to its connection: it cannot be carried over.
+/// State that binds a session to its connection, since it cannot be reproduced on another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Pin {
     /// A temporary table.
     Temporary,
-    /// It listens to notifications.
+    /// A subscription to notifications.
     Listen,
-    /// An advisory lock of the session's.
+    /// A session-level advisory lock.
     Advisory,
-    /// A cursor that outlives its transaction.
+    /// A cursor that survives its transaction.
     HoldCursor,
-    /// A statement prepared by SQL.
+    /// A statement prepared by the SQL command `PREPARE`.
     Prepared,
-    /// The present value of a sequence.
+    /// The session's current value of a sequence.
     Sequence,
-    /// A role or an authorization of the session's.
+    /// A session-level role, session authorization, or setting changed in a way that is not tracked.
     Role,
-    /// A library that was loaded.
+    /// A loaded library.
     Load,
 }
 
 impl Pin {
-    /// The reason in words.
+    /// Describes the reason for users.
     pub fn describe(self) -> &'static str {
         match self {
             Pin::Temporary => "a temporary table",
@@ -282,49 +282,49 @@
     }
 }
 
-/// What a statement is.
+/// The kind of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It only reads.
+    /// Only reads.
     Read,
-    /// It may write.
+    /// May write.
     Write,
-    /// It begins, ends or marks a transaction.
+    /// Begins or ends a transaction, or sets, releases or returns to a savepoint.
     Control(Control),
-    /// It changes what the session has.
+    /// Changes the session's state.
     Session(Change),
-    /// What it is cannot be told; for this reason.
+    /// Cannot be classified, for this reason.
     Unknown(&'static str),
 }
 
-/// One statement of a text.
+/// A classified statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
-    /// What it is.
+    /// Its kind.
     pub kind: Kind,
-    /// What it binds the session by.
+    /// State by which it binds the session to the connection.
     pub pins: Vec<Pin>,
-    /// Whether it moves data between the client and a table (`COPY ... FROM STDIN`, `TO STDOUT`).
+    /// Whether it copies data from or to the client (`COPY ... FROM STDIN`, `TO STDOUT`).
     pub copies_data: bool,
 }
 
-/// All statements of a text.
+/// The classified statements of a text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Scan {
-    /// In their order; none for a text without any.
+    /// Statements in order of the text.
     pub statements: Vec<Statement>,
-    /// What the comment before the first of them says.
+    /// The content of the comment before the first statement.
     pub comment: Option<String>,
 }
 
 impl Scan {
-    /// Whether all of it only reads.
+    /// Returns true if all statements only read.
     pub fn is_read_only(&self) -> bool {
         self.statements.iter().all(|statement| statement.kind == Kind::Read)
     }
 }
 
-/// Tells what the statements of a text are.
+/// Classifies the statements of a text.
 pub fn scan(text: &str) -> Scan {
     let lead = text.trim_start();
     let comment = lead.strip_prefix("/*").and_then(|rest| rest.split_once("*/")).map(|(inside, _)| inside);
@@ -334,8 +334,8 @@
     for token in lexer.by_ref() {
         match token {
             Token::Symbol(';') if depth == 0 => {
-                statements.extend(one(&std::mem::take(&mut tokens)));
-                if statements.len() > MOST {
+                statements.extend(statement(&std::mem::take(&mut tokens)));
+                if statements.len() > MAX_STATEMENTS {
                     return unknown("too many statements", comment);
                 }
                 continue;
@@ -347,9 +347,9 @@
         tokens.push(token);
     }
     if lexer.is_unterminated() {
-        return unknown("a quote or a comment does not end", comment);
+        return unknown("unterminated quote or comment", comment);
     }
-    statements.extend(one(&tokens));
+    statements.extend(statement(&tokens));
     Scan { statements, comment }
 }
 
@@ -360,11 +360,11 @@
     }
 }
 
-/// The words of a statement, for looking at one after the other.
-struct Words<'a, 'b>(&'b [Token<'a>]);
+/// A cursor over the tokens of a statement.
+struct TokenCursor<'a, 'b>(&'b [Token<'a>]);
 
-impl<'a> Words<'a, '_> {
-    /// Takes the next word where it is this one.
+impl<'a> TokenCursor<'a, '_> {
+    /// Consumes the next token if it is this word.
     fn eat(&mut self, word: &str) -> bool {
         match self.0.first() {
             Some(Token::Word(w)) if w.eq_ignore_ascii_case(word) => {
@@ -375,12 +375,13 @@
         }
     }
 
-    fn any(&mut self, words: &[&str]) -> bool {
+    /// Consumes the next token if it is one of these words.
+    fn eat_any(&mut self, words: &[&str]) -> bool {
         words.iter().any(|word| self.eat(word))
     }
 
-    /// Takes a name, quoted or not.
-    fn name(&mut self) -> Option<String> {
+    /// Consumes an identifier, quoted or not.
+    fn take_name(&mut self) -> Option<String> {
         let name = match self.0.first()? {
             Token::Word(word) => word.to_lowercase(),
             Token::Name(name) => name.replace("\"\"", "\""),
@@ -390,7 +391,8 @@
         Some(name)
     }
 
-    fn has(&self, words: &[&str]) -> bool {
+    /// Returns true if these words occur in sequence anywhere in the remaining tokens.
+    fn contains(&self, words: &[&str]) -> bool {
         self.0.windows(words.len()).any(|window| {
             window
                 .iter()
@@ -400,38 +402,38 @@
     }
 }
 
-/// What one statement is; none where there is nothing.
-fn one(tokens: &[Token]) -> Option<Statement> {
+/// Classifies one statement; returns none if there are no tokens.
+fn statement(tokens: &[Token]) -> Option<Statement> {
     let first = tokens.iter().find(|token| !matches!(token, Token::Symbol('(')))?;
-    let pins = pins(tokens);
-    let mut words = Words(tokens);
+    let pins = session_pins(tokens);
+    let mut words = TokenCursor(tokens);
     let kind = match first {
-        Token::Word(word) => kind(&word.to_lowercase(), &mut words),
+        Token::Word(word) => statement_kind(&word.to_lowercase(), &mut words),
         _ => Kind::Unknown("it does not begin with a word"),
     };
-    let copies = words.has(&["from", "stdin"]) || words.has(&["to", "stdout"]);
-    let copies = copies && matches!(first, Token::Word(word) if word.eq_ignore_ascii_case("copy"));
-    Some(Statement { kind, pins, copies_data: copies })
+    let copies_data = words.contains(&["from", "stdin"]) || words.contains(&["to", "stdout"]);
+    let copies_data = copies_data && matches!(first, Token::Word(word) if word.eq_ignore_ascii_case("copy"));
+    Some(Statement { kind, pins, copies_data })
 }
 
-fn kind(first: &str, words: &mut Words) -> Kind {
+fn statement_kind(first: &str, words: &mut TokenCursor) -> Kind {
     match first {
-        "select" | "values" | "table" | "with" => query(words.0),
+        "select" | "values" | "table" | "with" => query_kind(words.0),
         "show" => Kind::Read,
         "explain" => {
-            let runs = words.has(&["analyze"]) || words.has(&["analyse"]);
-            if runs {
+            let executes = words.contains(&["analyze"]) || words.contains(&["analyse"]);
+            if executes {
                 Kind::Unknown("EXPLAIN ANALYZE runs its statement")
             } else {
                 Kind::Read
             }
         }
-        "copy" if words.has(&["to", "stdout"]) => query(&words.0[1..]),
+        "copy" if words.contains(&["to", "stdout"]) => query_kind(&words.0[1..]),
         "insert" | "update" | "delete" | "merge" | "truncate" | "create" | "alter" | "drop" | "grant"
         | "revoke" | "vacuum" | "analyze" | "reindex" | "cluster" | "comment" | "copy" | "refresh"
         | "import" | "security" | "reassign" | "lock" | "notify" | "checkpoint" => Kind::Write,
         "begin" | "start" | "commit" | "end" | "rollback" | "abort" | "savepoint" | "release" => {
-            control(words)
+            control_kind(words)
         }
         "prepare" => {
             words.eat("prepare");
@@ -441,86 +443,91 @@
                 Kind::Unknown("PREPARE in SQL")
             }
         }
-        "set" | "reset" | "discard" | "deallocate" => session(words),
+        "set" | "reset" | "discard" | "deallocate" => session_kind(words),
         "listen" | "unlisten" | "load" | "fetch" | "move" | "close" | "declare" | "execute" => {
-            Kind::Unknown("it depends on what the session has")
+            Kind::Unknown("it depends on the session's state")
         }
-        "call" | "do" => Kind::Unknown("what a procedure does is not known"),
-        _ => Kind::Unknown("no statement that is known"),
+        "call" | "do" => Kind::Unknown("it is unknown what a procedure does"),
+        _ => Kind::Unknown("unknown statement"),
     }
 }
 
-/// Whether a query only reads.
-fn query(tokens: &[Token]) -> Kind {
-    let words = Words(tokens);
+/// Classifies a query as a read unless it may write.
+fn query_kind(tokens: &[Token]) -> Kind {
+    let words = TokenCursor(tokens);
     for write in ["insert", "update", "delete", "merge"] {
-        // In a WITH each of them is a statement; `FOR UPDATE` and a column of the name are not told apart here.
-        if words.has(&[write]) {
-            return if words.has(&["for", write]) { Kind::Write } else { Kind::Unknown("it may write") };
+        // Inside a WITH each of these words begins a statement. A column of the same name is not
+        // distinguished from that.
+        if words.contains(&[write]) {
+            return if words.contains(&["for", write]) { Kind::Write } else { Kind::Unknown("it may write") };
         }
     }
-    if words.has(&["into"]) {
+    if words.contains(&["into"]) {
         return Kind::Write;
     }
-    if words.has(&["for", "share"]) || words.has(&["for", "key"]) || words.has(&["for", "no"]) {
+    if words.contains(&["for", "share"]) || words.contains(&["for", "key"]) || words.contains(&["for", "no"])
+    {
         return Kind::Write;
     }
     for pair in tokens.windows(2) {
-        let (name, called) = match pair {
+        let (name, is_call) = match pair {
             [Token::Word(word), Token::Symbol('(')] => (word.to_lowercase(), true),
             [Token::Name(_), Token::Symbol('(')] => {
-                return Kind::Unknown("it calls a function of a quoted name")
+                return Kind::Unknown("it calls a function with a quoted name")
             }
             _ => (String::new(), false),
         };
-        if called && PURE.binary_search(&name.as_str()).is_err() && !GRAMMAR.contains(&name.as_str()) {
+        if is_call
+            && READ_ONLY_FUNCTIONS.binary_search(&name.as_str()).is_err()
+            && !KEYWORDS_BEFORE_PARENTHESIS.contains(&name.as_str())
+        {
             return Kind::Unknown("it calls a function that may write");
         }
     }
     Kind::Read
 }
 
-fn control(words: &mut Words) -> Kind {
+fn control_kind(words: &mut TokenCursor) -> Kind {
     if words.eat("begin") || words.eat("start") {
-        let read_only = match (words.has(&["read", "only"]), words.has(&["read", "write"])) {
+        let read_only = match (words.contains(&["read", "only"]), words.contains(&["read", "write"])) {
             (true, false) => Some(true),
             (false, true) => Some(false),
             _ => None,
         };
         return Kind::Control(Control::Begin { read_only });
     }
-    if words.any(&["commit", "end"]) {
+    if words.eat_any(&["commit", "end"]) {
         return if words.eat("prepared") { Kind::Write } else { Kind::Control(Control::Commit) };
     }
-    if words.any(&["rollback", "abort"]) {
+    if words.eat_any(&["rollback", "abort"]) {
         if words.eat("prepared") {
             return Kind::Write;
         }
-        let _ = words.any(&["work", "transaction"]);
+        let _ = words.eat_any(&["work", "transaction"]);
         if !words.eat("to") {
             return Kind::Control(Control::Rollback);
         }
         words.eat("savepoint");
-        return match words.name() {
+        return match words.take_name() {
             Some(name) => Kind::Control(Control::RollbackTo(name)),
             None => Kind::Unknown("a savepoint without a name"),
         };
     }
     let release = words.eat("release");
     words.eat("savepoint");
-    match words.name() {
+    match words.take_name() {
         Some(name) if release => Kind::Control(Control::Release(name)),
         Some(name) => Kind::Control(Control::Savepoint(name)),
         None => Kind::Unknown("a savepoint without a name"),
     }
 }
 
-fn session(words: &mut Words) -> Kind {
+fn session_kind(words: &mut TokenCursor) -> Kind {
     if words.eat("discard") {
         return if words.eat("all") {
             Kind::Session(Change::DiscardAll)
         } else {
-            // Of plans, sequences or temporary tables: the connection's alone.
+            // DISCARD of plans, sequences or temporary tables affects the connection only.
             Kind::Write
         };
     }
@@ -529,7 +536,7 @@
         return if words.eat("all") {
             Kind::Session(Change::DeallocateAll)
         } else {
-            Kind::Unknown("it depends on what the session has")
+            Kind::Unknown("it depends on the session's state")
         };
     }
     if words.eat("reset") {
@@ -539,8 +546,11 @@
         if words.eat("session") {
             return Kind::Unknown("a session's role");
         }
-        let name =
-            if words.eat("time") && words.eat("zone") { Some("timezone".into()) } else { dotted(words) };
+        let name = if words.eat("time") && words.eat("zone") {
+            Some("timezone".into())
+        } else {
+            take_dotted_name(words)
+        };
         return name.map_or(Kind::Unknown("RESET without a name"), |name| Kind::Session(Change::Reset(name)));
     }
     words.eat("set");
@@ -548,46 +558,47 @@
     if !local {
         words.eat("session");
     }
-    if words.any(&["transaction", "characteristics", "constraints"]) {
-        // Of the transaction, or of each one to come, which is a setting of another name.
-        return if words.has(&["as", "transaction"]) {
+    if words.eat_any(&["transaction", "characteristics", "constraints"]) {
+        // Applies to the current transaction; with SESSION CHARACTERISTICS, to all later ones through another
+        // setting.
+        return if words.contains(&["as", "transaction"]) {
             Kind::Unknown("characteristics of the session")
         } else {
             Kind::Write
         };
     }
-    if words.any(&["authorization", "role"]) {
+    if words.eat_any(&["authorization", "role"]) {
         return Kind::Unknown("a session's role");
     }
     if words.eat("time") {
         words.eat("zone");
-        return set("timezone".into(), words.0, local);
+        return set_kind("timezone".into(), words.0, local);
     }
     if words.eat("names") {
-        return set("client_encoding".into(), words.0, local);
+        return set_kind("client_encoding".into(), words.0, local);
     }
-    let Some(name) = dotted(words) else { return Kind::Unknown("SET without a name") };
+    let Some(name) = take_dotted_name(words) else { return Kind::Unknown("SET without a name") };
     if !words.eat("to") {
         match words.0.split_first() {
             Some((Token::Symbol('='), rest)) => words.0 = rest,
             _ => return Kind::Unknown("SET without a value"),
         }
     }
-    set(name, words.0, local)
+    set_kind(name, words.0, local)
 }
 
-/// A name with dots in it.
-fn dotted(words: &mut Words) -> Option<String> {
-    let mut name = words.name()?.to_lowercase();
+/// Consumes a name that may contain dots, and returns it in lower case.
+fn take_dotted_name(words: &mut TokenCursor) -> Option<String> {
+    let mut name = words.take_name()?.to_lowercase();
     while let Some((Token::Symbol('.'), rest)) = words.0.split_first() {
         words.0 = rest;
-        name = format!("{name}.{}", words.name()?.to_lowercase());
+        name = format!("{name}.{}", words.take_name()?.to_lowercase());
     }
     Some(name)
 }
 
-/// A setting with the value that these pieces are.
-fn set(name: String, value: &[Token], local: bool) -> Kind {
+/// Classifies a SET with the value given by these tokens.
+fn set_kind(name: String, value: &[Token], local: bool) -> Kind {
     if let [Token::Word(word)] = value {
         if word.eq_ignore_ascii_case("default") && !local {
             return Kind::Session(Change::Reset(name));
@@ -598,11 +609,12 @@
         let piece = match token {
             Token::Word(word) | Token::Number(word) => word.to_string(),
             Token::Name(name) => format!("\"{name}\""),
-            // An escape that only E'' undoes is not carried over.
+            // A backslash would change its meaning: the value is reproduced without the prefix of an E''
+            // constant.
             Token::Text(inside) if inside.contains('\\') => return Kind::Unknown("a value with escapes"),
             Token::Text(inside) => format!("'{inside}'"),
             Token::Symbol(sign @ (',' | '-' | '+' | '.')) => sign.to_string(),
-            Token::Symbol(_) => return Kind::Unknown("a value that is no constant"),
+            Token::Symbol(_) => return Kind::Unknown("a value that is not a constant"),
         };
         if !text.is_empty() && !matches!(token, Token::Symbol(_)) && !text.ends_with(['-', '+', '.']) {
             text.push(' ');
@@ -615,9 +627,9 @@
     Kind::Session(Change::Set { name, value: text, local })
 }
 
-/// What a statement binds its session by.
-fn pins(tokens: &[Token]) -> Vec<Pin> {
-    let words = Words(tokens);
+/// Returns the state by which a statement binds its session to the connection.
+fn session_pins(tokens: &[Token]) -> Vec<Pin> {
+    let words = TokenCursor(tokens);
     let first = |word: &str| matches!(tokens.first(), Some(Token::Word(w)) if w.eq_ignore_ascii_case(word));
     let calls = |prefix: &str| {
         tokens.windows(2).any(|pair| match pair {
@@ -625,30 +637,30 @@
             _ => false,
         })
     };
-    let temporary = words.has(&["temp"]) || words.has(&["temporary"]);
+    let temporary = words.contains(&["temp"]) || words.contains(&["temporary"]);
     let advisory = calls("pg_advisory_lock") || calls("pg_try_advisory_lock");
-    let role = first("set") && (words.has(&["role"]) || words.has(&["authorization"]));
+    let role = first("set") && (words.contains(&["role"]) || words.contains(&["authorization"]));
     let found = [
         (first("create") && temporary, Pin::Temporary),
-        ((first("select") || first("with")) && words.has(&["into"]) && temporary, Pin::Temporary),
+        ((first("select") || first("with")) && words.contains(&["into"]) && temporary, Pin::Temporary),
         (first("listen"), Pin::Listen),
         (advisory, Pin::Advisory),
-        (first("declare") && words.has(&["with", "hold"]), Pin::HoldCursor),
-        (first("prepare") && !words.has(&["prepare", "transaction"]), Pin::Prepared),
+        (first("declare") && words.contains(&["with", "hold"]), Pin::HoldCursor),
+        (first("prepare") && !words.contains(&["prepare", "transaction"]), Pin::Prepared),
         (calls("nextval") || calls("setval") || calls("currval") || calls("lastval"), Pin::Sequence),
-        (role || words.has(&["characteristics", "as", "transaction"]), Pin::Role),
+        (role || words.contains(&["characteristics", "as", "transaction"]), Pin::Role),
         (calls("set_config"), Pin::Role),
         (first("load"), Pin::Load),
     ];
-    found.into_iter().filter(|(is, _)| *is).map(|(_, pin)| pin).collect()
+    found.into_iter().filter(|(applies, _)| *applies).map(|(_, pin)| pin).collect()
 }
 
 #[cfg(test)]
 mod tests {
-    use super::PURE;
+    use super::READ_ONLY_FUNCTIONS;
 
     #[test]
-    fn the_list_of_functions_can_be_searched() {
-        assert!(PURE.is_sorted());
+    fn the_list_of_functions_is_sorted_for_binary_search() {
+        assert!(READ_ONLY_FUNCTIONS.is_sorted());
     }
 }
--- a/crates/sql/src/lib.rs
+++ b/crates/sql/src/lib.rs
@@ -1,6 +1,7 @@
-//! What SQL statements are, as far as their text shows. A scanner, not a parser: it knows PostgreSQL's lexical form
-//! (quotes, comments, dollar quotes) and the words that tell kinds of statements apart. What it cannot place is
-//! [`Kind::Unknown`], which whoever routes takes for a write. It never fails and never recurses.
+//! Classifies SQL statements by their text. It is a scanner, not a parser: it knows PostgreSQL's lexical
+//! structure (quotes, comments, dollar quotes) and the keywords that distinguish kinds of statements. A
+//! statement that it cannot classify is [`Kind::Unknown`], which routing treats as a write. It never fails
+//! and never recurses.
 #![warn(missing_docs)]
 
 mod kind;
--- a/crates/sql/tests/kinds.rs
+++ b/crates/sql/tests/kinds.rs
@@ -1,4 +1,4 @@
-//! Statements and what they are taken for.
+//! How statements are classified.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -19,7 +19,7 @@
 #[case("explain select 1")]
 #[case("select 'insert into x', \"delete\", $$update$$, e'it\\'s; -- not the end' -- update\n, 2 /* insert /* in */ x */")]
 #[case("copy (select * from items) to stdout")]
-fn a_read(#[case] text: &str) {
+fn statements_classified_as_reads(#[case] text: &str) {
     assert_eq!(kind(text), Kind::Read);
 }
 
@@ -43,7 +43,7 @@
 #[case("select 'never ends")]
 #[case("/* never ends")]
 #[case("frobnicate items")]
-fn no_read(#[case] text: &str) {
+fn statements_not_classified_as_reads(#[case] text: &str) {
     assert!(matches!(kind(text), Kind::Write | Kind::Unknown(_)), "{:?}", kind(text));
 }
 
@@ -59,7 +59,7 @@
 #[case("rollback transaction to savepoint a", Control::RollbackTo("a".into()))]
 #[case("release a", Control::Release("a".into()))]
 #[case("prepare transaction 'x'", Control::Prepare)]
-fn control(#[case] text: &str, #[case] expected: Control) {
+fn transaction_control(#[case] text: &str, #[case] expected: Control) {
     assert_eq!(kind(text), Kind::Control(expected));
 }
 
@@ -83,7 +83,7 @@
 #[case("discard all", Kind::Session(Change::DiscardAll))]
 #[case("deallocate all", Kind::Session(Change::DeallocateAll))]
 #[case("set transaction read only", Kind::Write)]
-fn session(#[case] text: &str, #[case] expected: Kind) {
+fn session_changes(#[case] text: &str, #[case] expected: Kind) {
     assert_eq!(kind(text), expected);
 }
 
@@ -100,13 +100,13 @@
 #[case("set session authorization clerk", Pin::Role)]
 #[case("select set_config('work_mem', '1MB', false)", Pin::Role)]
 #[case("load 'x'", Pin::Load)]
-fn what_binds_a_session(#[case] text: &str, #[case] pin: Pin) {
+fn statements_that_pin_a_session(#[case] text: &str, #[case] pin: Pin) {
     assert_eq!(scan(text).statements[0].pins, [pin]);
     assert!(!scan(text).is_read_only());
 }
 
 #[test]
-fn a_text_is_cut_where_its_statements_end() {
+fn a_text_is_split_into_its_statements() {
     let text = "/* c=1 */ begin; insert into a values (';'); select 1;; commit -- the end;";
     let scan = scan(text);
     assert_eq!(scan.comment.as_deref(), Some("c=1"));
@@ -115,25 +115,25 @@
     assert_eq!(kinds, [begin, Kind::Write, Kind::Read, Kind::Control(Control::Commit)]);
     assert!(sql::scan(" ; -- nothing").statements.is_empty());
     let advisory = sql::scan("select pg_advisory_xact_lock(1)");
-    assert!(advisory.statements[0].pins.is_empty(), "ends with its transaction");
+    assert!(advisory.statements[0].pins.is_empty(), "a transaction-level lock");
 }
 
 proptest! {
     #[test]
-    fn any_text_is_taken_to_its_end(text in "\\PC{0,60}|[-'\"$ae;/*()\\\\ \\n]{0,60}") {
+    fn any_text_is_scanned_to_its_end(text in "\\PC{0,60}|[-'\"$ae;/*()\\\\ \\n]{0,60}") {
         scan(&text);
         let mut lexer = Lexer::new(&text);
-        let mut at = 0;
+        let mut offset = 0;
         while lexer.next().is_some() {
-            prop_assert!(lexer.offset() > at);
-            at = lexer.offset();
+            prop_assert!(lexer.offset() > offset);
+            offset = lexer.offset();
         }
         prop_assert!(text[lexer.offset()..].is_empty());
     }
 
-    /// What stands in a quote is never taken for a statement's word.
+    /// Content of quotes and comments is never taken for keywords.
     #[test]
-    fn nothing_in_a_quote_makes_a_write(inside in "[a-z ;]{0,20}") {
+    fn quoted_text_does_not_affect_the_kind(inside in "[a-z ;]{0,20}") {
         for text in [
             format!("select '{inside}'"),
             format!("select $q${inside}$q$"),
