--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,152 +1,160 @@
-//! Which class, tenant and group a statement or a transaction of an ordinary client has, whose statements say nothing
-//! of it. A table of rules, the first that fits holds; what none fits has the defaults. What may write is never given
-//! a class that a replica may serve, whatever a rule says.
+//! Selects class, tenant and group for a statement or transaction of an ordinary client, whose statements do
+//! not name them. The first matching rule of a table applies, and the defaults where none matches. A request
+//! that may write never gets a class that a replica may serve, whatever a rule says.
 #![warn(missing_docs)]
 
 use std::collections::BTreeSet;
 
-/// What a rule asks for and what it gives. What is absent fits anything, and gives the default.
+/// The conditions of a rule and the values that it assigns. An absent condition matches anything; an absent
+/// value leaves the default.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rule {
-    /// Its name, for people.
+    /// Name, for explanations.
     pub name: String,
-    /// Rules of a lower rank are looked at first; of one rank by name.
+    /// Rules are tried in ascending order of priority, and by name among equals.
     pub priority: u32,
-    /// The user; a `*` at the end stands for anything.
+    /// User; a `*` at the end matches any suffix.
     pub user: Option<String>,
-    /// The database; in the same way.
+    /// Database, with the same wildcard.
     pub database: Option<String>,
-    /// The `application_name`; in the same way.
+    /// `application_name`, with the same wildcard.
     pub application: Option<String>,
-    /// A text that the leading comment holds.
+    /// Text that the leading comment must contain.
     pub comment: Option<String>,
-    /// Whether it only reads.
+    /// Whether the request must be read-only or must not be.
     pub read_only: Option<bool>,
-    /// The class it gives.
+    /// Assigned class.
     pub class: Option<String>,
-    /// The tenant it gives.
+    /// Assigned tenant.
     pub tenant: Option<String>,
-    /// The group it gives.
+    /// Assigned group.
     pub group: Option<u32>,
 }
 
-/// What is to be placed.
+/// A request to be routed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RouteRequest<'a> {
-    /// Who asks.
+    /// User of the session.
     pub user: &'a str,
-    /// Of which database.
+    /// Database of the session.
     pub database: &'a str,
-    /// By which application; empty where it does not say.
+    /// `application_name` of the session; empty if not set.
     pub application: &'a str,
-    /// The leading comment.
+    /// Leading comment of the statement.
     pub comment: Option<&'a str>,
-    /// The class that the session has asked for by `SET dewferry.class`.
+    /// The class that the session selected with `SET dewferry.class`.
     pub class: Option<&'a str>,
-    /// Whether it is known to read only.
+    /// Whether the request is known to be read-only.
     pub read_only: bool,
 }
 
-/// Where it is placed.
+/// The result of routing a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its class.
+    /// Class.
     pub class: String,
-    /// Its tenant; empty without one.
+    /// Tenant; empty if there is none.
     pub tenant: String,
-    /// Its group.
+    /// Group.
     pub group: u32,
-    /// Whether only the primary serves its class.
+    /// Whether only the primary serves the class.
     pub primary_only: bool,
-    /// Why, a line for each step.
+    /// Explanation of the result, one line for each step.
     pub reasons: Vec<String>,
 }
 
-/// The rules and the defaults.
+/// The routing rules and the defaults.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rules: Vec<Rule>,
-    /// The classes that there are, and of them those that go to the primary.
+    /// All classes.
     classes: BTreeSet<String>,
-    primary: BTreeSet<String>,
-    /// The class of what only reads, and of anything else.
-    read: String,
-    write: String,
+    /// The classes that only the primary serves.
+    primary_classes: BTreeSet<String>,
+    /// Default class of read-only requests.
+    read_class: String,
+    /// Default class of requests that may write.
+    write_class: String,
     tenant: String,
     group: u32,
 }
 
 impl Table {
-    /// A table of rules; `classes` are all classes, each with whether it goes to the primary alone.
+    /// Creates a table of rules; `classes` lists all classes, each with whether only the primary serves it.
     pub fn new(
         mut rules: Vec<Rule>,
         classes: impl IntoIterator<Item = (String, bool)>,
-        (read, write): (String, String),
+        (read_class, write_class): (String, String),
         (tenant, group): (String, u32),
     ) -> Table {
         rules.sort_by(|a, b| (a.priority, &a.name).cmp(&(b.priority, &b.name)));
-        let (mut all, mut primary) = (BTreeSet::new(), BTreeSet::new());
-        for (class, alone) in classes {
-            if alone {
-                primary.insert(class.clone());
+        let (mut all, mut primary_classes) = (BTreeSet::new(), BTreeSet::new());
+        for (class, primary_only) in classes {
+            if primary_only {
+                primary_classes.insert(class.clone());
             }
             all.insert(class);
         }
-        Table { rules, classes: all, primary, read, write, tenant, group }
+        Table { rules, classes: all, primary_classes, read_class, write_class, tenant, group }
     }
 
-    /// Places something.
-    pub fn route(&self, ask: &RouteRequest) -> Route {
-        let mut because = Vec::new();
-        let rule = self.rules.iter().find(|rule| rule.fits(ask));
-        let (fallback, what) =
-            if ask.read_only { (&self.read, "it only reads") } else { (&self.write, "it may write") };
-        let mut class = fallback;
+    /// Routes a request.
+    pub fn route(&self, request: &RouteRequest) -> Route {
+        let mut reasons = Vec::new();
+        let rule = self.rules.iter().find(|rule| rule.matches(request));
+        let (default_class, kind) = if request.read_only {
+            (&self.read_class, "read-only request")
+        } else {
+            (&self.write_class, "request that may write")
+        };
+        let mut class = default_class;
         match rule {
             Some(rule) => {
-                because.push(format!("route.{} fits", rule.name));
-                class = rule.class.as_ref().unwrap_or(fallback);
+                reasons.push(format!("route.{} matches", rule.name));
+                class = rule.class.as_ref().unwrap_or(default_class);
             }
-            None => because.push(format!("no route fits; {what}")),
+            None => reasons.push(format!("no route matches; {kind}")),
         }
-        let wished = ask.class.and_then(|wished| self.classes.get(wished));
-        if let Some(wished) = wished {
-            because.push(format!("the session asks for class {wished}"));
-            class = wished;
-        } else if let Some(unknown) = ask.class {
-            because.push(format!("the session asks for class {unknown}, which there is not"));
+        let selected = request.class.and_then(|name| self.classes.get(name));
+        if let Some(selected) = selected {
+            reasons.push(format!("the session selects class {selected}"));
+            class = selected;
+        } else if let Some(unknown) = request.class {
+            reasons.push(format!("the session selects class {unknown}, which does not exist"));
         }
-        if !ask.read_only && !self.primary.contains(class) {
-            because
-                .push(format!("class {class} may be served by a replica, and it may write: {}", self.write));
-            class = &self.write;
+        if !request.read_only && !self.primary_classes.contains(class) {
+            reasons.push(format!(
+                "class {class} may be served by a replica, but the request may write; using class {}",
+                self.write_class
+            ));
+            class = &self.write_class;
         }
         Route {
             class: class.clone(),
-            primary_only: self.primary.contains(class),
+            primary_only: self.primary_classes.contains(class),
             tenant: rule.and_then(|rule| rule.tenant.clone()).unwrap_or_else(|| self.tenant.clone()),
             group: rule.and_then(|rule| rule.group).unwrap_or(self.group),
-            reasons: because,
+            reasons,
         }
     }
 }
 
 impl Rule {
-    fn fits(&self, ask: &RouteRequest) -> bool {
-        let like = |pattern: &Option<String>, text: &str| match pattern {
+    fn matches(&self, request: &RouteRequest) -> bool {
+        let matches_pattern = |pattern: &Option<String>, text: &str| match pattern {
             None => true,
             Some(pattern) => match pattern.strip_suffix('*') {
-                Some(start) => text.starts_with(start),
+                Some(prefix) => text.starts_with(prefix),
                 None => text == pattern,
             },
         };
-        like(&self.user, ask.user)
-            && like(&self.database, ask.database)
-            && like(&self.application, ask.application)
+        matches_pattern(&self.user, request.user)
+            && matches_pattern(&self.database, request.database)
+            && matches_pattern(&self.application, request.application)
             && self
                 .comment
                 .as_ref()
-                .is_none_or(|text| ask.comment.is_some_and(|comment| comment.contains(&**text)))
-            && self.read_only.is_none_or(|reads| reads == ask.read_only)
+                .is_none_or(|text| request.comment.is_some_and(|comment| comment.contains(&**text)))
+            && self.read_only.is_none_or(|read_only| read_only == request.read_only)
     }
 }
