--- a/crates/scram/src/channel.rs
+++ b/crates/scram/src/channel.rs
@@ -1,31 +1,33 @@
-//! What a login is bound to: the TLS connection that it goes over, by the hash of the server's certificate (RFC 5929,
-//! `tls-server-end-point`). Somebody in between has another certificate, so another hash, so no login.
+//! Channel binding: ties a login to its TLS connection by the hash of the server's certificate (RFC 5929,
+//! `tls-server-end-point`). A man in the middle has another certificate, so the hashes differ and the login
+//! fails.
 
-/// The name of the only kind of binding that is spoken here.
-const KIND: &str = "p=tls-server-end-point";
+/// GS2 header flag of the only supported type of channel binding.
+const SERVER_END_POINT: &str = "p=tls-server-end-point";
 
-/// What the connection beneath a login is, as one side sees it.
+/// The channel binding of a login, as one side sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChannelBinding<'a> {
-    /// Nothing that a login can be bound to.
+    /// The connection does not support channel binding.
     Unsupported,
-    /// It could be bound to this connection, and is not. A server has offered it; a client has been offered nothing.
+    /// This side supports channel binding but does not use it: the server offered it and the client did not
+    /// choose it, or the client received no offer.
     NotUsed,
-    /// It is bound to it by these bytes.
+    /// The login is bound to the connection by these bytes.
     Bound(&'a [u8]),
 }
 
 impl ChannelBinding<'_> {
-    /// The word with which a client begins.
-    pub(crate) fn word(&self) -> &'static str {
+    /// Returns the GS2 header flag with which the client's first message begins.
+    pub(crate) fn gs2_flag(&self) -> &'static str {
         match self {
             ChannelBinding::Unsupported => "n",
             ChannelBinding::NotUsed => "y",
-            ChannelBinding::Bound(_) => KIND,
+            ChannelBinding::Bound(_) => SERVER_END_POINT,
         }
     }
 
-    /// What both sides sign of the channel, behind the header.
+    /// Returns the channel binding data that both sides sign after the GS2 header.
     pub(crate) fn bytes(&self) -> &[u8] {
         match self {
             ChannelBinding::Bound(bytes) => bytes,
--- a/crates/scram/src/server.rs
+++ b/crates/scram/src/server.rs
@@ -1,4 +1,4 @@
-//! The server's side of one login.
+//! The server side of a login.
 
 use std::fmt;
 
@@ -9,17 +9,17 @@
 use crate::channel::ChannelBinding;
 use crate::verifier::{hash, hmac, xor, Key, Verifier};
 
-/// Longest message that is read (bytes).
-const LONGEST: usize = 2_048;
+/// Maximum length of a message (bytes).
+const MAX_MESSAGE_BYTES: usize = 2_048;
 
 /// Why a login fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScramError {
-    /// A message not of the agreed form.
+    /// A message is malformed.
     Malformed,
-    /// Channel binding that is not what this connection has: somebody may stand in between.
+    /// The channel binding is not that of this connection; there may be a man in the middle.
     BindingMismatch,
-    /// The password is wrong, or the user is not known: nobody is told which.
+    /// The password is wrong or the user is unknown; the error does not reveal which.
     WrongPassword,
 }
 
@@ -28,7 +28,7 @@
         f.write_str(match self {
             ScramError::Malformed => "malformed SCRAM message",
             ScramError::BindingMismatch => {
-                "the login is bound to another connection, or its binding was struck out"
+                "channel binding does not match this connection, or its offer was removed in transit"
             }
             ScramError::WrongPassword => "password authentication failed",
         })
@@ -37,22 +37,23 @@
 
 impl std::error::Error for ScramError {}
 
-/// A login that has begun.
+/// A login in progress.
 #[derive(Debug)]
 pub struct Server {
     verifier: Verifier,
-    /// Whether the user is known: else nothing is right.
-    known: bool,
+    /// Whether the user exists; otherwise no password is accepted.
+    user_exists: bool,
     nonce: String,
-    /// What both sides sign, up to and with the server's first message.
-    signed: String,
-    /// The header and what the channel is.
-    bound: Vec<u8>,
+    /// The part of the signed AuthMessage up to and including the server's first message.
+    auth_message: String,
+    /// The GS2 header and the channel binding data.
+    channel_binding: Vec<u8>,
 }
 
 impl Server {
-    /// Takes a client's first message; what it is told. `nonce` is this side's, printable and never used before;
-    /// `secret` makes up what is told of users that are not known; `channel` is bound where the client has chosen so.
+    /// Handles a client's first message and returns the server's first message. `nonce` is the server's,
+    /// printable and never used before; `secret` generates the answer for unknown users; `channel` is bound
+    /// if the client chose channel binding.
     pub fn begin(
         message: &str,
         user: &str,
@@ -61,48 +62,49 @@
         secret: &[u8],
         channel: ChannelBinding,
     ) -> Result<(Server, String), ScramError> {
-        if message.len() > LONGEST {
+        if message.len() > MAX_MESSAGE_BYTES {
             return Err(ScramError::Malformed);
         }
-        let (binding, rest) = message.split_once(',').ok_or(ScramError::Malformed)?;
+        let (gs2_flag, rest) = message.split_once(',').ok_or(ScramError::Malformed)?;
         let (identity, bare) = rest.split_once(',').ok_or(ScramError::Malformed)?;
-        match (binding, channel) {
+        match (gs2_flag, channel) {
             ("n", ChannelBinding::Unsupported | ChannelBinding::NotUsed) => {}
-            // A client that could bind, and was not offered it: right where it was not.
+            // The client supports channel binding and received no offer; valid only if the server made none.
             ("y", ChannelBinding::Unsupported) => {}
-            (word, ChannelBinding::Bound(_)) if word == channel.word() => {}
-            // It was offered, and did not reach the client: somebody has struck it out.
+            (flag, ChannelBinding::Bound(_)) if flag == channel.gs2_flag() => {}
+            // The server's offer did not reach the client: it was removed in transit.
             ("n" | "y", _) => return Err(ScramError::BindingMismatch),
-            _ if binding.starts_with("p=") => return Err(ScramError::BindingMismatch),
+            _ if gs2_flag.starts_with("p=") => return Err(ScramError::BindingMismatch),
             _ => return Err(ScramError::Malformed),
         }
         if !identity.is_empty() {
             return Err(ScramError::Malformed);
         }
         let mut fields = bare.split(',');
-        // The user is that of the startup message; what stands here is not looked at, as at PostgreSQL.
+        // The user is that of the startup message; the name given here is ignored, as in PostgreSQL.
         fields.next().and_then(|field| field.strip_prefix("n=")).ok_or(ScramError::Malformed)?;
-        let theirs = fields.next().and_then(|field| field.strip_prefix("r=")).ok_or(ScramError::Malformed)?;
+        let client_nonce =
+            fields.next().and_then(|field| field.strip_prefix("r=")).ok_or(ScramError::Malformed)?;
         let printable = |c: char| ('!'..='~').contains(&c) && c != ',';
-        if theirs.is_empty() || !theirs.chars().all(printable) {
+        if client_nonce.is_empty() || !client_nonce.chars().all(printable) {
             return Err(ScramError::Malformed);
         }
-        let known = verifier.is_some();
-        let verifier = verifier.cloned().unwrap_or_else(|| Verifier::of_nobody(secret, user));
-        let nonce = format!("{theirs}{nonce}");
+        let user_exists = verifier.is_some();
+        let verifier = verifier.cloned().unwrap_or_else(|| Verifier::for_unknown_user(secret, user));
+        let nonce = format!("{client_nonce}{nonce}");
         let first = format!("r={nonce},s={},i={}", STANDARD.encode(&verifier.salt), verifier.iterations);
-        let signed = format!("{bare},{first}");
-        let bound = [format!("{binding},{identity},").as_bytes(), channel.bytes()].concat();
-        Ok((Server { verifier, known, nonce, signed, bound }, first))
+        let auth_message = format!("{bare},{first}");
+        let channel_binding = [format!("{gs2_flag},{identity},").as_bytes(), channel.bytes()].concat();
+        Ok((Server { verifier, user_exists, nonce, auth_message, channel_binding }, first))
     }
 
-    /// Takes the client's last message; what it is told where its password is right.
+    /// Handles the client's final message. Returns the server's final message if the password is right.
     pub fn finish(self, message: &str) -> Result<String, ScramError> {
-        if message.len() > LONGEST {
+        if message.len() > MAX_MESSAGE_BYTES {
             return Err(ScramError::Malformed);
         }
-        let (without, proof) = message.rsplit_once(",p=").ok_or(ScramError::Malformed)?;
-        let mut fields = without.split(',');
+        let (without_proof, proof) = message.rsplit_once(",p=").ok_or(ScramError::Malformed)?;
+        let mut fields = without_proof.split(',');
         let channel =
             fields.next().and_then(|field| field.strip_prefix("c=")).ok_or(ScramError::Malformed)?;
         let nonce = fields.next().and_then(|field| field.strip_prefix("r=")).ok_or(ScramError::Malformed)?;
@@ -110,7 +112,7 @@
         if nonce != self.nonce {
             return Err(ScramError::Malformed);
         }
-        if channel != self.bound {
+        if channel != self.channel_binding {
             return Err(ScramError::BindingMismatch);
         }
         let proof = STANDARD
@@ -118,13 +120,13 @@
             .ok()
             .and_then(|proof| Key::try_from(proof).ok())
             .ok_or(ScramError::Malformed)?;
-        let signed = format!("{},{without}", self.signed);
-        let signature = hmac(&self.verifier.stored, &[signed.as_bytes()]);
-        let right = hash(&xor(&proof, &signature)).ct_eq(&self.verifier.stored);
-        if !(bool::from(right) && self.known) {
+        let auth_message = format!("{},{without_proof}", self.auth_message);
+        let signature = hmac(&self.verifier.stored_key, &[auth_message.as_bytes()]);
+        let proof_matches = hash(&xor(&proof, &signature)).ct_eq(&self.verifier.stored_key);
+        if !(bool::from(proof_matches) && self.user_exists) {
             return Err(ScramError::WrongPassword);
         }
-        let signature = hmac(&self.verifier.server, &[signed.as_bytes()]);
+        let signature = hmac(&self.verifier.server_key, &[auth_message.as_bytes()]);
         Ok(format!("v={}", STANDARD.encode(signature)))
     }
 }
--- a/crates/scram/src/verifier.rs
+++ b/crates/scram/src/verifier.rs
@@ -1,4 +1,4 @@
-//! What is kept of a password: enough to check it, not enough to use it.
+//! Password verifiers: sufficient to check a password, not to log in with it.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,15 +8,16 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::{Digest, Sha256};
 
-/// Iterations of a new verifier: PostgreSQL's default.
+/// Iterations of a new verifier; PostgreSQL's default.
 pub const DEFAULT_ITERATIONS: u32 = 4_096;
-/// Most iterations that are read. Guards a client of a hostile server, and a server of a file with a slip in it.
-const MOST: u32 = 1_000_000;
+/// Maximum number of iterations accepted. Protects a client from a hostile server, and a server from a
+/// mistake in its users file.
+const MAX_ITERATIONS: u32 = 1_000_000;
 
 pub(crate) type Key = [u8; 32];
 
 pub(crate) fn hmac(key: &[u8], parts: &[&[u8]]) -> Key {
-    // An HMAC takes a key of any length.
+    // Cannot fail: HMAC accepts keys of any length.
     let Ok(mut mac) = Hmac::<Sha256>::new_from_slice(key) else { return Key::default() };
     parts.iter().for_each(|part| mac.update(part));
     mac.finalize().into_bytes().into()
@@ -32,27 +33,27 @@
     out
 }
 
-/// The password, salted so many times (`Hi` of RFC 5802).
-pub(crate) fn salted(password: &str, salt: &[u8], iterations: u32) -> Key {
-    let mut last = hmac(password.as_bytes(), &[salt, &1u32.to_be_bytes()]);
-    let mut out = last;
+/// Returns the salted password (`Hi` of RFC 5802).
+pub(crate) fn salted_password(password: &str, salt: &[u8], iterations: u32) -> Key {
+    let mut block = hmac(password.as_bytes(), &[salt, &1u32.to_be_bytes()]);
+    let mut out = block;
     for _ in 1..iterations {
-        last = hmac(password.as_bytes(), &[&last]);
-        out = xor(&out, &last);
+        block = hmac(password.as_bytes(), &[&block]);
+        out = xor(&out, &block);
     }
     out
 }
 
-/// What a server keeps of a password, in the form in which PostgreSQL does too.
+/// What a server stores of a password, in PostgreSQL's format.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Verifier {
     pub(crate) iterations: u32,
     pub(crate) salt: Vec<u8>,
-    pub(crate) stored: Key,
-    pub(crate) server: Key,
+    pub(crate) stored_key: Key,
+    pub(crate) server_key: Key,
 }
 
-/// A text that is no verifier.
+/// The error for a text that is not a verifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidVerifier;
 
@@ -65,27 +66,28 @@
 impl std::error::Error for InvalidVerifier {}
 
 impl Verifier {
-    /// Of a password, with a salt that nobody else has.
+    /// Creates a verifier of a password; the salt must be unique to it.
     pub fn new(password: &str, salt: &[u8], iterations: u32) -> Verifier {
-        let salted = salted(password, salt, iterations);
-        let stored = hash(&hmac(&salted, &[b"Client Key"]));
-        Verifier { iterations, salt: salt.to_vec(), stored, server: hmac(&salted, &[b"Server Key"]) }
+        let salted = salted_password(password, salt, iterations);
+        let stored_key = hash(&hmac(&salted, &[b"Client Key"]));
+        Verifier { iterations, salt: salt.to_vec(), stored_key, server_key: hmac(&salted, &[b"Server Key"]) }
     }
 
-    /// One that no password fits, the same each time for the same name: it tells nobody whether the name is known.
-    pub(crate) fn of_nobody(secret: &[u8], user: &str) -> Verifier {
+    /// Creates a verifier that matches no password. It is always the same for the same name, so that a login
+    /// attempt does not reveal whether the name exists.
+    pub(crate) fn for_unknown_user(secret: &[u8], user: &str) -> Verifier {
         let salt = hmac(secret, &[b"salt", user.as_bytes()])[..16].to_vec();
-        let (stored, server) =
+        let (stored_key, server_key) =
             (hmac(secret, &[b"stored", user.as_bytes()]), hmac(secret, &[b"server", user.as_bytes()]));
-        Verifier { iterations: DEFAULT_ITERATIONS, salt, stored, server }
+        Verifier { iterations: DEFAULT_ITERATIONS, salt, stored_key, server_key }
     }
 }
 
 impl fmt::Display for Verifier {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [salt, stored, server] =
-            [&self.salt[..], &self.stored, &self.server].map(|bytes| STANDARD.encode(bytes));
-        write!(f, "SCRAM-SHA-256${}:{salt}${stored}:{server}", self.iterations)
+        let [salt, stored_key, server_key] =
+            [&self.salt[..], &self.stored_key, &self.server_key].map(|bytes| STANDARD.encode(bytes));
+        write!(f, "SCRAM-SHA-256${}:{salt}${stored_key}:{server_key}", self.iterations)
     }
 }
 
@@ -100,9 +102,9 @@
 
     fn from_str(text: &str) -> Result<Verifier, InvalidVerifier> {
         let rest = text.strip_prefix("SCRAM-SHA-256$").ok_or(InvalidVerifier)?;
-        let (terms, keys) = rest.split_once('$').ok_or(InvalidVerifier)?;
-        let (iterations, salt) = terms.split_once(':').ok_or(InvalidVerifier)?;
-        let (stored, server) = keys.split_once(':').ok_or(InvalidVerifier)?;
+        let (parameters, keys) = rest.split_once('$').ok_or(InvalidVerifier)?;
+        let (iterations, salt) = parameters.split_once(':').ok_or(InvalidVerifier)?;
+        let (stored_key, server_key) = keys.split_once(':').ok_or(InvalidVerifier)?;
         let key = |text: &str| Key::try_from(STANDARD.decode(text).ok()?).ok();
         let salt = STANDARD
             .decode(salt)
@@ -110,15 +112,15 @@
             .filter(|salt| (1..=64).contains(&salt.len()))
             .ok_or(InvalidVerifier)?;
         Ok(Verifier {
-            iterations: rounds(iterations).ok_or(InvalidVerifier)?,
+            iterations: parse_iterations(iterations).ok_or(InvalidVerifier)?,
             salt,
-            stored: key(stored).ok_or(InvalidVerifier)?,
-            server: key(server).ok_or(InvalidVerifier)?,
+            stored_key: key(stored_key).ok_or(InvalidVerifier)?,
+            server_key: key(server_key).ok_or(InvalidVerifier)?,
         })
     }
 }
 
-/// A number of iterations within its bounds.
-pub(crate) fn rounds(text: &str) -> Option<u32> {
-    text.parse().ok().filter(|rounds| (1..=MOST).contains(rounds))
+/// Parses a number of iterations; returns none if it is out of bounds.
+pub(crate) fn parse_iterations(text: &str) -> Option<u32> {
+    text.parse().ok().filter(|iterations| (1..=MAX_ITERATIONS).contains(iterations))
 }
--- a/crates/scram/tests/login.rs
+++ b/crates/scram/tests/login.rs
@@ -1,4 +1,4 @@
-//! Logins from both sides, with the RFC's own figures, and what fails.
+//! Logins of client and server, with the RFC's example values, and their failures.
 
 use std::net::IpAddr;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_example_of_the_rfc() {
+fn the_example_of_the_rfc_succeeds() {
     let (server, first) = begin(FIRST).unwrap();
     assert_eq!(first, SERVER_FIRST);
     assert_eq!(server.finish(FINAL).unwrap(), SERVER_FINAL);
@@ -33,80 +33,80 @@
     assert_eq!(again, verifier());
 }
 
-/// A whole login; what each side makes of it.
+/// Runs a complete login; returns the results of the server and the client.
 fn login(password: &str, known: Option<&Verifier>) -> (Result<(), ScramError>, Result<(), ScramError>) {
     let (mut client, first) = Client::begin("mine", ChannelBinding::Unsupported);
-    let (server, told) =
+    let (server, server_first) =
         Server::begin(&first, "user", known, "theirs", b"secret", ChannelBinding::Unsupported).unwrap();
-    let last = client.answer(&told, password).unwrap();
+    let last = client.answer(&server_first, password).unwrap();
     match server.finish(&last) {
-        Ok(told) => (Ok(()), client.finish(&told)),
-        Err(fault) => (Err(fault), client.finish("e=no")),
+        Ok(server_final) => (Ok(()), client.finish(&server_final)),
+        Err(error) => (Err(error), client.finish("e=no")),
     }
 }
 
 #[test]
-fn the_right_password_is_taken_and_no_other() {
+fn only_the_right_password_is_accepted() {
     let short = Verifier::new("pencil", SALT, 2);
     assert_eq!(login("pencil", Some(&short)), (Ok(()), Ok(())));
     assert_eq!(login("pencils", Some(&short)).0, Err(ScramError::WrongPassword));
     assert_eq!(login("pencil", None).0, Err(ScramError::WrongPassword));
 }
 
-/// How a login ends whose sides see the channel like this; none where the server turns down the first message.
-fn bound(near: ChannelBinding, far: ChannelBinding) -> Result<(), ScramError> {
+/// Returns the result of a login with these channel bindings of the client and the server.
+fn login_with_binding(of_client: ChannelBinding, of_server: ChannelBinding) -> Result<(), ScramError> {
     let short = Verifier::new("pencil", SALT, 2);
-    let (mut client, first) = Client::begin("mine", near);
-    let (server, told) = Server::begin(&first, "user", Some(&short), "theirs", b"secret", far)?;
-    let told = server.finish(&client.answer(&told, "pencil").unwrap())?;
-    client.finish(&told)
+    let (mut client, first) = Client::begin("mine", of_client);
+    let (server, server_first) = Server::begin(&first, "user", Some(&short), "theirs", b"secret", of_server)?;
+    let server_final = server.finish(&client.answer(&server_first, "pencil").unwrap())?;
+    client.finish(&server_final)
 }
 
 #[rstest]
 #[case::the_same_certificate(ChannelBinding::Bound(b"one"), ChannelBinding::Bound(b"one"), Ok(()))]
-#[case::somebody_in_between(
+#[case::man_in_the_middle(
     ChannelBinding::Bound(b"one"),
     ChannelBinding::Bound(b"other"),
     Err(ScramError::BindingMismatch)
 )]
-#[case::the_offer_struck_out(
+#[case::offer_removed_in_transit(
     ChannelBinding::NotUsed,
     ChannelBinding::NotUsed,
     Err(ScramError::BindingMismatch)
 )]
-#[case::nothing_offered(ChannelBinding::NotUsed, ChannelBinding::Unsupported, Ok(()))]
-#[case::a_client_that_cannot(ChannelBinding::Unsupported, ChannelBinding::NotUsed, Ok(()))]
-#[case::chosen_and_not_done(
+#[case::not_offered(ChannelBinding::NotUsed, ChannelBinding::Unsupported, Ok(()))]
+#[case::not_supported_by_the_client(ChannelBinding::Unsupported, ChannelBinding::NotUsed, Ok(()))]
+#[case::mechanism_chosen_but_not_bound(
     ChannelBinding::Unsupported,
     ChannelBinding::Bound(b"one"),
     Err(ScramError::BindingMismatch)
 )]
-#[case::done_and_not_chosen(
+#[case::bound_but_mechanism_not_chosen(
     ChannelBinding::Bound(b"one"),
     ChannelBinding::NotUsed,
     Err(ScramError::BindingMismatch)
 )]
-#[case::done_in_the_clear(
+#[case::bound_without_tls(
     ChannelBinding::Bound(b"one"),
     ChannelBinding::Unsupported,
     Err(ScramError::BindingMismatch)
 )]
 fn a_login_is_bound_to_its_connection(
-    #[case] near: ChannelBinding,
-    #[case] far: ChannelBinding,
+    #[case] of_client: ChannelBinding,
+    #[case] of_server: ChannelBinding,
     #[case] expected: Result<(), ScramError>,
 ) {
-    assert_eq!(bound(near, far), expected);
+    assert_eq!(login_with_binding(of_client, of_server), expected);
 }
 
 #[test]
-fn nobody_learns_who_there_is() {
-    let ask =
+fn the_answer_does_not_reveal_whether_a_user_exists() {
+    let server_first =
         |user| Server::begin(FIRST, user, None, NONCE, b"secret", ChannelBinding::Unsupported).unwrap().1;
-    assert_eq!(ask("x"), ask("x"), "the same salt each time");
-    assert_ne!(ask("x"), ask("y"));
-    assert!(ask("x").ends_with(",i=4096"));
-    assert_eq!(ask("x").len(), SERVER_FIRST.len());
+    assert_eq!(server_first("x"), server_first("x"), "the same salt each time");
+    assert_ne!(server_first("x"), server_first("y"));
+    assert!(server_first("x").ends_with(",i=4096"));
+    assert_eq!(server_first("x").len(), SERVER_FIRST.len());
 }
 
 #[rstest]
@@ -116,18 +116,18 @@
 #[case("n,,n=,r=", ScramError::Malformed)]
 #[case("n,,n=,r=a b", ScramError::Malformed)]
 #[case("", ScramError::Malformed)]
-fn a_first_message_that_is_none(#[case] first: &str, #[case] fault: ScramError) {
-    assert_eq!(begin(first).err(), Some(fault));
+fn an_invalid_first_message_is_rejected(#[case] first: &str, #[case] error: ScramError) {
+    assert_eq!(begin(first).err(), Some(error));
 }
 
 #[rstest]
-#[case::another_nonce(FINAL.replace("hNlF", "hNlG"), ScramError::Malformed)]
-#[case::another_channel(FINAL.replace("biws", "eSws"), ScramError::BindingMismatch)]
-#[case::another_proof(FINAL.replace("dHzb", "dHzc"), ScramError::WrongPassword)]
-#[case::half_a_proof(FINAL.replace("ndVQ=", ""), ScramError::Malformed)]
+#[case::wrong_nonce(FINAL.replace("hNlF", "hNlG"), ScramError::Malformed)]
+#[case::wrong_channel(FINAL.replace("biws", "eSws"), ScramError::BindingMismatch)]
+#[case::wrong_proof(FINAL.replace("dHzb", "dHzc"), ScramError::WrongPassword)]
+#[case::truncated_proof(FINAL.replace("ndVQ=", ""), ScramError::Malformed)]
 #[case::no_proof("c=biws".into(), ScramError::Malformed)]
-fn a_last_message_that_is_wrong(#[case] last: String, #[case] fault: ScramError) {
-    assert_eq!(begin(FIRST).unwrap().0.finish(&last).err(), Some(fault));
+fn an_invalid_final_message_is_rejected(#[case] last: String, #[case] error: ScramError) {
+    assert_eq!(begin(FIRST).unwrap().0.finish(&last).err(), Some(error));
 }
 
 #[rstest]
@@ -136,13 +136,13 @@
 #[case("r=mine1,s=W22Z,i=0")]
 #[case("r=mine1,s=W22Z,i=2000000000")]
 #[case("r=mine1,s=?,i=1")]
-fn a_server_that_is_none(#[case] told: &str) {
+fn an_invalid_message_of_the_server_is_rejected(#[case] server_first: &str) {
     let (mut client, _) = Client::begin("mine", ChannelBinding::Unsupported);
-    assert_eq!(client.answer(told, "pencil"), Err(ScramError::Malformed));
+    assert_eq!(client.answer(server_first, "pencil"), Err(ScramError::Malformed));
 }
 
 #[test]
-fn a_server_that_does_not_know_the_password_is_found_out() {
+fn a_server_that_does_not_know_the_password_is_rejected() {
     let (mut client, _) = Client::begin("rOprNGfwEbeRWgbNEkqO", ChannelBinding::Unsupported);
     client.answer(SERVER_FIRST, "pencil").unwrap();
     assert_eq!(
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_file_of_users_is_read_and_written() {
+fn a_users_file_is_parsed_and_written() {
     let mut users = Users::parse("# people\n\n").unwrap();
     assert!(users.insert("clerk of the shop", verifier()) && users.insert("b", verifier()));
     assert!(
@@ -165,40 +165,40 @@
     assert!(users.remove("b") && !users.remove("b"));
     let line = users.to_text();
     for (text, words) in [
-        (format!("{line}{line}"), "line 2: clerk of the shop stands there twice"),
+        (format!("{line}{line}"), "line 2: duplicate user clerk of the shop"),
         ("a b".into(), "line 1: not a verifier"),
     ] {
-        let fault = Users::parse(&text).unwrap_err();
-        assert!(fault.starts_with(words), "{fault}");
+        let error = Users::parse(&text).unwrap_err();
+        assert!(error.starts_with(words), "{error}");
     }
 }
 
 #[test]
-fn a_guesser_waits_longer_each_time_and_others_do_not() {
-    let mut guesses = FailedLogins::default();
+fn repeated_failures_delay_only_their_own_address() {
+    let mut failed_logins = FailedLogins::default();
     let [guesser, other]: [IpAddr; 2] = [[10, 0, 0, 1].into(), [10, 0, 0, 2].into()];
     let mut waited = 0.0;
     for _ in 0..1_000 {
-        waited += guesses.record_failure(waited, guesser);
+        waited += failed_logins.record_failure(waited, guesser);
     }
     assert!(waited > 4_900.0, "a thousand guesses take {waited} s");
-    assert_eq!(guesses.record_failure(waited, other), 0.1);
-    guesses.record_success(guesser);
-    assert_eq!(guesses.record_failure(waited, guesser), 0.1);
-    assert_eq!(guesses.record_failure(waited + 61.0, guesser), 0.1, "forgotten");
+    assert_eq!(failed_logins.record_failure(waited, other), 0.1);
+    failed_logins.record_success(guesser);
+    assert_eq!(failed_logins.record_failure(waited, guesser), 0.1);
+    assert_eq!(failed_logins.record_failure(waited + 61.0, guesser), 0.1, "forgotten");
     for n in 0..10_000u32 {
-        guesses.record_failure(waited, IpAddr::from(n.to_be_bytes()));
+        failed_logins.record_failure(waited, IpAddr::from(n.to_be_bytes()));
     }
-    assert!(guesses.len() <= 4_096);
+    assert!(failed_logins.len() <= 4_096);
 }
 
 proptest! {
     #[test]
-    fn no_text_upsets_either_side(first in "\\PC{0,40}", last in "\\PC{0,60}", told in "(r=mine)?\\PC{0,40}") {
+    fn arbitrary_text_causes_no_panic(first in "\\PC{0,40}", last in "\\PC{0,60}", server_first in "(r=mine)?\\PC{0,40}") {
         let _ = begin(&first);
         let _ = begin(FIRST).unwrap().0.finish(&last);
         let (mut client, _) = Client::begin("mine", ChannelBinding::Unsupported);
-        let _ = client.answer(&told, "x");
+        let _ = client.answer(&server_first, "x");
         let _ = client.finish(&last);
         let _ = Users::parse(&first);
         let _ = last.parse::<Verifier>();
