--- a/crates/tls/src/lib.rs
+++ b/crates/tls/src/lib.rs
@@ -1,13 +1,13 @@
-//! TLS from both sides. No I/O of its own: [`Session`] turns what came over a connection into plain bytes and
-//! plain bytes into what is to go, both in ring buffers; [`Transport`] does so, or passes bytes on as they are, over any
-//! stream that a driver hands it.
+//! TLS for clients and servers. No I/O of its own: [`Session`] decrypts received bytes and encrypts bytes to
+//! send, both in ring buffers; [`Transport`] does so over any stream that a driver passes in, or copies the
+//! bytes without TLS.
 #![warn(missing_docs)]
 
-mod endpoint;
-mod link;
+mod channel_binding;
 mod material;
 mod session;
+mod transport;
 
-pub use link::Transport;
 pub use material::{ClientContext, ClientFiles, InvalidFile, ServerContext, MAX_FILE_BYTES};
 pub use session::{Session, TlsError};
+pub use transport::Transport;
--- a/crates/tls/src/session.rs
+++ b/crates/tls/src/session.rs
@@ -1,4 +1,4 @@
-//! One connection's TLS.
+//! The TLS session of one connection.
 
 use std::fmt;
 use std::io::{self, ErrorKind, Write};
@@ -8,47 +8,50 @@
 use rustls::pki_types::ServerName;
 use rustls::{CertificateError, ClientConnection, Connection, ServerConnection};
 
-use crate::endpoint::endpoint;
+use crate::channel_binding::server_end_point;
 use crate::material::{ClientContext, ServerContext};
 
-/// Most plain bytes that wait within a session to be made into records; what is past it stays in its own buffer.
-const WAITING: usize = 16 * 1024;
-/// What a session itself takes, at the most: a record that is not whole, a handshake message, plain bytes that are
-/// not taken yet, and those that wait.
-const TAKES: usize = 96 * 1024;
+/// Maximum number of plain bytes that a session buffers for encryption; the rest stays in the caller's
+/// buffer.
+const MAX_UNSENT_BYTES: usize = 16 * 1024;
+/// Maximum memory of a session itself (bytes): an incomplete record, a handshake message, plain bytes that
+/// are not yet read, and those buffered for encryption.
+const MAX_SESSION_BYTES: usize = 96 * 1024;
 
-/// Why a session is over.
+/// Why a session failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TlsError {
-    /// The other side's certificate has run out, or does not hold yet.
+    /// The peer's certificate has expired or is not valid yet.
     Expired,
-    /// It is not of the name, or the address, that was called.
+    /// The peer's certificate is not issued for the name or address connected to.
     NameMismatch,
-    /// Nobody that is trusted vouches for it.
+    /// The peer's certificate is not signed by a trusted authority.
     UnknownIssuer,
-    /// What came is not TLS.
+    /// The received bytes are not TLS.
     NotTls,
-    /// The other side does not take this client's certificate, or misses one.
+    /// The peer rejected this side's certificate, or requires one that was not presented.
     CertificateRejected,
-    /// There is no memory left for it.
+    /// The memory budget is exhausted.
     OutOfMemory,
-    /// The stream has failed, or ended within the handshake.
+    /// The stream failed, or ended without a close_notify alert.
     Io(ErrorKind),
-    /// Something else, in the library's words.
+    /// Any other error, as described by the TLS library.
     Other(String),
 }
 
 impl fmt::Display for TlsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            TlsError::Expired => f.write_str("its certificate has run out, or does not hold yet"),
-            TlsError::NameMismatch => f.write_str("its certificate is another name's"),
-            TlsError::UnknownIssuer => f.write_str("nobody in the CA file vouches for its certificate"),
+            TlsError::Expired => f.write_str("its certificate has run out or is not valid yet"),
+            TlsError::NameMismatch => f.write_str("its certificate is issued for another name"),
+            TlsError::UnknownIssuer => f.write_str("no authority in the CA file vouches for its certificate"),
             TlsError::NotTls => f.write_str("it does not speak TLS"),
-            TlsError::CertificateRejected => f.write_str("it does not take the client's certificate"),
-            TlsError::OutOfMemory => f.write_str("no memory left"),
+            TlsError::CertificateRejected => {
+                f.write_str("it rejected the client's certificate, or requires one")
+            }
+            TlsError::OutOfMemory => f.write_str("the memory budget is exhausted"),
             TlsError::Io(kind) => write!(f, "{kind}"),
-            TlsError::Other(what) => f.write_str(what),
+            TlsError::Other(message) => f.write_str(message),
         }
     }
 }
@@ -57,7 +60,7 @@
 
 impl From<io::Error> for TlsError {
     fn from(error: io::Error) -> TlsError {
-        // The library hands its own errors through the stream's where it is read or written as one.
+        // When the library is read from or written to as a stream, its own errors are wrapped in I/O errors.
         match error.get_ref().and_then(|inner| inner.downcast_ref::<rustls::Error>()) {
             Some(inner) => inner.clone().into(),
             None => TlsError::Io(error.kind()),
@@ -68,15 +71,20 @@
 impl From<rustls::Error> for TlsError {
     fn from(error: rustls::Error) -> TlsError {
         use rustls::{AlertDescription as Alert, Error};
-        use CertificateError as Bad;
+        use CertificateError as Invalid;
         match error {
             Error::InvalidCertificate(
-                Bad::Expired | Bad::ExpiredContext { .. } | Bad::NotValidYet | Bad::NotValidYetContext { .. },
+                Invalid::Expired
+                | Invalid::ExpiredContext { .. }
+                | Invalid::NotValidYet
+                | Invalid::NotValidYetContext { .. },
             ) => TlsError::Expired,
-            Error::InvalidCertificate(Bad::NotValidForName | Bad::NotValidForNameContext { .. }) => {
+            Error::InvalidCertificate(Invalid::NotValidForName | Invalid::NotValidForNameContext { .. }) => {
                 TlsError::NameMismatch
             }
-            Error::InvalidCertificate(Bad::UnknownIssuer | Bad::BadSignature) => TlsError::UnknownIssuer,
+            Error::InvalidCertificate(Invalid::UnknownIssuer | Invalid::BadSignature) => {
+                TlsError::UnknownIssuer
+            }
             Error::InvalidMessage(_) => TlsError::NotTls,
             Error::AlertReceived(
                 Alert::BadCertificate
@@ -94,17 +102,17 @@
 /// The TLS of one connection.
 pub struct Session {
     connection: Connection,
-    /// What a login over this connection can be bound to, where this side is the server.
-    endpoint: Option<Arc<[u8]>>,
+    /// Channel binding data of this side's certificate, if this side is the server.
+    channel_binding: Option<Arc<[u8]>>,
     _charge: Charge,
 }
 
-/// Takes bytes that came over the connection.
-struct Intake<'a>(&'a mut Connection);
+/// Passes received bytes to the TLS library.
+struct RecordInput<'a>(&'a mut Connection);
 
-impl Write for Intake<'_> {
+impl Write for RecordInput<'_> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // Plain bytes that nobody has taken yet hold up what comes behind them.
+        // Decrypted bytes that are not read yet block further records.
         if !self.0.wants_read() {
             return Err(ErrorKind::WouldBlock.into());
         }
@@ -118,10 +126,10 @@
     }
 }
 
-/// Takes what is to go over the connection, as far as there is room.
-struct Outlet<'a>(&'a mut Ring);
+/// Stores records to send in a ring, as far as there is room.
+struct RecordOutput<'a>(&'a mut Ring);
 
-impl Write for Outlet<'_> {
+impl Write for RecordOutput<'_> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.push(bytes).map_err(|_| ErrorKind::WouldBlock)?;
         Ok(bytes.len())
@@ -133,63 +141,65 @@
 }
 
 impl Session {
-    /// A session with whoever has a certificate of this name: a DNS name or an IP address.
+    /// Creates a client's session. The server's certificate must be issued for `name`, a DNS name or an IP
+    /// address.
     pub fn new(client: &ClientContext, name: &str, budget: &Budget) -> Result<Session, TlsError> {
         let name = ServerName::try_from(name.to_string())
             .map_err(|_| TlsError::Other(format!("{name:?} is neither a DNS name nor an IP address")))?;
-        Session::over(ClientConnection::new(client.config.clone(), name)?.into(), None, budget)
+        Session::with_connection(ClientConnection::new(client.config.clone(), name)?.into(), None, budget)
     }
 
-    /// A session with somebody who connects here.
+    /// Creates a server's session with a connecting client.
     pub fn accept(server: &ServerContext, budget: &Budget) -> Result<Session, TlsError> {
         let connection = ServerConnection::new(server.config.clone())?;
-        Session::over(connection.into(), server.endpoint.clone(), budget)
+        Session::with_connection(connection.into(), server.channel_binding.clone(), budget)
     }
 
-    fn over(
+    fn with_connection(
         mut connection: Connection,
-        endpoint: Option<Arc<[u8]>>,
+        channel_binding: Option<Arc<[u8]>>,
         budget: &Budget,
     ) -> Result<Session, TlsError> {
         let mut charge = budget.charge();
-        charge.set(TAKES).map_err(|_| TlsError::OutOfMemory)?;
-        connection.set_buffer_limit(Some(WAITING));
-        Ok(Session { connection, endpoint, _charge: charge })
+        charge.set(MAX_SESSION_BYTES).map_err(|_| TlsError::OutOfMemory)?;
+        connection.set_buffer_limit(Some(MAX_UNSENT_BYTES));
+        Ok(Session { connection, channel_binding, _charge: charge })
     }
 
-    /// What a login over this connection can be bound to (`tls-server-end-point`): the hash of the server's
-    /// certificate, this side's own or the other's. None before the handshake is over, and for a certificate whose
-    /// signature has no hash.
+    /// Returns the channel binding data (`tls-server-end-point`): the hash of the server's certificate.
+    /// Returns none for a certificate whose signature algorithm has no single hash function, and on the
+    /// client's side before the server's certificate has arrived.
     pub fn channel_binding(&self) -> Option<Arc<[u8]>> {
         match &self.connection {
-            Connection::Server(_) => self.endpoint.clone(),
+            Connection::Server(_) => self.channel_binding.clone(),
             Connection::Client(client) => {
-                client.peer_certificates()?.first().and_then(|der| endpoint(der)).map(Into::into)
+                client.peer_certificates()?.first().and_then(|der| server_end_point(der)).map(Into::into)
             }
         }
     }
 
-    /// Whether the other side is known to be who it must be.
+    /// Returns true if the handshake is complete. A certificate that the peer must present has then been
+    /// verified.
     pub fn is_established(&self) -> bool {
         !self.connection.is_handshaking()
     }
 
-    /// Makes records of plain bytes, as far as they fit, and puts what is to go into `wire`.
-    pub fn seal(&mut self, plain: &mut Ring, wire: &mut Ring) -> Result<(), TlsError> {
+    /// Encrypts plain bytes and stores the records in `to_send`, as far as there is room.
+    pub fn seal(&mut self, plain: &mut Ring, to_send: &mut Ring) -> Result<(), TlsError> {
         loop {
             let before = plain.len();
-            plain.drain(&mut Writer(&mut self.connection))?;
-            self.flush(wire)?;
-            // Room that was made by the flush is used for what still waits.
-            if plain.is_empty() || plain.len() == before || !wire.is_empty() {
+            plain.drain(&mut PlainWriter(&mut self.connection))?;
+            self.flush(to_send)?;
+            // The flush has made room in the session, which is used for the remaining bytes.
+            if plain.is_empty() || plain.len() == before || !to_send.is_empty() {
                 return Ok(());
             }
         }
     }
 
-    fn flush(&mut self, wire: &mut Ring) -> Result<(), TlsError> {
+    fn flush(&mut self, to_send: &mut Ring) -> Result<(), TlsError> {
         while self.connection.wants_write() {
-            match self.connection.write_tls(&mut Outlet(wire)) {
+            match self.connection.write_tls(&mut RecordOutput(to_send)) {
                 Ok(_) => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) => return Err(error.into()),
@@ -198,31 +208,36 @@
         Ok(())
     }
 
-    /// Takes what came, puts plain bytes into `plain` and what is to go in answer into `wire`. Full where `plain`
-    /// has no room, ended where the other side has said its last.
-    pub fn open(&mut self, came: &mut Ring, plain: &mut Ring, wire: &mut Ring) -> Result<Fill, TlsError> {
+    /// Decrypts `received` into `plain`, and stores the session's answers in `to_send`. Returns `Full` if
+    /// `plain` has no room, and `Ended` if the peer has sent close_notify.
+    pub fn open(
+        &mut self,
+        received: &mut Ring,
+        plain: &mut Ring,
+        to_send: &mut Ring,
+    ) -> Result<Fill, TlsError> {
         loop {
             let fill = plain.fill(&mut self.connection.reader())?;
-            if fill != Fill::Drained || came.is_empty() {
-                self.flush(wire)?;
+            if fill != Fill::Drained || received.is_empty() {
+                self.flush(to_send)?;
                 return Ok(fill);
             }
-            let before = came.len();
-            let taken = came.drain(&mut Intake(&mut self.connection));
-            // An alert that tells the other side what was wrong with it goes out all the same.
-            self.flush(wire)?;
-            taken?;
-            if came.len() == before {
+            let before = received.len();
+            let result = received.drain(&mut RecordInput(&mut self.connection));
+            // After an error, the alert for the peer is sent all the same.
+            self.flush(to_send)?;
+            result?;
+            if received.len() == before {
                 return Ok(Fill::Drained);
             }
         }
     }
 }
 
-/// Takes plain bytes that are to go; full as soon as so many wait.
-struct Writer<'a>(&'a mut Connection);
+/// Passes plain bytes to the TLS library for encryption; blocks while `MAX_UNSENT_BYTES` are buffered.
+struct PlainWriter<'a>(&'a mut Connection);
 
-impl Write for Writer<'_> {
+impl Write for PlainWriter<'_> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         match self.0.writer().write(bytes)? {
             0 => Err(ErrorKind::WouldBlock.into()),
--- a/crates/tls/tests/session.rs
+++ b/crates/tls/tests/session.rs
@@ -1,5 +1,5 @@
-//! The client against a server of another library, over a stream of our own that gives and takes as few bytes at a
-//! time as it is told to.
+//! Tests the client against a server of another library (OpenSSL), over an in-memory stream that limits the
+//! bytes transferred by each call.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
@@ -16,23 +16,23 @@
 
 type Bytes = Arc<Mutex<VecDeque<u8>>>;
 
-/// One end of a pipe; each call moves so many bytes at the most.
+/// One end of a pipe; each call transfers at most `max_bytes`.
 #[derive(Clone)]
 struct End {
     from: Bytes,
     to: Bytes,
-    most: usize,
+    max_bytes: usize,
 }
 
-fn pipe(most: usize) -> (End, End) {
+fn pipe(max_bytes: usize) -> (End, End) {
     let (a, b) = (Bytes::default(), Bytes::default());
-    (End { from: a.clone(), to: b.clone(), most }, End { from: b, to: a, most })
+    (End { from: a.clone(), to: b.clone(), max_bytes }, End { from: b, to: a, max_bytes })
 }
 
 impl Read for End {
     fn read(&mut self, bytes: &mut [u8]) -> io::Result<usize> {
-        let most = bytes.len().min(self.most);
-        match self.from.lock().unwrap().read(&mut bytes[..most])? {
+        let count = bytes.len().min(self.max_bytes);
+        match self.from.lock().unwrap().read(&mut bytes[..count])? {
             0 => Err(ErrorKind::WouldBlock.into()),
             count => Ok(count),
         }
@@ -41,8 +41,8 @@
 
 impl Write for End {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let most = bytes.len().min(self.most);
-        self.to.lock().unwrap().write(&bytes[..most])
+        let count = bytes.len().min(self.max_bytes);
+        self.to.lock().unwrap().write(&bytes[..count])
     }
 
     fn flush(&mut self) -> io::Result<()> {
@@ -50,148 +50,151 @@
     }
 }
 
-fn client(authority: &CertificateAuthority, own: Option<(&str, &str)>) -> ClientContext {
-    let own = own.map(|(cert, key)| (cert.as_bytes(), key.as_bytes()));
-    ClientContext::new(ClientFiles { ca: authority.pem.as_bytes(), identity: own }, NOW).unwrap()
+fn client(authority: &CertificateAuthority, identity: Option<(&str, &str)>) -> ClientContext {
+    let identity = identity.map(|(cert, key)| (cert.as_bytes(), key.as_bytes()));
+    ClientContext::new(ClientFiles { ca: authority.pem.as_bytes(), identity }, NOW).unwrap()
 }
 
-/// Lets a client and a server that sends back what it gets talk until neither has anything to say; what the client
-/// has got.
+/// Runs a client against a server that echoes what it receives, until neither has anything to send. Returns
+/// the bytes that the client received.
 fn echo(
-    link: &mut Transport,
-    mut near: End,
+    transport: &mut Transport,
+    mut client_end: End,
     server: &mut SslStream<End>,
     sent: &[u8],
 ) -> Result<Vec<u8>, TlsError> {
-    let (mut got, mut left, mut back, mut quiet) = (Vec::new(), sent, VecDeque::new(), 0);
-    while quiet < 10 {
-        quiet += 1;
-        let most = left.len().min(9_000);
-        if link.outbox.len() < 20_000 && most > 0 {
-            link.outbox.push(&left[..most]).unwrap();
-            left = &left[most..];
-            quiet = 0;
+    let (mut received, mut left, mut to_echo, mut idle_rounds) = (Vec::new(), sent, VecDeque::new(), 0);
+    while idle_rounds < 10 {
+        idle_rounds += 1;
+        let count = left.len().min(9_000);
+        if transport.outbox.len() < 20_000 && count > 0 {
+            transport.outbox.push(&left[..count]).unwrap();
+            left = &left[count..];
+            idle_rounds = 0;
         }
-        match link.process_io(&mut near)? {
-            Fill::Ended => return Ok(got),
-            _ if !link.inbox.is_empty() => quiet = 0,
+        match transport.process_io(&mut client_end)? {
+            Fill::Ended => return Ok(received),
+            _ if !transport.inbox.is_empty() => idle_rounds = 0,
             _ => {}
         }
-        got.extend(link.inbox.take(usize::MAX));
+        received.extend(transport.inbox.take(usize::MAX));
         let mut bytes = [0; 5_000];
         match server.ssl_read(&mut bytes) {
-            Ok(count) => back.extend(&bytes[..count]),
+            Ok(count) => to_echo.extend(&bytes[..count]),
             Err(error) if error.code() == ErrorCode::WANT_READ => {}
             Err(error) => return Err(TlsError::Other(error.to_string())),
         }
-        while !back.is_empty() {
-            let bytes = back.make_contiguous();
+        while !to_echo.is_empty() {
+            let bytes = to_echo.make_contiguous();
             let count = server.ssl_write(bytes).unwrap();
-            back.drain(..count);
-            quiet = 0;
+            to_echo.drain(..count);
+            idle_rounds = 0;
         }
     }
-    Ok(got)
+    Ok(received)
 }
 
-fn server(acceptor: &openssl::ssl::SslAcceptor, far: End) -> SslStream<End> {
-    let mut stream = SslStream::new(Ssl::new(acceptor.context()).unwrap(), far).unwrap();
-    // Says which side it is; the handshake goes on with each read.
+fn server(acceptor: &openssl::ssl::SslAcceptor, server_end: End) -> SslStream<End> {
+    let mut stream = SslStream::new(Ssl::new(acceptor.context()).unwrap(), server_end).unwrap();
+    // Puts the stream into the server role; the handshake continues with each read.
     let _ = stream.accept();
     stream
 }
 
 #[rstest]
-fn bytes_pass_both_ways_whole_however_they_are_cut(
-    #[values(1, 7, 1_000, 1 << 20)] most: usize,
+fn bytes_are_echoed_intact_however_the_stream_splits_them(
+    #[values(1, 7, 1_000, 1 << 20)] max_bytes: usize,
     #[values(SslVersion::TLS1_2, SslVersion::TLS1_3)] version: SslVersion,
-    #[values(false, true)] of_clients: bool,
+    #[values(false, true)] client_certificate: bool,
 ) {
     let authority = CertificateAuthority::default();
-    let acceptor = authority.acceptor("127.0.0.1", 2040, of_clients);
+    let acceptor = authority.acceptor("127.0.0.1", 2040, client_certificate);
     let mut ssl = Ssl::new(acceptor.context()).unwrap();
     ssl.set_min_proto_version(Some(version)).unwrap();
     ssl.set_max_proto_version(Some(version)).unwrap();
-    let (near, far) = pipe(most);
-    let mut stream = SslStream::new(ssl, far).unwrap();
+    let (client_end, server_end) = pipe(max_bytes);
+    let mut stream = SslStream::new(ssl, server_end).unwrap();
     let _ = stream.accept();
     let (cert, key) = authority.issue("pooler", 2040);
-    let client = client(&authority, of_clients.then_some((&cert, &key)));
+    let client = client(&authority, client_certificate.then_some((&cert, &key)));
     let budget = Budget::new(2 << 20);
-    let mut link = Transport::new(Some(Session::new(&client, "127.0.0.1", &budget).unwrap()), &budget);
+    let mut transport = Transport::new(Some(Session::new(&client, "127.0.0.1", &budget).unwrap()), &budget);
     let sent: Vec<u8> =
-        (0..if most == 1 { 300 } else { 300_000u32 }).map(|n| (n.wrapping_mul(n) >> 7) as u8).collect();
-    let mut got = Vec::new();
-    // A pipe of single bytes needs many rounds for one record; each goes on where the last stopped.
+        (0..if max_bytes == 1 { 300 } else { 300_000u32 }).map(|n| (n.wrapping_mul(n) >> 7) as u8).collect();
+    let mut received = Vec::new();
+    // A pipe that transfers single bytes needs many rounds for one record; each continues the previous one.
     for round in 0..2_000 {
         let part: &[u8] = if round == 0 { &sent } else { &[] };
-        got.extend(echo(&mut link, near.clone(), &mut stream, part).unwrap());
-        if got.len() == sent.len() {
+        received.extend(echo(&mut transport, client_end.clone(), &mut stream, part).unwrap());
+        if received.len() == sent.len() {
             break;
         }
     }
-    assert_eq!(got.len(), sent.len());
-    assert!(got == sent);
+    assert_eq!(received.len(), sent.len());
+    assert!(received == sent);
     assert!(budget.used() < 700_000, "{}", budget.used());
-    drop(link);
+    drop(transport);
     assert_eq!(budget.used(), 0);
 }
 
 #[rstest]
-#[case::run_out("127.0.0.1", 2024, TlsError::Expired)]
-#[case::of_another_address("127.0.0.2", 2040, TlsError::NameMismatch)]
-#[case::of_a_name("registry.example", 2040, TlsError::NameMismatch)]
-fn a_certificate_that_is_not_the_one_due_ends_it(
+#[case::expired("127.0.0.1", 2024, TlsError::Expired)]
+#[case::wrong_address("127.0.0.2", 2040, TlsError::NameMismatch)]
+#[case::name_instead_of_address("registry.example", 2040, TlsError::NameMismatch)]
+fn an_invalid_server_certificate_fails_the_handshake(
     #[case] name: &str,
-    #[case] until: i32,
-    #[case] fault: TlsError,
+    #[case] last_year: i32,
+    #[case] expected: TlsError,
 ) {
     let authority = CertificateAuthority::default();
-    let (near, far) = pipe(1 << 20);
-    let mut stream = server(&authority.acceptor(name, until, false), far);
+    let (client_end, server_end) = pipe(1 << 20);
+    let mut stream = server(&authority.acceptor(name, last_year, false), server_end);
     let budget = Budget::new(1 << 20);
     let session = Session::new(&client(&authority, None), "127.0.0.1", &budget).unwrap();
-    assert_eq!(echo(&mut Transport::new(Some(session), &budget), near, &mut stream, b"x"), Err(fault));
+    assert_eq!(
+        echo(&mut Transport::new(Some(session), &budget), client_end, &mut stream, b"x"),
+        Err(expected)
+    );
 }
 
 #[test]
-fn nobody_else_vouches_and_a_missing_client_certificate_is_told() {
+fn an_unknown_authority_and_a_missing_client_certificate_are_reported() {
     let (authority, other) = (CertificateAuthority::default(), CertificateAuthority::default());
     let budget = Budget::new(1 << 20);
-    let link = |client: &ClientContext| {
+    let transport = |client: &ClientContext| {
         Transport::new(Some(Session::new(client, "127.0.0.1", &budget).unwrap()), &budget)
     };
-    let (near, far) = pipe(1 << 20);
-    let mut stream = server(&other.acceptor("127.0.0.1", 2040, false), far);
-    let fault = echo(&mut link(&client(&authority, None)), near, &mut stream, b"x");
-    assert_eq!(fault, Err(TlsError::UnknownIssuer));
-    let (near, far) = pipe(1 << 20);
-    let mut stream = server(&authority.acceptor("127.0.0.1", 2040, true), far);
-    let mut without = link(&client(&authority, None));
-    let mut end = near.clone();
-    let told = (0..20).find_map(|_| {
+    let (client_end, server_end) = pipe(1 << 20);
+    let mut stream = server(&other.acceptor("127.0.0.1", 2040, false), server_end);
+    let result = echo(&mut transport(&client(&authority, None)), client_end, &mut stream, b"x");
+    assert_eq!(result, Err(TlsError::UnknownIssuer));
+    let (client_end, server_end) = pipe(1 << 20);
+    let mut stream = server(&authority.acceptor("127.0.0.1", 2040, true), server_end);
+    let mut without_certificate = transport(&client(&authority, None));
+    let mut end = client_end.clone();
+    let error = (0..20).find_map(|_| {
         let _ = stream.ssl_read(&mut [0; 10]);
-        without.process_io(&mut end).err()
+        without_certificate.process_io(&mut end).err()
     });
-    assert_eq!(told, Some(TlsError::CertificateRejected));
+    assert_eq!(error, Some(TlsError::CertificateRejected));
 }
 
 #[test]
-fn what_is_not_tls_or_is_cut_off_ends_it() {
+fn data_that_is_not_tls_and_a_truncated_stream_are_errors() {
     let authority = CertificateAuthority::default();
     let budget = Budget::new(1 << 20);
     let session = || Session::new(&client(&authority, None), "127.0.0.1", &budget).unwrap();
-    let (mut near, mut far) = pipe(1 << 20);
-    far.write_all(b"HTTP/1.1 400 Bad Request\r\n\r\n").unwrap();
-    assert_eq!(Transport::new(Some(session()), &budget).process_io(&mut near), Err(TlsError::NotTls));
-    // The end of the stream without the other side's word may be anybody's doing.
-    struct Over;
-    impl Read for Over {
+    let (mut client_end, mut server_end) = pipe(1 << 20);
+    server_end.write_all(b"HTTP/1.1 400 Bad Request\r\n\r\n").unwrap();
+    assert_eq!(Transport::new(Some(session()), &budget).process_io(&mut client_end), Err(TlsError::NotTls));
+    // An end of the stream without close_notify may be caused by anybody.
+    struct Closed;
+    impl Read for Closed {
         fn read(&mut self, _: &mut [u8]) -> io::Result<usize> {
             Ok(0)
         }
     }
-    impl Write for Over {
+    impl Write for Closed {
         fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
             Ok(bytes.len())
         }
@@ -199,17 +202,17 @@
             Ok(())
         }
     }
-    let cut = TlsError::Io(ErrorKind::UnexpectedEof);
-    assert_eq!(Transport::new(Some(session()), &budget).process_io(&mut Over), Err(cut));
-    let none = Budget::new(1_000);
-    let fault = Session::new(&client(&authority, None), "127.0.0.1", &none).err();
-    assert_eq!(fault, Some(TlsError::OutOfMemory));
+    let truncated = TlsError::Io(ErrorKind::UnexpectedEof);
+    assert_eq!(Transport::new(Some(session()), &budget).process_io(&mut Closed), Err(truncated));
+    let too_small = Budget::new(1_000);
+    let error = Session::new(&client(&authority, None), "127.0.0.1", &too_small).err();
+    assert_eq!(error, Some(TlsError::OutOfMemory));
 }
 
-/// A stream that has ended behind what is left in it.
-struct Ending(End);
+/// A stream that ends after the bytes that are left in it.
+struct EndingStream(End);
 
-impl Read for Ending {
+impl Read for EndingStream {
     fn read(&mut self, bytes: &mut [u8]) -> io::Result<usize> {
         match self.0.read(bytes) {
             Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(0),
@@ -218,7 +221,7 @@
     }
 }
 
-impl Write for Ending {
+impl Write for EndingStream {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.write(bytes)
     }
@@ -229,40 +232,40 @@
 }
 
 #[test]
-fn what_came_before_an_end_without_a_word_is_taken_first() {
+fn bytes_before_an_end_without_close_notify_are_delivered() {
     let authority = CertificateAuthority::default();
-    let (near, far) = pipe(1 << 20);
-    let mut stream = server(&authority.acceptor("127.0.0.1", 2040, false), far);
+    let (client_end, server_end) = pipe(1 << 20);
+    let mut stream = server(&authority.acceptor("127.0.0.1", 2040, false), server_end);
     let budget = Budget::new(1 << 20);
     let session = Session::new(&client(&authority, None), "127.0.0.1", &budget).unwrap();
-    let mut link = Transport::new(Some(session), &budget);
-    assert_eq!(echo(&mut link, near.clone(), &mut stream, b"x").unwrap(), b"x");
+    let mut transport = Transport::new(Some(session), &budget);
+    assert_eq!(echo(&mut transport, client_end.clone(), &mut stream, b"x").unwrap(), b"x");
     stream.ssl_write(b"the answer").unwrap();
-    let mut ending = Ending(near);
-    assert_eq!(link.process_io(&mut ending), Ok(Fill::Full));
-    assert_eq!(link.inbox.take(100), b"the answer");
-    assert_eq!(link.process_io(&mut ending), Err(TlsError::Io(ErrorKind::UnexpectedEof)));
+    let mut ending = EndingStream(client_end);
+    assert_eq!(transport.process_io(&mut ending), Ok(Fill::Full));
+    assert_eq!(transport.inbox.take(100), b"the answer");
+    assert_eq!(transport.process_io(&mut ending), Err(TlsError::Io(ErrorKind::UnexpectedEof)));
 }
 
 #[test]
-fn files_are_checked_before_anybody_is_called() {
+fn files_are_checked_before_any_connection() {
     let authority = CertificateAuthority::default();
     let (cert, key) = authority.issue("pooler", 2040);
-    let (old, old_key) = authority.issue("pooler", 2024);
+    let (expired, expired_key) = authority.issue("pooler", 2024);
     let ca = authority.pem.as_bytes();
-    let which = |ca: &[u8], own: Option<(&str, &str)>| {
-        let own = own.map(|(cert, key)| (cert.as_bytes(), key.as_bytes()));
-        ClientContext::new(ClientFiles { ca, identity: own }, NOW).err().map(|unusable| unusable.file)
+    let invalid_file = |ca: &[u8], identity: Option<(&str, &str)>| {
+        let identity = identity.map(|(cert, key)| (cert.as_bytes(), key.as_bytes()));
+        ClientContext::new(ClientFiles { ca, identity }, NOW).err().map(|error| error.file)
     };
-    assert_eq!(which(ca, Some((&cert, &key))), None);
-    assert_eq!(which(b"", None), Some("ca"));
-    assert_eq!(which(&ca[..ca.len() / 2], None), Some("ca"));
-    assert_eq!(which(ca, Some((&old, &old_key))), Some("certificate"));
-    assert_eq!(which(ca, Some((&cert, &old_key))), Some("key"));
-    assert_eq!(which(ca, Some((&cert, &cert))), Some("key"));
-    let whole = authority.pem.repeat(40);
-    assert_eq!(which(whole.as_bytes(), None), Some("ca"));
-    let (which, end) = client(&authority, Some((&cert, &key))).first_expiry().unwrap();
+    assert_eq!(invalid_file(ca, Some((&cert, &key))), None);
+    assert_eq!(invalid_file(b"", None), Some("ca"));
+    assert_eq!(invalid_file(&ca[..ca.len() / 2], None), Some("ca"));
+    assert_eq!(invalid_file(ca, Some((&expired, &expired_key))), Some("certificate"));
+    assert_eq!(invalid_file(ca, Some((&cert, &expired_key))), Some("key"));
+    assert_eq!(invalid_file(ca, Some((&cert, &cert))), Some("key"));
+    let too_many = authority.pem.repeat(40);
+    assert_eq!(invalid_file(too_many.as_bytes(), None), Some("ca"));
+    let (file, expiry) = client(&authority, Some((&cert, &key))).first_expiry().unwrap();
     // The last day of 2040.
-    assert_eq!((which, (end / 86_400.0) as u64), ("certificate", 25_932));
+    assert_eq!((file, (expiry / 86_400.0) as u64), ("certificate", 25_932));
 }
