--- a/crates/operator/src/document.rs
+++ b/crates/operator/src/document.rs
@@ -1,4 +1,4 @@
-//! What an operator's file holds. An absent setting leaves the platform's word, or the default, in force.
+//! The content of an operator's file. For an absent setting the platform's value applies, or the default.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,51 +8,51 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// A whole file. Every key stands in [`crate::schema`] with its unit, range and default.
+/// A complete file. [`crate::schema`] describes every key with its unit, range and default.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Document {
-    /// Where clients connect; the platform's address where absent.
+    /// Address that clients connect to; the platform's if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub listen: Option<SocketAddr>,
-    /// Where discovery is; the platform's address where absent.
+    /// Address of discovery; the platform's if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub discovery: Option<SocketAddr>,
     /// Time limits and budgets.
     pub limits: Limits,
-    /// The log.
+    /// Settings of the log.
     pub log: Log,
-    /// How changes of this file are taken in.
+    /// How changes of this file are checked and confirmed.
     pub change: ChangePolicy,
     /// The control socket.
     pub control: Control,
-    /// What is kept on disk.
+    /// State stored on disk.
     pub state: State,
-    /// How the daemon begins and ends.
+    /// Startup and shutdown of the daemon.
     pub daemon: Daemon,
-    /// Other instances, with whom what matters is shared; none where it has no address.
+    /// The exchange of state with other instances; none if no address is given.
     pub peers: Peers,
-    /// The registry that holds the list; discovery does where it has no endpoints.
+    /// The registry that provides the list; discovery provides it if no endpoints are given.
     pub registry: Registry,
-    /// The front for ordinary clients.
+    /// Pooling for ordinary clients.
     pub pool: Pool,
-    /// Where what ordinary clients ask belongs, by name.
+    /// Routing rules for requests of ordinary clients, by name.
     pub route: BTreeMap<String, RouteEntry>,
     /// Classes of requests by name: changes to the platform's, or new ones.
     pub class: BTreeMap<String, ClassEdit>,
     /// Tenants by name: changes to the platform's, or new ones.
     pub tenant: BTreeMap<String, TenantEdit>,
-    /// What the operator wants of single members, whatever the list says of them.
+    /// Operator's overrides of single members' status, which take precedence over the list.
     #[serde(rename = "override")]
     pub overrides: BTreeMap<String, Override>,
-    /// The members by name, in place of discovery's list; discovery is asked where there are none.
+    /// The static list of members by name, in place of discovery's list; discovery is used if it is empty.
     pub member: BTreeMap<String, MemberEntry>,
 }
 
-/// Time limits and budgets; the platform's where absent.
+/// Time limits and budgets; the platform's if absent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-#[allow(missing_docs)] // Each stands in the schema.
+#[allow(missing_docs)] // The schema describes each setting.
 pub struct Limits {
     #[serde(skip_serializing_if = "Option::is_none")]
     pub memory_mb: Option<f64>,
@@ -68,7 +68,7 @@
     pub max_retry_after_s: Option<f64>,
 }
 
-/// How much is logged.
+/// Minimum severity of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 #[allow(missing_docs)]
@@ -80,7 +80,7 @@
     Debug,
 }
 
-/// In what form it is logged.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 #[allow(missing_docs)]
@@ -90,7 +90,7 @@
     Json,
 }
 
-/// The log.
+/// Settings of the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -103,14 +103,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Confirm {
-    /// The end of a probation in which health has not worsened.
+    /// Confirmed automatically at the end of a probation in which health has not worsened.
     #[default]
     Auto,
-    /// The operator, within the probation; else it is rolled back.
+    /// Confirmed by the operator in time; otherwise rolled back.
     Manual,
 }
 
-/// How the daemon begins and ends.
+/// Startup and shutdown of the daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -130,7 +130,7 @@
     }
 }
 
-/// How changes are taken in.
+/// How changes are checked and confirmed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -164,7 +164,7 @@
     }
 }
 
-/// The control socket; none where no path is given.
+/// The control socket; none if no path is given.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -180,7 +180,7 @@
     }
 }
 
-/// What is kept on disk; nothing where no folder is given.
+/// State stored on disk; nothing is stored if no folder is given.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -196,7 +196,7 @@
     }
 }
 
-/// Other instances.
+/// The exchange of state with other instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -227,7 +227,7 @@
     pub address: SocketAddr,
 }
 
-/// Where an instance is reached.
+/// The address at which an instance is reached.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -306,7 +306,7 @@
     }
 }
 
-/// The front for ordinary PostgreSQL clients; none where it has no address.
+/// Pooling for ordinary PostgreSQL clients; disabled if no address is given.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -392,7 +392,7 @@
     }
 }
 
-/// For how long an ordinary client keeps a server connection.
+/// How long an ordinary client keeps a server connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 #[allow(missing_docs)]
@@ -403,7 +403,7 @@
     Session,
 }
 
-/// Where what ordinary clients ask belongs.
+/// A routing rule for requests of ordinary clients.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -455,7 +455,7 @@
     Write,
 }
 
-/// What a repeat of a request can do.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 #[allow(missing_docs)]
@@ -465,7 +465,7 @@
     Never,
 }
 
-/// Among which members repeats of a keyed request are dropped.
+/// The members among which repeats of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 #[allow(missing_docs)]
@@ -474,7 +474,7 @@
     All,
 }
 
-/// A class: of one that the platform names, only what is given changes.
+/// A class. Of a class that the platform defines, only the given settings change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -510,24 +510,24 @@
     pub retired: bool,
 }
 
-/// What the operator wants of a member, whatever the list says of it. Facts of the list that forbid more hold.
+/// An operator's override of a member's status. A stricter status in the list still applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Override {
-    /// It completes its work and gets nothing new.
+    /// The member completes its work and gets no new requests.
     Drain,
-    /// It gets nothing new, its idle connections are closed, and it no longer counts as capacity.
+    /// The member gets no new requests, its idle connections are closed, and it does not count as capacity.
     Exclude,
 }
 
-/// How a member of the static list is reached. A list of its own type, since it may gain protocols.
+/// Status of a member of the static list. It is a separate type, since the static list may gain protocols.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Access {
-    /// Reads and writes.
+    /// Accepts reads and writes.
     #[default]
     Serving,
-    /// Completes its work.
+    /// Completes its work and gets no new requests.
     Draining,
 }
 
@@ -545,17 +545,17 @@
     pub status: Access,
 }
 
-/// The SHA-256 of a document in its canonical form; two files that say the same have the same.
+/// The SHA-256 of a document in canonical form; files with the same settings have the same digest.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// The digest of some bytes.
+    /// Returns the digest of bytes.
     pub fn of(bytes: &[u8]) -> Digest {
         Digest(Sha256::digest(bytes).into())
     }
 
-    /// Its first twelve hexadecimal digits, for people.
+    /// Returns the first twelve hexadecimal digits, for display.
     pub fn abbreviated(&self) -> String {
         self.to_string()[..12].to_string()
     }
@@ -574,13 +574,14 @@
 }
 
 impl Document {
-    /// Its canonical text: TOML without comments, tables and keys in one order. Reads back as the same document.
+    /// Returns the canonical text: TOML without comments, with tables and keys in a fixed order. It parses to
+    /// the same document.
     pub fn canonical_toml(&self) -> String {
-        // Only a map with keys that are no texts could fail, and there is none.
+        // Only a map whose keys are not strings could fail, and the document has none.
         toml::to_string(self).unwrap_or_default()
     }
 
-    /// The digest of its canonical text.
+    /// Returns the digest of the canonical text.
     pub fn digest(&self) -> Digest {
         Digest::of(self.canonical_toml().as_bytes())
     }
--- a/crates/operator/src/effective.rs
+++ b/crates/operator/src/effective.rs
@@ -1,4 +1,4 @@
-//! What is in force: the platform's configuration with the operator's document laid over it.
+//! The effective configuration: the platform's configuration, overridden by the operator's document.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -12,12 +12,12 @@
 use crate::peers;
 use crate::schema::{self, Activation};
 
-/// Why a document that is sound by itself cannot be laid over a platform's configuration.
+/// Why a valid document cannot be combined with a platform's configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Conflict {
-    /// The key at fault.
+    /// The key with the conflict; empty if it concerns no single key.
     pub key: String,
-    /// What is wrong, in figures.
+    /// Description of the conflict, with its figures.
     pub message: String,
 }
 
@@ -27,62 +27,61 @@
     }
 }
 
-/// One value in which two configurations differ.
+/// A value that differs between two configurations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
     /// The key.
     pub key: String,
-    /// The old value; none where there was none.
+    /// The old value, if there was one.
     pub from: Option<String>,
-    /// The new value; none where there is none any more.
+    /// The new value, if there is one.
     pub to: Option<String>,
-    /// Whether it can come into force while the daemon runs.
+    /// Whether it can take effect while the daemon runs.
     pub activation: Activation,
 }
 
-/// All that is in force at a time.
+/// All settings in force.
 #[derive(Clone, Debug)]
 pub struct EffectiveConfig {
-    /// The operator's document that it was made with.
+    /// The operator's document that it was created from.
     pub document: Document,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// File descriptors that the process may hold.
+    /// File descriptors that the process may use.
     pub sockets: usize,
-    /// Memory that the process may take (bytes).
+    /// Memory that the process may use (bytes).
     pub memory: usize,
-    /// How long a db machine keeps an idle connection (seconds).
+    /// How long a database server keeps an idle connection (seconds).
     pub keepalive: f64,
-    /// What the policy is handed, classes and tenants in the order of the names below.
+    /// Settings of the routing policy, with classes and tenants in the order of the names below.
     pub settings: Settings,
-    /// Names of the classes; retired ones are not among them.
+    /// Names of the classes, without retired ones.
     pub classes: Vec<String>,
-    /// Names of the tenants; retired ones are not among them.
+    /// Names of the tenants, without retired ones.
     pub tenants: Vec<String>,
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// The static list; empty where discovery's holds.
+    /// The static list; empty if another source provides the list.
     pub members: Vec<Listing>,
 }
 
 impl EffectiveConfig {
-    /// Lays a document over the platform's configuration; all that stands in the way where it does not fit.
+    /// Combines a document with the platform's configuration. Returns all conflicts if there are any.
     pub fn new(platform: &Config, document: Document) -> Result<EffectiveConfig, Vec<Conflict>> {
         let mut conflicts = Vec::new();
-        let mut conflict = |key: String, what: String| conflicts.push(Conflict { key, message: what });
+        let mut conflict = |key: String, message: String| conflicts.push(Conflict { key, message });
         let limits = &document.limits;
         let sockets = limits.sockets.map_or(platform.max_descriptors, |sockets| sockets as usize);
         if sockets > platform.max_descriptors {
-            let what =
-                format!("{sockets} descriptors, of which the process may hold {}", platform.max_descriptors);
-            conflict("limits.sockets".into(), what);
+            let message = format!("{sockets} descriptors; the process may use {}", platform.max_descriptors);
+            conflict("limits.sockets".into(), message);
         }
         let memory = limits.memory_mb.map_or(platform.max_memory, |mb| (mb * 1e6) as usize);
         if memory > platform.max_memory {
-            let (asked, given) = (memory as f64 / 1e6, platform.max_memory as f64 / 1e6);
-            conflict("limits.memory_mb".into(), format!("{asked} MB, of which the process may take {given}"));
+            let (requested, available) = (memory as f64 / 1e6, platform.max_memory as f64 / 1e6);
+            conflict("limits.memory_mb".into(), format!("{requested} MB; the process may use {available}"));
         }
         let mut settings = platform.settings.clone();
         settings.connect_timeout = limits.connect_timeout_s.unwrap_or(settings.connect_timeout);
@@ -91,28 +90,25 @@
         let named = platform.classes.iter().cloned().zip(settings.classes);
         let (mut classes, mut list): (Vec<String>, Vec<Class>) = named.unzip();
         for (name, edit) in &document.class {
-            let place = classes.iter().position(|known| known == name);
-            if place.is_none() && !edit.retired && edit.reads.is_none() {
+            let index = classes.iter().position(|known| known == name);
+            if index.is_none() && !edit.retired && edit.reads.is_none() {
                 conflict(
                     format!("class.{name}.reads"),
-                    "missing for a class that the platform does not name".into(),
+                    "missing for a class that the platform does not define".into(),
                 );
                 continue;
             }
-            let mut class = place.map_or_else(new_class, |place| list[place].clone());
-            apply(edit, &mut class);
+            let mut class = index.map_or_else(new_class, |index| list[index].clone());
+            apply_edit(edit, &mut class);
             if class.aim > class.deadline {
-                let what = format!("aim_s {} is past deadline_s {}", class.aim, class.deadline);
-                conflict(format!("class.{name}"), what);
+                let message = format!("aim_s {} exceeds deadline_s {}", class.aim, class.deadline);
+                conflict(format!("class.{name}"), message);
             }
             if class.effect == Effect::Keyed && class.dedup_window <= 0.0 {
-                conflict(
-                    format!("class.{name}.repeat_window_s"),
-                    "0 for a class whose repeats are keyed".into(),
-                );
+                conflict(format!("class.{name}.repeat_window_s"), "0 for a class with keyed repeats".into());
             }
-            match place {
-                Some(place) => list[place] = class,
+            match index {
+                Some(index) => list[index] = class,
                 None => {
                     classes.push(name.clone());
                     list.push(class);
@@ -120,10 +116,10 @@
             }
         }
         let retired = |name: &String| document.class.get(name).is_some_and(|edit| edit.retired);
-        let kept: (Vec<String>, Vec<Class>) =
+        let remaining: (Vec<String>, Vec<Class>) =
             classes.into_iter().zip(list).filter(|(name, _)| !retired(name)).unzip();
-        let classes = kept.0;
-        settings.classes = kept.1;
+        let classes = remaining.0;
+        settings.classes = remaining.1;
         if classes.is_empty() {
             conflict("class".into(), "no class is left".into());
         }
@@ -138,31 +134,31 @@
         let retired = |name: &String| document.tenant.get(name).is_some_and(|edit| edit.retired);
         tenants.retain(|(name, _)| !retired(name));
         let (tenants, quotas): (Vec<String>, Vec<f64>) = tenants.into_iter().unzip();
-        // Without tenants there are no shares at all.
+        // Without tenants no quotas apply.
         settings.tenant_quota = quotas;
-        if let Err(fault) = routing::check(&settings) {
-            conflict(String::new(), fault.to_string());
+        if let Err(error) = routing::check(&settings) {
+            conflict(String::new(), error.to_string());
         }
         let mut addresses = BTreeSet::new();
         for (name, member) in &document.member {
             if !addresses.insert(member.address) {
-                conflict(format!("member.{name}.address"), format!("{} is another member's", member.address));
+                conflict(
+                    format!("member.{name}.address"),
+                    format!("{} is also the address of another member", member.address),
+                );
             }
         }
         if document.change.require_signature && document.change.keys.is_empty() {
             conflict(
                 "change.keys".into(),
-                "empty while signatures are required: nothing could ever be taken".into(),
+                "empty although signatures are required: no change could be accepted".into(),
             );
         }
         let registry = &document.registry;
         if !registry.endpoints.is_empty() && !document.member.is_empty() {
-            conflict(
-                "registry.endpoints".into(),
-                "given beside a list of members: only one can hold the list".into(),
-            );
+            conflict("registry.endpoints".into(), "cannot be combined with a static list of members".into());
         }
-        // Each of these means nothing without the other.
+        // The first setting of each entry has no effect without the second.
         let pairs = [
             ("tls_cert", registry.tls_cert.is_some(), "tls_key", registry.tls_key.is_some()),
             ("tls_key", registry.tls_key.is_some(), "tls_cert", registry.tls_cert.is_some()),
@@ -171,23 +167,27 @@
             ("user", registry.user.is_some(), "password_file", registry.password_file.is_some()),
             ("password_file", registry.password_file.is_some(), "user", registry.user.is_some()),
         ];
-        for (given, here, needed, there) in pairs {
-            if here && !there {
-                conflict(format!("registry.{given}"), format!("given without registry.{needed}"));
+        for (given, is_given, required, has_required) in pairs {
+            if is_given && !has_required {
+                conflict(format!("registry.{given}"), format!("given without registry.{required}"));
             }
         }
         if !registry.prefix.starts_with('/') || registry.prefix.ends_with('/') {
             conflict(
                 "registry.prefix".into(),
-                format!("{:?} does not begin with a slash, or ends with one", registry.prefix),
+                format!("{:?} must begin with a slash and must not end with one", registry.prefix),
             );
         }
-        let inside = |own: &String| format!("{own}/").starts_with(&format!("{}/", registry.prefix));
-        if let Some(own) = registry.register.as_ref().filter(|own| !own.starts_with('/') || inside(own)) {
-            let what = format!("{own:?} does not begin with a slash, or is among the keys that are followed");
-            conflict("registry.register".into(), what);
+        let is_inside =
+            |register: &String| format!("{register}/").starts_with(&format!("{}/", registry.prefix));
+        if let Some(register) =
+            registry.register.as_ref().filter(|register| !register.starts_with('/') || is_inside(register))
+        {
+            let message =
+                format!("{register:?} must begin with a slash and must not be within registry.prefix");
+            conflict("registry.register".into(), message);
         }
-        pool(&document, &classes, &settings, sockets, &mut conflict);
+        check_pool(&document, &classes, &settings, sockets, &mut conflict);
         peers::check(&document, &settings, &mut conflict);
         let members = document.member.iter().map(|(name, member)| Listing {
             name: name.as_str().into(),
@@ -215,13 +215,13 @@
         })
     }
 
-    /// The shortest aim of a class of writes (seconds); infinite where there is none.
+    /// Returns the shortest aim of the classes of writes (seconds), or infinity if there are none.
     pub fn shortest_write_aim(&self) -> f64 {
         let writes = self.settings.classes.iter().filter(|class| class.consistency == Consistency::Write);
         writes.map(|class| class.aim).fold(f64::INFINITY, f64::min)
     }
 
-    /// Where what ordinary clients ask belongs.
+    /// Returns the routing rules for requests of ordinary clients.
     pub fn route_table(&self) -> route::Table {
         let pool = &self.document.pool;
         let rules = self.document.route.iter().map(|(name, entry)| route::Rule {
@@ -236,62 +236,62 @@
             tenant: entry.tenant.clone(),
             group: entry.group,
         });
-        let classes = self.classes.iter().cloned().zip(self.settings.classes.iter().map(primary_alone));
+        let classes = self.classes.iter().cloned().zip(self.settings.classes.iter().map(is_primary_only));
         let write = pool.write_class.clone().unwrap_or_default();
         let read = pool.read_class.clone().unwrap_or_else(|| write.clone());
         let tenant = pool.tenant.clone().unwrap_or_default();
         route::Table::new(rules.collect(), classes, (read, write), (tenant, pool.group))
     }
 
-    /// The settings of a class.
+    /// Returns the settings of a class.
     pub fn class(&self, name: &str) -> Option<&Class> {
-        self.classes.iter().position(|known| known == name).map(|place| &self.settings.classes[place])
+        self.classes.iter().position(|known| known == name).map(|index| &self.settings.classes[index])
     }
 
-    /// What the operator wants of a member.
+    /// Returns the operator's override for a member.
     pub fn member_override(&self, member: &str) -> Option<Override> {
         self.document.overrides.get(member).copied()
     }
 
-    /// All values in force but the members and overrides, by key, as texts.
+    /// Returns all values in force by key, as texts, except members and overrides.
     fn values(&self) -> BTreeMap<String, String> {
         let mut values = self.document.values();
-        let mut put = |key: String, value: String| drop(values.insert(key, value));
-        put("listen".into(), self.listen.to_string());
-        put("discovery".into(), self.discovery.to_string());
-        put("limits.memory_mb".into(), (self.memory as f64 / 1e6).to_string());
-        put("limits.sockets".into(), self.sockets.to_string());
-        put("limits.keepalive_s".into(), self.keepalive.to_string());
-        let s = &self.settings;
-        put("limits.connect_timeout_s".into(), s.connect_timeout.to_string());
-        put("limits.max_attempts".into(), s.max_attempts.to_string());
-        put("limits.max_retry_after_s".into(), s.max_retry_after.to_string());
-        for (name, class) in self.classes.iter().zip(&s.classes) {
+        let mut insert = |key: String, value: String| drop(values.insert(key, value));
+        insert("listen".into(), self.listen.to_string());
+        insert("discovery".into(), self.discovery.to_string());
+        insert("limits.memory_mb".into(), (self.memory as f64 / 1e6).to_string());
+        insert("limits.sockets".into(), self.sockets.to_string());
+        insert("limits.keepalive_s".into(), self.keepalive.to_string());
+        let settings = &self.settings;
+        insert("limits.connect_timeout_s".into(), settings.connect_timeout.to_string());
+        insert("limits.max_attempts".into(), settings.max_attempts.to_string());
+        insert("limits.max_retry_after_s".into(), settings.max_retry_after.to_string());
+        for (name, class) in self.classes.iter().zip(&settings.classes) {
             for (field, value) in class_values(class) {
-                put(format!("class.{name}.{field}"), value);
+                insert(format!("class.{name}.{field}"), value);
             }
         }
-        for (name, quota) in self.tenants.iter().zip(&s.tenant_quota) {
-            put(format!("tenant.{name}.quota_per_s"), quota.to_string());
+        for (name, quota) in self.tenants.iter().zip(&settings.tenant_quota) {
+            insert(format!("tenant.{name}.quota_per_s"), quota.to_string());
         }
         values
     }
 
-    /// What is different in another, by key.
+    /// Returns the differences to another configuration, by key.
     pub fn differences(&self, other: &EffectiveConfig) -> Vec<Difference> {
         let mut found = differences(&self.values(), &other.values());
-        self.document.members_differ(&other.document, &mut found);
+        self.document.add_member_differences(&other.document, &mut found);
         found
     }
 }
 
 fn difference(key: String, from: Option<String>, to: Option<String>) -> Difference {
     let parts: Vec<String> = key.split('.').map(String::from).collect();
-    let when = schema::find(&parts).map_or(Activation::Live, |setting| setting.activation);
-    Difference { key, from, to, activation: when }
+    let activation = schema::find(&parts).map_or(Activation::Live, |setting| setting.activation);
+    Difference { key, from, to, activation }
 }
 
-/// The differences between two sets of values, by key.
+/// Returns the differences between two sets of values, by key.
 fn differences(old: &BTreeMap<String, String>, new: &BTreeMap<String, String>) -> Vec<Difference> {
     let keys: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     let differ = keys.into_iter().filter(|key| old.get(*key) != new.get(*key));
@@ -299,39 +299,40 @@
 }
 
 impl Document {
-    /// What is different in another document, by key, defaults included.
+    /// Returns the differences to another document, by key, defaults included.
     pub fn differences(&self, other: &Document) -> Vec<Difference> {
         let mut found = differences(&self.values(), &other.values());
-        self.members_differ(other, &mut found);
+        self.add_member_differences(other, &mut found);
         found
     }
 
-    /// The members and overrides that differ. There can be thousands: only those that do are put into words.
-    fn members_differ(&self, other: &Document, found: &mut Vec<Difference>) {
+    /// Adds the differences of members and overrides. There can be thousands of members, so only those that
+    /// differ are formatted.
+    fn add_member_differences(&self, other: &Document, found: &mut Vec<Difference>) {
         let names: BTreeSet<&String> = self.overrides.keys().chain(other.overrides.keys()).collect();
         for name in names {
             let (old, new) = (self.overrides.get(name), other.overrides.get(name));
             if old != new {
-                let words = |wish: &Override| format!("{wish:?}").to_lowercase();
-                found.push(difference(format!("override.{name}"), old.map(words), new.map(words)));
+                let describe = |status: &Override| format!("{status:?}").to_lowercase();
+                found.push(difference(format!("override.{name}"), old.map(describe), new.map(describe)));
             }
         }
-        let words = |m: &MemberEntry| {
+        let describe = |m: &MemberEntry| {
             let MemberEntry { address, zone, group, status } = m;
             format!("{address} zone {zone:?} group {group} {}", format!("{status:?}").to_lowercase())
         };
         for (name, old) in &self.member {
             let new = other.member.get(name);
             if new != Some(old) {
-                found.push(difference(format!("member.{name}"), Some(words(old)), new.map(words)));
+                found.push(difference(format!("member.{name}"), Some(describe(old)), new.map(describe)));
             }
         }
         for (name, new) in other.member.iter().filter(|(name, _)| !self.member.contains_key(*name)) {
-            found.push(difference(format!("member.{name}"), None, Some(words(new))));
+            found.push(difference(format!("member.{name}"), None, Some(describe(new))));
         }
     }
 
-    /// What it says, by key, but for members and overrides; what it leaves to the platform is not there.
+    /// Returns the document's values by key, except members, overrides, and settings left to the platform.
     fn values(&self) -> BTreeMap<String, String> {
         fn flatten(prefix: &str, value: &toml::Value, out: &mut BTreeMap<String, String>) {
             match value {
@@ -346,21 +347,22 @@
             }
         }
         let mut out = BTreeMap::new();
-        let rest = Document { overrides: BTreeMap::new(), member: BTreeMap::new(), ..self.clone() };
-        if let Ok(value) = toml::Value::try_from(rest) {
+        let without_members =
+            Document { overrides: BTreeMap::new(), member: BTreeMap::new(), ..self.clone() };
+        if let Ok(value) = toml::Value::try_from(without_members) {
             flatten("", &value, &mut out);
         }
         out
     }
 }
 
-/// Whether only the primary serves a class.
-fn primary_alone(class: &Class) -> bool {
+/// Returns true if only the primary serves a class.
+fn is_primary_only(class: &Class) -> bool {
     matches!(class.consistency, Consistency::Write | Consistency::Fresh)
 }
 
-/// What is wrong with the front for ordinary clients.
-fn pool(
+/// Checks the settings for ordinary clients.
+fn check_pool(
     document: &Document,
     classes: &[String],
     settings: &Settings,
@@ -368,7 +370,7 @@
     conflict: &mut impl FnMut(String, String),
 ) {
     let class =
-        |name: &String| classes.iter().position(|known| known == name).map(|at| &settings.classes[at]);
+        |name: &String| classes.iter().position(|known| known == name).map(|index| &settings.classes[index]);
     let pool = &document.pool;
     let named = document
         .route
@@ -378,15 +380,15 @@
     for (key, name) in named.chain(pool.write_class.iter().map(|name| ("pool.write_class".to_string(), name)))
     {
         if class(name).is_none() {
-            conflict(key, format!("{name:?} is no class"));
+            conflict(key, format!("unknown class {name:?}"));
         }
     }
     if pool.listen.is_none() {
         return;
     }
     match pool.write_class.as_ref().map(|name| (name, class(name))) {
-        None => conflict("pool.write_class".into(), "missing beside pool.listen".into()),
-        Some((name, Some(class))) if !primary_alone(class) => {
+        None => conflict("pool.write_class".into(), "missing; required with pool.listen".into()),
+        Some((name, Some(class))) if !is_primary_only(class) => {
             conflict("pool.write_class".into(), format!("{name:?} may be served by a replica"));
         }
         _ => {}
@@ -407,28 +409,31 @@
             pool.server_user.is_some(),
         ),
     ];
-    for (given, here, needed, there) in pairs {
-        if here && !there {
-            conflict(format!("pool.{given}"), format!("given without pool.{needed}"));
+    for (given, is_given, required, has_required) in pairs {
+        if is_given && !has_required {
+            conflict(format!("pool.{given}"), format!("given without pool.{required}"));
         }
     }
-    let asked = (pool.clients + pool.servers) as usize;
-    if asked + LEAST_SOCKETS > sockets {
-        let what =
-            format!("{asked} descriptors with pool.servers, of {sockets} less {LEAST_SOCKETS} for all else");
-        conflict("pool.clients".into(), what);
+    let required = (pool.clients + pool.servers) as usize;
+    if required + RESERVED_SOCKETS > sockets {
+        let message = format!(
+            "{required} descriptors with pool.servers; {sockets} less {RESERVED_SOCKETS} are available"
+        );
+        conflict("pool.clients".into(), message);
     }
 }
 
-/// Descriptors that are left for all but ordinary clients and their servers.
-const LEAST_SOCKETS: usize = 48;
+/// Descriptors reserved for everything but ordinary clients and their server connections.
+const RESERVED_SOCKETS: usize = 48;
 
-/// A class that the platform does not name, before the operator's word: repeated never, worth 1.
+/// Returns the initial settings of a class that the platform does not define: never repeated, with a value of
+/// 1.
 fn new_class() -> Class {
     Class { effect: Effect::Unsafe, ..Class::default() }
 }
 
-fn apply(edit: &ClassEdit, class: &mut Class) {
+/// Applies the settings given for a class.
+fn apply_edit(edit: &ClassEdit, class: &mut Class) {
     let bound = match class.consistency {
         Consistency::Bounded(bound) => bound,
         _ => 1.0,
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,6 +1,7 @@
-//! The operator's file, `dewferry.toml`: every setting with its unit, range and default ([`schema`]), what is
-//! wrong with a file and where ([`DocumentError`]), the document it holds ([`Document`]), and what it makes of the
-//! platform's configuration ([`EffectiveConfig`]). No I/O: text goes in.
+//! The operator's file, `dewferry.toml`: every setting with its unit, range and default ([`schema`]), the
+//! errors of a file with their locations ([`DocumentError`]), the parsed file ([`Document`]), and the
+//! configuration that results from it and the platform's ([`EffectiveConfig`]). No I/O: the caller passes in
+//! the text.
 #![warn(missing_docs)]
 
 mod document;
--- a/crates/operator/src/peers.rs
+++ b/crates/operator/src/peers.rs
@@ -1,14 +1,14 @@
-//! What speaks against the settings for other instances.
+//! Checks of the settings for the exchange of state between instances (`[peers]`).
 
 use routing::interface::{Consistency, Settings};
 
 use crate::document::{Document, Peers};
 
-/// Takes a key and what is wrong there.
-type Conflict<'a> = dyn FnMut(String, String) + 'a;
+/// Receives the key and the message of a conflict.
+type ReportConflict<'a> = dyn FnMut(String, String) + 'a;
 
-/// Tells each conflict of `[peers]` with itself and with the rest of the document.
-pub(crate) fn check(document: &Document, settings: &Settings, conflict: &mut Conflict) {
+/// Reports each conflict within `[peers]` and of `[peers]` with the rest of the document.
+pub(crate) fn check(document: &Document, settings: &Settings, conflict: &mut ReportConflict) {
     let peers = &document.peers;
     let Some(listen) = peers.listen else {
         if !peers.control.is_empty() {
@@ -17,20 +17,21 @@
         return;
     };
     if peers.keys.is_empty() {
-        conflict("peers.keys".into(), "missing beside peers.listen".into());
+        conflict("peers.keys".into(), "missing; required with peers.listen".into());
     }
     if listen.ip().is_unspecified() || listen.port() == 0 {
-        let what =
-            format!("{listen} is none that others could call: an address of this machine's, and a port");
-        conflict("peers.listen".into(), what);
+        let message = format!(
+            "{listen} is not reachable for other instances; accepted: an address of this host, and a port"
+        );
+        conflict("peers.listen".into(), message);
     }
     if document.daemon.handover.is_some() {
-        let what = "can't stand beside daemon.handover: two processes would answer under one name";
-        conflict("peers.listen".into(), what.into());
+        let message = "cannot be combined with daemon.handover: two processes would use one instance name";
+        conflict("peers.listen".into(), message.into());
     }
     for (n, route) in peers.route.iter().enumerate() {
         if peers.route[..n].iter().any(|other| other.name == route.name) {
-            conflict("peers.route".into(), format!("{:?} is there twice", route.name));
+            conflict("peers.route".into(), format!("{:?} is given twice", route.name));
         }
     }
     if !peers.control.is_empty() {
@@ -38,41 +39,41 @@
     }
 }
 
-fn check_control(peers: &Peers, settings: &Settings, conflict: &mut Conflict) {
+fn check_control(peers: &Peers, settings: &Settings, conflict: &mut ReportConflict) {
     let (count, group) = (peers.control.len(), peers.control_group);
     if group % 2 == 0 {
         conflict("peers.control_group".into(), format!("{group} is even; accepted: 1, 3 or 5"));
     }
     if count < group {
-        let what = format!("{count} control instances for groups of {group}; accepted: {group} or more");
-        conflict("peers.control".into(), what);
+        let message = format!("{count} control instances for groups of {group}; accepted: {group} or more");
+        conflict("peers.control".into(), message);
     }
     for (n, instance) in peers.control.iter().enumerate() {
-        let taken = |other: &&crate::ControlInstance| {
+        let clashes = |other: &&crate::ControlInstance| {
             other.name == instance.name || other.address == instance.address
         };
-        if let Some(other) = peers.control[..n].iter().find(taken) {
-            let what = format!("{:?} has the name or address of {:?}", instance.name, other.name);
-            conflict("peers.control".into(), what);
+        if let Some(other) = peers.control[..n].iter().find(clashes) {
+            let message = format!("{:?} has the name or address of {:?}", instance.name, other.name);
+            conflict("peers.control".into(), message);
         }
     }
-    // Guards against settings that look as if they were in force: sharing among all has no part in this.
+    // Guards against settings without effect: they apply only to the exchange among all instances.
     for (key, given) in [("peers.seeds", !peers.seeds.is_empty()), ("peers.dir", peers.dir.is_some())] {
         if given {
             conflict(
                 key.into(),
-                "can't stand beside peers.control: instances then ask only control instances".into(),
+                "cannot be combined with peers.control: instances then use only control instances".into(),
             );
         }
     }
-    // Guards against reads that take a write for over while it may still commit.
+    // Guards against reads that consider a write as ended while it may still be committed.
     let writes = settings.classes.iter().filter(|class| class.consistency == Consistency::Write);
     let longest = writes.map(|class| class.deadline).fold(0.0, f64::max);
     if longest > peers.write_bound_s {
-        let what = format!(
+        let message = format!(
             "{} is less than the {longest} s that a class of writes may take; accepted: {longest} or more",
             peers.write_bound_s
         );
-        conflict("peers.write_bound_s".into(), what);
+        conflict("peers.write_bound_s".into(), message);
     }
 }
--- a/crates/operator/src/schema.rs
+++ b/crates/operator/src/schema.rs
@@ -1,29 +1,29 @@
-//! Every setting of the operator's file: what it holds, in which unit and range, its default, and whether it
-//! can change while the daemon runs. The one source for reading, for `config defaults` and for the pages.
+//! Every setting of the operator's file: its kind, unit, range and default, and whether it can change while
+//! the daemon runs. The parser, `config defaults` and the documentation all derive from this list.
 
 use std::fmt::Write;
 use std::sync::LazyLock;
 
-/// What a setting holds.
+/// The kind of a setting's value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
-    /// A text of at most so many bytes.
+    /// A string of at most this many bytes.
     Text(usize),
     /// An IP address with a port.
     Address,
-    /// IP addresses with ports, at most so many.
+    /// At most this many IP addresses with ports.
     Addresses(usize),
     /// An absolute path.
     Path,
-    /// Absolute paths, at most so many.
+    /// At most this many absolute paths.
     Paths(usize),
-    /// Tables of a name and an address, at most so many.
+    /// At most this many tables of a name and an address.
     Routes(usize),
-    /// Tables of a name, a region and an address, at most so many.
+    /// At most this many tables of a name, a region and an address.
     ControlInstances(usize),
     /// True or false.
     Flag,
-    /// A whole number in this range.
+    /// An integer in this range.
     Integer(u32, u32),
     /// A number in this range.
     Number(f64, f64),
@@ -31,40 +31,40 @@
     Choice(&'static [&'static str]),
 }
 
-/// When a new value of a setting comes into force.
+/// When a new value of a setting takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Activation {
-    /// Through a config transaction, while the daemon runs.
+    /// While the daemon runs, through a configuration transaction.
     Live,
-    /// With the next start; a transaction that would change it is refused.
+    /// At the next start; a transaction that would change the setting is rejected.
     Restart,
 }
 
 /// One setting.
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
-    /// Where it stands; `*` is any name.
+    /// Key; `*` stands for any name.
     pub key: &'static str,
-    /// What it holds.
+    /// Kind of the value.
     pub kind: Kind,
-    /// Its unit; empty where it has none.
+    /// Unit; empty if there is none.
     pub unit: &'static str,
-    /// Its default as TOML, or what holds where it is absent.
+    /// Default value, or what applies if the setting is absent.
     pub default: DefaultValue,
-    /// When a new value holds.
+    /// When a new value takes effect.
     pub activation: Activation,
-    /// What it does.
+    /// Help text.
     pub about: &'static str,
 }
 
-/// What holds where a setting is absent.
+/// What applies if a setting is absent.
 #[derive(Clone, Copy, Debug)]
 pub enum DefaultValue {
     /// This value, as TOML.
     Literal(&'static str),
-    /// What these words say, with an example of a value.
+    /// A description of what applies, and an example of a value.
     Described(&'static str, &'static str),
-    /// It must be there.
+    /// The setting is required; an example of a value.
     Required(&'static str),
 }
 
@@ -77,10 +77,10 @@
     kind: Kind,
     unit: &'static str,
     default: DefaultValue,
-    when: Activation,
+    activation: Activation,
     about: &'static str,
 ) -> Setting {
-    Setting { key, kind, unit, default, activation: when, about }
+    Setting { key, kind, unit, default, activation, about }
 }
 
 const PLATFORM: &str = "the platform's value";
@@ -93,7 +93,7 @@
         "",
         Described(PLATFORM, "\"127.0.0.1:5432\""),
         Live,
-        "where clients connect; the new address is bound before the old is let go, open connections live on",
+        "address that clients connect to; a new one is bound before the old is closed; open connections stay",
     ),
     setting(
         "discovery",
@@ -101,7 +101,7 @@
         "",
         Described(PLATFORM, "\"127.0.0.1:8500\""),
         Live,
-        "where discovery is; goes before the platform's for as long as it stands here",
+        "address of discovery; takes precedence over the platform's",
     ),
     setting(
         "limits.memory_mb",
@@ -109,7 +109,7 @@
         "MB",
         Described(PLATFORM, "64.0"),
         Live,
-        "memory that the process may take; half of it is for buffers, statements and values",
+        "memory that the process may use; half of it is for buffers, statements and values",
     ),
     setting(
         "limits.sockets",
@@ -117,7 +117,7 @@
         "descriptors",
         Described(PLATFORM, "512"),
         Live,
-        "file descriptors that the process may hold; half are for clients",
+        "file descriptors that the process may use; half are for clients",
     ),
     setting(
         "limits.keepalive_s",
@@ -125,7 +125,7 @@
         "s",
         Described(PLATFORM, "15.0"),
         Live,
-        "how long a db machine keeps an idle connection; it is closed from here at 0.7 of that",
+        "how long a database server keeps an idle connection; the pooler closes it after 0.7 of this time",
     ),
     setting(
         "limits.connect_timeout_s",
@@ -133,7 +133,7 @@
         "s",
         Described(PLATFORM, "0.25"),
         Live,
-        "a connection to a db machine that is not made within this has failed",
+        "time limit for opening a connection to a database server",
     ),
     setting(
         "limits.max_attempts",
@@ -141,7 +141,7 @@
         "attempts",
         Described(PLATFORM, "6"),
         Live,
-        "most attempts for one request",
+        "maximum number of attempts for one request",
     ),
     setting(
         "limits.max_retry_after_s",
@@ -149,7 +149,7 @@
         "s",
         Described(PLATFORM, "1.0"),
         Live,
-        "longest time that a refusal asks a client to stay away; 0 gives no advice",
+        "longest time after which a refusal advises a client to retry; 0 gives no advice",
     ),
     setting(
         "log.level",
@@ -157,7 +157,7 @@
         "",
         Literal("\"info\""),
         Live,
-        "how much is logged",
+        "lowest severity that is logged",
     ),
     setting(
         "log.format",
@@ -165,7 +165,7 @@
         "",
         Literal("\"human\""),
         Restart,
-        "a line for people, or one JSON object a line",
+        "log format: readable lines, or one JSON object per line",
     ),
     setting(
         "change.confirm",
@@ -173,7 +173,7 @@
         "",
         Literal("\"auto\""),
         Live,
-        "auto: a change stands once its probation ends well; manual: it needs `config confirm` too",
+        "auto: a change is confirmed when its probation ends well; manual: it also needs `config confirm`",
     ),
     setting(
         "change.probation_s",
@@ -181,7 +181,7 @@
         "s",
         Literal("15.0"),
         Live,
-        "how long health after a change is compared with health before it",
+        "time after a change during which health is compared with that before the change",
     ),
     setting(
         "change.confirm_within_s",
@@ -189,7 +189,7 @@
         "s",
         Literal("60.0"),
         Live,
-        "where confirm is manual: rolled back when no word has come by then",
+        "if confirm is manual, a change that is not confirmed within this time is rolled back",
     ),
     setting(
         "change.max_members_share",
@@ -197,7 +197,7 @@
         "share",
         Literal("0.34"),
         Live,
-        "a change that takes more than this share of the listed members out of use is refused",
+        "a change that takes more than this share of the listed members out of use is rejected",
     ),
     setting(
         "change.max_capacity_share",
@@ -205,7 +205,7 @@
         "share",
         Literal("0.34"),
         Live,
-        "the same for any one group's members",
+        "the same limit for the members of each group",
     ),
     setting(
         "change.significance",
@@ -213,7 +213,7 @@
         "",
         Literal("0.001"),
         Live,
-        "chance of a false alarm that a probation may take, over all its comparisons together",
+        "probability of a false alarm in a probation, over all its comparisons",
     ),
     setting(
         "change.worse_by",
@@ -221,7 +221,7 @@
         "share",
         Literal("0.05"),
         Live,
-        "least rise in the share of refused or failed requests that counts as worse",
+        "minimum increase of the share of refused or failed requests that counts as worse",
     ),
     setting(
         "change.least_requests",
@@ -229,7 +229,7 @@
         "requests",
         Literal("30"),
         Live,
-        "a class in a group with fewer requests than this in either period is not compared",
+        "a class is not compared in a group where either period has fewer requests than this",
     ),
     setting(
         "change.require_signature",
@@ -237,7 +237,7 @@
         "",
         Literal("false"),
         Live,
-        "take only files with a valid signature under one of the keys; can only be lifted by a signed file",
+        "accept only files with a valid signature by one of the keys; only a signed file can turn this off",
     ),
     setting(
         "change.keys",
@@ -245,7 +245,7 @@
         "",
         Literal("[]"),
         Live,
-        "key files for signatures, mode 0600 or stricter; two are valid during a rotation",
+        "key files for signatures, mode 0600 or stricter; several are valid at once, for key rotation",
     ),
     setting(
         "control.socket",
@@ -261,15 +261,15 @@
         "s",
         Literal("10.0"),
         Live,
-        "a control client that neither asks nor reads for so long is closed",
+        "a control connection that is idle or does not read for this long is closed",
     ),
     setting(
         "state.dir",
         Path,
         "",
-        Described("nothing is kept on disk", "\"/var/lib/dewferry\""),
+        Described("nothing is stored on disk", "\"/var/lib/dewferry\""),
         Restart,
-        "folder for the history of changes; the daemon comes up on the last confirmed one",
+        "folder for the history of changes; the daemon starts with the last confirmed one",
     ),
     setting(
         "state.max_kb",
@@ -277,7 +277,7 @@
         "KiB",
         Literal("16384"),
         Restart,
-        "size at which the history is rewritten without what is no longer needed",
+        "size at which the history is compacted",
     ),
     setting(
         "daemon.drain_for_s",
@@ -285,7 +285,7 @@
         "s",
         Literal("30.0"),
         Live,
-        "from the wish to end until what is still open is answered with what is known and cut off",
+        "time from the request to stop until pending requests are answered and connections closed",
     ),
     setting(
         "daemon.last_call_s",
@@ -293,15 +293,15 @@
         "s",
         Literal("0.75"),
         Live,
-        "from the wish to end until no more clients are taken in; those that wait for a server leave at once",
+        "time from the request to stop until clients are no longer accepted; those waiting for a server are refused",
     ),
     setting(
         "daemon.pid_file",
         Path,
         "",
-        Described("none is written", "\"/run/dewferry/pid\""),
+        Described("no file is written", "\"/run/dewferry/pid\""),
         Restart,
-        "the process's number, locked while it runs: a second daemon with the same file does not start",
+        "file with the process ID, locked while the daemon runs: a second one with the same file does not start",
     ),
     setting(
         "daemon.handover",
@@ -309,7 +309,7 @@
         "",
         Described("no successor can take over", "\"/run/dewferry/handover\""),
         Restart,
-        "Unix socket by which `dewferry serve --take-over` takes the listeners over from this daemon, mode 0600",
+        "Unix socket through which `dewferry serve --take-over` takes over this daemon's listeners, mode 0600",
     ),
     setting(
         "daemon.trial_s",
@@ -317,15 +317,15 @@
         "s",
         Literal("3.0"),
         Restart,
-        "a successor whose first seconds go badly hands back within this",
+        "trial period of a successor, within which it hands back if too many requests fail",
     ),
     setting(
         "peers.listen",
         Address,
         "",
-        Described("this instance shares nothing with others", "\"127.0.0.1:7000\""),
+        Described("this instance exchanges no state with others", "\"127.0.0.1:7000\""),
         Restart,
-        "where other instances reach this one, by UDP and TCP; what sessions wrote and more is shared with them",
+        "address for other instances, by UDP and TCP, with which session writes and other state are exchanged",
     ),
     setting(
         "peers.seeds",
@@ -333,7 +333,7 @@
         "",
         Literal("[]"),
         Restart,
-        "instances that are asked for all others; the own address may be among them",
+        "instances that are asked for all other instances; this instance's own address may be included",
     ),
     setting(
         "peers.keys",
@@ -341,15 +341,15 @@
         "",
         Literal("[]"),
         Restart,
-        "files of 64 hexadecimal digits, mode 0600, the same at all instances; the first signs, both are taken",
+        "files of 64 hexadecimal digits, mode 0600, the same on all instances; the first signs, both are accepted",
     ),
     setting(
         "peers.dir",
         Path,
         "",
-        Described("nothing of it is kept on disk", "\"/var/lib/dewferry/peers\""),
+        Described("nothing is stored on disk", "\"/var/lib/dewferry/peers\""),
         Restart,
-        "folder for the number of the last start and for who was there",
+        "folder for the counter of starts and the last known instances",
     ),
     setting(
         "peers.patience_s",
@@ -357,7 +357,7 @@
         "s",
         Literal("2.5"),
         Restart,
-        "without a majority writes of sessions are turned away for so long, then answered; the same everywhere",
+        "without a majority, session writes are refused for this long, then accepted; the same on all instances",
     ),
     setting(
         "peers.clock_error_s",
@@ -365,27 +365,27 @@
         "s",
         Literal("0.1"),
         Restart,
-        "how far this machine's clock may be from that of the db machines' positions",
+        "maximum error of this host's clock relative to the clock of the database servers' positions",
     ),
     setting(
         "peers.route",
         Routes(1_000),
         "",
-        Described("where it says itself", "[{ name = \"n2\", address = \"127.0.0.1:7102\" }]"),
+        Described("the address that the instance announces", "[{ name = \"n2\", address = \"127.0.0.1:7102\" }]"),
         Restart,
-        "where an instance is reached, whatever it says itself; beside peers.control by the control instance's name, or by \
-         the address that an instance says",
+        "address of an instance in place of the one that it announces; with peers.control, name is the control \
+         instance's name or the address that an instance announces",
     ),
     setting(
         "peers.control",
         ControlInstances(64),
         "",
         Described(
-            "instances share by themselves, each with every other",
+            "each instance exchanges state with every other",
             "[{ name = \"c1\", region = \"north\", address = \"127.0.0.1:7100\" }]",
         ),
         Restart,
-        "control instances (`dewferry control`) that keep which instance owns a session; the same list everywhere",
+        "control instances (`dewferry control`) that store the owners of sessions; the same list on all instances",
     ),
     setting(
         "peers.control_group",
@@ -393,7 +393,7 @@
         "",
         Literal("3"),
         Restart,
-        "control instances that keep each session, 1, 3 or 5; most of them have to be there. The same everywhere",
+        "control instances that store each session, 1, 3 or 5; a majority must be reachable; the same everywhere",
     ),
     setting(
         "peers.write_bound_s",
@@ -401,7 +401,7 @@
         "s",
         Literal("3.0"),
         Restart,
-        "beside peers.control, the longest time from the arrival of a write to its commit; the same everywhere",
+        "with peers.control, the longest time from a write's arrival to its commit; the same on all instances",
     ),
     setting(
         "registry.endpoints",
@@ -409,7 +409,7 @@
         "",
         Literal("[]"),
         Live,
-        "endpoints of a key-value registry (etcd v3's JSON gateway) that holds the list, in place of discovery",
+        "endpoints of a key-value registry (etcd v3's JSON gateway) that provides the list instead of discovery",
     ),
     setting(
         "registry.prefix",
@@ -417,7 +417,7 @@
         "",
         Literal("\"/dewferry\""),
         Live,
-        "members stand under PREFIX/members/NAME, operators' drains under PREFIX/drains/NAME",
+        "members are stored at PREFIX/members/NAME, operators' drains at PREFIX/drains/NAME",
     ),
     setting(
         "registry.serializable",
@@ -425,7 +425,7 @@
         "",
         Literal("false"),
         Live,
-        "let an endpoint answer reads from what it has; one that lags is found out and passed over",
+        "let an endpoint answer reads from its own state; a lagging one is detected and skipped",
     ),
     setting(
         "registry.call_s",
@@ -433,7 +433,7 @@
         "s",
         Literal("5.0"),
         Live,
-        "a call that is not answered within this has failed",
+        "time limit of a call",
     ),
     setting(
         "registry.silence_s",
@@ -441,7 +441,7 @@
         "s",
         Literal("30.0"),
         Live,
-        "a watch without a change or word of progress for so long is dead; more than the registry's notify interval",
+        "a watch without a change or progress message for this long has failed; must exceed the notify interval",
     ),
     setting(
         "registry.guard_share",
@@ -449,7 +449,7 @@
         "share",
         Literal("0.5"),
         Live,
-        "a step that takes more of the keys than this is asked about again before it is believed",
+        "an update that removes more than this share of the keys is applied only after another read confirms it",
     ),
     setting(
         "registry.guard_s",
@@ -457,31 +457,31 @@
         "s",
         Literal("5.0"),
         Live,
-        "for how long it must be still so, from another endpoint where there is one",
+        "time after which such an update is confirmed, by another endpoint if there is one",
     ),
     setting(
         "registry.tls_ca",
         Path,
         "",
-        Described("plain HTTP, for networks that can be trusted", "\"/etc/dewferry/registry-ca.pem\""),
+        Described("plain HTTP, for trusted networks only", "\"/etc/dewferry/registry-ca.pem\""),
         Live,
-        "certificates (PEM) of whoever may vouch for the endpoints; they are then called over TLS alone",
+        "CA certificates (PEM) for the endpoints, which are then called over TLS only",
     ),
     setting(
         "registry.tls_cert",
         Path,
         "",
-        Described("no certificate is shown", "\"/etc/dewferry/registry.pem\""),
+        Described("no certificate is presented", "\"/etc/dewferry/registry.pem\""),
         Live,
-        "the pooler's certificate and what stands above it (PEM); a renewed one goes into a file of a new name",
+        "the pooler's certificate chain (PEM); a renewed one needs a new file name",
     ),
     setting(
         "registry.tls_key",
         Path,
         "",
-        Described("no certificate is shown", "\"/etc/dewferry/registry.key\""),
+        Described("no certificate is presented", "\"/etc/dewferry/registry.key\""),
         Live,
-        "its key (PEM), mode 0600 or stricter",
+        "key of that certificate (PEM), mode 0600 or stricter",
     ),
     setting(
         "registry.tls_name",
@@ -489,7 +489,7 @@
         "",
         Described("each endpoint's IP address", "\"registry.example\""),
         Live,
-        "the name that the endpoints' certificates must be of",
+        "name that the endpoints' certificates must be issued for",
     ),
     setting(
         "registry.tls_warn_days",
@@ -497,31 +497,31 @@
         "days",
         Literal("21.0"),
         Live,
-        "a certificate in these files that runs out within this is warned of, once a day",
+        "time before the expiry of a certificate in these files from which a daily warning is logged",
     ),
     setting(
         "registry.user",
         Text(64),
         "",
-        Described("nobody logs in", "\"pooler\""),
+        Described("no login", "\"pooler\""),
         Live,
-        "who logs in at the registry; needs password_file",
+        "user name for the registry; needs password_file",
     ),
     setting(
         "registry.password_file",
         Path,
         "",
-        Described("nobody logs in", "\"/etc/dewferry/registry.password\""),
+        Described("no login", "\"/etc/dewferry/registry.password\""),
         Live,
-        "the user's password on one line, mode 0600 or stricter; read anew at each login",
+        "file with the user's password on one line, mode 0600 or stricter; read at each login",
     ),
     setting(
         "registry.register",
         Text(200),
         "",
-        Described("the pooler has no key of its own there", "\"/dewferry-poolers\""),
+        Described("the pooler registers no key", "\"/dewferry-poolers\""),
         Live,
-        "the pooler keeps a key REGISTER/NAME under a lease, beside the keys that are followed; gone when it ends",
+        "the pooler registers a key REGISTER/NAME under a lease, outside the prefix; removed when it stops",
     ),
     setting(
         "registry.lease_s",
@@ -529,7 +529,7 @@
         "s",
         Literal("15"),
         Live,
-        "that key is gone so long after the pooler's last word; kept alive three times as often",
+        "that key expires this long after the last keep-alive; keep-alives are sent three times as often",
     ),
     setting(
         "pool.listen",
@@ -537,7 +537,7 @@
         "",
         Described("ordinary clients are not served", "\"127.0.0.1:6432\""),
         Restart,
-        "where ordinary PostgreSQL clients connect, whose statements say nothing of class or time",
+        "address for ordinary PostgreSQL clients, whose statements name no class and no deadline",
     ),
     setting(
         "pool.mode",
@@ -545,23 +545,23 @@
         "",
         Literal("\"transaction\""),
         Restart,
-        "for how long a client keeps a server connection; what binds it to one keeps it for longer",
+        "how long a client keeps a server connection; longer if session state binds it to the connection",
     ),
     setting(
         "pool.write_class",
         Text(64),
         "",
-        Described("needed beside pool.listen", "\"order-write\""),
+        Described("required with pool.listen", "\"order-write\""),
         Live,
-        "the class of what may write, and of what cannot be told; its reads must be write or fresh",
+        "class of requests that may write or cannot be classified; its reads must be write or fresh",
     ),
     setting(
         "pool.read_class",
         Text(64),
         "",
-        Described("the same as write_class: all goes to the primary", "\"browse\""),
+        Described("write_class, so that all requests go to the primary", "\"browse\""),
         Live,
-        "the class of what is known to read only",
+        "class of requests that are known to be read-only",
     ),
     setting(
         "pool.tenant",
@@ -569,7 +569,7 @@
         "",
         Described("no tenant", "\"acme\""),
         Live,
-        "the tenant of what no route gives one",
+        "tenant of requests to which no route assigns one",
     ),
     setting(
         "pool.group",
@@ -577,7 +577,7 @@
         "",
         Literal("0"),
         Live,
-        "the group of what no route gives one",
+        "group of requests to which no route assigns one",
     ),
     setting(
         "pool.clients",
@@ -585,7 +585,7 @@
         "descriptors",
         Literal("100"),
         Restart,
-        "most ordinary clients at a time, out of limits.sockets",
+        "maximum number of ordinary clients; counted against limits.sockets",
     ),
     setting(
         "pool.servers",
@@ -593,7 +593,7 @@
         "descriptors",
         Literal("20"),
         Restart,
-        "most server connections for them in all, out of limits.sockets",
+        "maximum number of server connections for them; counted against limits.sockets",
     ),
     setting(
         "pool.servers_each",
@@ -601,7 +601,7 @@
         "connections",
         Literal("10"),
         Restart,
-        "most server connections of one member, user and database; who comes later waits, tenants in turn",
+        "maximum number of server connections per member, user and database; others wait, tenants round-robin",
     ),
     setting(
         "pool.servers_reserve",
@@ -609,7 +609,7 @@
         "connections",
         Literal("0"),
         Restart,
-        "so many more than servers_each of each, for whoever has waited for reserve_after_s",
+        "additional connections beyond servers_each, for requests that have waited for reserve_after_s",
     ),
     setting(
         "pool.reserve_after_s",
@@ -617,7 +617,7 @@
         "s",
         Literal("0.5"),
         Restart,
-        "how long somebody waits before the reserve is for him",
+        "how long a request waits before it may use the reserve",
     ),
     setting(
         "pool.servers_least",
@@ -625,7 +625,7 @@
         "connections",
         Literal("0"),
         Restart,
-        "so many of each are kept though nobody uses them",
+        "connections per member, user and database that are kept open even if idle",
     ),
     setting(
         "pool.server_idle_s",
@@ -633,7 +633,7 @@
         "s",
         Literal("30.0"),
         Restart,
-        "a server connection that nobody uses for so long is closed",
+        "a server connection that is idle for this long is closed",
     ),
     setting(
         "pool.server_lifetime_s",
@@ -641,7 +641,7 @@
         "s",
         Literal("3600.0"),
         Restart,
-        "a server connection is not used again after this, less up to a tenth",
+        "a server connection is not reused after this time, reduced at random by up to a tenth",
     ),
     setting(
         "pool.idle_in_transaction_s",
@@ -649,7 +649,7 @@
         "s",
         Literal("60.0"),
         Restart,
-        "a transaction that its client leaves idle for so long is undone",
+        "a transaction that is idle for this long is rolled back",
     ),
     setting(
         "pool.statement_s",
@@ -657,7 +657,7 @@
         "s",
         Literal("300.0"),
         Restart,
-        "a statement that takes longer is given up",
+        "time limit of a statement; a longer one is aborted",
     ),
     setting(
         "pool.drain_s",
@@ -665,7 +665,7 @@
         "s",
         Literal("5.0"),
         Restart,
-        "an open transaction on a member that is drained has so long to end",
+        "time that open transactions have to end on a member that is being drained",
     ),
     setting(
         "pool.statements",
@@ -673,15 +673,15 @@
         "statements",
         Literal("200"),
         Restart,
-        "most statements that a server connection keeps prepared; the one used longest ago goes",
+        "maximum number of prepared statements of a server connection; the least recently used one is closed",
     ),
     setting(
         "pool.users",
         Path,
         "",
-        Described("nobody is asked for a password", "\"/etc/dewferry/users\""),
+        Described("no password is required", "\"/etc/dewferry/users\""),
         Live,
-        "file of those who may connect, written by `dewferry users`, mode 0600; read when it is named, and on SIGHUP",
+        "file of users who may connect, written by `dewferry users`, mode 0600; read when set, and on SIGHUP",
     ),
     setting(
         "pool.tls_cert",
@@ -689,7 +689,7 @@
         "",
         Described("clients are served without TLS", "\"/etc/dewferry/pool.pem\""),
         Live,
-        "the certificate that ordinary clients are shown, with what stands above it (PEM)",
+        "certificate chain presented to ordinary clients (PEM)",
     ),
     setting(
         "pool.tls_key",
@@ -697,15 +697,15 @@
         "",
         Described("clients are served without TLS", "\"/etc/dewferry/pool.key\""),
         Live,
-        "its key (PEM), mode 0600 or stricter",
+        "key of that certificate (PEM), mode 0600 or stricter",
     ),
     setting(
         "pool.tls_client_ca",
         Path,
         "",
-        Described("clients show no certificate", "\"/etc/dewferry/clients-ca.pem\""),
+        Described("clients present no certificate", "\"/etc/dewferry/clients-ca.pem\""),
         Live,
-        "certificates (PEM) of whoever may vouch for clients, who must then show one",
+        "CA certificates (PEM) for client certificates, which clients must then present",
     ),
     setting(
         "pool.tls_required",
@@ -713,7 +713,7 @@
         "",
         Literal("false"),
         Live,
-        "turn away clients that do not ask for TLS",
+        "reject clients that do not request TLS",
     ),
     setting(
         "pool.server_user",
@@ -721,7 +721,7 @@
         "",
         Described("the client's own name", "\"pooler\""),
         Restart,
-        "the user as whom servers are connected to",
+        "user name for server connections",
     ),
     setting(
         "pool.server_tls_ca",
@@ -729,7 +729,7 @@
         "",
         Described("servers are connected to without TLS", "\"/etc/dewferry/servers-ca.pem\""),
         Restart,
-        "certificates (PEM) of whoever may vouch for servers, which are then connected to over TLS alone",
+        "CA certificates (PEM) for servers, which are then connected to over TLS only",
     ),
     setting(
         "pool.server_tls_name",
@@ -737,31 +737,31 @@
         "",
         Described("each server's IP address", "\"db.example\""),
         Restart,
-        "the name that the servers' certificates must be of",
+        "name that the servers' certificates must be issued for",
     ),
     setting(
         "pool.server_tls_cert",
         Path,
         "",
-        Described("no certificate is shown", "\"/etc/dewferry/server-client.pem\""),
+        Described("no certificate is presented", "\"/etc/dewferry/server-client.pem\""),
         Restart,
-        "the pooler's certificate towards servers and what stands above it (PEM)",
+        "the pooler's certificate chain presented to servers (PEM)",
     ),
     setting(
         "pool.server_tls_key",
         Path,
         "",
-        Described("no certificate is shown", "\"/etc/dewferry/server-client.key\""),
+        Described("no certificate is presented", "\"/etc/dewferry/server-client.key\""),
         Restart,
-        "its key (PEM), mode 0600 or stricter",
+        "key of that certificate (PEM), mode 0600 or stricter",
     ),
     setting(
         "pool.server_password_file",
         Path,
         "",
-        Described("servers that ask for a password are not connected to", "\"/etc/dewferry/server.password\""),
+        Described("servers that require a password are not connected to", "\"/etc/dewferry/server.password\""),
         Restart,
-        "that user's password at the servers (SCRAM-SHA-256) on one line, mode 0600; read with each connection",
+        "file with that user's password (SCRAM-SHA-256) on one line, mode 0600; read for each connection",
     ),
     setting(
         "route.*.rank",
@@ -769,7 +769,7 @@
         "",
         Literal("100"),
         Live,
-        "routes of a lower rank are looked at first, of one rank by name; the first that fits holds",
+        "routes are tried in ascending order of rank, then by name; the first match applies",
     ),
     setting(
         "route.*.user",
@@ -777,7 +777,7 @@
         "",
         Described("any", "\"report*\""),
         Live,
-        "the user; a * at the end stands for anything",
+        "user that the route matches; a * at the end matches any suffix",
     ),
     setting(
         "route.*.database",
@@ -785,7 +785,7 @@
         "",
         Described("any", "\"shop\""),
         Live,
-        "the database, in the same way",
+        "database that the route matches, with the same wildcard",
     ),
     setting(
         "route.*.application",
@@ -793,7 +793,7 @@
         "",
         Described("any", "\"cron*\""),
         Live,
-        "the application_name, in the same way",
+        "application_name that the route matches, with the same wildcard",
     ),
     setting(
         "route.*.comment",
@@ -801,7 +801,7 @@
         "",
         Described("any", "\"job=night\""),
         Live,
-        "a text that the statement's leading comment holds",
+        "text that the statement's leading comment must contain",
     ),
     setting(
         "route.*.reads",
@@ -809,7 +809,7 @@
         "",
         Described("either", "true"),
         Live,
-        "whether it is known to read only",
+        "whether the route matches requests known to be read-only, or all others",
     ),
     setting(
         "route.*.class",
@@ -817,7 +817,7 @@
         "",
         Described("read_class or write_class", "\"reports\""),
         Live,
-        "the class; what may write never gets one that replicas serve",
+        "assigned class; requests that may write never get one that replicas serve",
     ),
     setting(
         "route.*.tenant",
@@ -825,7 +825,7 @@
         "",
         Described("pool.tenant", "\"acme\""),
         Live,
-        "the tenant",
+        "assigned tenant",
     ),
     setting(
         "route.*.group",
@@ -833,7 +833,7 @@
         "",
         Described("pool.group", "2"),
         Live,
-        "the group",
+        "assigned group",
     ),
     setting(
         "class.*.reads",
@@ -841,7 +841,7 @@
         "",
         Described(PLATFORM, "\"bounded\""),
         Live,
-        "how recent its data must be; a new class must say",
+        "how recent the data must be; required for a new class",
     ),
     setting(
         "class.*.bound_s",
@@ -849,7 +849,7 @@
         "s",
         Described(PLATFORM, "1.0"),
         Live,
-        "oldest data that a bounded read may see",
+        "maximum staleness of the data for a bounded read",
     ),
     setting(
         "class.*.repeats",
@@ -857,7 +857,7 @@
         "",
         Described("the platform's; never for a new class", "\"safe\""),
         Live,
-        "what a repeat can do: nothing, nothing within its window under its key, or harm",
+        "whether requests may be repeated: safely, safely under a key within repeat_window_s, or never",
     ),
     setting(
         "class.*.scope",
@@ -865,7 +865,7 @@
         "",
         Described("the platform's; group for a new class", "\"group\""),
         Live,
-        "where repeats of a keyed request are dropped",
+        "members among which repeats of a keyed request are dropped",
     ),
     setting(
         "class.*.repeat_window_s",
@@ -873,7 +873,7 @@
         "s",
         Described("the platform's; 0 for a new class", "2.0"),
         Live,
-        "how long repeats of a keyed request are dropped",
+        "time during which repeats of a keyed request are dropped",
     ),
     setting(
         "class.*.aim_s",
@@ -881,7 +881,7 @@
         "s",
         Described(PLATFORM, "0.2"),
         Live,
-        "an answer within this is worth its full value; at most deadline_s",
+        "an answer within this time has its full value; at most deadline_s",
     ),
     setting(
         "class.*.deadline_s",
@@ -889,7 +889,7 @@
         "s",
         Described(PLATFORM, "0.8"),
         Live,
-        "how long a client of the class waits at most",
+        "time limit of the class's clients",
     ),
     setting(
         "class.*.value",
@@ -897,7 +897,7 @@
         "",
         Described("the platform's; 1 for a new class", "1.0"),
         Live,
-        "worth of one answer, against other classes",
+        "value of one answer relative to other classes",
     ),
     setting(
         "class.*.late_worth",
@@ -905,16 +905,16 @@
         "share",
         Described("the platform's; 0 for a new class", "0.0"),
         Live,
-        "share of its worth that an answer past its aim still has",
+        "share of its value that an answer after its aim retains",
     ),
-    setting("class.*.retired", Flag, "", Literal("false"), Live, "new requests of the class are turned away"),
+    setting("class.*.retired", Flag, "", Literal("false"), Live, "new requests of the class are refused"),
     setting(
         "tenant.*.quota_per_s",
         Number(0.0, 1_000_000_000.0),
         "requests/s",
         Described("the platform's; no limit for a new tenant", "1000.0"),
         Live,
-        "requests within the tenant's share, over all poolers",
+        "request rate within the tenant's quota, over all poolers",
     ),
     setting(
         "tenant.*.retired",
@@ -928,9 +928,9 @@
         "override.*",
         Choice(&["drain", "exclude"]),
         "",
-        Described("what the list says", "\"drain\""),
+        Described("the status in the list", "\"drain\""),
         Live,
-        "what becomes of this member, whatever the list says of it",
+        "status of this member, which overrides that in the list",
     ),
     setting(
         "member.*.address",
@@ -938,16 +938,16 @@
         "",
         Required("\"127.0.0.1:5501\""),
         Live,
-        "where the member listens; a list here takes the place of discovery's",
+        "address of the member; a list here replaces discovery's",
     ),
-    setting("member.*.zone", Text(64), "", Literal("\"\""), Live, "its zone"),
+    setting("member.*.zone", Text(64), "", Literal("\"\""), Live, "zone of the member"),
     setting(
         "member.*.group",
         Integer(0, 1_000_000),
         "",
         Literal("0"),
         Live,
-        "its group: one primary and its replicas",
+        "group of the member: one primary and its replicas",
     ),
     setting(
         "member.*.status",
@@ -955,92 +955,103 @@
         "",
         Literal("\"serving\""),
         Live,
-        "whether it takes new work",
+        "whether the member accepts new requests",
     ),
 ];
 
 impl Kind {
-    /// What would be accepted, in words.
+    /// Describes the accepted values.
     pub fn describe_accepted(&self) -> String {
         match self {
-            Text(most) => format!("a text of at most {most} bytes"),
+            Text(max) => format!("a text of at most {max} bytes"),
             Address => "an IP address with a port, such as \"127.0.0.1:5432\"".into(),
-            Addresses(most) => format!("at most {most} IP addresses with ports in []"),
+            Addresses(max) => format!("at most {max} IP addresses with ports in []"),
             Path => "an absolute path".into(),
-            Paths(most) => format!("at most {most} absolute paths in []"),
-            Routes(most) => {
-                format!("at most {most} tables, each of name, a text of at most 64 bytes, and address, an IP address with a port")
+            Paths(max) => format!("at most {max} absolute paths in []"),
+            Routes(max) => {
+                format!("at most {max} tables, each of name, a text of at most 64 bytes, and address, an IP address with a port")
             }
-            ControlInstances(most) => format!(
-                "at most {most} tables, each of name and region, texts of at most 64 bytes, and address, an IP address with a port"
+            ControlInstances(max) => format!(
+                "at most {max} tables, each of name and region, texts of at most 64 bytes, and address, an IP address with a port"
             ),
             Flag => "true or false".into(),
-            Integer(least, most) => format!("a whole number from {least} to {most}"),
-            Number(least, most) => format!("a number from {least} to {most}"),
-            Choice(words) => format!("one of {}", words.join(", ")),
+            Integer(min, max) => format!("a whole number from {min} to {max}"),
+            Number(min, max) => format!("a number from {min} to {max}"),
+            Choice(values) => format!("one of {}", values.join(", ")),
         }
     }
 }
 
-/// The settings with their keys taken apart, once: a file of thousands of members asks for them as often.
-static TAKEN_APART: LazyLock<Vec<(Vec<&'static str>, &'static Setting)>> =
+/// The settings with their keys split into parts. Split only once, since a file of thousands of members looks
+/// up as many keys.
+static SETTINGS_BY_PARTS: LazyLock<Vec<(Vec<&'static str>, &'static Setting)>> =
     LazyLock::new(|| SETTINGS.iter().map(|setting| (setting.key.split('.').collect(), setting)).collect());
 
-/// Whether parts of a key are where a setting is, as far as there are any.
-fn leads_to(parts: &[String], own: &[&str]) -> bool {
-    own.len() >= parts.len() && parts.iter().zip(own).all(|(part, own)| *own == "*" || own == part)
+/// Returns true if `parts` match the beginning of a setting's key.
+fn is_prefix(parts: &[String], setting_parts: &[&str]) -> bool {
+    setting_parts.len() >= parts.len()
+        && parts.iter().zip(setting_parts).all(|(part, expected)| *expected == "*" || expected == part)
 }
 
-/// The setting at a key, given by its parts.
+/// Returns the setting at a key, given by its parts.
 pub fn find(parts: &[String]) -> Option<&'static Setting> {
-    let at = |(own, _): &&(Vec<&str>, _)| own.len() == parts.len() && leads_to(parts, own);
-    TAKEN_APART.iter().find(at).map(|(_, setting)| *setting)
+    let is_at = |(setting_parts, _): &&(Vec<&str>, _)| {
+        setting_parts.len() == parts.len() && is_prefix(parts, setting_parts)
+    };
+    SETTINGS_BY_PARTS.iter().find(is_at).map(|(_, setting)| *setting)
 }
 
-/// The names that may stand under a table, given by its parts; `*` where any may.
+/// Returns the names that a table, given by the parts of its key, may contain; `*` if any name is permitted.
 pub fn child_keys(parts: &[String]) -> Vec<&'static str> {
     let mut names = Vec::new();
-    for (own, _) in TAKEN_APART.iter() {
-        if own.len() > parts.len() && leads_to(parts, own) && !names.contains(&own[parts.len()]) {
-            names.push(own[parts.len()]);
+    for (setting_parts, _) in SETTINGS_BY_PARTS.iter() {
+        if setting_parts.len() > parts.len()
+            && is_prefix(parts, setting_parts)
+            && !names.contains(&setting_parts[parts.len()])
+        {
+            names.push(setting_parts[parts.len()]);
         }
     }
     names
 }
 
-/// The settings that must stand in a table, given by its parts, and their names there.
+/// Returns the settings that a table, given by the parts of its key, must contain, with their names.
 pub fn required_settings(parts: &[String]) -> Vec<(&'static str, &'static Setting)> {
-    let needed = TAKEN_APART.iter().filter(|(_, setting)| matches!(setting.default, Required(_)));
-    let here = needed.filter(|(own, _)| own.len() == parts.len() + 1 && leads_to(parts, own));
-    here.map(|(own, setting)| (own[own.len() - 1], *setting)).collect()
+    let required = SETTINGS_BY_PARTS.iter().filter(|(_, setting)| matches!(setting.default, Required(_)));
+    let in_table = required.filter(|(setting_parts, _)| {
+        setting_parts.len() == parts.len() + 1 && is_prefix(parts, setting_parts)
+    });
+    in_table.map(|(setting_parts, setting)| (setting_parts[setting_parts.len() - 1], *setting)).collect()
 }
 
-/// A commented file that holds every setting and parses to the defaults: what has no value of its own, and what
-/// needs a name, stands in comments.
+/// Returns a commented file that contains every setting and parses to the defaults. Settings without a
+/// default value, and those under a name, are commented out.
 pub fn defaults() -> String {
     let mut out = String::from(
-        "# dewferry's operator file. Every setting stands here with its default, or in a comment with an example\n\
-         # where the platform's value holds unless one is given. Units: s seconds, MB 1,000,000 bytes.\n",
+        "# dewferry's operator file. It contains every setting with its default. Settings without one are commented\n\
+         # out with an example; the text after \"Absent\" says what applies. Units: s seconds, MB 1,000,000 bytes.\n",
     );
-    let mut table = "";
+    let mut current_table = "";
     for setting in SETTINGS {
-        let (head, name) = setting.key.rsplit_once('.').unwrap_or(("", setting.key));
-        let named = setting.key.contains('*');
-        let head_shown = head.replace('*', "NAME");
-        if head != table {
-            let mark = if named { "# " } else { "" };
-            let _ = writeln!(out, "\n{mark}[{head_shown}]");
-            table = head;
+        let (table, name) = setting.key.rsplit_once('.').unwrap_or(("", setting.key));
+        let has_name = setting.key.contains('*');
+        let table_shown = table.replace('*', "NAME");
+        if table != current_table {
+            let prefix = if has_name { "# " } else { "" };
+            let _ = writeln!(out, "\n{prefix}[{table_shown}]");
+            current_table = table;
         }
         let unit = if setting.unit.is_empty() { String::new() } else { format!("; unit: {}", setting.unit) };
-        let start = if setting.activation == Restart { "; needs a restart" } else { "" };
+        let restart = if setting.activation == Restart { "; needs a restart" } else { "" };
         let _ = writeln!(out, "# {}.", setting.about);
-        let _ = writeln!(out, "# {}{unit}{start}.", setting.kind.describe_accepted());
+        let _ = writeln!(out, "# {}{unit}{restart}.", setting.kind.describe_accepted());
         let name = if name == "*" { "NAME" } else { name };
         let _ = match setting.default {
-            Literal(value) if named => writeln!(out, "# {name} = {value}"),
+            Literal(value) if has_name => writeln!(out, "# {name} = {value}"),
             Literal(value) => writeln!(out, "{name} = {value}"),
-            Described(what, example) => writeln!(out, "# Absent: {what}.\n# {name} = {example}"),
+            Described(description, example) => {
+                writeln!(out, "# Absent: {description}.\n# {name} = {example}")
+            }
             Required(example) => writeln!(out, "# Must be given.\n# {name} = {example}"),
         };
     }
