--- a/crates/simulation/src/instances.rs
+++ b/crates/simulation/src/instances.rs
@@ -1,6 +1,7 @@
-//! Instances that talk, on a virtual network with faults and one virtual clock: the very machine that the daemon drives.
-//! Sessions write and read through any of them; what a read might see is held against what its session was answered.
-//! The same seed gives the same run to the last datagram.
+//! Simulates instances that exchange state over a virtual network with faults, on one virtual clock. The
+//! instances run the same state machine as the program. Sessions write and read through any instance; the
+//! position that a read may start from is checked against the latest write answered to its session. Two runs
+//! with the same seed are equal datagram by datagram.
 
 use std::cmp::Reverse;
 use std::collections::hash_map::DefaultHasher;
@@ -10,23 +11,23 @@
 
 use replication::{Identity, Keys, Node, NodeConfig, Notice, ReadRequirement, Ticket};
 
-/// The key of all instances.
-const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
-/// Unix time at the beginning.
+/// The key shared by all instances.
+const SHARED_KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
+/// Unix time at the start of a run (seconds).
 pub const START_TIME: f64 = 1_000_000.0;
-/// A request that waits for leave to be sent is refused after this (seconds).
-const HOLD: f64 = 0.6;
+/// A write that may not be sent yet is refused after this time (seconds).
+const MAX_SEND_WAIT: f64 = 0.6;
 
-/// What the network does to datagrams.
+/// Loss, duplication and delay of datagrams.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConfig {
-    /// Share that is lost.
+    /// Share of datagrams that are lost.
     pub loss: f64,
-    /// Share that comes twice.
+    /// Share of datagrams that arrive twice.
     pub duplication: f64,
-    /// The shortest and the longest way (seconds); the order is as it falls out.
+    /// Minimum and maximum latency (seconds). Datagrams may be reordered.
     pub latency: (f64, f64),
-    /// Share that takes so much longer (seconds).
+    /// Share of datagrams that are delayed further, and by how much (seconds).
     pub extra_delay: (f64, f64),
 }
 
@@ -36,102 +37,102 @@
     }
 }
 
-/// What a read of a session came to.
+/// Counts of the reads and writes of all sessions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionTotals {
-    /// Reads in all, and those that a replica with its lag could serve.
+    /// All reads.
     pub reads: u64,
-    /// See above.
+    /// Reads that a replica lagging by [`Instances::replica_lag`] could serve.
     pub servable_by_replica: u64,
-    /// Reads that would have seen less than their session was answered.
+    /// Reads that might have missed a write answered to their session.
     pub stale: u64,
-    /// Writes answered, refused before they were sent, and of those answered the ones that waited for others.
+    /// Writes that were answered.
     pub answered: u64,
-    /// See above.
+    /// Writes that were refused before they were sent.
     pub refused: u64,
-    /// See above.
+    /// Answered writes whose answer had to wait for other instances.
     pub waited: u64,
-    /// Writes whose instance ended before their answer.
+    /// Writes whose instance was killed before the answer.
     pub lost: u64,
 }
 
 enum Event {
-    Arrive { to: usize, bytes: std::rc::Rc<Vec<u8>> },
+    DatagramArrived { to: usize, bytes: std::rc::Rc<Vec<u8>> },
     Tick(usize, u64),
-    Poll(u64),
-    Commit(u64),
+    PollWrite(u64),
+    CommitWrite(u64),
 }
 
 struct Write {
-    at: usize,
-    life: u64,
+    instance: usize,
+    incarnation: u64,
     ticket: Ticket,
     session: usize,
-    begun: f64,
+    started_at: f64,
     sent: bool,
-    work: f64,
-    committed: Option<f64>,
+    duration: f64,
+    committed_at: Option<f64>,
 }
 
-struct Seat {
+struct SimulatedInstance {
     node: Option<Node>,
     identity: Identity,
-    life: u64,
-    stopped: bool,
-    /// What has come while it was stopped.
+    incarnation: u64,
+    paused: bool,
+    /// Datagrams that arrived while the instance was paused.
     backlog: Vec<std::rc::Rc<Vec<u8>>>,
-    ticks_at: f64,
-    /// Its disk, where it has one.
+    next_tick_at: f64,
+    /// Contents of the disk, if the instance has one.
     disk: Option<Vec<u8>>,
 }
 
-/// All instances, the network and the sessions.
+/// The simulated instances, the network between them and the sessions.
 pub struct Instances {
-    /// Now (Unix seconds).
+    /// Current time (Unix seconds).
     pub now: f64,
-    seats: Vec<Seat>,
-    events: BinaryHeap<Reverse<(Key, u64)>>,
-    pending: HashMap<u64, Event>,
-    order: u64,
+    instances: Vec<SimulatedInstance>,
+    queue: BinaryHeap<Reverse<(EventOrder, u64)>>,
+    scheduled: HashMap<u64, Event>,
+    sequence: u64,
     rng: fastrand::Rng,
-    /// What the network does.
+    /// Faults and delays of the network.
     pub network: NetworkConfig,
-    /// Directions that are cut: from, to.
+    /// Blocked directions, as (from, to).
     pub blocked_directions: HashSet<(usize, usize)>,
-    terms: NodeConfig,
+    node_config: NodeConfig,
     writes: HashMap<u64, Write>,
-    wishes: u64,
-    /// The latest position that each session was answered.
-    answered: HashMap<usize, f64>,
-    /// Who answered it, at which start, and when.
-    answerer: HashMap<usize, (usize, u64, f64)>,
-    /// What went against the rule, in words.
+    last_write: u64,
+    /// Position of the latest answered write of each session.
+    answered_positions: HashMap<usize, f64>,
+    /// Which instance and incarnation answered that write, and when (seconds since the start of the run).
+    answered_by: HashMap<usize, (usize, u64, f64)>,
+    /// Description of each stale read.
     pub breaches: Vec<String>,
-    /// What has come of reads and writes.
+    /// Counts of reads and writes.
     pub totals: SessionTotals,
-    /// What each instance has told, with the time.
+    /// Notices of the instances: time, instance and notice.
     pub notices: Vec<(f64, usize, Notice)>,
     trace: DefaultHasher,
-    /// How long a write takes at the most (seconds).
+    /// Maximum duration of a write (seconds).
     pub max_write_time: f64,
-    /// How far the replica is behind (seconds).
+    /// Lag of the replica (seconds).
     pub replica_lag: f64,
-    keep_notices: bool,
+    retain_notices: bool,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-struct Key(f64, u64);
+struct EventOrder(f64, u64);
 
-impl Eq for Key {}
+impl Eq for EventOrder {}
 
-impl PartialOrd for Key {
-    fn partial_cmp(&self, other: &Key) -> Option<std::cmp::Ordering> {
+impl PartialOrd for EventOrder {
+    fn partial_cmp(&self, other: &EventOrder) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Key {
-    fn cmp(&self, other: &Key) -> std::cmp::Ordering {
+impl Ord for EventOrder {
+    fn cmp(&self, other: &EventOrder) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0).then(self.1.cmp(&other.1))
     }
 }
@@ -140,7 +141,7 @@
     ([127, (n >> 16) as u8, (n >> 8) as u8, n as u8], 7_000).into()
 }
 
-fn seat_of(address: SocketAddr) -> usize {
+fn index_of(address: SocketAddr) -> usize {
     match address.ip() {
         std::net::IpAddr::V4(ip) => {
             let [_, a, b, c] = ip.octets();
@@ -151,30 +152,31 @@
 }
 
 impl Instances {
-    /// So many instances in so many zones; the first `seeds` are known to all.
-    pub fn new(seed: u64, count: usize, zones: usize, seeds: usize, net: NetworkConfig) -> Instances {
-        let terms = NodeConfig { seeds: (0..seeds).map(address).collect(), ..NodeConfig::default() };
-        let mut all = Instances {
+    /// Creates `count` instances in `zones` zones, none started. The first `seeds` of them are every
+    /// instance's seeds.
+    pub fn new(seed: u64, count: usize, zones: usize, seeds: usize, network: NetworkConfig) -> Instances {
+        let node_config = NodeConfig { seeds: (0..seeds).map(address).collect(), ..NodeConfig::default() };
+        let mut simulation = Instances {
             now: START_TIME,
-            seats: Vec::new(),
-            events: BinaryHeap::new(),
-            pending: HashMap::new(),
-            order: 0,
+            instances: Vec::new(),
+            queue: BinaryHeap::new(),
+            scheduled: HashMap::new(),
+            sequence: 0,
             rng: fastrand::Rng::with_seed(seed),
-            network: net,
+            network,
             blocked_directions: HashSet::new(),
-            terms,
+            node_config,
             writes: HashMap::new(),
-            wishes: 0,
-            answered: HashMap::new(),
-            answerer: HashMap::new(),
+            last_write: 0,
+            answered_positions: HashMap::new(),
+            answered_by: HashMap::new(),
             breaches: Vec::new(),
             totals: SessionTotals::default(),
             notices: Vec::new(),
             trace: DefaultHasher::new(),
             max_write_time: 0.05,
             replica_lag: 1.5,
-            keep_notices: count <= 64,
+            retain_notices: count <= 64,
         };
         for n in 0..count {
             let identity = Identity {
@@ -184,70 +186,78 @@
                 start: 0,
                 renewal: 0,
             };
-            let seat = Seat {
+            let instance = SimulatedInstance {
                 node: None,
                 identity,
-                life: 0,
-                stopped: false,
+                incarnation: 0,
+                paused: false,
                 backlog: Vec::new(),
-                ticks_at: f64::INFINITY,
+                next_tick_at: f64::INFINITY,
                 disk: None,
             };
-            all.seats.push(seat);
+            simulation.instances.push(instance);
         }
-        all
+        simulation
     }
 
-    /// Gives each a disk.
+    /// Gives each instance an empty disk.
     pub fn add_disks(&mut self) {
-        self.seats.iter_mut().for_each(|seat| seat.disk = Some(Vec::new()));
+        self.instances.iter_mut().for_each(|instance| instance.disk = Some(Vec::new()));
     }
 
-    /// What instances go by; takes effect at their next start.
-    pub fn set_terms(&mut self, change: impl Fn(&mut NodeConfig)) {
-        change(&mut self.terms);
+    /// Changes the configuration of the instances. An instance uses it from its next start.
+    pub fn set_node_config(&mut self, change: impl Fn(&mut NodeConfig)) {
+        change(&mut self.node_config);
     }
 
     fn schedule(&mut self, at: f64, event: Event) {
-        self.order += 1;
-        self.pending.insert(self.order, event);
-        self.events.push(Reverse((Key(at, self.order), self.order)));
+        self.sequence += 1;
+        self.scheduled.insert(self.sequence, event);
+        self.queue.push(Reverse((EventOrder(at, self.sequence), self.sequence)));
     }
 
-    /// Starts an instance, anew if it was there before.
+    /// Starts or restarts an instance.
     pub fn start(&mut self, n: usize) {
-        let seat = &mut self.seats[n];
-        let kept = seat.disk.as_deref().map(replication::disk::parse);
-        seat.life += 1;
-        seat.identity.start = replication::disk::next_start(kept.as_ref(), self.now).max(seat.life);
-        seat.stopped = false;
-        seat.backlog.clear();
-        let keys = Keys::parse([KEY]).expect("a key");
+        let instance = &mut self.instances[n];
+        let stored = instance.disk.as_deref().map(replication::disk::parse);
+        instance.incarnation += 1;
+        instance.identity.start =
+            replication::disk::next_start(stored.as_ref(), self.now).max(instance.incarnation);
+        instance.paused = false;
+        instance.backlog.clear();
+        let keys = Keys::parse([SHARED_KEY]).expect("a key");
         let seed = self.rng.u64(..);
-        seat.node = Some(Node::new(seat.identity.clone(), keys, self.terms.clone(), seed, self.now, kept));
-        seat.ticks_at = f64::INFINITY;
-        self.after(n);
+        instance.node = Some(Node::new(
+            instance.identity.clone(),
+            keys,
+            self.node_config.clone(),
+            seed,
+            self.now,
+            stored,
+        ));
+        instance.next_tick_at = f64::INFINITY;
+        self.process_output(n);
     }
 
-    /// Kills an instance: what it has not sent is gone.
+    /// Kills an instance; its unanswered writes are lost.
     pub fn kill(&mut self, n: usize) {
-        let seat = &mut self.seats[n];
-        seat.node = None;
-        seat.life += 1;
-        let life = seat.life;
-        let lost = self.writes.values().filter(|w| w.at == n && w.life < life).count();
+        let instance = &mut self.instances[n];
+        instance.node = None;
+        instance.incarnation += 1;
+        let incarnation = instance.incarnation;
+        let lost = self.writes.values().filter(|w| w.instance == n && w.incarnation < incarnation).count();
         self.totals.lost += lost as u64;
-        self.writes.retain(|_, w| w.at != n || w.life >= life);
+        self.writes.retain(|_, w| w.instance != n || w.incarnation >= incarnation);
     }
 
-    /// Ends an instance as it should: its writes are answered first, then it says so until all have read it, for 0.3 s at
-    /// the most.
+    /// Shuts an instance down: waits up to 1 s for its writes to be answered, then lets it announce its leave
+    /// for up to 0.3 s, until all others have acknowledged it.
     pub fn leave(&mut self, n: usize) {
-        let begun = self.now;
-        while self.writes.values().any(|write| write.at == n) && self.now - begun < 1.0 {
+        let started_at = self.now;
+        while self.writes.values().any(|write| write.instance == n) && self.now - started_at < 1.0 {
             self.run(0.005);
         }
-        if self.writes.values().any(|write| write.at == n) || !self.is_running(n) {
+        if self.writes.values().any(|write| write.instance == n) || !self.is_running(n) {
             return self.kill(n);
         }
         let until = self.now + 0.3;
@@ -257,31 +267,32 @@
         self.kill(n);
     }
 
-    /// Stops an instance's process, which goes on later as if nothing had been.
+    /// Pauses an instance's process, as SIGSTOP does; it keeps its state.
     pub fn pause(&mut self, n: usize) {
-        self.seats[n].stopped = true;
+        self.instances[n].paused = true;
     }
 
-    /// Lets a stopped process go on; what came for it meanwhile is there.
+    /// Resumes a paused instance, which then receives the datagrams that arrived meanwhile.
     pub fn resume(&mut self, n: usize) {
-        self.seats[n].stopped = false;
-        let backlog = std::mem::take(&mut self.seats[n].backlog);
+        self.instances[n].paused = false;
+        let backlog = std::mem::take(&mut self.instances[n].backlog);
         let now = self.now;
-        if let Some(node) = &mut self.seats[n].node {
+        if let Some(node) = &mut self.instances[n].node {
             backlog.iter().for_each(|bytes| node.receive(now, bytes));
         }
-        self.seats[n].ticks_at = f64::INFINITY;
-        self.after(n);
-        let waiting: Vec<u64> = self.writes.iter().filter(|(_, w)| w.at == n).map(|(id, _)| *id).collect();
-        waiting.into_iter().for_each(|id| self.schedule(now, Event::Poll(id)));
+        self.instances[n].next_tick_at = f64::INFINITY;
+        self.process_output(n);
+        let waiting: Vec<u64> =
+            self.writes.iter().filter(|(_, w)| w.instance == n).map(|(id, _)| *id).collect();
+        waiting.into_iter().for_each(|id| self.schedule(now, Event::PollWrite(id)));
     }
 
-    /// Cuts all ways between two sets, or lets them be again.
-    pub fn set_partitioned(&mut self, some: &[usize], apart: bool) {
-        for a in 0..self.seats.len() {
-            for b in 0..self.seats.len() {
-                if some.contains(&a) != some.contains(&b) {
-                    if apart {
+    /// Blocks both directions between the given instances and all others, or unblocks them.
+    pub fn set_partitioned(&mut self, indices: &[usize], partitioned: bool) {
+        for a in 0..self.instances.len() {
+            for b in 0..self.instances.len() {
+                if indices.contains(&a) != indices.contains(&b) {
+                    if partitioned {
                         self.blocked_directions.insert((a, b));
                     } else {
                         self.blocked_directions.remove(&(a, b));
@@ -291,55 +302,56 @@
         }
     }
 
-    /// Whether an instance runs.
+    /// Returns true if an instance is started and not paused.
     pub fn is_running(&self, n: usize) -> bool {
-        self.seats[n].node.is_some() && !self.seats[n].stopped
+        self.instances[n].node.is_some() && !self.instances[n].paused
     }
 
-    /// How many there are.
+    /// Number of instances.
     pub fn len(&self) -> usize {
-        self.seats.len()
+        self.instances.len()
     }
 
-    /// Whether there are none.
+    /// Returns true if there are no instances.
     pub fn is_empty(&self) -> bool {
-        self.seats.is_empty()
+        self.instances.is_empty()
     }
 
-    /// An instance.
+    /// The state machine of an instance that is started.
     pub fn node(&mut self, n: usize) -> Option<&mut Node> {
-        self.seats[n].node.as_mut()
+        self.instances[n].node.as_mut()
     }
 
-    /// Does something at an instance, and sends what follows.
-    pub fn with_node<T>(&mut self, n: usize, what: impl FnOnce(&mut Node, f64) -> T) -> Option<T> {
+    /// Calls an instance with the current time, then sends its datagrams. Returns None if it is not started.
+    pub fn with_node<T>(&mut self, n: usize, call: impl FnOnce(&mut Node, f64) -> T) -> Option<T> {
         let now = self.now;
-        let result = self.seats[n].node.as_mut().map(|node| what(node, now));
-        self.after(n);
+        let result = self.instances[n].node.as_mut().map(|node| call(node, now));
+        self.process_output(n);
         result
     }
 
-    /// Carries out what an instance wants after a call.
-    fn after(&mut self, n: usize) {
+    /// Sends the datagrams, stores the records and schedules the timer that an instance asks for after a
+    /// call.
+    fn process_output(&mut self, n: usize) {
         let now = self.now;
-        let life = self.seats[n].life;
-        let Some(node) = self.seats[n].node.as_mut() else { return };
-        let (out, notices, due) = (node.take_datagrams(), node.take_notices(), node.next_due());
+        let incarnation = self.instances[n].incarnation;
+        let Some(node) = self.instances[n].node.as_mut() else { return };
+        let (datagrams, notices, due) = (node.take_datagrams(), node.take_notices(), node.next_due());
         let records = node.take_records();
-        if let Some(disk) = &mut self.seats[n].disk {
+        if let Some(disk) = &mut self.instances[n].disk {
             disk.extend(records.iter().flat_map(replication::disk::Record::encode));
         }
-        if self.keep_notices {
+        if self.retain_notices {
             self.notices.extend(notices.into_iter().map(|notice| (now, n, notice)));
         }
-        if due < self.seats[n].ticks_at {
-            self.seats[n].ticks_at = due;
-            self.schedule(due.max(now), Event::Tick(n, life));
+        if due < self.instances[n].next_tick_at {
+            self.instances[n].next_tick_at = due;
+            self.schedule(due.max(now), Event::Tick(n, incarnation));
         }
-        for (to, bytes) in out {
-            let to = seat_of(to);
+        for (to, bytes) in datagrams {
+            let to = index_of(to);
             (now.to_bits(), n, to, bytes.len()).hash(&mut self.trace);
-            if to >= self.seats.len()
+            if to >= self.instances.len()
                 || self.blocked_directions.contains(&(n, to))
                 || self.rng.f64() < self.network.loss
             {
@@ -348,147 +360,161 @@
             let copies = 1 + usize::from(self.rng.f64() < self.network.duplication);
             let bytes = std::rc::Rc::new(bytes);
             for _ in 0..copies {
-                let (least, most) = self.network.latency;
-                let late = if self.rng.f64() < self.network.extra_delay.0 {
+                let (min, max) = self.network.latency;
+                let extra_delay = if self.rng.f64() < self.network.extra_delay.0 {
                     self.network.extra_delay.1
                 } else {
                     0.0
                 };
-                let at = now + least + (most - least) * self.rng.f64() + late;
-                self.schedule(at, Event::Arrive { to, bytes: bytes.clone() });
+                let at = now + min + (max - min) * self.rng.f64() + extra_delay;
+                self.schedule(at, Event::DatagramArrived { to, bytes: bytes.clone() });
             }
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock (seconds).
     pub fn run(&mut self, seconds: f64) {
         let until = self.now + seconds;
-        while let Some(Reverse((Key(at, _), id))) = self.events.peek().copied() {
+        while let Some(Reverse((EventOrder(at, _), id))) = self.queue.peek().copied() {
             if at > until {
                 break;
             }
-            self.events.pop();
+            self.queue.pop();
             self.now = self.now.max(at);
-            let Some(event) = self.pending.remove(&id) else { continue };
-            self.happen(event);
+            let Some(event) = self.scheduled.remove(&id) else { continue };
+            self.run_event(event);
         }
         self.now = until;
     }
 
-    fn happen(&mut self, event: Event) {
+    fn run_event(&mut self, event: Event) {
         let now = self.now;
         match event {
-            // What is on the way to one that ends meanwhile reaches its next start, as on a real port.
-            Event::Arrive { to, bytes } => {
-                let seat = &mut self.seats[to];
-                if seat.stopped {
-                    if seat.backlog.len() < 200 {
-                        seat.backlog.push(bytes);
+            // A datagram in transit while the instance restarts reaches the next incarnation, as on a real
+            // port.
+            Event::DatagramArrived { to, bytes } => {
+                let instance = &mut self.instances[to];
+                if instance.paused {
+                    if instance.backlog.len() < 200 {
+                        instance.backlog.push(bytes);
                     }
-                } else if let Some(node) = &mut seat.node {
+                } else if let Some(node) = &mut instance.node {
                     node.receive(now, &bytes);
-                    self.after(to);
+                    self.process_output(to);
                 }
             }
-            Event::Tick(n, life) => {
-                let seat = &mut self.seats[n];
-                if seat.life != life || seat.stopped {
+            Event::Tick(n, incarnation) => {
+                let instance = &mut self.instances[n];
+                if instance.incarnation != incarnation || instance.paused {
                     return;
                 }
-                if now < seat.ticks_at {
+                if now < instance.next_tick_at {
                     return;
                 }
-                seat.ticks_at = f64::INFINITY;
-                if let Some(node) = &mut seat.node {
+                instance.next_tick_at = f64::INFINITY;
+                if let Some(node) = &mut instance.node {
                     node.tick(now);
                 }
-                self.after(n);
+                self.process_output(n);
             }
-            Event::Commit(id) => {
-                // At the db machine, whatever its pooler is doing.
+            Event::CommitWrite(id) => {
+                // The member commits even while the instance is paused.
                 if let Some(write) = self.writes.get_mut(&id) {
-                    write.committed = Some(now);
+                    write.committed_at = Some(now);
                 }
-                self.schedule(now, Event::Poll(id));
+                self.schedule(now, Event::PollWrite(id));
             }
-            Event::Poll(id) => self.poll(id),
+            Event::PollWrite(id) => self.poll_write(id),
         }
     }
 
-    fn poll(&mut self, id: u64) {
+    fn poll_write(&mut self, id: u64) {
         let now = self.now;
         let Some(write) = self.writes.get(&id) else { return };
-        let (n, ticket, session, begun) = (write.at, write.ticket, write.session, write.begun);
-        if self.seats[n].stopped || self.seats[n].life != write.life {
+        let (n, ticket, session, started_at) =
+            (write.instance, write.ticket, write.session, write.started_at);
+        if self.instances[n].paused || self.instances[n].incarnation != write.incarnation {
             return;
         }
-        let (sent, committed, work) = (write.sent, write.committed, write.work);
+        let (sent, committed_at, duration) = (write.sent, write.committed_at, write.duration);
         if !sent {
-            let may = self.with_node(n, |node, now| node.may_send(now, ticket)).unwrap_or(false);
-            if may {
+            let allowed = self.with_node(n, |node, now| node.may_send(now, ticket)).unwrap_or(false);
+            if allowed {
                 if let Some(write) = self.writes.get_mut(&id) {
                     write.sent = true;
                 }
-                self.schedule(now + work, Event::Commit(id));
-            } else if now - begun > HOLD {
+                self.schedule(now + duration, Event::CommitWrite(id));
+            } else if now - started_at > MAX_SEND_WAIT {
                 self.with_node(n, |node, now| node.forget(now, ticket));
                 self.writes.remove(&id);
                 self.totals.refused += 1;
             } else {
-                self.schedule(now + 0.001, Event::Poll(id));
+                self.schedule(now + 0.001, Event::PollWrite(id));
             }
             return;
         }
-        let Some(position) = committed else { return };
+        let Some(position) = committed_at else { return };
         self.with_node(n, |node, now| node.end_write(now, ticket, Some(position)));
-        let may = self.with_node(n, |node, now| node.may_answer(now, ticket)).unwrap_or(false);
-        if !may {
-            self.schedule(now + 0.001, Event::Poll(id));
+        let allowed = self.with_node(n, |node, now| node.may_answer(now, ticket)).unwrap_or(false);
+        if !allowed {
+            self.schedule(now + 0.001, Event::PollWrite(id));
             return;
         }
         self.with_node(n, |node, now| node.forget(now, ticket));
         self.writes.remove(&id);
         self.totals.answered += 1;
-        self.totals.waited += u64::from(now - begun > work + 0.005);
-        let known = self.answered.entry(session).or_insert(position);
+        self.totals.waited += u64::from(now - started_at > duration + 0.005);
+        let known = self.answered_positions.entry(session).or_insert(position);
         if position >= *known {
             *known = position;
-            self.answerer.insert(session, (n, self.seats[n].life, now - START_TIME));
+            self.answered_by.insert(session, (n, self.instances[n].incarnation, now - START_TIME));
         }
     }
 
-    /// A session writes through an instance.
+    /// Starts a write of a session through an instance. Does nothing if the instance does not run.
     pub fn write(&mut self, n: usize, session: usize) {
         if !self.is_running(n) {
             return;
         }
-        self.wishes += 1;
-        let (id, now) = (self.wishes, self.now);
+        self.last_write += 1;
+        let (id, now) = (self.last_write, self.now);
         let name = format!("s{session}");
         let Some(ticket) = self.with_node(n, |node, now| node.begin_write(now, &name)) else { return };
-        let work = self.rng.f64() * self.max_write_time;
-        let life = self.seats[n].life;
-        let write = Write { at: n, life, ticket, session, begun: now, sent: false, work, committed: None };
+        let duration = self.rng.f64() * self.max_write_time;
+        let incarnation = self.instances[n].incarnation;
+        let write = Write {
+            instance: n,
+            incarnation,
+            ticket,
+            session,
+            started_at: now,
+            sent: false,
+            duration,
+            committed_at: None,
+        };
         self.writes.insert(id, write);
-        self.schedule(now, Event::Poll(id));
+        self.schedule(now, Event::PollWrite(id));
     }
 
-    /// A session reads through an instance: what it may see is held against what it was answered.
+    /// Reads through an instance, and records a breach if the read may start before the session's latest
+    /// answered write.
     pub fn read(&mut self, n: usize, session: usize) {
         if !self.is_running(n) {
             return;
         }
         let name = format!("s{session}");
-        let own = self.answered.get(&session).copied().unwrap_or(f64::NEG_INFINITY);
-        let Some(need) = self.with_node(n, |node, now| node.read_requirement(now, &name)) else { return };
+        let answered_position = self.answered_positions.get(&session).copied().unwrap_or(f64::NEG_INFINITY);
+        let Some(requirement) = self.with_node(n, |node, now| node.read_requirement(now, &name)) else {
+            return;
+        };
         self.totals.reads += 1;
-        if let ReadRequirement::AtLeast(position) = need {
-            if position < own {
+        if let ReadRequirement::AtLeast(position) = requirement {
+            if position < answered_position {
                 self.totals.stale += 1;
-                let by = self.answerer.get(&session).copied();
-                let known = self.seats[n].node.as_ref().map(|node| node.explain(self.now, &name));
+                let answered_by = self.answered_by.get(&session).copied();
+                let known = self.instances[n].node.as_ref().map(|node| node.explain(self.now, &name));
                 self.breaches.push(format!(
-                    "{:.4}: n{n} reads {name} from {position:.4}, answered {own:.4} by {by:?}: {known:?}",
+                    "{:.4}: n{n} reads {name} from {position:.4}, answered {answered_position:.4} by {answered_by:?}: {known:?}",
                     self.now - START_TIME
                 ));
             }
@@ -496,39 +522,39 @@
         }
     }
 
-    /// The time between a session's answered write and now (seconds).
+    /// Time since the commit of a session's latest answered write (seconds).
     pub fn time_since_write(&self, session: usize) -> f64 {
-        self.now - self.answered.get(&session).copied().unwrap_or(f64::NEG_INFINITY)
+        self.now - self.answered_positions.get(&session).copied().unwrap_or(f64::NEG_INFINITY)
     }
 
-    /// Whether all that run hold the same.
+    /// Returns true if all running instances hold the same facts.
     pub fn is_converged(&mut self) -> bool {
-        let running: Vec<usize> = (0..self.seats.len()).filter(|n| self.is_running(*n)).collect();
-        let mut digests = running.iter().filter_map(|n| self.seats[*n].node.as_ref().map(Node::digest));
+        let running: Vec<usize> = (0..self.instances.len()).filter(|n| self.is_running(*n)).collect();
+        let mut digests = running.iter().filter_map(|n| self.instances[*n].node.as_ref().map(Node::digest));
         let Some(first) = digests.next() else { return true };
         digests.all(|digest| digest == first)
     }
 
-    /// Bytes sent by all together, and those to other zones among them.
+    /// Bytes sent by all instances, and the bytes among them that went to other zones.
     pub fn sent_bytes(&self) -> (u64, u64) {
-        let counts = self.seats.iter().filter_map(|seat| seat.node.as_ref()).map(Node::counts);
+        let counts = self.instances.iter().filter_map(|instance| instance.node.as_ref()).map(Node::counts);
         counts.fold((0, 0), |sum, counts| (sum.0 + counts.sent_bytes, sum.1 + counts.far_bytes))
     }
 
-    /// A sum over all that was sent: two runs of one seed have the same.
+    /// Hash of all datagrams sent (time, instances, length): equal for two runs with the same seed.
     pub fn trace(&self) -> u64 {
         self.trace.finish()
     }
 
-    /// How many notices there were of each kind that `which` names.
+    /// Counts the notices by the kind that `kind_of` returns.
     pub fn count_notices(
         &self,
-        which: impl Fn(&Notice) -> Option<&'static str>,
+        kind_of: impl Fn(&Notice) -> Option<&'static str>,
     ) -> BTreeMap<&'static str, usize> {
-        let mut all = BTreeMap::new();
-        for kind in self.notices.iter().filter_map(|(_, _, notice)| which(notice)) {
-            *all.entry(kind).or_insert(0) += 1;
+        let mut counts = BTreeMap::new();
+        for kind in self.notices.iter().filter_map(|(_, _, notice)| kind_of(notice)) {
+            *counts.entry(kind).or_insert(0) += 1;
         }
-        all
+        counts
     }
 }
--- a/crates/simulation/tests/drains.rs
+++ b/crates/simulation/tests/drains.rs
@@ -1,6 +1,6 @@
-//! Drains kept by the whole fleet, whatever becomes of the watch on the list: 350 poolers, one discovery that answers
-//! calls in turn and needs nearly four seconds for all of them. The oracle lets a drain count as heard 6 s after the
-//! watch fell silent, and 0.25 s of grace after that.
+//! Drains are observed by the whole fleet even if the watches on the list fail: 350 poolers, and one
+//! discovery that answers list requests one after another and needs nearly four seconds for all poolers. The
+//! oracle counts a drain as known 6 s after the watch fell silent, and then allows 0.25 s of grace.
 
 mod fleet;
 
@@ -9,110 +9,112 @@
 use simulation::{Fault, RunResult, World, WorldConfig};
 
 const POOLERS: usize = 350;
-const MACHINES: usize = 120;
+const MEMBERS: usize = 120;
 
 fn world(seed: u64) -> World {
-    sized(seed, POOLERS)
+    world_with_poolers(seed, POOLERS)
 }
 
-fn sized(seed: u64, poolers: usize) -> World {
+fn world_with_poolers(seed: u64, poolers: usize) -> World {
     let settings = settings(poolers as u32);
     let (zones, groups, replicas) = (3, 30, 3);
-    let (rate, service, capacity) = (1_500.0, 0.05, 40.0);
-    let (list_delay, call) = (0.1, 0.011);
+    let (requests_per_s, service_time, capacity) = (1_500.0, 0.05, 40.0);
+    let (list_delay, list_request_time) = (0.1, 0.011);
     World::new(WorldConfig {
         seed,
         poolers,
         zones,
         groups,
         replicas,
-        requests_per_s: rate,
-        service_time: service,
+        requests_per_s,
+        service_time,
         capacity,
         list_delay,
-        list_request_time: call,
+        list_request_time,
         settings,
     })
 }
 
-/// A quarter of the machines, replicas all, are told to drain so many seconds after the start; they stay up.
-fn drain(world: &mut World, at: f64) {
-    (1..MACHINES).step_by(4).for_each(|m| world.schedule_fault(at, Fault::DrainMember(m)));
+/// Drains a quarter of the members, all of them replicas, at a time after the start (seconds). They stay up.
+fn schedule_drains(world: &mut World, at: f64) {
+    (1..MEMBERS).step_by(4).for_each(|m| world.schedule_fault(at, Fault::DrainMember(m)));
 }
 
-fn kept(seen: &RunResult, calls: usize) {
-    assert_eq!(seen.breaches, [] as [String; 0], "{seen:?}");
-    assert!(seen.served as f64 >= 0.8 * seen.requests as f64, "{seen:?}");
-    assert!(seen.list_requests <= calls, "calls for the list: {seen:?}");
+fn assert_no_breaches(result: &RunResult, max_list_requests: usize) {
+    assert_eq!(result.breaches, [] as [String; 0], "{result:?}");
+    assert!(result.served as f64 >= 0.8 * result.requests as f64, "{result:?}");
+    assert!(result.list_requests <= max_list_requests, "list requests: {result:?}");
 }
 
-/// Early on many calls are still in line and hang; later all have a watch.
+/// At the early times many list requests are still in discovery's queue and hang; later all poolers have a
+/// watch.
 #[rstest]
-#[case::while_calls_are_in_line(1, 1.5)]
-#[case::while_half_have_a_watch(2, 2.5)]
-#[case::with_all_watches_open(3, 7.0)]
-#[case::with_all_watches_open(4, 9.1)]
-fn watches_that_fall_silent_right_before_a_drain(#[case] seed: u64, #[case] at: f64) {
+#[case::requests_queued(1, 1.5)]
+#[case::half_of_the_watches_open(2, 2.5)]
+#[case::all_watches_open(3, 7.0)]
+#[case::all_watches_open(4, 9.1)]
+fn drain_is_observed_after_watches_fall_silent(#[case] seed: u64, #[case] at: f64) {
     let mut world = world(seed);
     world.schedule_fault(at, Fault::SilenceDiscoveryConnections);
-    drain(&mut world, at + 0.1);
-    kept(&world.run(at + 12.0), POOLERS * 3);
+    schedule_drains(&mut world, at + 0.1);
+    assert_no_breaches(&world.run(at + 12.0), POOLERS * 3);
 }
 
 #[test]
-fn watches_that_are_reset_before_a_drain() {
+fn drain_is_observed_after_watches_are_reset() {
     let mut world = world(5);
     world.schedule_fault(7.0, Fault::ResetDiscoveryConnections);
-    drain(&mut world, 9.0);
-    kept(&world.run(25.0), POOLERS * 5);
+    schedule_drains(&mut world, 9.0);
+    assert_no_breaches(&world.run(25.0), POOLERS * 5);
 }
 
 #[test]
-fn discovery_that_is_down_and_machines_that_drain_within_a_second_of_its_return() {
+fn drain_right_after_discovery_returns_is_observed() {
     let mut world = world(6);
     world.schedule_fault(7.0, Fault::DiscoveryDown(true));
     world.schedule_fault(11.0, Fault::DiscoveryDown(false));
-    drain(&mut world, 11.5);
-    kept(&world.run(27.0), POOLERS * 8);
+    schedule_drains(&mut world, 11.5);
+    assert_no_breaches(&world.run(27.0), POOLERS * 8);
 }
 
-/// However long discovery was away, what changed meanwhile is heard within 6 s of its return: by one pooler, by the whole fleet.
+/// Whatever the length of the outage, drains that began during it count as known 6 s after discovery's
+/// return, for one pooler and for a whole fleet.
 #[rstest]
-#[case::one_alone(11, 1, 3.0, 7_000)]
-#[case::after_a_short_outage(12, POOLERS, 3.0, POOLERS * 9)]
-#[case::after_a_long_outage(13, POOLERS, 40.0, POOLERS * 15)]
-fn discovery_that_was_down_while_machines_began_to_drain(
+#[case::one_pooler(11, 1, 3.0, 7_000)]
+#[case::short_outage(12, POOLERS, 3.0, POOLERS * 9)]
+#[case::long_outage(13, POOLERS, 40.0, POOLERS * 15)]
+fn drain_during_a_discovery_outage_is_observed_after_its_return(
     #[case] seed: u64,
     #[case] poolers: usize,
-    #[case] away: f64,
-    #[case] calls: usize,
+    #[case] outage: f64,
+    #[case] max_list_requests: usize,
 ) {
-    let mut world = sized(seed, poolers);
+    let mut world = world_with_poolers(seed, poolers);
     world.schedule_fault(7.0, Fault::DiscoveryDown(true));
-    world.schedule_fault(7.0 + away, Fault::DiscoveryDown(false));
-    drain(&mut world, 7.0 + away - 0.5);
-    kept(&world.run(16.0 + away), calls);
+    world.schedule_fault(7.0 + outage, Fault::DiscoveryDown(false));
+    schedule_drains(&mut world, 7.0 + outage - 0.5);
+    assert_no_breaches(&world.run(16.0 + outage), max_list_requests);
 }
 
-/// The same where it takes calls and says nothing, so that each of them is given up.
+/// As above, but discovery accepts list requests without answering, so that each request is abandoned.
 #[rstest]
-#[case::one_alone(14, 1)]
-#[case::the_fleet(15, POOLERS)]
-fn discovery_that_said_nothing_while_machines_began_to_drain(#[case] seed: u64, #[case] poolers: usize) {
-    let mut world = sized(seed, poolers);
+#[case::one_pooler(14, 1)]
+#[case::whole_fleet(15, POOLERS)]
+fn drain_while_discovery_hangs_is_observed_after_its_return(#[case] seed: u64, #[case] poolers: usize) {
+    let mut world = world_with_poolers(seed, poolers);
     world.schedule_fault(7.0, Fault::DiscoveryHangs(true));
     world.schedule_fault(7.0, Fault::ResetDiscoveryConnections);
     world.schedule_fault(47.0, Fault::DiscoveryHangs(false));
-    drain(&mut world, 46.5);
-    kept(&world.run(56.0), poolers * 16);
+    schedule_drains(&mut world, 46.5);
+    assert_no_breaches(&world.run(56.0), poolers * 16);
 }
 
-/// Calls made in these two seconds are never answered; a drain comes in the middle.
+/// List requests sent within these two seconds are never answered; the drain begins in the middle.
 #[test]
-fn calls_that_hang_around_a_drain() {
+fn drain_is_observed_while_list_requests_hang() {
     let mut world = world(7);
     world.schedule_fault(0.5, Fault::DiscoveryHangs(true));
     world.schedule_fault(2.5, Fault::DiscoveryHangs(false));
-    drain(&mut world, 1.5);
-    kept(&world.run(14.0), POOLERS * 3);
+    schedule_drains(&mut world, 1.5);
+    assert_no_breaches(&world.run(14.0), POOLERS * 3);
 }
--- a/crates/simulation/tests/fleet/mod.rs
+++ b/crates/simulation/tests/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! What the fleets of the tests go by.
+//! Settings shared by the tests of large fleets.
 
 use routing::interface::*;
 
-/// Classes: bounded, session and any reads, keyed writes.
+/// Settings with four classes: bounded, session and any reads, and keyed writes.
 pub fn settings(fleet_size: u32) -> Settings {
     let class = |consistency, effect| Class {
         consistency,
--- a/crates/simulation/tests/instances.rs
+++ b/crates/simulation/tests/instances.rs
@@ -1,67 +1,71 @@
-//! Instances that talk, through crashes, stops and cuts: no session reads what is older than its own write.
+//! Instances that exchange state, through crashes, pauses and partitions: a session never reads data older
+//! than its own write.
 
 use replication::ReadRequirement;
 use rstest::rstest;
 use simulation::fault_scenario::FaultScenario;
 use simulation::instances::{Instances, NetworkConfig};
 
-fn rough() -> NetworkConfig {
+fn faulty_network() -> NetworkConfig {
     NetworkConfig { loss: 0.1, duplication: 0.1, latency: (0.000_2, 0.003), extra_delay: (0.05, 0.4) }
 }
 
-/// Random sessions over random instances under random faults, drawn by the seed.
-fn storm(seed: u64, count: usize, net: NetworkConfig, seconds: f64, faults: bool) -> Instances {
-    let shape = FaultScenario { instances: count, seeds: count.min(3), sessions: 200, seconds, faults };
-    simulation::fault_scenario::run_fault_scenario(seed, net, shape)
+/// Runs random sessions on random instances with random faults; the seed determines the run.
+fn run_scenario(seed: u64, count: usize, network: NetworkConfig, seconds: f64, faults: bool) -> Instances {
+    let scenario = FaultScenario { instances: count, seeds: count.min(3), sessions: 200, seconds, faults };
+    simulation::fault_scenario::run_fault_scenario(seed, network, scenario)
 }
 
 #[test]
-fn without_faults_reads_stay_near_and_writes_wait_for_nobody() {
-    let all = storm(1, 5, NetworkConfig::default(), 20.0, false);
-    let tally = all.totals;
-    assert_eq!((tally.stale, tally.refused, tally.lost), (0, 0, 0), "{tally:?}");
-    assert!(tally.reads > 3_000 && tally.waited * 50 < tally.answered, "{tally:?}");
+fn without_faults_nothing_is_refused_and_few_writes_wait() {
+    let instances = run_scenario(1, 5, NetworkConfig::default(), 20.0, false);
+    let totals = instances.totals;
+    assert_eq!((totals.stale, totals.refused, totals.lost), (0, 0, 0), "{totals:?}");
+    assert!(totals.reads > 3_000 && totals.waited * 50 < totals.answered, "{totals:?}");
 }
 
 #[rstest]
-fn no_session_reads_what_is_older_than_its_own_write(#[values(3, 5)] count: usize) {
+fn sessions_read_their_own_writes_under_faults(#[values(3, 5)] count: usize) {
     for seed in 0..12 {
-        let net = if seed % 2 == 0 { rough() } else { NetworkConfig::default() };
-        let all = storm(seed, count, net, 30.0, true);
-        println!("{count} instances, seed {seed}: {:?}", all.totals);
-        assert!(all.breaches.is_empty(), "seed {seed}: {:#?}", all.breaches);
+        let network = if seed % 2 == 0 { faulty_network() } else { NetworkConfig::default() };
+        let instances = run_scenario(seed, count, network, 30.0, true);
+        println!("{count} instances, seed {seed}: {:?}", instances.totals);
+        assert!(instances.breaches.is_empty(), "seed {seed}: {:#?}", instances.breaches);
     }
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run() {
-    let run = || storm(5, 4, rough(), 5.0, true).trace();
+fn same_seed_gives_same_run() {
+    let run = || run_scenario(5, 4, faulty_network(), 5.0, true).trace();
     assert_eq!(run(), run());
 }
 
-/// Guards against a start of many that grows with the cube of their number: each named all that it met to all.
+/// Guards against start-up traffic that grows with the cube of the number of instances, which came about when
+/// each instance announced every instance that it met to all others.
 #[test]
-fn many_that_start_together_know_each_other_without_naming_all_to_all() {
+fn simultaneous_start_converges_with_bounded_traffic() {
     let count = 80;
-    let mut all = Instances::new(1, count, 3, 3, NetworkConfig { loss: 0.1, ..NetworkConfig::default() });
+    let mut instances =
+        Instances::new(1, count, 3, 3, NetworkConfig { loss: 0.1, ..NetworkConfig::default() });
     for n in 0..count {
-        all.start(n);
-        all.run(0.5 / count as f64);
+        instances.start(n);
+        instances.run(0.5 / count as f64);
     }
-    let begun = all.now;
-    while !all.is_converged() && all.now - begun < 10.0 {
-        all.run(0.1);
+    let started_at = instances.now;
+    while !instances.is_converged() && instances.now - started_at < 10.0 {
+        instances.run(0.1);
     }
-    assert!(all.is_converged(), "they know the same");
-    let each = all.sent_bytes().0 as f64 / (count * count) as f64;
-    // And that is enough for leases: a read of a session goes by what is known.
-    let knows = |all: &mut Instances| {
-        all.with_node(7, |node, now| matches!(node.read_requirement(now, "s"), ReadRequirement::AtLeast(_)))
+    assert!(instances.is_converged(), "all instances hold the same facts");
+    let bytes_per_pair = instances.sent_bytes().0 as f64 / (count * count) as f64;
+    // Convergence is enough for leases: a read of a session then gets a position.
+    let can_read_at_position = |instances: &mut Instances| {
+        instances
+            .with_node(7, |node, now| matches!(node.read_requirement(now, "s"), ReadRequirement::AtLeast(_)))
     };
-    while knows(&mut all) != Some(true) && all.now - begun < 10.0 {
-        all.run(0.05);
+    while can_read_at_position(&mut instances) != Some(true) && instances.now - started_at < 10.0 {
+        instances.run(0.05);
     }
-    assert_eq!(knows(&mut all), Some(true));
-    println!("{each:.0} bytes for each pair, equal after {:.1} s", all.now - begun);
-    assert!(each < 4_200.0, "{each:.0} bytes for each pair");
+    assert_eq!(can_read_at_position(&mut instances), Some(true));
+    println!("{bytes_per_pair:.0} bytes per pair, converged after {:.1} s", instances.now - started_at);
+    assert!(bytes_per_pair < 4_200.0, "{bytes_per_pair:.0} bytes per pair");
 }
