--- a/crates/footprint/src/clients.rs
+++ b/crates/footprint/src/clients.rs
@@ -1,6 +1,6 @@
-//! Clients of the pooler: connections that rest or wait, and a steady load.
+//! Clients of the pooler: single connections, idle or with a statement, and a steady load.
 
-use crate::error::socket;
+use crate::error::socket_error;
 use crate::MeasureError;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,75 +9,77 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long an answer may take.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Sessions that write and read their own writes.
-const KEYS: u64 = 1_000;
-/// How long clients wait for an answer (ms), and those that are to leave no timers behind.
-const LONG_MS: u64 = 8_500;
-const SHORT_MS: u64 = 250;
-/// Statements of the mix in ten.
-const TENTH: u64 = 10;
-/// The pause after a turn in which nothing was due and nothing came.
-const PAUSE: Duration = Duration::from_micros(200);
-const READ: usize = 4 * 1024;
-const HEAD: usize = 5;
-const READY: u8 = b'Z';
-const ROW: u8 = b'D';
+/// Time limit for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Number of keys that statements read and write.
+const SESSION_KEYS: u64 = 1_000;
+/// Timeout that clients of the typical mix announce (ms).
+const LONG_TIMEOUT_MS: u64 = 8_500;
+/// Timeout that clients announce whose statements should leave no timers behind (ms).
+const SHORT_TIMEOUT_MS: u64 = 250;
+/// Number of statements that the shares of a mix refer to.
+const MIX_PARTS: u64 = 10;
+/// Pause after an iteration in which no statement was due and no answer arrived.
+const IDLE_SLEEP: Duration = Duration::from_micros(200);
+const READ_BUFFER_BYTES: usize = 4 * 1024;
+const HEADER_BYTES: usize = 5;
+const READY_FOR_QUERY: u8 = b'Z';
+const DATA_ROW: u8 = b'D';
 
-/// Which statements are asked, in which groups.
+/// Which statements are sent, and to how many groups.
 #[derive(Clone, Debug)]
 pub struct Mix {
     pub groups: usize,
-    /// In ten statements: bounded reads, then reads of the session's own writes; the rest are writes.
-    pub bounded: u64,
-    pub own: u64,
-    /// How long the client waits (ms): the pooler keeps a timer for each statement until then.
-    pub patience_ms: u64,
+    /// Bounded reads in ten statements. Statements that are neither bounded nor session reads are writes.
+    pub bounded_reads: u64,
+    /// Reads of the session's own writes in ten statements.
+    pub session_reads: u64,
+    /// Timeout of the client (ms): the pooler keeps a timer for each statement until then.
+    pub timeout_ms: u64,
 }
 
 impl Mix {
-    /// Six bounded reads, two session reads and two writes in ten, evenly over the groups.
+    /// Six bounded reads, two session reads and two writes in ten statements, evenly over the groups.
     pub fn typical(groups: usize) -> Mix {
-        Mix { groups, bounded: 6, own: 2, patience_ms: LONG_MS }
+        Mix { groups, bounded_reads: 6, session_reads: 2, timeout_ms: LONG_TIMEOUT_MS }
     }
 
-    /// Bounded reads alone, whose clients wait for a moment only.
+    /// Bounded reads only, with a short timeout.
     pub fn short_reads(groups: usize) -> Mix {
-        Mix { groups, bounded: TENTH, own: 0, patience_ms: SHORT_MS }
+        Mix { groups, bounded_reads: MIX_PARTS, session_reads: 0, timeout_ms: SHORT_TIMEOUT_MS }
     }
 
-    /// Writes alone, whose clients wait for a moment only.
+    /// Writes only, with a short timeout.
     pub fn short_writes(groups: usize) -> Mix {
-        Mix { groups, bounded: 0, own: 0, patience_ms: SHORT_MS }
+        Mix { groups, bounded_reads: 0, session_reads: 0, timeout_ms: SHORT_TIMEOUT_MS }
     }
 
-    /// One statement; its group and key are drawn.
+    /// A statement with a random group and key.
     fn statement(&self, random: &mut fastrand::Rng) -> Vec<u8> {
         let group = random.usize(..self.groups);
         self.statement_in(group, random)
     }
 
-    /// One statement in this group.
+    /// A statement in the given group, with a random key.
     pub fn statement_in(&self, group: usize, random: &mut fastrand::Rng) -> Vec<u8> {
-        let (id, key, draw) = (random.u64(..), random.u64(..KEYS), random.u64(..TENTH));
-        let patience = self.patience_ms;
-        let told = |class: &str| format!("id={id:016x},c={class},t=acme,d={patience},cluster={group}");
-        let sql = if draw < self.bounded + self.own {
-            let class = if draw < self.bounded { "browse" } else { "own-orders" };
-            format!("/* {} */ SELECT doc FROM items WHERE id = 'k{key}'", told(class))
+        let (id, key, sample) = (random.u64(..), random.u64(..SESSION_KEYS), random.u64(..MIX_PARTS));
+        let timeout = self.timeout_ms;
+        let comment = |class: &str| format!("id={id:016x},c={class},t=acme,d={timeout},cluster={group}");
+        let sql = if sample < self.bounded_reads + self.session_reads {
+            let class = if sample < self.bounded_reads { "browse" } else { "own-orders" };
+            format!("/* {} */ SELECT doc FROM items WHERE id = 'k{key}'", comment(class))
         } else {
             format!(
                 "/* {},k={id:016x} */ INSERT INTO items (id, doc) VALUES ('k{key}', '\\x9f000321') RETURNING doc",
-                told("order-write")
+                comment("order-write")
             )
         };
         peers::query(&sql)
     }
 }
 
-/// One client's connection.
-pub struct Wire {
+/// The connection of one client.
+pub struct ClientConnection {
     stream: TcpStream,
     input: Vec<u8>,
 }
@@ -89,32 +91,32 @@
     Error,
 }
 
-impl Wire {
-    /// Connects and takes the welcome.
-    pub fn connect(address: SocketAddr) -> Result<Wire, MeasureError> {
-        let stream = TcpStream::connect(address).map_err(socket("a client's connection"))?;
-        stream.set_nodelay(true).map_err(socket("a client's connection"))?;
-        stream.set_read_timeout(Some(PATIENCE)).map_err(socket("a client's connection"))?;
-        let mut wire = Wire { stream, input: Vec::new() };
-        wire.send(&peers::startup())?;
-        wire.wait()?;
-        Ok(wire)
+impl ClientConnection {
+    /// Connects and completes the startup.
+    pub fn connect(address: SocketAddr) -> Result<ClientConnection, MeasureError> {
+        let stream = TcpStream::connect(address).map_err(socket_error("a client's connection"))?;
+        stream.set_nodelay(true).map_err(socket_error("a client's connection"))?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT)).map_err(socket_error("a client's connection"))?;
+        let mut connection = ClientConnection { stream, input: Vec::new() };
+        connection.send(&peers::startup())?;
+        connection.wait_for_answer()?;
+        Ok(connection)
     }
 
     /// Sends a message.
     pub fn send(&mut self, message: &[u8]) -> Result<(), MeasureError> {
-        self.stream.write_all(message).map_err(socket("a client's statement"))
+        self.stream.write_all(message).map_err(socket_error("a client's statement"))
     }
 
-    /// Sends a statement and waits for its answer; whether it was served.
+    /// Sends a statement and waits for its answer. Returns true if it was served.
     pub fn query(&mut self, statement: &[u8]) -> Result<bool, MeasureError> {
         self.send(statement)?;
-        Ok(self.wait()? == Answer::Served)
+        Ok(self.wait_for_answer()? == Answer::Served)
     }
 
-    fn wait(&mut self) -> Result<Answer, MeasureError> {
+    fn wait_for_answer(&mut self) -> Result<Answer, MeasureError> {
         loop {
-            if let Some(answer) = self.take() {
+            if let Some(answer) = self.take_answer() {
                 return Ok(answer);
             }
             self.read()?;
@@ -122,7 +124,7 @@
     }
 
     fn read(&mut self) -> Result<usize, MeasureError> {
-        let mut buffer = [0; READ];
+        let mut buffer = [0; READ_BUFFER_BYTES];
         match self.stream.read(&mut buffer) {
             Ok(0) => Err(MeasureError::NoAnswer { what: "a client's connection was closed" }),
             Ok(count) => {
@@ -134,21 +136,21 @@
         }
     }
 
-    /// Takes all messages up to ReadyForQuery, once that is there.
-    fn take(&mut self) -> Option<Answer> {
+    /// Consumes all messages up to ReadyForQuery, once it has arrived.
+    fn take_answer(&mut self) -> Option<Answer> {
         let (mut at, mut answer) = (0, Answer::Error);
         loop {
-            let head = self.input.get(at..at + HEAD)?;
-            let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize + 1;
-            let kind = head[0];
+            let header = self.input.get(at..at + HEADER_BYTES)?;
+            let length = u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize + 1;
+            let kind = header[0];
             if self.input.len() < at + length {
                 return None;
             }
             at += length;
-            if kind == ROW {
+            if kind == DATA_ROW {
                 answer = Answer::Served;
             }
-            if kind == READY {
+            if kind == READY_FOR_QUERY {
                 self.input.drain(..at);
                 return Some(answer);
             }
@@ -157,23 +159,23 @@
 }
 
 #[derive(Default)]
-struct Sums {
-    over: AtomicBool,
+struct LoadTotals {
+    stop: AtomicBool,
     served: AtomicU64,
     errors: AtomicU64,
-    /// The connection that broke first ended the load.
-    broken: AtomicBool,
+    /// A connection failed, which ended the load.
+    failed: AtomicBool,
 }
 
-/// A steady load on connections of its own, on a thread of its own until this goes. Each connection has one statement out at
-/// a time; a statement that finds none free waits.
+/// A steady load with its own connections, on its own thread until it is dropped. Each connection has one
+/// statement in flight at a time; a statement waits while no connection is free.
 pub struct Load {
-    sums: Arc<Sums>,
+    totals: Arc<LoadTotals>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Load {
-    /// Connects so many clients and asks at this rate (statements a second, all together).
+    /// Connects `clients` clients and sends at `rate` (statements per second over all clients).
     pub fn start(
         address: SocketAddr,
         clients: usize,
@@ -181,74 +183,74 @@
         mix: Mix,
         seed: u64,
     ) -> Result<Load, MeasureError> {
-        let mut wires = Vec::new();
+        let mut connections = Vec::new();
         for _ in 0..clients {
-            let wire = Wire::connect(address)?;
-            wire.stream.set_nonblocking(true).map_err(socket("a client's connection"))?;
-            wires.push(wire);
+            let connection = ClientConnection::connect(address)?;
+            connection.stream.set_nonblocking(true).map_err(socket_error("a client's connection"))?;
+            connections.push(connection);
         }
-        let sums = Arc::new(Sums::default());
-        let own = sums.clone();
+        let totals = Arc::new(LoadTotals::default());
+        let thread_totals = totals.clone();
         let random = fastrand::Rng::with_seed(seed);
         let thread = std::thread::spawn(move || {
-            let pace = Pace { wires, rate, mix, random };
-            if pace.run(&own).is_err() {
-                own.broken.store(true, Ordering::SeqCst);
+            let load_loop = LoadLoop { connections, rate, mix, random };
+            if load_loop.run(&thread_totals).is_err() {
+                thread_totals.failed.store(true, Ordering::SeqCst);
             }
         });
-        Ok(Load { sums, thread: Some(thread) })
+        Ok(Load { totals, thread: Some(thread) })
     }
 
-    /// Statements that were served so far.
+    /// Number of statements served so far.
     pub fn served(&self) -> Result<u64, MeasureError> {
-        if self.sums.broken.load(Ordering::SeqCst) {
+        if self.totals.failed.load(Ordering::SeqCst) {
             return Err(MeasureError::NoAnswer { what: "a client of the load lost its connection" });
         }
-        Ok(self.sums.served.load(Ordering::SeqCst))
+        Ok(self.totals.served.load(Ordering::SeqCst))
     }
 
-    /// Statements that were answered with an error so far.
+    /// Number of statements answered with an error so far.
     pub fn errors(&self) -> u64 {
-        self.sums.errors.load(Ordering::SeqCst)
+        self.totals.errors.load(Ordering::SeqCst)
     }
 }
 
 impl Drop for Load {
     fn drop(&mut self) {
-        self.sums.over.store(true, Ordering::SeqCst);
+        self.totals.stop.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-struct Pace {
-    wires: Vec<Wire>,
+struct LoadLoop {
+    connections: Vec<ClientConnection>,
     rate: f64,
     mix: Mix,
     random: fastrand::Rng,
 }
 
-impl Pace {
-    fn run(mut self, sums: &Sums) -> Result<(), MeasureError> {
-        let begun = Instant::now();
-        let mut free: Vec<usize> = (0..self.wires.len()).collect();
+impl LoadLoop {
+    fn run(mut self, totals: &LoadTotals) -> Result<(), MeasureError> {
+        let started_at = Instant::now();
+        let mut free: Vec<usize> = (0..self.connections.len()).collect();
         let mut busy: Vec<usize> = Vec::new();
         let mut sent = 0;
-        while !sums.over.load(Ordering::SeqCst) {
-            let due = (begun.elapsed().as_secs_f64() * self.rate) as u64;
+        while !totals.stop.load(Ordering::SeqCst) {
+            let due = (started_at.elapsed().as_secs_f64() * self.rate) as u64;
             let mut idle = true;
             while sent < due {
                 let Some(client) = free.pop() else { break };
                 let statement = self.mix.statement(&mut self.random);
-                self.wires[client].send(&statement)?;
+                self.connections[client].send(&statement)?;
                 busy.push(client);
                 sent += 1;
                 idle = false;
             }
             let mut waiting = Vec::with_capacity(busy.len());
             for client in busy {
-                if self.answered(client, sums)? {
+                if self.receive_answer(client, totals)? {
                     free.push(client);
                     idle = false;
                 } else {
@@ -257,21 +259,21 @@
             }
             busy = waiting;
             if idle {
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(IDLE_SLEEP);
             }
         }
         Ok(())
     }
 
-    /// Whether a client has its answer.
-    fn answered(&mut self, client: usize, sums: &Sums) -> Result<bool, MeasureError> {
-        let wire = &mut self.wires[client];
-        if wire.read()? == 0 {
+    /// Reads from a client's connection. Returns true once its answer is complete.
+    fn receive_answer(&mut self, client: usize, totals: &LoadTotals) -> Result<bool, MeasureError> {
+        let connection = &mut self.connections[client];
+        if connection.read()? == 0 {
             return Ok(false);
         }
-        match wire.take() {
-            Some(Answer::Served) => sums.served.fetch_add(1, Ordering::SeqCst),
-            Some(Answer::Error) => sums.errors.fetch_add(1, Ordering::SeqCst),
+        match connection.take_answer() {
+            Some(Answer::Served) => totals.served.fetch_add(1, Ordering::SeqCst),
+            Some(Answer::Error) => totals.errors.fetch_add(1, Ordering::SeqCst),
             None => return Ok(false),
         };
         Ok(true)
--- a/crates/footprint/src/error.rs
+++ b/crates/footprint/src/error.rs
@@ -1,27 +1,27 @@
-//! Why a run cannot go on.
+//! Errors that end a run.
 
 use measure::{FitError, SampleError};
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a run ended before its time. What was measured until then is still reported.
+/// Why a run ended early. Measurements taken before the error are still reported.
 #[derive(Debug)]
 pub enum MeasureError {
-    /// The program to be measured is not there or cannot be started.
+    /// The measured program does not exist or cannot be started.
     Program {
         path: PathBuf,
         cause: io::Error,
     },
-    /// The process ended or did not come up in time; the last lines of its log.
+    /// The process ended or did not listen in time. Holds the last lines of its log.
     NotListening {
         log: String,
     },
-    /// The process did not do in time what was asked of it.
+    /// The process did not do in time what `what` names.
     NoAnswer {
         what: &'static str,
     },
-    /// A call over the control socket was not answered as it should be.
+    /// A call over the control socket was refused, or its answer could not be read.
     Refused {
         what: String,
     },
@@ -35,24 +35,24 @@
         path: PathBuf,
         cause: io::Error,
     },
-    /// A report cannot be read.
+    /// The file is not a report of this command.
     Report {
         path: PathBuf,
         cause: String,
     },
-    /// The run would take more than its share of the machine.
+    /// The run would take more than its share of the host.
     TooLarge {
         what: &'static str,
         needed: u64,
         allowed: u64,
     },
-    /// The time for the whole command is over.
+    /// The time limit of the command has passed.
     OutOfTime {
         seconds: u64,
     },
-    /// SIGINT or SIGTERM came.
+    /// SIGINT or SIGTERM was received.
     Interrupted,
-    /// No port below those that the kernel gives out is free on all addresses that are needed.
+    /// No port below the ephemeral range is free on all addresses needed.
     NoPort {
         first: u16,
         last: u16,
@@ -78,9 +78,9 @@
                 write!(formatter, "{}: not a report of this command: {cause}", path.display())
             }
             MeasureError::TooLarge { what, needed, allowed } => {
-                write!(formatter, "{what}: {needed} would be needed, {allowed} are allowed")
+                write!(formatter, "{what}: {needed} needed, {allowed} allowed")
             }
-            MeasureError::OutOfTime { seconds } => write!(formatter, "not done within {seconds} s"),
+            MeasureError::OutOfTime { seconds } => write!(formatter, "time limit of {seconds} s exceeded"),
             MeasureError::Interrupted => write!(formatter, "interrupted"),
             MeasureError::NoPort { first, last } => {
                 write!(formatter, "no port from {first} to {last} is free on all loopback addresses needed")
@@ -103,12 +103,12 @@
     }
 }
 
-/// Says what was tried on a socket.
-pub(crate) fn socket(what: &'static str) -> impl Fn(io::Error) -> MeasureError {
+/// Wraps an I/O error of a socket with what was attempted.
+pub(crate) fn socket_error(what: &'static str) -> impl Fn(io::Error) -> MeasureError {
     move |cause| MeasureError::Socket { what, cause }
 }
 
-/// Says which file was meant.
-pub(crate) fn file(path: &std::path::Path) -> impl Fn(io::Error) -> MeasureError + '_ {
+/// Wraps an I/O error with the path of the file.
+pub(crate) fn file_error(path: &std::path::Path) -> impl Fn(io::Error) -> MeasureError + '_ {
     move |cause| MeasureError::File { path: path.into(), cause }
 }
--- a/crates/footprint/src/platform.rs
+++ b/crates/footprint/src/platform.rs
@@ -1,34 +1,35 @@
-//! The platform's configuration of the pooler that is measured, and the list of databases in it.
+//! The platform's configuration of the measured pooler, and the list of members in it.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Zones of the databases; the pooler stands in the first.
+/// Number of zones of the members; the pooler runs in the first.
 const ZONES: usize = 8;
-/// Poolers that the settings speak of: the size that the capacity page works out.
+/// Fleet size in the settings: the size that the capacity page works out.
 const FLEET_SIZE: usize = 1_300;
-/// What the fleet's tenant may ask in a second: more than any run does.
+/// Quota of the tenant (requests per second): more than any run sends.
 const QUOTA: f64 = 1e7;
 const MEMORY_MB: usize = 4_096;
-/// With more than a quarter of the places for clients taken, connections at rest are closed after 2 s. Half the
-/// descriptors are for clients, so this leaves 5,000 at rest alone.
+/// Limit of descriptors. The pooler reserves half of them for clients, and closes idle client connections
+/// after 2 s once more than a quarter of the client slots are in use: with this limit, 5,000 idle connections
+/// stay open.
 const SOCKETS: usize = 40_200;
 
-/// Databases in groups of one primary and its replicas.
+/// Members in groups of one primary and its replicas.
 #[derive(Clone, Debug)]
-pub struct Databases {
+pub struct Members {
     pub addresses: Vec<SocketAddr>,
-    /// Databases of one group, its primary included.
+    /// Number of members of one group, its primary included.
     pub group_size: usize,
 }
 
-impl Databases {
-    /// How many groups there are.
+impl Members {
+    /// Number of groups.
     pub fn groups(&self) -> usize {
         self.addresses.len().div_ceil(self.group_size)
     }
 
-    /// One database's entry in a list, in this status ("SERVING", "DRAINING").
+    /// List entry of one member with the given status ("SERVING", "DRAINING").
     pub fn entry(&self, index: usize, status: &str) -> Value {
         let group = index / self.group_size;
         json!({
@@ -43,14 +44,14 @@
         })
     }
 
-    /// The whole list in discovery's form.
+    /// The full list in discovery's format.
     pub fn list(&self, version: u64) -> Value {
         let entries: Vec<Value> =
             (0..self.addresses.len()).map(|index| self.entry(index, "SERVING")).collect();
         json!({ "index": version, "snapshot": true, "endpoints": entries })
     }
 
-    /// A change of one database in discovery's form.
+    /// A change of one member in discovery's format.
     pub fn change(&self, version: u64, index: usize, status: &str) -> Value {
         json!({ "index": version, "snapshot": false, "endpoints": [self.entry(index, status)] })
     }
@@ -60,31 +61,31 @@
     format!("z{number}")
 }
 
-/// What differs from run to run in the platform's configuration.
+/// The parts of the platform's configuration that differ between runs.
 #[derive(Clone, Debug)]
 pub struct Platform {
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    pub databases: Databases,
+    pub members: Members,
     pub seed: u64,
-    /// Whether the pooler may ask databases of their state besides clients' statements.
+    /// Whether the pooler may probe members besides sending clients' statements.
     pub probes: bool,
-    /// How far behind a bounded read may be (s).
+    /// Staleness bound of bounded reads (seconds).
     pub staleness_bound: f64,
-    /// Poolers that the settings speak of; the fewer, the more often each probes.
+    /// Fleet size in the settings. The fewer poolers, the more often each of them probes.
     pub fleet_size: usize,
 }
 
 impl Platform {
-    /// The settings of the target size, without probes.
-    pub fn new(listen: SocketAddr, discovery: SocketAddr, databases: Databases, seed: u64) -> Platform {
+    /// Settings for the target size, without probes.
+    pub fn new(listen: SocketAddr, discovery: SocketAddr, members: Members, seed: u64) -> Platform {
         let (probes, staleness_bound, fleet_size) = (false, 3.0, FLEET_SIZE);
-        Platform { listen, discovery, databases, seed, probes, staleness_bound, fleet_size }
+        Platform { listen, discovery, members, seed, probes, staleness_bound, fleet_size }
     }
 
-    /// The file's text.
+    /// Contents of the configuration file.
     pub fn text(&self) -> String {
-        let known = self.databases.list(1);
+        let saved_list = self.members.list(1);
         let limits = json!({ "memory_mb": MEMORY_MB, "sockets": SOCKETS });
         json!({
             "name": "n0",
@@ -92,7 +93,7 @@
             "discovery": self.discovery,
             "seed": format!("{:x}", self.seed | 1),
             "limits": limits,
-            "known": known,
+            "known": saved_list,
             "settings": self.settings(),
         })
         .to_string()
--- a/crates/footprint/src/report.rs
+++ b/crates/footprint/src/report.rs
@@ -1,6 +1,6 @@
-//! What the runs found: points, lines through them, and how they are printed.
+//! Results of the runs: points, lines fitted through them, and their output as text or JSON.
 
-use crate::error::file;
+use crate::error::file_error;
 use crate::MeasureError;
 use measure::{Coefficient, Fit, Host, Point, Spread};
 use serde::Serialize;
@@ -9,10 +9,10 @@
 use std::fmt;
 use std::path::Path;
 
-/// Two slopes agree where they differ by no more than this many of their combined standard errors: some 95% of repeats.
+/// Two slopes agree if they differ by at most this many combined standard errors, as about 95% of repeats do.
 const AGREEMENT: f64 = 2.0;
 
-/// What is measured, by the name that it has in reports.
+/// A measured quantity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Quantity {
@@ -37,36 +37,37 @@
     ConfigurationBytes,
 }
 
-/// How a quantity is printed and what it is worked out for.
+/// Name, units and target size of a quantity.
 pub struct Definition {
     pub name: &'static str,
-    /// The unit of the slope, after its unit prefix was applied.
+    /// Unit of the slope and of scaled values.
     pub unit: &'static str,
-    /// What values are multiplied by to come to that unit.
+    /// Factor that converts a measured value to `unit`.
     pub scale: f64,
-    /// What the sizes count.
+    /// What a size counts.
     pub per: &'static str,
-    /// The size at 1,300 poolers before 1,600 databases, of one pooler.
+    /// Size for one of 1,300 poolers with 1,600 database servers.
     pub target: f64,
 }
 
 /// Client connections of a pooler at the target size.
 const TARGET_CLIENTS: f64 = 4_385.0;
-/// Statements a second of a pooler at the target size.
+/// Statements per second of a pooler at the target size.
 const TARGET_STATEMENTS: f64 = 2_692.0;
-/// Databases at the target size.
+/// Database servers at the target size.
 const TARGET_DATABASES: f64 = 1_600.0;
-/// Changes of configuration a day at the target size.
+/// Changes of configuration per day at the target size.
 const TARGET_CONFIGURATIONS: f64 = 1_900.0;
-/// Statements that wait for a database at a time, at 10 ms each.
+/// Statements that wait for a database server at a time, at 10 ms each.
 const TARGET_WAITING: f64 = 27.0;
-/// Probes a second of a pooler at the target size that no read needs: 200 databases of its zone, each in 975 s.
+/// Probes per second of a pooler at the target size that no read causes: 200 database servers of its zone,
+/// each once in 975 s.
 const TARGET_PROBES: f64 = 0.205;
-/// Changes of the list when a zone of eight is lost or comes back.
+/// Changes of the list when one of eight zones fails or returns.
 const TARGET_LIST_CHANGES: f64 = 200.0;
 
 impl Quantity {
-    /// How this one is printed.
+    /// Name, units and target size.
     pub fn definition(self) -> Definition {
         let define = |name, unit, scale, per, target| Definition { name, unit, scale, per, target };
         const MICRO: f64 = 1e6;
@@ -150,11 +151,11 @@
     }
 }
 
-/// All points so far, and why there are no more where the run ended early.
+/// All points so far, and the reason if a run ended early.
 #[derive(Default)]
 pub struct Report {
     points: BTreeMap<Quantity, Vec<Point>>,
-    /// What is worth knowing of a run beside its points: statements refused, sizes not reached.
+    /// Remarks on the runs: statements that failed, sizes not reached.
     notes: Vec<String>,
     partial: Option<String>,
 }
@@ -166,26 +167,27 @@
     pub spread: Spread,
 }
 
-/// A quantity with the lines through its points, in the unit of its definition.
+/// A quantity with the lines fitted through its points, in the unit of its definition.
 #[derive(Clone, Debug, Serialize)]
 pub struct Fitted {
     pub name: &'static str,
     pub unit: &'static str,
     pub per: &'static str,
     pub linear: Fit,
-    /// None where there are too few sizes.
+    /// None if there are too few sizes.
     pub square: Option<Fit>,
     pub sizes: Vec<SizeSpread>,
     pub target: f64,
-    /// The linear fit at the target size, of one pooler.
+    /// Value of the linear fit at the target size of one pooler.
     pub at_target: f64,
-    /// Whether the target lies outside of what was measured.
+    /// Whether the target size is outside of the measured range.
     pub extrapolated: bool,
 }
 
 #[derive(Serialize)]
 struct Document<'a> {
-    machine: &'a Host,
+    #[serde(rename = "machine")]
+    host: &'a Host,
     seed: u64,
     repeats: usize,
     partial: &'a Option<String>,
@@ -194,41 +196,41 @@
 }
 
 impl Report {
-    /// Takes one measurement.
+    /// Adds one measurement.
     pub fn add(&mut self, quantity: Quantity, size: f64, value: f64) {
         self.points.entry(quantity).or_default().push(Point::new(size, value));
     }
 
-    /// Takes a remark.
+    /// Adds a remark.
     pub fn note(&mut self, text: String) {
         self.notes.push(text);
     }
 
-    /// Says that the report is partial, and why.
+    /// Marks the report as partial, with the cause.
     pub fn record_early_end(&mut self, cause: &MeasureError) {
         self.partial = Some(cause.to_string());
     }
 
-    /// Whether the run ended early.
+    /// Returns true if a run ended early.
     pub fn is_partial(&self) -> bool {
         self.partial.is_some()
     }
 
-    /// The lines through all points; a quantity with too few is left out.
+    /// The fitted lines; omits quantities with too few points.
     pub fn fitted(&self) -> Vec<Fitted> {
-        self.points.iter().filter_map(|(quantity, points)| fitted(*quantity, points)).collect()
+        self.points.iter().filter_map(|(quantity, points)| fit_quantity(*quantity, points)).collect()
     }
 
-    /// The whole report as JSON.
-    pub fn json(&self, machine: &Host, seed: u64, repeats: usize) -> String {
+    /// The report as JSON.
+    pub fn json(&self, host: &Host, seed: u64, repeats: usize) -> String {
         let (partial, notes, quantities) = (&self.partial, &self.notes[..], self.fitted());
-        let document = Document { machine, seed, repeats, partial, notes, quantities };
+        let document = Document { host, seed, repeats, partial, notes, quantities };
         serde_json::to_string_pretty(&document).unwrap_or_default()
     }
 
-    /// The whole report for people.
-    pub fn text(&self, machine: &Host, seed: u64, repeats: usize) -> String {
-        let mut lines = vec![format!("machine: {machine}"), format!("seed {seed}, {repeats} repeats")];
+    /// The report as text.
+    pub fn text(&self, host: &Host, seed: u64, repeats: usize) -> String {
+        let mut lines = vec![format!("machine: {host}"), format!("seed {seed}, {repeats} repeats")];
         lines.extend(self.fitted().iter().map(Fitted::to_string));
         lines.extend(self.notes.iter().map(|note| format!("note: {note}")));
         lines.extend(self.partial.iter().map(|cause| format!("PARTIAL: {cause}")));
@@ -236,20 +238,31 @@
     }
 }
 
-fn fitted(quantity: Quantity, points: &[Point]) -> Option<Fitted> {
+fn fit_quantity(quantity: Quantity, points: &[Point]) -> Option<Fitted> {
     let Definition { name, unit, scale, per, target } = quantity.definition();
     let scaled: Vec<Point> = points.iter().map(|point| Point::new(point.size, point.value * scale)).collect();
     let linear = Fit::linear(&scaled).ok()?;
     let (at_target, extrapolated) = (linear.value_at(target), linear.extrapolates(target));
     let square = Fit::square(&scaled).ok();
-    Some(Fitted { name, unit, per, linear, square, sizes: spreads(&scaled), target, at_target, extrapolated })
+    Some(Fitted {
+        name,
+        unit,
+        per,
+        linear,
+        square,
+        sizes: spread_by_size(&scaled),
+        target,
+        at_target,
+        extrapolated,
+    })
 }
 
-/// The spread at each size; sizes that were measured (a rate that was reached) stand alone.
-fn spreads(points: &[Point]) -> Vec<SizeSpread> {
+/// The spread of the values at each size. A size that is itself measured, such as an achieved rate, has one
+/// value.
+fn spread_by_size(points: &[Point]) -> Vec<SizeSpread> {
     let mut sorted = points.to_vec();
-    sorted.sort_by(|one, other| one.size.total_cmp(&other.size));
-    let same = sorted.chunk_by(|one, other| one.size == other.size);
+    sorted.sort_by(|a, b| a.size.total_cmp(&b.size));
+    let same = sorted.chunk_by(|a, b| a.size == b.size);
     let spread = |points: &[Point]| {
         let values: Vec<f64> = points.iter().map(|point| point.value).collect();
         Spread::of(&values).map(|spread| SizeSpread { size: points[0].size, spread })
@@ -260,10 +273,10 @@
 impl fmt::Display for Fitted {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Fitted { name, unit, per, linear, target, at_target, .. } = self;
-        let (least, most) = linear.range;
+        let (min, max) = linear.range;
         write!(formatter, "{name}: {} {unit} per {per}; ", linear.slope)?;
         write!(formatter, "intercept {}; ", linear.intercept)?;
-        write!(formatter, "{} points from {least:.0} to {most:.0}; ", linear.residuals.len())?;
+        write!(formatter, "{} points from {min:.0} to {max:.0}; ", linear.residuals.len())?;
         write!(formatter, "residuals ± {:.4}; ", linear.residual_deviation)?;
         match self.square.as_ref().and_then(|fit| fit.square) {
             Some(square) if square.differs_from_zero(AGREEMENT) => {
@@ -277,13 +290,13 @@
     }
 }
 
-/// A slope of two reports.
+/// The slopes of one quantity in two reports.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
     pub name: String,
     pub first: Coefficient,
     pub second: Coefficient,
-    /// Whether they differ by no more than twice their combined standard error.
+    /// Whether the slopes differ by at most [`AGREEMENT`] combined standard errors.
     pub agree: bool,
 }
 
@@ -291,35 +304,35 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Comparison { name, first, second, agree } = self;
         let verdict = if *agree { "agree" } else { "DIFFER" };
-        let errors = (first.value - second.value).abs() / first.error.hypot(second.error);
-        write!(formatter, "{name}: {first}, {second}: {verdict} ({errors:.1} combined errors apart)")
+        let combined_errors = (first.value - second.value).abs() / first.error.hypot(second.error);
+        write!(formatter, "{name}: {first}, {second}: {verdict} ({combined_errors:.1} combined errors apart)")
     }
 }
 
-/// Compares the slopes of two reports in JSON, by the names that both have.
+/// Compares the slopes of the quantities that both JSON reports contain.
 pub fn compare(first: &Path, second: &Path) -> Result<Vec<Comparison>, MeasureError> {
     let (first, second) = (slopes(first)?, slopes(second)?);
-    let both = first.into_iter().filter_map(|(name, first)| {
+    let comparisons = first.into_iter().filter_map(|(name, first)| {
         let second = *second.get(&name)?;
         Some(Comparison { agree: first.agrees_with(&second, AGREEMENT), name, first, second })
     });
-    Ok(both.collect())
+    Ok(comparisons.collect())
 }
 
 fn slopes(path: &Path) -> Result<BTreeMap<String, Coefficient>, MeasureError> {
-    let text = std::fs::read_to_string(path).map_err(file(path))?;
-    let wrong = |cause: &str| MeasureError::Report { path: path.into(), cause: cause.into() };
-    let document: Value = serde_json::from_str(&text).map_err(|error| wrong(&error.to_string()))?;
-    let quantities = document["quantities"].as_array().ok_or_else(|| wrong("no 'quantities'"))?;
+    let text = std::fs::read_to_string(path).map_err(file_error(path))?;
+    let invalid = |cause: &str| MeasureError::Report { path: path.into(), cause: cause.into() };
+    let document: Value = serde_json::from_str(&text).map_err(|error| invalid(&error.to_string()))?;
+    let quantities = document["quantities"].as_array().ok_or_else(|| invalid("no 'quantities'"))?;
     let slope = |quantity: &Value| {
         let slope = &quantity["linear"]["slope"];
         let (value, error) = (slope["value"].as_f64()?, slope["error"].as_f64()?);
         Some((quantity["name"].as_str()?.to_string(), Coefficient { value, error }))
     };
-    // With as many points as coefficients there is no error, and nothing to compare.
+    // A fit with as many points as coefficients has no error, so it cannot be compared.
     let has_error = |quantity: &&Value| !quantity["linear"]["slope"]["error"].is_null();
     let compared = quantities.iter().filter(has_error);
     compared
-        .map(|quantity| slope(quantity).ok_or_else(|| wrong("a quantity without name or slope")))
+        .map(|quantity| slope(quantity).ok_or_else(|| invalid("a quantity without name or slope")))
         .collect()
 }
--- a/crates/footprint/src/runs/clients.rs
+++ b/crates/footprint/src/runs/clients.rs
@@ -1,106 +1,107 @@
-//! Client connections: at rest, and with a statement that waits for its database.
+//! Client connections: idle, and with a statement that waits for its database server.
 
-use super::{Bench, Scene, GROUP_SIZE, LOOK, SETTLE, WATCH};
+use super::{Bench, Setup, GROUP_SIZE, OBSERVATION_TIME, POLL_INTERVAL, SETTLE_TIME};
 use crate::report::{Quantity, Report};
-use crate::{MeasureError, Mix, Wire};
+use crate::{ClientConnection, MeasureError, Mix};
 use std::time::{Duration, Instant};
 
-const IDLE: [usize; 5] = [0, 500, 1_000, 2_000, 4_000];
-const BUSY: [usize; 5] = [0, 100, 200, 400, 800];
-/// What the pooler sends to the databases at all is there by then.
-const ARRIVAL: Duration = Duration::from_secs(1);
-/// The guard is asked after so many connections or statements.
-const CHECKED: usize = 100;
-/// Statements wait no longer than their time allows, so they are watched for less.
-const WATCH_BUSY: Duration = Duration::from_millis(400);
+const IDLE_SIZES: [usize; 5] = [0, 500, 1_000, 2_000, 4_000];
+const BUSY_SIZES: [usize; 5] = [0, 100, 200, 400, 800];
+/// Statements that the pooler sends to database servers have arrived there within this time.
+const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Number of connections or statements between two checks of the guard.
+const GUARD_INTERVAL: usize = 100;
+/// Shorter than for idle connections: statements wait no longer than their timeout.
+const BUSY_OBSERVATION_TIME: Duration = Duration::from_millis(400);
 
-/// Connections that have asked once and rest since; more and more of them at one process.
+/// Connections that have sent one statement and are idle since; their number grows at one process.
 pub(super) fn idle(bench: &mut Bench, report: &mut Report) -> Result<(), MeasureError> {
-    let sizes = bench.sizes(&IDLE);
-    bench.guard.check_descriptors(most(sizes))?;
-    let databases = bench.usual_databases();
-    let scene = bench.scene(databases, GROUP_SIZE)?;
-    // One group, so that connections to databases do not pass for connections of clients.
+    let sizes = bench.sizes(&IDLE_SIZES);
+    bench.guard.check_descriptors(largest(sizes))?;
+    let members = bench.default_members();
+    let setup = bench.setup(members, GROUP_SIZE)?;
+    // One group, so that the memory of server connections is not attributed to client connections.
     let mix = Mix::short_reads(1);
-    know_primaries(bench, &scene)?;
-    let mut wires: Vec<Wire> = Vec::new();
+    establish_primaries(bench, &setup)?;
+    let mut connections: Vec<ClientConnection> = Vec::new();
     for &size in sizes {
-        while wires.len() < size {
-            let mut wire = Wire::connect(scene.pooler.address)?;
-            wire.query(&mix.statement_in(0, &mut bench.random))?;
-            wires.push(wire);
-            if wires.len().is_multiple_of(CHECKED) {
-                bench.guard.check(&[scene.pooler.process])?;
+        while connections.len() < size {
+            let mut connection = ClientConnection::connect(setup.pooler.address)?;
+            connection.query(&mix.statement_in(0, &mut bench.random))?;
+            connections.push(connection);
+            if connections.len().is_multiple_of(GUARD_INTERVAL) {
+                bench.guard.check(&[setup.pooler.process])?;
             }
         }
-        std::thread::sleep(SETTLE);
-        let (sample, share) = scene.watch(WATCH)?;
+        std::thread::sleep(SETTLE_TIME);
+        let (sample, share) = setup.observe(OBSERVATION_TIME)?;
         report.add(Quantity::IdleClientMemory, size as f64, sample.anonymous as f64);
         report.add(Quantity::IdleClientProcessor, size as f64, share);
-        bench.guard.check(&[scene.pooler.process])?;
+        bench.guard.check(&[setup.pooler.process])?;
     }
-    let counters = scene.pooler.counters()?;
-    if counters.rested > 0 {
-        report.note(format!("idle-clients: {} connections were closed for resting", counters.rested));
+    let counters = setup.pooler.counters()?;
+    if counters.closed_idle > 0 {
+        report.note(format!("idle-clients: {} idle connections were closed", counters.closed_idle));
     }
     Ok(())
 }
 
-/// Connections whose statement has been sent to a database that does not answer yet.
+/// Connections whose statement was sent to a database server that does not answer yet.
 pub(super) fn busy(bench: &mut Bench, report: &mut Report) -> Result<(), MeasureError> {
-    let sizes = bench.sizes(&BUSY);
-    let databases = bench.usual_databases();
-    // Each has a connection to a database, too.
-    bench.guard.check_descriptors(2 * most(sizes) + databases)?;
-    let scene = bench.scene(databases, GROUP_SIZE)?;
-    let mix = Mix::typical(scene.databases.databases.groups());
-    know_primaries(bench, &scene)?;
-    std::thread::sleep(SETTLE);
-    scene.databases.set_hold_answers(true);
-    let mut wires: Vec<Wire> = Vec::new();
+    let sizes = bench.sizes(&BUSY_SIZES);
+    let members = bench.default_members();
+    // Each client connection also has a server connection.
+    bench.guard.check_descriptors(2 * largest(sizes) + members)?;
+    let setup = bench.setup(members, GROUP_SIZE)?;
+    let mix = Mix::typical(setup.servers.members.groups());
+    establish_primaries(bench, &setup)?;
+    std::thread::sleep(SETTLE_TIME);
+    setup.servers.set_hold_answers(true);
+    let mut connections: Vec<ClientConnection> = Vec::new();
     for &size in sizes {
-        while wires.len() < size {
-            let mut wire = Wire::connect(scene.pooler.address)?;
-            let group = wires.len() % mix.groups;
-            wire.send(&mix.statement_in(group, &mut bench.random))?;
-            wires.push(wire);
+        while connections.len() < size {
+            let mut connection = ClientConnection::connect(setup.pooler.address)?;
+            let group = connections.len() % mix.groups;
+            connection.send(&mix.statement_in(group, &mut bench.random))?;
+            connections.push(connection);
         }
-        let held = held(&scene, size);
+        let held = wait_for_held(&setup, size);
         if held < size {
-            report.note(format!("busy-clients: {held} of {size} statements were sent to a database"));
+            report.note(format!("busy-clients: {held} of {size} statements were sent to a database server"));
         }
-        let (sample, share) = scene.watch(WATCH_BUSY)?;
+        let (sample, share) = setup.observe(BUSY_OBSERVATION_TIME)?;
         report.add(Quantity::BusyClientMemory, held as f64, sample.anonymous as f64);
         report.add(Quantity::BusyClientProcessor, held as f64, share);
-        bench.guard.check(&[scene.pooler.process])?;
+        bench.guard.check(&[setup.pooler.process])?;
     }
-    scene.databases.set_hold_answers(false);
+    setup.servers.set_hold_answers(false);
     Ok(())
 }
 
-/// Waits until so many statements wait at the databases; fewer where the pooler holds some back.
-fn held(scene: &Scene, size: usize) -> usize {
-    let until = Instant::now() + ARRIVAL;
-    while (scene.databases.held_count() as usize) < size && Instant::now() < until {
-        std::thread::sleep(LOOK);
+/// Waits until `size` statements wait at the database servers. Returns their number, which is lower if the
+/// pooler queues some.
+fn wait_for_held(setup: &Setup, size: usize) -> usize {
+    let deadline = Instant::now() + ARRIVAL_TIMEOUT;
+    while (setup.servers.held_count() as usize) < size && Instant::now() < deadline {
+        std::thread::sleep(POLL_INTERVAL);
     }
-    scene.databases.held_count() as usize
+    setup.servers.held_count() as usize
 }
 
-/// One write in each group, so that the pooler has heard who is primary.
-pub(super) fn know_primaries(bench: &mut Bench, scene: &Scene) -> Result<(), MeasureError> {
-    let groups = scene.databases.databases.groups();
+/// Sends one write to each group, so that the pooler knows the primaries.
+pub(super) fn establish_primaries(bench: &mut Bench, setup: &Setup) -> Result<(), MeasureError> {
+    let groups = setup.servers.members.groups();
     let mix = Mix::short_writes(groups);
-    let mut wire = Wire::connect(scene.pooler.address)?;
+    let mut connection = ClientConnection::connect(setup.pooler.address)?;
     for group in 0..groups {
-        wire.query(&mix.statement_in(group, &mut bench.random))?;
-        if group.is_multiple_of(CHECKED) {
-            bench.guard.check(&[scene.pooler.process])?;
+        connection.query(&mix.statement_in(group, &mut bench.random))?;
+        if group.is_multiple_of(GUARD_INTERVAL) {
+            bench.guard.check(&[setup.pooler.process])?;
         }
     }
     Ok(())
 }
 
-fn most(sizes: &[usize]) -> usize {
+fn largest(sizes: &[usize]) -> usize {
     sizes.iter().copied().max().unwrap_or(0)
 }
--- a/crates/footprint/src/runs/configuration.rs
+++ b/crates/footprint/src/runs/configuration.rs
@@ -1,7 +1,7 @@
-//! Changes of the operator's file over the control socket, each put on record, applied, watched and confirmed.
+//! Changes of the operator's file over the control socket, each recorded, applied, watched and confirmed.
 
 use super::{Bench, GROUP_SIZE};
-use crate::error::socket;
+use crate::error::socket_error;
 use crate::report::{Quantity, Report};
 use crate::{MeasureError, Pooler};
 use control::{Call, Code, Request, Response};
@@ -10,35 +10,35 @@
 use std::time::{Duration, Instant};
 
 const CHANGES: [usize; 4] = [0, 2, 4, 8];
-/// The shortest probation: what is measured is a change, not how long it is watched.
+/// The shortest probation: the run measures the change, not the time that it is watched.
 const SETTINGS: &str = "change.probation_s = 0.1";
-/// A change is confirmed within this; one that is not is asked about again.
-const CONFIRMED: Duration = Duration::from_millis(350);
-const PATIENCE: Duration = Duration::from_secs(10);
+/// A change is normally confirmed within this time; otherwise it is sent again.
+const CONFIRM_DELAY: Duration = Duration::from_millis(350);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// So many changes one after another, in a list of the usual length.
+/// Changes one after another, with a list of the default length.
 pub(super) fn changes(bench: &mut Bench, report: &mut Report) -> Result<(), MeasureError> {
     for count in bench.shuffled(&CHANGES) {
-        let databases = bench.usual_databases();
-        let scene = bench.scene_with(databases, GROUP_SIZE, |_| {}, Some(SETTINGS))?;
-        let before = scene.pooler.sample()?;
+        let members = bench.default_members();
+        let setup = bench.setup_with(members, GROUP_SIZE, |_| {}, Some(SETTINGS))?;
+        let before = setup.pooler.sample()?;
         let mut bytes = 0;
         for number in 0..count {
-            bytes += change(&scene.pooler, number)?;
+            bytes += apply_change(&setup.pooler, number)?;
         }
-        let after = scene.pooler.sample()?;
+        let after = setup.pooler.sample()?;
         let processor = after.processor_time_since(&before).as_secs_f64();
         report.add(Quantity::ConfigurationProcessor, count as f64, processor);
         report.add(Quantity::ConfigurationBytes, count as f64, bytes as f64);
-        bench.guard.check(&[scene.pooler.process])?;
+        bench.guard.check(&[setup.pooler.process])?;
     }
     Ok(())
 }
 
-/// Applies one change and waits for its end; the bytes of the call and its answer.
-fn change(pooler: &Pooler, number: usize) -> Result<usize, MeasureError> {
+/// Applies one change and waits until it has ended. Returns the bytes of the call and its answer.
+fn apply_change(pooler: &Pooler, number: usize) -> Result<usize, MeasureError> {
     let text = pooler.operator_text(&format!("{SETTINGS}\nchange.least_requests = {}", 31 + number));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
         let call = Call::Apply {
             text: text.clone(),
@@ -46,25 +46,25 @@
             confirm_within_s: None,
             allow: Vec::new(),
         };
-        let (response, bytes) = ask(pooler, call)?;
-        std::thread::sleep(CONFIRMED);
+        let (response, bytes) = send_call(pooler, call)?;
+        std::thread::sleep(CONFIRM_DELAY);
         match response.code {
             Code::Applied | Code::Confirmed | Code::Ok => return Ok(bytes),
-            Code::Busy if begun.elapsed() < PATIENCE => {}
+            Code::Busy if started_at.elapsed() < TIMEOUT => {}
             _ => return Err(MeasureError::Refused { what: format!("{response:?}") }),
         }
     }
 }
 
-fn ask(pooler: &Pooler, call: Call) -> Result<(Response, usize), MeasureError> {
+fn send_call(pooler: &Pooler, call: Call) -> Result<(Response, usize), MeasureError> {
     let what = "the control socket";
-    let stream = UnixStream::connect(pooler.control_socket()).map_err(socket(what))?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(socket(what))?;
+    let stream = UnixStream::connect(pooler.control_socket()).map_err(socket_error(what))?;
+    stream.set_read_timeout(Some(TIMEOUT)).map_err(socket_error(what))?;
     let request = Request::new(call).to_line();
     let mut connection = BufReader::new(stream);
-    connection.get_mut().write_all(&request).map_err(socket(what))?;
+    connection.get_mut().write_all(&request).map_err(socket_error(what))?;
     let mut line = String::new();
-    connection.read_line(&mut line).map_err(socket(what))?;
+    connection.read_line(&mut line).map_err(socket_error(what))?;
     let response =
         serde_json::from_str(&line).map_err(|error| MeasureError::Refused { what: error.to_string() })?;
     Ok((response, request.len() + line.len()))
--- a/crates/footprint/src/runs/mod.rs
+++ b/crates/footprint/src/runs/mod.rs
@@ -1,4 +1,4 @@
-//! The runs: what is varied in each, and what is read off the process.
+//! The runs: each varies one size and samples the process.
 
 mod clients;
 mod configuration;
@@ -14,45 +14,46 @@
 use std::str::FromStr;
 use std::time::{Duration, Instant};
 
-/// Databases of a group: a primary and three replicas.
+/// Members of a group: a primary and three replicas.
 const GROUP_SIZE: usize = 4;
-/// Databases at the target size.
-const DATABASES: usize = 1_600;
-/// The same in a quick run.
-const QUICK_DATABASES: usize = 200;
-/// How long a process is left alone before it is looked at.
-const SETTLE: Duration = Duration::from_millis(300);
-/// How long an idle process is watched.
-const WATCH: Duration = Duration::from_millis(700);
-/// How long what was told or asked may take to arrive.
-const PATIENCE: Duration = Duration::from_secs(10);
-const LOOK: Duration = Duration::from_millis(5);
-
-/// A run, by its name on the command line.
+/// Number of members at the target size, in runs that do not vary it.
+const DEFAULT_MEMBERS: usize = 1_600;
+/// Number of members in a quick run.
+const QUICK_MEMBERS: usize = 200;
+/// Pause before a process is sampled.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
+/// How long an idle process is observed.
+const OBSERVATION_TIME: Duration = Duration::from_millis(700);
+/// Time limit for an update or a request to arrive.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// A run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Run {
-    /// Client connections at rest.
+    /// Idle client connections.
     IdleClients,
-    /// Client connections whose statements wait for a database.
+    /// Client connections whose statements wait for a database server.
     BusyClients,
-    /// Statements a second.
+    /// Rates of statements.
     Statements,
-    /// Statements at one rate before lists of several lengths.
+    /// Statements at one rate, with lists of several lengths.
     StatementsByList,
-    /// Databases in the list, nothing asked.
+    /// Lists of several lengths, without statements.
     Databases,
-    /// Connections to databases at rest.
+    /// Idle server connections.
     Connections,
-    /// Probes a second beside one rate of statements.
+    /// Rates of probes beside one rate of statements.
     Probes,
-    /// Whole lists and changes of the list.
+    /// Full lists and changes of the list.
     List,
     /// Changes of configuration.
     Configuration,
 }
 
 impl Run {
-    /// All of them, in the order in which they are made.
+    /// All runs, in the order in which they are made.
     pub const ALL: [Run; 9] = [
         Run::IdleClients,
         Run::BusyClients,
@@ -65,7 +66,7 @@
         Run::Configuration,
     ];
 
-    /// Its name on the command line.
+    /// Name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Run::IdleClients => "idle-clients",
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Makes it, repeat by repeat; what is found goes into the report point by point.
+    /// Makes all repeats of the run and adds their points to the report.
     pub fn execute(self, bench: &mut Bench, report: &mut Report) -> Result<(), MeasureError> {
         for _ in 0..bench.repeats {
             match self {
@@ -91,7 +92,7 @@
                 Run::Databases => databases::listed(bench, report)?,
                 Run::Connections => databases::connections(bench, report)?,
                 Run::Probes => statements::probes(bench, report)?,
-                Run::List => list::whole(bench, report).and_then(|()| list::changes(bench, report))?,
+                Run::List => list::full_lists(bench, report).and_then(|()| list::changes(bench, report))?,
                 Run::Configuration => configuration::changes(bench, report)?,
             }
         }
@@ -103,34 +104,34 @@
     type Err = String;
 
     fn from_str(name: &str) -> Result<Run, String> {
-        let known = Run::ALL.iter().copied().find(|run| run.name() == name);
+        let run = Run::ALL.iter().copied().find(|run| run.name() == name);
         let names: Vec<&str> = Run::ALL.iter().map(|run| run.name()).collect();
-        known.ok_or_else(|| format!("'{name}' is no run; accepted: {}", names.join(", ")))
+        run.ok_or_else(|| format!("'{name}' is no run; accepted: {}", names.join(", ")))
     }
 }
 
-/// What all runs need.
+/// State and options shared by all runs.
 pub struct Bench {
     pub program: PathBuf,
     pub guard: Guard,
     pub ports: Ports,
     pub random: fastrand::Rng,
-    /// How often each run is made, with a new process each time.
+    /// Number of repeats of each run, each with new processes.
     pub repeats: usize,
-    /// Two small sizes in place of all: shows that the runs work, and measures nothing of use.
+    /// Only two small sizes of each run: tests that the runs work, without useful measurements.
     pub quick: bool,
 }
 
-/// One pooler with the stand-ins around it.
-struct Scene {
+/// A pooler and its stand-ins.
+struct Setup {
     pooler: Pooler,
-    databases: DatabaseServers,
-    /// Kept so that the pooler has a list to follow.
+    servers: DatabaseServers,
+    /// Lives as long as the pooler, so that the pooler has a list to follow.
     discovery: Discovery,
 }
 
 impl Bench {
-    /// The sizes of a run, or the first two of them.
+    /// The sizes of a run; in a quick run the first two of them.
     fn sizes<'a>(&self, all: &'a [usize]) -> &'a [usize] {
         if self.quick {
             return &all[..2];
@@ -138,54 +139,54 @@
         all
     }
 
-    /// The same in an order that is drawn, so that a drift of the machine does not pass for a slope.
+    /// The sizes in random order, so that a drift of the host does not appear as a slope.
     fn shuffled(&mut self, all: &[usize]) -> Vec<usize> {
         let mut sizes = self.sizes(all).to_vec();
         self.random.shuffle(&mut sizes);
         sizes
     }
 
-    /// How many databases the runs have that do not vary them.
-    fn usual_databases(&self) -> usize {
+    /// Number of members in runs that do not vary it.
+    fn default_members(&self) -> usize {
         if self.quick {
-            return QUICK_DATABASES;
+            return QUICK_MEMBERS;
         }
-        DATABASES
+        DEFAULT_MEMBERS
     }
 
-    /// Starts a pooler before so many databases in groups of this size.
-    fn scene(&mut self, databases: usize, group_size: usize) -> Result<Scene, MeasureError> {
-        self.scene_with(databases, group_size, |_| {}, None)
+    /// Starts a pooler with `members` members in groups of the given size.
+    fn setup(&mut self, members: usize, group_size: usize) -> Result<Setup, MeasureError> {
+        self.setup_with(members, group_size, |_| {}, None)
     }
 
-    /// The same with changes to the platform's configuration, and an operator's file where there is one.
-    fn scene_with(
+    /// Like `setup`, with changes to the platform's configuration, and with an operator's file if given.
+    fn setup_with(
         &mut self,
-        databases: usize,
+        members: usize,
         group_size: usize,
         change: impl FnOnce(&mut Platform),
         operator: Option<&str>,
-    ) -> Result<Scene, MeasureError> {
+    ) -> Result<Setup, MeasureError> {
         self.guard.check(&[])?;
-        let servers = DatabaseServers::start(&mut self.ports, databases, group_size)?;
-        let discovery = Discovery::start(&mut self.ports, servers.databases.list(1).to_string())?;
+        let servers = DatabaseServers::start(&mut self.ports, members, group_size)?;
+        let discovery = Discovery::start(&mut self.ports, servers.members.list(1).to_string())?;
         let (listen, seed) = (self.ports.free()?, self.random.u64(..));
-        let mut platform = Platform::new(listen, discovery.address, servers.databases.clone(), seed);
+        let mut platform = Platform::new(listen, discovery.address, servers.members.clone(), seed);
         change(&mut platform);
         let pooler = match operator {
             None => Pooler::start(&self.program, &platform)?,
             Some(operator) => Pooler::start_with_operator(&self.program, &platform, operator)?,
         };
-        until("discovery's list", || discovery.request_count() > 0)?;
-        std::thread::sleep(SETTLE);
+        wait_until("discovery's list", || discovery.request_count() > 0)?;
+        std::thread::sleep(SETTLE_TIME);
         self.guard.check(&[pooler.process])?;
-        Ok(Scene { pooler, databases: servers, discovery })
+        Ok(Setup { pooler, servers, discovery })
     }
 }
 
-impl Scene {
-    /// Watches the process for a while; the sample at the end and the share of a core that was used.
-    fn watch(&self, time: Duration) -> Result<(Sample, f64), MeasureError> {
+impl Setup {
+    /// Observes the process for the given time. Returns the sample at the end and the share of a core used.
+    fn observe(&self, time: Duration) -> Result<(Sample, f64), MeasureError> {
         let before = self.pooler.sample()?;
         std::thread::sleep(time);
         let after = self.pooler.sample()?;
@@ -193,14 +194,14 @@
     }
 }
 
-/// Waits until something is so.
-fn until(what: &'static str, mut so: impl FnMut() -> bool) -> Result<(), MeasureError> {
-    let begun = Instant::now();
-    while !so() {
-        if begun.elapsed() > PATIENCE {
+/// Waits until the condition is true, for at most [`TIMEOUT`].
+fn wait_until(what: &'static str, mut condition: impl FnMut() -> bool) -> Result<(), MeasureError> {
+    let started_at = Instant::now();
+    while !condition() {
+        if started_at.elapsed() > TIMEOUT {
             return Err(MeasureError::NoAnswer { what });
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/crates/footprint/src/runs/statements.rs
+++ b/crates/footprint/src/runs/statements.rs
@@ -1,104 +1,106 @@
-//! A steady load of statements, at several rates, before lists of several lengths, and beside probes.
+//! A steady load of statements: at several rates, with lists of several lengths, and beside probes.
 
-use super::clients::know_primaries;
-use super::{Bench, Scene, GROUP_SIZE};
+use super::clients::establish_primaries;
+use super::{Bench, Setup, GROUP_SIZE};
 use crate::report::{Quantity, Report};
 use crate::{Load, MeasureError, Mix, Platform};
 use measure::Sample;
 use std::time::Duration;
 
 const RATES: [usize; 5] = [250, 500, 1_000, 2_000, 3_000];
-const LISTS: [usize; 4] = [100, 400, 800, 1_600];
-/// Ages (s) that bounded reads allow while probes are measured: the shorter, the more probes; none with the first.
-const BOUNDS: [f64; 5] = [0.0, 3.0, 1.0, 0.5, 0.2];
+const LIST_LENGTHS: [usize; 4] = [100, 400, 800, 1_600];
+/// Staleness bounds (seconds) of bounded reads in the run with probes: the shorter, the more probes. The
+/// first turns probes off.
+const STALENESS_BOUNDS: [f64; 5] = [0.0, 3.0, 1.0, 0.5, 0.2];
 const RATE: usize = 1_000;
 const CLIENTS: usize = 200;
-/// The load runs so long before it is looked at, and then so long.
-const WARM: Duration = Duration::from_millis(400);
+/// How long the load runs before it is measured.
+const WARM_UP: Duration = Duration::from_millis(400);
+/// How long the load is measured.
 const WINDOW: Duration = Duration::from_millis(1_100);
 
-/// What a window of load came to.
+/// Measurements of one window of load.
 struct Window {
-    /// Statements served a second.
+    /// Statements served per second.
     rate: f64,
-    /// Probes a second.
+    /// Probes per second.
     probes: f64,
-    /// The share of a core that was used.
+    /// Share of a core used.
     share: f64,
     sample: Sample,
     errors: u64,
 }
 
-/// Statements at several rates, each at a new process.
+/// Statements at several rates, each with a new process.
 pub(super) fn by_rate(bench: &mut Bench, report: &mut Report) -> Result<(), MeasureError> {
     for rate in bench.shuffled(&RATES) {
-        let databases = bench.usual_databases();
-        let scene = bench.scene(databases, GROUP_SIZE)?;
-        let window = load(bench, &scene, rate)?;
+        let members = bench.default_members();
+        let setup = bench.setup(members, GROUP_SIZE)?;
+        let window = run_load(bench, &setup, rate)?;
         report.add(Quantity::StatementProcessor, window.rate, window.share);
         report.add(Quantity::StatementMemory, window.rate, window.sample.anonymous as f64);
-        told(report, "statements", rate, &window);
+        note_shortfall(report, "statements", rate, &window);
     }
     Ok(())
 }
 
-/// Statements at one rate before lists of several lengths.
+/// Statements at one rate, with lists of several lengths.
 pub(super) fn by_list(bench: &mut Bench, report: &mut Report) -> Result<(), MeasureError> {
-    for databases in bench.shuffled(&LISTS) {
-        let scene = bench.scene(databases, GROUP_SIZE)?;
-        let window = load(bench, &scene, RATE)?;
-        let each = window.share / window.rate;
-        report.add(Quantity::StatementProcessorByList, databases as f64, each);
-        told(report, "statements-by-list", RATE, &window);
+    for members in bench.shuffled(&LIST_LENGTHS) {
+        let setup = bench.setup(members, GROUP_SIZE)?;
+        let window = run_load(bench, &setup, RATE)?;
+        let per_statement = window.share / window.rate;
+        report.add(Quantity::StatementProcessorByList, members as f64, per_statement);
+        note_shortfall(report, "statements-by-list", RATE, &window);
     }
     Ok(())
 }
 
-/// Probes beside one rate of statements, at a pooler that takes itself to be alone.
+/// Probes beside one rate of statements, with a fleet size of one.
 pub(super) fn probes(bench: &mut Bench, report: &mut Report) -> Result<(), MeasureError> {
-    let orders: Vec<usize> = (0..BOUNDS.len()).collect();
-    for order in bench.shuffled(&orders) {
-        let databases = bench.usual_databases();
-        let bound = BOUNDS[order];
+    let indices: Vec<usize> = (0..STALENESS_BOUNDS.len()).collect();
+    for index in bench.shuffled(&indices) {
+        let members = bench.default_members();
+        let staleness_bound = STALENESS_BOUNDS[index];
         let change = |platform: &mut Platform| {
             platform.fleet_size = 1;
-            if bound > 0.0 {
-                (platform.probes, platform.staleness_bound) = (true, bound);
+            if staleness_bound > 0.0 {
+                (platform.probes, platform.staleness_bound) = (true, staleness_bound);
             }
         };
-        let scene = bench.scene_with(databases, GROUP_SIZE, change, None)?;
-        let window = load(bench, &scene, RATE)?;
+        let setup = bench.setup_with(members, GROUP_SIZE, change, None)?;
+        let window = run_load(bench, &setup, RATE)?;
         report.add(Quantity::ProbeProcessor, window.probes, window.share);
-        told(report, "probes", RATE, &window);
+        note_shortfall(report, "probes", RATE, &window);
     }
     Ok(())
 }
 
-/// Runs a load for a window.
-fn load(bench: &mut Bench, scene: &Scene, rate: usize) -> Result<Window, MeasureError> {
-    know_primaries(bench, scene)?;
-    let mix = Mix::typical(scene.databases.databases.groups());
+/// Runs a load and measures one window of it.
+fn run_load(bench: &mut Bench, setup: &Setup, rate: usize) -> Result<Window, MeasureError> {
+    establish_primaries(bench, setup)?;
+    let mix = Mix::typical(setup.servers.members.groups());
     let seed = bench.random.u64(..);
-    let load = Load::start(scene.pooler.address, CLIENTS, rate as f64, mix, seed)?;
-    std::thread::sleep(WARM);
-    let (served, probes, before) = (load.served()?, scene.databases.probes(), scene.pooler.sample()?);
+    let load = Load::start(setup.pooler.address, CLIENTS, rate as f64, mix, seed)?;
+    std::thread::sleep(WARM_UP);
+    let (served, probes, before) = (load.served()?, setup.servers.probes(), setup.pooler.sample()?);
     std::thread::sleep(WINDOW);
-    let sample = scene.pooler.sample()?;
+    let sample = setup.pooler.sample()?;
     let seconds = sample.at.duration_since(before.at).as_secs_f64();
-    let a_second = |after: u64, before: u64| (after - before) as f64 / seconds;
+    let per_second = |after: u64, before: u64| (after - before) as f64 / seconds;
     let window = Window {
-        rate: a_second(load.served()?, served),
-        probes: a_second(scene.databases.probes(), probes),
+        rate: per_second(load.served()?, served),
+        probes: per_second(setup.servers.probes(), probes),
         share: sample.core_share_since(&before),
         sample,
         errors: load.errors(),
     };
-    bench.guard.check(&[scene.pooler.process])?;
+    bench.guard.check(&[setup.pooler.process])?;
     Ok(window)
 }
 
-/// Notes what was not served, and a rate that was not reached within a twentieth.
-fn told(report: &mut Report, run: &str, rate: usize, window: &Window) {
+/// Adds remarks on statements that ended in errors, and on a rate that was missed by more than a twentieth.
+fn note_shortfall(report: &mut Report, run: &str, rate: usize, window: &Window) {
     if window.errors > 0 {
         report.note(format!("{run}: {} statements at {rate} a second ended in errors", window.errors));
     }
--- a/crates/footprint/src/stand_in/databases.rs
+++ b/crates/footprint/src/stand_in/databases.rs
@@ -1,7 +1,7 @@
-//! Databases that answer each statement at once, all on one thread, each on a loopback address of its own.
+//! Database servers that answer each statement at once, all on one thread, each on its own loopback address.
 
-use crate::error::socket;
-use crate::{Databases, MeasureError, Ports};
+use crate::error::socket_error;
+use crate::{MeasureError, Members, Ports};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use slab::Slab;
@@ -10,22 +10,22 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// How long the thread waits for events before it looks whether it is to hold, to release or to end.
-const TURN: Duration = Duration::from_millis(5);
-const EVENTS: usize = 1_024;
-const READ: usize = 16 * 1024;
-/// A frame's type and length.
-const HEAD: usize = 5;
-/// What a pooler asks when it probes.
-const PROBE: &[u8] = b"SHOW usage\0";
-/// What tells a write from a read.
-const WRITE: &[u8] = b"INSERT INTO";
-const VALUE: &[u8] = b"\x9f\x00\x03\x21\x7e\x55\x10\x02";
+/// How long the thread waits for events before it checks whether to hold or release answers, or to stop.
+const POLL_TIMEOUT: Duration = Duration::from_millis(5);
+const MAX_EVENTS: usize = 1_024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Size of a message's type and length.
+const HEADER_BYTES: usize = 5;
+/// The query that a pooler sends as a probe.
+const PROBE_QUERY: &[u8] = b"SHOW usage\0";
+/// Text by which a write is recognised.
+const WRITE_PREFIX: &[u8] = b"INSERT INTO";
+const ROW_VALUE: &[u8] = b"\x9f\x00\x03\x21\x7e\x55\x10\x02";
 
 #[derive(Default)]
 struct Shared {
-    over: AtomicBool,
-    hold: AtomicBool,
+    stop: AtomicBool,
+    hold_answers: AtomicBool,
     held: AtomicU64,
     statements: AtomicU64,
     probes: AtomicU64,
@@ -34,14 +34,14 @@
     bytes_out: AtomicU64,
 }
 
-/// The servers, on a thread of their own until this goes.
+/// The database servers, on their own thread until this is dropped.
 pub struct DatabaseServers {
-    pub databases: Databases,
+    pub members: Members,
     shared: Arc<Shared>,
 }
 
 impl DatabaseServers {
-    /// Starts so many databases in groups; the first of each group is its primary.
+    /// Starts `count` database servers in groups; the first of each group is its primary.
     pub fn start(
         ports: &mut Ports,
         count: usize,
@@ -50,42 +50,44 @@
         let listeners = ports.listeners(count)?;
         let mut addresses = Vec::new();
         for listener in &listeners {
-            listener.set_nonblocking(true).map_err(socket("a database"))?;
-            addresses.push(listener.local_addr().map_err(socket("a database"))?);
+            listener.set_nonblocking(true).map_err(socket_error("a database server"))?;
+            addresses.push(listener.local_addr().map_err(socket_error("a database server"))?);
         }
-        let databases = Databases { addresses, group_size };
+        let members = Members { addresses, group_size };
         let shared = Arc::new(Shared::default());
-        let servers = Servers::new(listeners, group_size, shared.clone()).map_err(socket("databases"))?;
-        std::thread::spawn(move || servers.run());
-        Ok(DatabaseServers { databases, shared })
+        let event_loop = EventLoop::new(listeners, group_size, shared.clone())
+            .map_err(socket_error("database servers"))?;
+        std::thread::spawn(move || event_loop.run());
+        Ok(DatabaseServers { members, shared })
     }
 
-    /// Whether statements are held from now on in place of being answered; those that are held are answered when this ends.
+    /// Sets whether the servers hold statements instead of answering them. Held statements are answered when
+    /// holding ends.
     pub fn set_hold_answers(&self, hold: bool) {
-        self.shared.hold.store(hold, Ordering::SeqCst);
+        self.shared.hold_answers.store(hold, Ordering::SeqCst);
     }
 
-    /// Statements that are held at present.
+    /// Number of statements held at present.
     pub fn held_count(&self) -> u64 {
         self.shared.held.load(Ordering::SeqCst)
     }
 
-    /// Statements that came so far, without probes.
+    /// Number of statements received so far, without probes.
     pub fn statements(&self) -> u64 {
         self.shared.statements.load(Ordering::SeqCst)
     }
 
-    /// Probes that came so far.
+    /// Number of probes received so far.
     pub fn probes(&self) -> u64 {
         self.shared.probes.load(Ordering::SeqCst)
     }
 
-    /// Connections that are open at present.
+    /// Number of connections open at present.
     pub fn connections(&self) -> u64 {
         self.shared.connections.load(Ordering::SeqCst)
     }
 
-    /// Bytes that came from the pooler and that went to it so far.
+    /// Bytes received from the pooler and sent to it so far.
     pub fn bytes(&self) -> (u64, u64) {
         (self.shared.bytes_in.load(Ordering::SeqCst), self.shared.bytes_out.load(Ordering::SeqCst))
     }
@@ -93,21 +95,21 @@
 
 impl Drop for DatabaseServers {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
+        self.shared.stop.store(true, Ordering::SeqCst);
     }
 }
 
 struct Connection {
     stream: TcpStream,
     primary: bool,
-    greeted: bool,
+    startup_done: bool,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// A statement came and waits to be answered.
+    /// A statement has arrived and its answer is held.
     held: bool,
 }
 
-struct Servers {
+struct EventLoop {
     poll: Poll,
     listeners: Vec<TcpListener>,
     group_size: usize,
@@ -116,24 +118,24 @@
     holding: bool,
 }
 
-impl Servers {
+impl EventLoop {
     fn new(
         listeners: Vec<std::net::TcpListener>,
         group_size: usize,
         shared: Arc<Shared>,
-    ) -> io::Result<Servers> {
+    ) -> io::Result<EventLoop> {
         let poll = Poll::new()?;
         let mut listeners: Vec<TcpListener> = listeners.into_iter().map(TcpListener::from_std).collect();
         for (index, listener) in listeners.iter_mut().enumerate() {
             poll.registry().register(listener, Token(index), Interest::READABLE)?;
         }
-        Ok(Servers { poll, listeners, group_size, connections: Slab::new(), shared, holding: false })
+        Ok(EventLoop { poll, listeners, group_size, connections: Slab::new(), shared, holding: false })
     }
 
     fn run(mut self) {
-        let mut events = Events::with_capacity(EVENTS);
-        while !self.shared.over.load(Ordering::SeqCst) {
-            match self.poll.poll(&mut events, Some(TURN)) {
+        let mut events = Events::with_capacity(MAX_EVENTS);
+        while !self.shared.stop.load(Ordering::SeqCst) {
+            match self.poll.poll(&mut events, Some(POLL_TIMEOUT)) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(_) => return,
                 Ok(()) => {}
@@ -142,10 +144,10 @@
             for token in tokens {
                 match token.checked_sub(self.listeners.len()) {
                     None => self.accept(token),
-                    Some(key) => self.turn(key),
+                    Some(key) => self.serve(key),
                 }
             }
-            self.look_at_hold();
+            self.update_hold();
         }
     }
 
@@ -161,13 +163,13 @@
             }
             self.shared.connections.fetch_add(1, Ordering::SeqCst);
             let (input, output) = (Vec::new(), Vec::new());
-            entry.insert(Connection { stream, primary, greeted: false, input, output, held: false });
+            entry.insert(Connection { stream, primary, startup_done: false, input, output, held: false });
         }
     }
 
-    fn turn(&mut self, key: usize) {
+    fn serve(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else { return };
-        if connection.turn(&self.shared, self.holding) {
+        if connection.serve(&self.shared, self.holding) {
             return;
         }
         if self.connections.remove(key).held {
@@ -176,13 +178,13 @@
         self.shared.connections.fetch_sub(1, Ordering::SeqCst);
     }
 
-    /// Answers what was held once holding has ended.
-    fn look_at_hold(&mut self) {
-        let holds = self.shared.hold.load(Ordering::SeqCst);
-        if std::mem::replace(&mut self.holding, holds) && !holds {
+    /// Applies a changed hold setting, and answers the held statements once holding has ended.
+    fn update_hold(&mut self) {
+        let hold_answers = self.shared.hold_answers.load(Ordering::SeqCst);
+        if std::mem::replace(&mut self.holding, hold_answers) && !hold_answers {
             for (_, connection) in &mut self.connections {
                 if std::mem::take(&mut connection.held) {
-                    connection.output.extend(served(connection.primary));
+                    connection.output.extend(served_response(connection.primary));
                     connection.write(&self.shared);
                 }
             }
@@ -192,17 +194,17 @@
 }
 
 impl Connection {
-    /// Reads, answers and writes as far as it goes; false once the connection has ended.
-    fn turn(&mut self, shared: &Shared, holding: bool) -> bool {
+    /// Reads, answers and writes until it would block. Returns false once the connection has ended.
+    fn serve(&mut self, shared: &Shared, holding: bool) -> bool {
         let open = self.read(shared);
-        while let Some(message) = self.take() {
+        while let Some(message) = self.take_message() {
             self.answer(&message, shared, holding);
         }
         open && self.write(shared)
     }
 
     fn read(&mut self, shared: &Shared) -> bool {
-        let mut buffer = [0; READ];
+        let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
             match self.stream.read(&mut buffer) {
                 Ok(0) => return false,
@@ -232,31 +234,31 @@
         true
     }
 
-    /// The next whole message, with its type; the first on a connection has none and is passed on as a whole.
-    fn take(&mut self) -> Option<Vec<u8>> {
-        let at = if self.greeted { 1 } else { 0 };
+    /// Takes the next complete message, including its type. The first message of a connection has no type.
+    fn take_message(&mut self) -> Option<Vec<u8>> {
+        let at = if self.startup_done { 1 } else { 0 };
         let length = self.input.get(at..at + 4)?;
         let length = u32::from_be_bytes([length[0], length[1], length[2], length[3]]) as usize + at;
         (self.input.len() >= length).then(|| self.input.drain(..length).collect())
     }
 
     fn answer(&mut self, message: &[u8], shared: &Shared, holding: bool) {
-        if !self.greeted {
-            self.greeted = true;
+        if !self.startup_done {
+            self.startup_done = true;
             self.output.extend(peers::frame(b'R', &[0; 4]));
             self.output.extend(peers::frame(b'Z', b"I"));
-        } else if message.get(HEAD..) == Some(PROBE) {
+        } else if message.get(HEADER_BYTES..) == Some(PROBE_QUERY) {
             shared.probes.fetch_add(1, Ordering::Relaxed);
-            self.output.extend(usage(self.primary));
+            self.output.extend(probe_response(self.primary));
         } else if message[0] == b'Q' {
             shared.statements.fetch_add(1, Ordering::Relaxed);
             if !self.primary && is_write(message) {
-                self.output.extend(read_only());
+                self.output.extend(read_only_response());
             } else if holding {
                 self.held = true;
                 shared.held.fetch_add(1, Ordering::SeqCst);
             } else {
-                self.output.extend(served(self.primary));
+                self.output.extend(served_response(self.primary));
             }
         }
     }
@@ -267,21 +269,21 @@
 }
 
 fn is_write(message: &[u8]) -> bool {
-    message.windows(WRITE.len()).any(|words| words == WRITE)
+    message.windows(WRITE_PREFIX.len()).any(|window| window == WRITE_PREFIX)
 }
 
-/// The error with which a replica turns a write away.
-fn read_only() -> Vec<u8> {
+/// The error with which a replica refuses a write.
+fn read_only_response() -> Vec<u8> {
     let error = b"SERROR\0VERROR\0C25006\0Mcannot execute INSERT in a read-only transaction\0\0";
     [peers::frame(b'E', error), peers::frame(b'Z', b"I")].concat()
 }
 
-/// A row, the server's role and its position.
-fn served(primary: bool) -> Vec<u8> {
+/// The answer to a statement: a row, the server's role and its position.
+fn served_response(primary: bool) -> Vec<u8> {
     let status = |name: &str, value: &str| peers::frame(b'S', [name, "\0", value, "\0"].concat().as_bytes());
     let role = if primary { "writer" } else { "reader" };
     let position = format!("{:.3}", now() * 1e3);
-    let mut answer = peers::row(VALUE);
+    let mut answer = peers::row(ROW_VALUE);
     answer.extend(status("server_role", role));
     answer.extend(status("commit_clock", &position));
     answer.extend(peers::frame(b'Z', b"I"));
@@ -289,7 +291,7 @@
 }
 
 /// The answer to a probe: position and role.
-fn usage(primary: bool) -> Vec<u8> {
+fn probe_response(primary: bool) -> Vec<u8> {
     let report = format!("x0={:.3},x1={}", now(), u8::from(primary));
     [peers::row(report.as_bytes()), peers::frame(b'Z', b"I")].concat()
 }
--- a/crates/footprint/src/stand_in/discovery.rs
+++ b/crates/footprint/src/stand_in/discovery.rs
@@ -1,6 +1,7 @@
-//! A discovery service for one pooler: answers a call with the whole list and tells changes on the same connection.
+//! A discovery service for one pooler: answers a list request with the full list and sends changes on the
+//! same connection.
 
-use crate::error::socket;
+use crate::error::socket_error;
 use crate::{MeasureError, Ports};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,107 +9,112 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// An empty line is due every 2 s on a watch; this is well within.
-const BEAT: Duration = Duration::from_millis(500);
-const TURN: Duration = Duration::from_millis(5);
-/// A caller that sends its request more slowly is dropped.
-const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// A watch is silent without an empty line every 2 s; this interval is well below.
+const EMPTY_LINE_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause between two attempts to accept a connection.
+const ACCEPT_INTERVAL: Duration = Duration::from_millis(5);
+/// A connection without any data for this long is closed before its request is complete.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
 struct Shared {
-    whole: Mutex<Vec<u8>>,
+    full_list: Mutex<Vec<u8>>,
     watch: Mutex<Option<TcpStream>>,
-    calls: AtomicU64,
-    over: AtomicBool,
+    requests: AtomicU64,
+    stop: AtomicBool,
 }
 
-/// The service, on a thread of its own until this goes.
+/// The service, on its own thread until this is dropped.
 pub struct Discovery {
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Discovery {
-    /// Listens, and answers each call with this list.
-    pub fn start(ports: &mut Ports, whole: String) -> Result<Discovery, MeasureError> {
+    /// Listens, and answers each request with the given list.
+    pub fn start(ports: &mut Ports, full_list: String) -> Result<Discovery, MeasureError> {
         let listener = ports.listener()?;
-        listener.set_nonblocking(true).map_err(socket("discovery"))?;
-        let address = listener.local_addr().map_err(socket("discovery"))?;
+        listener.set_nonblocking(true).map_err(socket_error("discovery"))?;
+        let address = listener.local_addr().map_err(socket_error("discovery"))?;
         let shared = Arc::new(Shared {
-            whole: Mutex::new(line(&whole)),
+            full_list: Mutex::new(encode_line(&full_list)),
             watch: Mutex::default(),
-            calls: AtomicU64::new(0),
-            over: AtomicBool::new(false),
+            requests: AtomicU64::new(0),
+            stop: AtomicBool::new(false),
         });
-        let own = shared.clone();
-        std::thread::spawn(move || own.serve(&listener));
+        let service = shared.clone();
+        std::thread::spawn(move || service.serve(&listener));
         Ok(Discovery { address, shared })
     }
 
-    /// Tells the pooler that watches one document; false where nobody watches. Its length on the wire in bytes.
+    /// Sends a document on the watch. Returns its bytes on the wire, or None if there is no watch.
     pub fn push_list(&self, document: &str) -> Option<usize> {
-        let bytes = line(document);
-        self.shared.write(&bytes).then_some(bytes.len())
+        let bytes = encode_line(document);
+        self.shared.write_to_watch(&bytes).then_some(bytes.len())
     }
 
-    /// Calls that were answered so far.
+    /// Number of list requests answered so far.
     pub fn request_count(&self) -> u64 {
-        self.shared.calls.load(Ordering::SeqCst)
+        self.shared.requests.load(Ordering::SeqCst)
     }
 }
 
 impl Drop for Discovery {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
+        self.shared.stop.store(true, Ordering::SeqCst);
     }
 }
 
 impl Shared {
     fn serve(&self, listener: &TcpListener) {
-        let mut beat = Instant::now() + BEAT;
-        while !self.over.load(Ordering::SeqCst) {
+        let mut next_empty_line = Instant::now() + EMPTY_LINE_INTERVAL;
+        while !self.stop.load(Ordering::SeqCst) {
             match listener.accept() {
                 Ok((stream, _)) => self.answer(stream),
-                Err(error) if error.kind() == ErrorKind::WouldBlock => std::thread::sleep(TURN),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => std::thread::sleep(ACCEPT_INTERVAL),
                 Err(_) => return,
             }
-            if Instant::now() >= beat {
-                self.write(&peers::encode_chunks([&b"\n"[..]]));
-                beat = Instant::now() + BEAT;
+            if Instant::now() >= next_empty_line {
+                self.write_to_watch(&peers::encode_chunks([&b"\n"[..]]));
+                next_empty_line = Instant::now() + EMPTY_LINE_INTERVAL;
             }
         }
     }
 
-    /// Reads one request and answers it with the whole list; its connection is the watch from now on.
+    /// Reads one request and answers it with the full list. Its connection is the watch from then on.
     fn answer(&self, mut stream: TcpStream) {
-        let mut head = Vec::new();
+        let mut request = Vec::new();
         let mut byte = [0];
-        let ready = stream
+        let configured = stream
             .set_nonblocking(false)
-            .and_then(|()| stream.set_read_timeout(Some(CALL_TIMEOUT)))
+            .and_then(|()| stream.set_read_timeout(Some(REQUEST_TIMEOUT)))
             .and_then(|()| stream.set_nodelay(true));
-        if ready.is_err() {
+        if configured.is_err() {
             return;
         }
-        while !head.ends_with(b"\r\n\r\n") {
+        while !request.ends_with(b"\r\n\r\n") {
             match stream.read(&mut byte) {
-                Ok(1) => head.push(byte[0]),
+                Ok(1) => request.push(byte[0]),
                 _ => return,
             }
         }
-        let whole = self.whole.lock().unwrap_or_else(PoisonError::into_inner);
-        if stream.write_all(peers::RESPONSE_HEAD.as_bytes()).and_then(|()| stream.write_all(&whole)).is_ok() {
+        let full_list = self.full_list.lock().unwrap_or_else(PoisonError::into_inner);
+        if stream
+            .write_all(peers::RESPONSE_HEAD.as_bytes())
+            .and_then(|()| stream.write_all(&full_list))
+            .is_ok()
+        {
             *self.watch.lock().unwrap_or_else(PoisonError::into_inner) = Some(stream);
-            self.calls.fetch_add(1, Ordering::SeqCst);
+            self.requests.fetch_add(1, Ordering::SeqCst);
         }
     }
 
-    fn write(&self, bytes: &[u8]) -> bool {
+    fn write_to_watch(&self, bytes: &[u8]) -> bool {
         let mut watch = self.watch.lock().unwrap_or_else(PoisonError::into_inner);
         watch.as_mut().is_some_and(|stream| stream.write_all(bytes).is_ok())
     }
 }
 
-/// A document as one line, in a chunk.
-fn line(document: &str) -> Vec<u8> {
+/// Encodes a document as one line in one chunk.
+fn encode_line(document: &str) -> Vec<u8> {
     peers::encode_chunks([format!("{document}\n").as_bytes()])
 }
--- a/crates/footprint/src/stand_in/mod.rs
+++ b/crates/footprint/src/stand_in/mod.rs
@@ -1,4 +1,4 @@
-//! What stands in for the services around a pooler.
+//! Stand-ins for the services around a pooler.
 
 mod databases;
 mod discovery;
