--- a/crates/footprint/src/clients.rs
+++ b/crates/footprint/src/clients.rs
@@ -11,8 +11,8 @@
 
 /// Time limit for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Number of keys that statements read and write.
-const SESSION_KEYS: u64 = 1_000;
+/// Number of items that statements read and write.
+const ITEM_KEYS: u64 = 1_000;
 /// Timeout that clients of the typical mix announce (ms).
 const LONG_TIMEOUT_MS: u64 = 8_500;
 /// Timeout that clients announce whose statements should leave no timers behind (ms).
@@ -62,7 +62,7 @@
 
     /// A statement in the given group, with a random key.
     pub fn statement_in(&self, group: usize, random: &mut fastrand::Rng) -> Vec<u8> {
-        let (id, key, sample) = (random.u64(..), random.u64(..SESSION_KEYS), random.u64(..MIX_PARTS));
+        let (id, key, sample) = (random.u64(..), random.u64(..ITEM_KEYS), random.u64(..MIX_PARTS));
         let timeout = self.timeout_ms;
         let comment = |class: &str| format!("id={id:016x},c={class},t=acme,d={timeout},cluster={group}");
         let sql = if sample < self.bounded_reads + self.session_reads {
