--- a/crates/listing/src/follow.rs
+++ b/crates/listing/src/follow.rs
@@ -1,7 +1,7 @@
 //! Follows the list at discovery, without I/O: decides what a silent watch or an unanswered list request
 //! means, and which of several connections is authoritative. A request that takes long is not abandoned: a
-//! slow service cannot be told from one that hangs, and a new request goes to the end of the service's queue.
-//! The slow request stays open beside later ones, within a limit.
+//! slow service cannot be distinguished from one that hangs, and a new request goes to the end of the
+//! service's queue. The slow request stays open beside later ones, within a limit.
 
 /// Discovery sends an empty line on a watch every 2 s. A watch without one for longer than this (seconds) is
 /// silent. The bound leaves time for list requests: an update that a watch misses counts as delivered 6 s
@@ -51,8 +51,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Watch {
     id: ConnectionId,
-    /// When the last complete document or empty line arrived, or a document began.
-    heard_at: f64,
+    /// Start of the time limit: when the last complete document or empty line arrived, or a document began.
+    timeout_from: f64,
     /// A document has begun and not ended.
     in_document: bool,
     /// The watch has been reported as silent and has sent nothing since.
@@ -67,8 +67,8 @@
 struct ListRequest {
     id: ConnectionId,
     sent_at: f64,
-    /// When the request was sent, or a document began.
-    heard_at: f64,
+    /// Start of the time limit: when the request was sent, or a document began.
+    timeout_from: f64,
     in_document: bool,
     /// The request has been reported as taking too long.
     overdue: bool,
@@ -119,8 +119,8 @@
         self.retry_at = None;
         self.make_room(now, out);
         self.last_id += 1;
-        let (id, sent_at, heard_at) = (self.last_id, now, now);
-        self.requests.push(ListRequest { id, sent_at, heard_at, in_document: false, overdue: false });
+        let (id, sent_at, timeout_from) = (self.last_id, now, now);
+        self.requests.push(ListRequest { id, sent_at, timeout_from, in_document: false, overdue: false });
         out.push(Step::Open(id, self.version));
         self.schedule_timer(now + self.answer_timeout(), out);
     }
@@ -194,12 +194,12 @@
     pub fn bytes_received(&mut self, id: ConnectionId, now: f64, in_document: bool) {
         let watch = self.watch.iter_mut().filter(|watch| watch.id == id);
         let requests = self.requests.iter_mut().filter(|request| request.id == id);
-        let watch = watch.map(|watch| (&mut watch.in_document, &mut watch.heard_at));
-        for (seen_document, heard_at) in
-            watch.chain(requests.map(|request| (&mut request.in_document, &mut request.heard_at)))
+        let watch = watch.map(|watch| (&mut watch.in_document, &mut watch.timeout_from));
+        for (seen_document, timeout_from) in
+            watch.chain(requests.map(|request| (&mut request.in_document, &mut request.timeout_from)))
         {
             if in_document && !std::mem::replace(seen_document, true) {
-                *heard_at = now;
+                *timeout_from = now;
             }
         }
     }
@@ -224,7 +224,7 @@
     /// `None` for a connection that does not count.
     fn record_message(&mut self, id: ConnectionId, now: f64, out: &mut Vec<Step>) -> Option<bool> {
         let active =
-            Watch { id, heard_at: now, in_document: false, reported_silent: false, superseded: false };
+            Watch { id, timeout_from: now, in_document: false, reported_silent: false, superseded: false };
         let was_unfollowed = match self.watch {
             Some(watch) if watch.id == id => {
                 self.watch = Some(Watch { superseded: watch.superseded, ..active });
@@ -280,7 +280,7 @@
             self.close_watch(out);
         }
         if let Some(watch) = self.watch.filter(|watch| !watch.reported_silent && !watch.superseded) {
-            return self.schedule_timer(watch.heard_at + WATCH_TIMEOUT, out);
+            return self.schedule_timer(watch.timeout_from + WATCH_TIMEOUT, out);
         }
         let already_reported = std::mem::replace(&mut self.loss_reported, true);
         if self.pushed && !failed {
@@ -313,7 +313,7 @@
     /// A silent watch stays open: if it is only late, its next data counts.
     fn check_watch(&mut self, now: f64, out: &mut Vec<Step>) {
         let Some(watch) = self.watch.as_mut().filter(|watch| !watch.reported_silent) else { return };
-        let until = watch.heard_at + WATCH_TIMEOUT;
+        let until = watch.timeout_from + WATCH_TIMEOUT;
         if now < until {
             return self.schedule_timer(until, out);
         }
@@ -336,7 +336,7 @@
         let mut index = 0;
         while index < self.requests.len() {
             let (request, newest) = (self.requests[index], index + 1 == self.requests.len());
-            let until = request.heard_at + answer_timeout;
+            let until = request.timeout_from + answer_timeout;
             if now >= until && watch_is_live {
                 out.push(Step::Close(request.id));
                 self.requests.remove(index);
--- a/crates/routing/src/deposed.rs
+++ b/crates/routing/src/deposed.rs
@@ -1,6 +1,6 @@
-//! Detects that the primary may have been deposed without this pooler's knowledge. A deposed member says so
-//! with any answer; if an answer got lost, it may have said so, and reads that need the primary's data must
-//! not rely on the member's role.
+//! Detects that the primary may have been deposed without this pooler's knowledge. Any answer of a deposed
+//! member states its new role. If an answer got lost, it may have stated that, and reads that need the
+//! primary's data must not rely on the member's last known role.
 
 use crate::interface::{Action, AttemptEnded, Conclusion, Consistency, Outcome};
 use crate::state::{Policy, Request};
@@ -11,18 +11,18 @@
 /// An attempt is late at this many mean deviations over the mean latency of its class.
 const LATE_DEVIATIONS: f64 = 4.0;
 
-/// Longest duration of a handover by a primary (seconds).
+/// Maximum duration of a handover by a primary (seconds).
 const MAX_HANDOVER_DURATION: f64 = 1.0;
 
 impl Policy {
-    /// Records that a member known as the primary has turned a request away because it is not. During a
-    /// handover the member accepts no writes, but still claims with each read to be the primary. Such claims
-    /// are ignored for the longest duration of a handover, since the moment at which another member takes
-    /// over is not reported.
-    pub(crate) fn note_deposed(&mut self, m: usize, done: &AttemptEnded) {
+    /// Records that a member known as the primary has rejected a request and states that it is not the
+    /// primary. During a handover the member accepts no writes, but still claims with each read to be the
+    /// primary. Such claims are ignored for the maximum duration of a handover, since the moment at which
+    /// another member takes over is not reported.
+    pub(crate) fn record_deposed(&mut self, m: usize, done: &AttemptEnded) {
         let member = &mut self.members[m];
-        let turned_away = done.outcome == Outcome::Miss || done.conclusion == Conclusion::TooOld;
-        let deposed = turned_away && done.primary == Some(false);
+        let rejected = done.outcome == Outcome::Miss || done.conclusion == Conclusion::TooOld;
+        let deposed = rejected && done.primary == Some(false);
         if deposed && member.role.is_some_and(|(primary, _)| primary) {
             member.handing_over_until = self.now + MAX_HANDOVER_DURATION;
         }
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -102,13 +102,13 @@
     pub max_attempts: u32,
     /// Whether refusals may carry a back-off.
     pub retry_after: bool,
-    /// Longest back-off that clients honour (seconds).
+    /// Maximum back-off that clients honour (seconds).
     pub max_retry_after: f64,
     /// Timeout for establishing a connection (seconds).
     pub connect_timeout: f64,
     /// Whether the pooler must request the member list.
     pub subscribe: bool,
-    /// Longest time without a subscription or a list request (seconds).
+    /// Maximum time without a subscription or a list request (seconds).
     pub max_list_age: f64,
     /// Share of its capacity that a member has at least when it starts.
     pub cold_start_capacity: f64,
--- a/crates/routing/src/list_requests.rs
+++ b/crates/routing/src/list_requests.rs
@@ -1,6 +1,6 @@
-//! When the member list is requested. Discovery answers the requests of all poolers in turn: a request that
-//! has waited too long fails, and still has taken discovery's time. Poolers that start together, or are
-//! turned away together, must not repeat their requests together, or none of them ever gets an answer.
+//! When the member list is requested. Discovery answers the requests of all poolers one after another: a
+//! request that has waited too long fails, and still has taken discovery's time. Poolers that start together,
+//! or are refused together, must not repeat their requests together, or none of them ever gets an answer.
 
 /// First back-off after a failed request, as a share of `max_list_age`; it doubles with each failure.
 const FIRST_BACKOFF_SHARE: f64 = 1.0 / 16.0;
@@ -16,7 +16,7 @@
 /// ... but the interval is at least this (seconds), and is not shortened if answers are too slow for that
 /// anyway ...
 const MIN_INTERVAL: f64 = 1.0;
-/// ... nor after a request that was turned away only after this time (seconds): it had waited in a queue,
+/// ... nor after a request that was refused only after this time (seconds): it had waited in a queue,
 /// which more requests would lengthen.
 const QUEUED_THRESHOLD: f64 = 0.5;
 /// After a request that failed in a queue the back-off is at least this multiple of the time it had waited.
@@ -30,7 +30,7 @@
 /// ... with a jitter of at most this (seconds).
 const MAX_START_JITTER: f64 = 4.0;
 
-/// A whole fleet sees its watches become silent at the same moment: each pooler sends its request at a random
+/// The watches of all poolers become silent at the same moment: each pooler sends its request at a random
 /// time within this (seconds). The heartbeats of the watches, 2 s apart at times of their own, spread the
 /// requests as well, so that discovery has 4 s for all of them.
 const SILENCE_JITTER: f64 = 2.0;
@@ -85,7 +85,7 @@
         let requested_at = self.requested_at.take();
         let urgent = now < self.urgent_until;
         let backoff = f64::from(1u32 << if urgent { 0 } else { self.failures.min(4) });
-        // Turned away: the time to the next answer counts from the next request.
+        // Refused: the time to the next answer counts from the next request.
         self.waiting_since = None;
         let queue_wait =
             requested_at.filter(|_| !urgent).map_or(0.0, |sent_at| (now - sent_at) * QUEUE_BACKOFF_FACTOR);
@@ -117,18 +117,18 @@
         self.failures == 1
     }
 
-    /// Returns the interval between two requests without jitter (seconds): `longest`, or less if answers were
-    /// slow.
-    fn interval(&self, longest: f64) -> f64 {
+    /// Returns the interval between two requests without jitter (seconds): `max_interval`, or less if answers
+    /// were slow.
+    fn interval(&self, max_interval: f64) -> f64 {
         let left = MAX_UPDATE_DELAY - 1.0 - self.last_answer_time;
         if left < MIN_INTERVAL {
-            longest
+            max_interval
         } else {
-            left.min(longest)
+            left.min(max_interval)
         }
     }
 
-    /// Returns the interval after a request that was turned away (seconds), in which each pooler sends one
+    /// Returns the interval after a request that was refused (seconds), in which each pooler sends one
     /// request. A request without an answer keeps its place in the queue and needs no second one so soon.
     fn fleet_interval(&self) -> f64 {
         match self.fleet_size {
--- a/crates/routing/src/list_requests/tests.rs
+++ b/crates/routing/src/list_requests/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// Discovery that answers requests in turn at a rate per second. A request that has waited `REQUEST_TIMEOUT`
-/// fails, and still takes its time.
+/// Discovery that answers requests one after another at a rate per second. A request that has waited
+/// `REQUEST_TIMEOUT` fails, and still takes its time.
 struct Discovery {
     rate: f64,
     free_at: f64,
-    /// Requests are turned away at once before this time ...
+    /// Requests are refused at once before this time ...
     down_until: f64,
     /// ... or get no answer before this time.
     hangs_until: f64,
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum End {
     Answered,
-    TurnedAway,
+    Refused,
     Hung,
 }
 
@@ -30,14 +30,14 @@
             return (now + HUNG_AFTER, End::Hung);
         }
         if now < self.down_until {
-            return (now + 0.001, End::TurnedAway);
+            return (now + 0.001, End::Refused);
         }
         self.free_at = self.free_at.max(now) + 1.0 / self.rate;
         let waits = self.free_at - now;
         if waits <= REQUEST_TIMEOUT {
             (self.free_at, End::Answered)
         } else {
-            (now + REQUEST_TIMEOUT, End::TurnedAway)
+            (now + REQUEST_TIMEOUT, End::Refused)
         }
     }
 }
@@ -80,7 +80,7 @@
                         requests[n].on_update(now);
                         last = now;
                     }
-                    End::TurnedAway => {
+                    End::Refused => {
                         requests[n].on_failure(now, 10.0, rng.f64());
                     }
                     End::Hung => {
@@ -128,7 +128,7 @@
     }
 }
 
-/// A change made while requests were turned away is binding 6 s after discovery is back, however long it was
+/// A change made while requests were refused is binding 6 s after discovery is back, however long it was
 /// away.
 #[test]
 fn after_an_outage_the_fleet_has_the_list_within_six_seconds() {
@@ -185,7 +185,7 @@
     }
     assert_eq!(waits, [0.625, 1.25, 2.5, 4.5, 4.5, 4.5, 4.5, 4.5]);
     assert!(requests.take_due(now) && requests.on_update(now) && !requests.take_due(now + 100.0));
-    // In a fleet of 300: 67 requests per second, whether they are turned away or hang.
+    // In a fleet of 300: 67 requests per second, whether they are refused or hang.
     for hangs in [false, true] {
         let (mut requests, mut now, mut made) = (ListRequests::default(), 100.0f64, 0);
         while now < 200.0 {
@@ -223,7 +223,7 @@
             fleet == 1 || sample == 0.0 || requests.next_request_at > 111.5,
             "the requests are spread: {requests:?}"
         );
-        // Turned away repeatedly: requests continue at short intervals until the hidden change is binding.
+        // Refused repeatedly: requests continue at short intervals until the hidden change is binding.
         let (mut now, mut made) = (requests.next_request_at, 0);
         while now < 113.0 {
             assert!(requests.take_due(now));
@@ -259,7 +259,7 @@
 }
 
 /// Discovery was back and took 3.3 s for an answer. Guards against too long an interval in a small fleet: one
-/// of 24 poolers, just turned away, sent its next request 3.8 s later.
+/// of 24 poolers, just refused, sent its next request 3.8 s later.
 #[test]
 fn a_small_fleet_has_an_interval_that_fits_a_slow_discovery() {
     for fleet in [1, 24, 30] {
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -63,8 +63,8 @@
     /// Returns the expected latency of one more request at a member, from the recent latency and the load.
     pub(crate) fn expected_latency(&self, m: usize, class: usize) -> f64 {
         let member = &self.members[m];
-        // This pooler sees only its own part of the load: in a large fleet one request more or less says
-        // next to nothing about the whole.
+        // This pooler observes only its own part of the load: in a large fleet one request more or less
+        // hardly changes the estimate of the total.
         let unobserved_factor = self.unobserved_factor();
         let load_factor =
             (f64::from(self.load(m)) + unobserved_factor) / (member.mean_load + unobserved_factor);
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -9,7 +9,7 @@
     Ok,
     /// An error; the request may have taken effect.
     Error,
-    /// Turned away before it was examined.
+    /// Rejected before it was examined.
     Full,
     /// No answer in time; it may have run.
     Timeout,
@@ -21,7 +21,7 @@
     Cancelled,
     /// Never written to a connection.
     NotSent,
-    /// Turned away without running: the member is not the primary, or is too far behind.
+    /// Rejected without running: the member is not the primary, or is too far behind.
     Miss,
 }
 
@@ -57,7 +57,7 @@
 pub enum Evidence {
     /// The attempt is in flight.
     InFlight,
-    /// Nothing of it has run or will run: the member said so, or its last byte was never written.
+    /// No part of it has run or will run: the member stated this, or its last byte was never written.
     NeverRan,
     /// It may have run, or may yet run.
     MayHaveRun,
--- a/crates/routing/src/permission.rs
+++ b/crates/routing/src/permission.rs
@@ -1,11 +1,11 @@
 //! The only place that decides whether an attempt may be begun or written now, and whether a request may
-//! still be refused. The policy asks before each action. The code that carries out the actions keeps a
-//! [`History`] of its own, of what was done and received, and asks again when it writes or answers.
+//! still be refused. The policy checks before each action. The code that carries out the actions keeps a
+//! [`History`] of its own, of what was done and received, and checks again when it writes or answers.
 
 use crate::effect::{Dedup, Effect};
 use crate::outcome::Evidence;
 
-/// Longest pause of the process between reading its clock and writing (seconds): what may run only within a
+/// Maximum pause of the process between reading its clock and writing (seconds): what may run only within a
 /// window is written at least this long before the window ends.
 const MAX_PROCESS_PAUSE: f64 = 0.15;
 /// Maximum number of attempts of one request in flight if hedging is allowed.
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Records that the final answer is given, or that nobody waits for it any more.
+    /// Records that the final answer is given, or that the client has stopped waiting for it.
     pub fn close(&mut self) {
         self.answered = true;
     }
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -98,7 +98,7 @@
                 let Some(&m) = self.by_id.get(&done.member) else { return };
                 // The answer may have begun before the member was deposed: its role dates from the sending.
                 let at = if done.primary == Some(true) { self.now - done.elapsed } else { self.now };
-                self.note_deposed(m, &done);
+                self.record_deposed(m, &done);
                 self.observe(m, done.position, done.primary, Some(at));
                 self.observe(m, done.report.position, done.report.primary, None);
                 self.on_attempt_ended(m, &done, out);
@@ -111,7 +111,7 @@
                     // Not a sign of health: even a member whose requests hang answers probes.
                     self.observe(m, report.position, report.primary, None);
                 } else if !matches!(outcome, Outcome::Full | Outcome::NotSent) {
-                    // Members limit the probes that they answer, so a probe turned away is no failure.
+                    // Members limit the probes that they answer, so a rejected probe is no failure.
                     self.suspect(m, 1.0, out);
                 }
                 self.reconcile_primary(self.members[m].group, out);
@@ -772,7 +772,7 @@
                 self.latency[class].record(elapsed);
                 self.clear_suspicion(m, out);
             }
-            // Turned away or answered from data too old: the member is healthy, but behind. It gets no
+            // Rejected, or answered from data too old: the member is healthy, but behind. It gets no
             // speculative reads for as long as it was behind.
             Outcome::Ok | Outcome::Miss => {
                 let lag = (self.now - member.position).clamp(0.0, self.settings.warm_up);
@@ -805,7 +805,7 @@
             Outcome::Timeout | Outcome::Cancelled => {
                 member.abandoned_until.push(self.now + mean + deviation);
                 let unheard = member.last_heard_at < sent_at;
-                // Clients give up at slow members: an attempt without an answer shows latency as well.
+                // Clients stop waiting for slow members: an attempt without an answer shows latency as well.
                 self.record_latency(m, class, elapsed, false);
                 if outcome == Outcome::Timeout && !cancelled {
                     // A member that answers others meanwhile is overloaded, not dead: ejecting it would only
@@ -837,7 +837,7 @@
         let primary_full =
             outcome == Outcome::Full && Some(m) == self.groups.get(&group).and_then(|g| g.primary);
         // The charge is the work done: an attempt that failed after a tenth of the usual latency costs a
-        // tenth. An answer that was too old costs nothing, like a request that was turned away.
+        // tenth. An answer that was too old costs nothing, like a request that was rejected.
         let no_work = evidence.proves_not_run() || conclusion == Conclusion::TooOld;
         let cost = if no_work { 0.0 } else { (elapsed / mean).min(1.0) };
         if primary_full {
--- a/crates/routing/src/probing.rs
+++ b/crates/routing/src/probing.rs
@@ -60,9 +60,9 @@
         self.probe_up_to_limit(&candidates, to_probe, out)
     }
 
-    /// Returns true if it is worth probing a replica although the primary takes this read, for the sake of
-    /// later reads. Not so for a position just written by a session, which only this read needs, nor at a
-    /// pooler whose next read comes after the answer has become too old, unless the primary is overloaded.
+    /// Returns true if later reads justify probing a replica although the primary takes this read. Not so for
+    /// a position just written by a session, which only this read needs, nor at a pooler whose next read
+    /// comes after the answer has become too old, unless the primary is overloaded.
     pub(crate) fn worth_probing(&self, n: u64, primary: usize) -> bool {
         let Some(request) = self.requests.get(&n) else { return false };
         let lasting = self.required_read_position(request) <= self.now - self.min_staleness_bound;
@@ -72,8 +72,8 @@
     }
 
     /// Probes a cold home replica whose range contains the read's sample, if it is not known to be fresh
-    /// enough, even though other replicas are. Otherwise each pooler would keep to the replicas that it
-    /// knows, and a new one would get no reads. Returns true if the answer is pending.
+    /// enough, even though other replicas are. Otherwise each pooler would send reads only to replicas that
+    /// it knows to be fresh, and a new one would get none. Returns true if the answer is pending.
     pub(crate) fn probe_cold_replica(&mut self, n: u64, out: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&n).filter(|_| self.settings.probes) else { return false };
         let Some(state) = self.groups.get(&request.group) else { return false };
@@ -145,8 +145,8 @@
         !member.ejected || self.now >= member.ejected_until.max(due)
     }
 
-    /// Interval between two background probes of a member (seconds); all poolers together then keep to the
-    /// rate.
+    /// Interval between two background probes of a member (seconds); all poolers together then stay within
+    /// the rate.
     pub(crate) fn background_probe_interval(&self) -> f64 {
         self.min_staleness_bound * f64::from(self.settings.fleet_size) / REFRESHES_PER_BOUND
     }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns true if the member is warm, or may get this read although it is cold. Guards against
-    /// overloading a member that has just started: hundreds of poolers with few requests each keep to its
+    /// overloading a member that has just started: hundreds of poolers with few requests each stay within its
     /// range together, even if other members of the group are away. A request is sent to it once, since
     /// turning it away is work too.
     pub(crate) fn cold_admits(&self, request: &Request, m: usize, multiple: f64) -> bool {
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -41,7 +41,7 @@
     pub listed_at: f64,
     /// Observed role (true for the primary) and the time for which it holds.
     pub role: Option<(bool, f64)>,
-    /// The member has said that it is not the primary: claims to be the primary that date from before this
+    /// The member has stated that it is not the primary: claims to be the primary that date from before this
     /// time, or are received before it without a date, are ignored.
     pub handing_over_until: f64,
     pub position: f64,
@@ -86,7 +86,7 @@
 }
 
 impl Member {
-    /// A member of which only zone and group are known.
+    /// A member whose zone and group are known, and nothing else.
     pub fn new(id: MemberId, zone: u32, group: u32) -> Member {
         let never = f64::NEG_INFINITY;
         let (position, position_at, cold_since, probed_at) = (never, never, never, never);
@@ -167,7 +167,7 @@
     pub history: History,
     pub queued: bool,
     pub done: bool,
-    /// Longest back-off to send with a refusal (seconds); later changes of the settings do not affect it.
+    /// Maximum back-off to send with a refusal (seconds); later changes of the settings do not affect it.
     pub backoff: f64,
 }
 
--- a/crates/routing/src/thresholds.rs
+++ b/crates/routing/src/thresholds.rs
@@ -2,7 +2,7 @@
 
 /// Suspicion at which a member is ejected: two failed requests, or one connection that is refused at once.
 pub(crate) const EJECTION_THRESHOLD: f64 = 2.0;
-/// Longest ejection in multiples of the connect timeout: an ejected member is tried and probed at least this
+/// Maximum ejection in multiples of the connect timeout: an ejected member is tried and probed at least this
 /// often, so that its return is noticed within a few seconds.
 pub(crate) const MAX_EJECTION_FACTOR: f64 = 12.0;
 /// Maximum probe budget.
