--- a/crates/directory/src/channel.rs
+++ b/crates/directory/src/channel.rs
@@ -68,7 +68,7 @@
         ReplayWindow { incarnation, highest: 0, seen: [0; WINDOW_WORDS], last_heard_at: 0 }
     }
 
-    /// Records a message number. Returns false if it was received before, or is too old to tell.
+    /// Records a message number. Returns false if it was received before, or is too old for the window.
     fn accept(&mut self, number: u64) -> bool {
         let slot = |number: u64| ((number / 64) as usize % WINDOW_WORDS, 1u64 << (number % 64));
         if number > self.highest {
--- a/crates/directory/src/client.rs
+++ b/crates/directory/src/client.rs
@@ -82,7 +82,7 @@
     pub claims: u64,
     /// Claims that were completed.
     pub completed: u64,
-    /// Claims that were given up.
+    /// Claims that were abandoned.
     pub failed: u64,
     /// Former owners that handed over a session.
     pub handovers: u64,
--- a/crates/directory/src/client/claims.rs
+++ b/crates/directory/src/client/claims.rs
@@ -262,13 +262,13 @@
         }
     }
 
-    /// Gives up a claim; after a random delay, the next use of the session starts a new one.
+    /// Abandons a claim; after a random delay, the next use of the session starts a new one.
     fn fail_claim(&mut self, now: Millis, key: SessionKey) {
         let Some(session) = self.sessions.get_mut(&key) else { return };
         session.drop_claim();
         session.failures = (session.failures + 1).min(5);
-        let longest = FIRST_BACKOFF << session.failures;
-        session.retry_at = now + self.rng.u64(1..=longest);
+        let max_backoff = FIRST_BACKOFF << session.failures;
+        session.retry_at = now + self.rng.u64(1..=max_backoff);
         self.counts.failed += 1;
     }
 
--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -139,7 +139,7 @@
         /// The counter of the claim.
         counter: u64,
     },
-    /// The pooler gives up the session; it need not be asked for a handover.
+    /// The pooler releases its claim to the session; no handover needs to be requested from it.
     Released {
         /// The session.
         session: SessionKey,
--- a/crates/directory/src/placement.rs
+++ b/crates/directory/src/placement.rs
@@ -8,7 +8,7 @@
 
 /// Members of the largest group.
 pub const MAX_GROUP_MEMBERS: usize = 5;
-/// Most control instances in a directory.
+/// Maximum number of control instances in a directory.
 pub const MAX_CONTROL_INSTANCES: usize = 64;
 
 /// A control instance, as all poolers and control instances are configured with it.
--- a/crates/directory/src/replica.rs
+++ b/crates/directory/src/replica.rs
@@ -18,11 +18,11 @@
 use crate::timing::{bounds, with_clock_margin, Millis, Timing};
 use crate::Datagram;
 
-/// Time between two sweeps, each of which checks a part of the records for claims whose lease has ended (ms),
+/// Time between two sweeps; each checks a part of the records for claims whose lease has ended (ms),
 /// and the time in which sweeps cover all records. Ended leases are remembered individually for that long.
 const SWEEP_INTERVAL: Millis = 10;
 const SWEEP_PERIOD: Millis = bounds::IDLE_RETENTION;
-/// Fewest records checked in one sweep.
+/// Minimum number of records checked in one sweep.
 const MIN_SWEEP_RECORDS: usize = 16;
 
 /// A recorded claim. It is valid as long as the claimant's lease of this number.
@@ -170,7 +170,7 @@
         std::mem::take(&mut self.outbox)
     }
 
-    /// Whether the control instance is still in its startup silence.
+    /// Returns true if the control instance is still in its startup silence.
     pub fn is_silent(&self, now: Millis) -> bool {
         now < self.silent_until
     }
@@ -229,7 +229,7 @@
         let ballot = Ballot { counter, owner: pooler };
         let Entry::Occupied(mut entry) = self.records.entry(session) else { return };
         match *notice {
-            // The owner's own claim stays if a later claim has displaced it meanwhile.
+            // The owner's own claim stays if a later claim has replaced it meanwhile.
             Notice::ClaimCompleted { .. } => entry.get_mut().earlier.retain(|claim| claim.ballot >= ballot),
             Notice::Released { write_age, .. } => {
                 // A record that names other claimants as well is retained: they must be asked.
@@ -281,7 +281,7 @@
             }
             Entry::Occupied(mut entry) => {
                 entry.get_mut().drop_ended_claims(&self.leases, &self.ended);
-                if let Some(refusal) = displace(entry.get_mut(), &mut self.leases, session, claim) {
+                if let Some(refusal) = replace_claim(entry.get_mut(), &mut self.leases, session, claim) {
                     return refusal;
                 }
             }
@@ -349,7 +349,7 @@
 
 /// Replaces the latest claim and queues a revocation for its owner; returns the refusal if the claim cannot
 /// be recorded.
-fn displace(
+fn replace_claim(
     record: &mut Record,
     leases: &mut LeaseTable,
     session: SessionKey,
@@ -377,7 +377,7 @@
     None
 }
 
-/// Whether the lease under which a claim was recorded is still valid.
+/// Returns true if the lease under which a claim was recorded is still valid.
 fn is_live(leases: &LeaseTable, claim: &RecordedClaim) -> bool {
     leases.get(claim.ballot.owner).is_some_and(|lease| lease.term == claim.term)
 }
--- a/crates/directory/src/session.rs
+++ b/crates/directory/src/session.rs
@@ -124,7 +124,7 @@
         true
     }
 
-    /// Whether all former owners are resolved.
+    /// Returns true if all former owners are resolved.
     pub fn all_resolved(&self) -> bool {
         self.former_owners.iter().all(|former| former.resolved)
     }
@@ -157,7 +157,7 @@
     pub group: usize,
     /// The highest ballot counter seen so far.
     pub highest_counter: u64,
-    /// The pooler's own claim; none if it was given up, revoked or handed over.
+    /// The pooler's own claim; none if it was released or abandoned, revoked or handed over.
     pub claim: Option<Claim>,
     /// No new claim is started before this time.
     pub retry_at: Millis,
@@ -183,7 +183,7 @@
 }
 
 impl Session {
-    /// A session of which nothing is known.
+    /// A session about which nothing is known.
     pub fn new(now: Millis, group: usize) -> Session {
         Session {
             group,
--- a/crates/directory/src/timing.rs
+++ b/crates/directory/src/timing.rs
@@ -16,7 +16,7 @@
     pub lease: Millis,
     /// Time between two heartbeats (ms).
     pub heartbeat: Millis,
-    /// Longest time from the start of a write to its commit at a database (ms).
+    /// Maximum time from the start of a write to its commit at a database (ms).
     pub write_bound: Millis,
     /// Largest difference between a host's clock and the clock of the positions (ms).
     pub clock_error: Millis,
@@ -51,9 +51,9 @@
 pub mod bounds {
     use super::Millis;
 
-    /// Longest datagram, including its seal (bytes).
+    /// Maximum size of a datagram, including its seal (bytes).
     pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-    /// Senders whose message numbers are remembered; the one not heard from for longest is dropped.
+    /// Senders whose message numbers are remembered; the one silent for longest is dropped.
     pub const SENDERS: usize = 2_048;
     /// Poolers with a lease at one control instance; a further pooler gets none.
     pub const POOLERS: usize = 2_048;
@@ -81,11 +81,11 @@
     pub const HEARTBEATS: usize = 16;
     /// A session idle for this long is released, and a lease that ended this long ago is forgotten (ms).
     pub const IDLE_RETENTION: Millis = 60_000;
-    /// A claim that no quorum has accepted within this time is given up (ms).
+    /// A claim that no quorum has accepted within this time is abandoned (ms).
     pub const CLAIM_TIMEOUT: Millis = 1_000;
     /// Time until the first retransmission of a request (ms), longer than a round trip to another region;
     /// doubles up to [`MAX_RETRY_DELAY`].
     pub const FIRST_RETRY_DELAY: Millis = 200;
-    /// Longest time between two retransmissions of a request (ms).
+    /// Maximum time between two retransmissions of a request (ms).
     pub const MAX_RETRY_DELAY: Millis = 800;
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -50,7 +50,7 @@
     pub address: SocketAddr,
     /// Start number; a later start has a higher one.
     pub start: u64,
-    /// Increased by the instance itself when it learns that it was declared dead.
+    /// Increased by the instance itself when it finds that it was declared dead.
     pub renewal: u32,
 }
 
@@ -255,8 +255,8 @@
         }
     }
 
-    /// Postpones all timers if the tick is late, by as much: an instance that was stopped has heard nobody,
-    /// which says nothing about the others (Lifeguard's local health).
+    /// Postpones all timers if the tick is late, by as much: an instance that was stopped has received no
+    /// messages, which is no sign of failed peers (Lifeguard's local health).
     fn handle_lateness(&mut self, now: f64) {
         let Some(first) = self.next_due() else { return };
         let lateness = now - first;
--- a/crates/replication/src/fact.rs
+++ b/crates/replication/src/fact.rs
@@ -48,7 +48,7 @@
         /// The instance that has ended.
         identity: Identity,
     },
-    /// What the list says about a member, if it does not simply serve.
+    /// Status of a member according to the list, unless it is serving.
     MemberStatus {
         /// The member.
         member: Arc<str>,
@@ -135,6 +135,6 @@
     if name.len() <= MAX_SESSION_BYTES {
         return name.into();
     }
-    // The first 16 bytes of the hash are enough to tell sessions apart.
+    // The first 16 bytes of the hash are enough to distinguish sessions.
     hex::encode(&sha2::Sha256::digest(name.as_bytes())[..16]).into()
 }
--- a/crates/replication/src/node.rs
+++ b/crates/replication/src/node.rs
@@ -46,9 +46,9 @@
 /// unanswered too: one for two thirds of this time before the peer is covered, more than [`MAX_UNANSWERED`]
 /// before it is reported.
 const UNREACHABLE_TIMEOUT: f64 = 0.3;
-/// A peer that was not heard for this time (seconds) does not count towards a reachable majority. Longer than
+/// A peer that sent nothing for this time (seconds) does not count towards a reachable majority. Longer than
 /// [`IDLE_REQUEST_INTERVAL`].
-const HEARD_TIMEOUT: f64 = 1.5;
+const PEER_ACTIVITY_TIMEOUT: f64 = 1.5;
 /// Number of unanswered requests above which a silent peer is reported as unreachable.
 const MAX_UNANSWERED: usize = 4;
 /// Interval of requests to a peer that has become silent (seconds).
@@ -428,7 +428,7 @@
         self.issue_ticket(now, Awaited::Fact(number), Some(session))
     }
 
-    /// Ends a write: with a commit at this position, or without one of which the client will be notified.
+    /// Ends a write. `position` is that of its commit, or `None` if no commit will be reported to the client.
     pub fn end_write(&mut self, now: f64, ticket: Ticket, position: Option<f64>) {
         self.begin_call(now);
         let Some(session) = self.pending.get_mut(&ticket).and_then(|pending| pending.session.take()) else {
@@ -471,7 +471,7 @@
         may
     }
 
-    /// Returns true if no write can be sent soon, because too few peers are heard.
+    /// Returns true if no write can be sent soon, because too few peers are reachable.
     pub fn cannot_send_writes(&mut self, now: f64) -> bool {
         self.begin_call(now);
         let starting = now - self.started_at < self.config.lease;
@@ -604,7 +604,8 @@
         for report in self.member_statuses.get(member).into_iter().flat_map(|reports| reports.values()) {
             all.join(report);
         }
-        // The own report is included: a later version of the own list lifts what an earlier one said.
+        // The own report is included: a later version of the own list supersedes the report of an earlier
+        // one.
         if let Some(Fact::MemberStatus { since, source, version, status, .. }) =
             self.log.get(&Key::MemberStatus(member.into()))
         {
@@ -613,7 +614,7 @@
         all.strictest(since)
     }
 
-    /// Returns all members of which a peer has reported a status.
+    /// Returns all members whose status a peer has reported.
     pub fn members_with_status(&self) -> impl Iterator<Item = &Arc<str>> {
         self.member_statuses.keys()
     }
@@ -831,7 +832,7 @@
         (self.rng >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Returns the number of instances, as far as known, of which a majority is needed.
+    /// Returns the size of the electorate: this instance, the counted peers and the unanswered seeds.
     fn electorate(&self) -> usize {
         1 + self.active_peers().filter(|peer| peer.counted).count() + self.unanswered_seeds.len()
     }
--- a/crates/replication/src/node/leases.rs
+++ b/crates/replication/src/node/leases.rs
@@ -311,9 +311,9 @@
         }
     }
 
-    /// Returns true if a majority has been heard recently.
+    /// Returns true if a majority of the electorate has been active recently.
     pub(super) fn has_majority(&self, now: f64) -> bool {
-        1 + self.active_peers().filter(|p| p.counted && now - p.last_heard_at < HEARD_TIMEOUT).count()
+        1 + self.active_peers().filter(|p| p.counted && now - p.last_heard_at < PEER_ACTIVITY_TIMEOUT).count()
             >= self.majority()
     }
 
--- a/crates/replication/src/node/logs.rs
+++ b/crates/replication/src/node/logs.rs
@@ -314,7 +314,7 @@
         }
     }
 
-    /// Adds a notice for each group of which two members claim to be the primary.
+    /// Adds a notice for each group in which two members claim to be the primary.
     pub(super) fn notice_conflicts(&mut self) {
         for (group, claim) in self.primary_claims() {
             if let [(first, _), (second, _), ..] = claim.all()[..] {
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/status.rs
@@ -51,7 +51,8 @@
     /// Equal on two instances if they know the same facts.
     pub digest: String,
     /// Whether reads of sessions may use replicas; if false, `why` says why they go to the primary.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub complete: bool,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub why: Option<String>,
     /// Seeds at which no instance has answered.
@@ -93,7 +94,7 @@
             let state = match (peer.ended, membership_state.map(|(_, state)| *state)) {
                 (Some((EndReason::Left, _)), _) => "left",
                 (Some((EndReason::Ended, _)), _) => "dead",
-                // A message that has just arrived from the peer outweighs what the membership protocol says.
+                // A message that has just arrived from the peer outweighs the membership protocol.
                 (None, Some(State::Dead)) if silence > 2.0 => "dead",
                 (None, Some(State::Alive) | None) if silence < 5.0 => "alive",
                 (None, Some(State::Alive) | None) => "dead",
@@ -118,7 +119,7 @@
             own: self.identity.name.to_string(),
             instances,
             digest: self.digest(),
-            whole: why.is_none(),
+            complete: why.is_none(),
             why: why.map(|why| why.description().into()),
             unmet: self.unanswered_seeds.iter().map(ToString::to_string).collect(),
             alone: self.is_without_majority(),
