--- a/crates/daemon/src/files.rs
+++ b/crates/daemon/src/files.rs
@@ -75,7 +75,7 @@
     Key::parse(&text).map_err(|fault| with_path(fault.to_string()))
 }
 
-/// Reads the key files for the exchange of state with peers.
+/// Reads the key files for the state exchange with peers.
 pub(crate) fn read_peer_keys(paths: &[PathBuf]) -> Result<replication::Keys, String> {
     let with_path = |path: &Path, fault: &str| format!("{}: {fault}", path.display());
     let mut texts = Vec::new();
--- a/crates/daemon/src/net/clients.rs
+++ b/crates/daemon/src/net/clients.rs
@@ -302,7 +302,7 @@
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let free = connection.is_free();
         // A pending write is completed within the linger time; a client that does not read cannot delay the
-        // shutdown for ever.
+        // shutdown forever.
         let closing = self.listener.is_none() && connection.can_close();
         let result =
             if closing && result.is_ok() { connection.linger(slot, self.serving, context) } else { result };
--- a/crates/daemon/src/net/clients/connection.rs
+++ b/crates/daemon/src/net/clients/connection.rs
@@ -140,7 +140,7 @@
                 return Ok(());
             }
             if self.inbox.len() == before {
-                // A message whose rest never fits must not occupy its memory and its connection for ever.
+                // A message whose rest never fits must not occupy its memory and its connection forever.
                 // While replies are pending, the next of them leads to another check.
                 let cannot_continue =
                     self.stage != Stage::Ending && self.pipeline.is_empty() && self.outbox.is_empty();
--- a/crates/daemon/src/net/event_loop.rs
+++ b/crates/daemon/src/net/event_loop.rs
@@ -104,7 +104,7 @@
     SessionClient(Slot),
     /// Server connection for ordinary clients.
     SessionServer(Slot),
-    /// Sockets and streams for the exchange of state with peers.
+    /// Sockets and streams for the state exchange with peers.
     PeerDatagrams,
     PeerListener,
     PeerStream(Slot),
@@ -195,7 +195,7 @@
     /// A session of an ordinary client is to be processed.
     Session(Slot),
     SessionSweep,
-    /// The exchange of state with peers is to be advanced.
+    /// The state exchange with peers is to be advanced.
     Peers,
 }
 
--- a/crates/daemon/src/net/peers.rs
+++ b/crates/daemon/src/net/peers.rs
@@ -35,7 +35,7 @@
 /// How long the shutdown waits for peers to read the end of this instance's log.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The exchange of state with peers.
+/// The state exchange with peers.
 pub(crate) struct Peers {
     pub node: Node,
     socket: UdpSocket,
--- a/crates/daemon/src/net/pooler.rs
+++ b/crates/daemon/src/net/pooler.rs
@@ -506,7 +506,7 @@
             Some(class) if class.effect == Effect::Keyed && !query.has_idempotency_key => {
                 Some("this class needs a key")
             }
-            // Two requests with the same id could not be told apart, and the member would take one for a
+            // Two requests with the same id could not be distinguished, and the member would take one for a
             // repeat of the other.
             Some(_) if self.requests.contains_key(&id) => Some("this id is in use"),
             Some(_) => None,
@@ -780,11 +780,11 @@
     fn live_state(&self) -> LiveState {
         let Some(changes) = &self.changes else { return LiveState::default() };
         let known: BTreeMap<&str, (f64, bool)> =
-            self.policy.members().map(|(id, _, warmth, primary)| (&**id, (warmth, primary))).collect();
+            self.policy.members().map(|(id, _, share, primary)| (&**id, (share, primary))).collect();
         let members = changes.roster.listed().map(|listing| {
-            let (warmth, primary) = known.get(&*listing.name).copied().unwrap_or((1.0, false));
+            let (capacity_share, primary) = known.get(&*listing.name).copied().unwrap_or((1.0, false));
             let (name, group) = (listing.name.to_string(), listing.group);
-            LiveMember { name, group, serving: listing.phase == Phase::Active, warmth, primary }
+            LiveMember { name, group, serving: listing.phase == Phase::Active, capacity_share, primary }
         });
         let mut state = LiveState { members: members.collect(), ..LiveState::default() };
         for ((class, group), count) in changes.health.traffic() {
--- a/crates/daemon/src/net/pooler/handover.rs
+++ b/crates/daemon/src/net/pooler/handover.rs
@@ -163,8 +163,8 @@
 
     /// Version and members of the predecessor's list.
     pub fn list(&self) -> Option<(u64, Vec<Listing>)> {
-        let known = self.known.as_ref().ok().filter(|known| !known.places.is_empty())?;
-        Some((known.index, known.places.iter().filter_map(from_listed_member).collect()))
+        let known = self.known.as_ref().ok().filter(|known| !known.listed.is_empty())?;
+        Some((known.index, known.listed.iter().filter_map(from_listed_member).collect()))
     }
 }
 
@@ -291,7 +291,7 @@
         });
         KnownState {
             index: self.discovery.list_version(),
-            places: listed.filter(|listing| listing.phase != Phase::Left).map(to_listed_member).collect(),
+            listed: listed.filter(|listing| listing.phase != Phase::Left).map(to_listed_member).collect(),
             members: members.collect(),
             sessions: sessions.into_iter().map(|(name, commit)| (name.to_string(), commit)).collect(),
             forgotten: finite(forgotten),
--- a/crates/daemon/src/net/pooler/sources.rs
+++ b/crates/daemon/src/net/pooler/sources.rs
@@ -70,7 +70,7 @@
             return;
         }
         let known = match self.registry.take() {
-            Some(registry) => registry.into_known(settings),
+            Some(registry) => registry.into_known_state(settings),
             None => {
                 let listed = self.changes.iter().flat_map(|changes| changes.roster.listed());
                 let provisional = listed.map(|listing| listing.name.clone()).collect();
--- a/crates/daemon/src/net/registry.rs
+++ b/crates/daemon/src/net/registry.rs
@@ -117,22 +117,22 @@
     /// Follows the registry of these settings, starting from the known state of the same registry.
     pub fn new(
         settings: &Settings,
-        who: &PoolerIdentity,
+        identity: &PoolerIdentity,
         known: KnownState,
         budget: Budget,
         now: f64,
     ) -> Registry {
         let count = settings.endpoints.len();
-        let endpoints = Endpoints::new(count, Pacing::default(), who.seed, now);
+        let endpoints = Endpoints::new(count, Pacing::default(), identity.seed, now);
         let registration = settings.register.as_ref().map(|prefix| {
             // With another seed than that of the list: the two need not call the same endpoint.
-            let endpoints = Endpoints::new(count, Pacing::default(), !who.seed, now);
-            let value = serde_json::json!({"v": 1, "address": who.listen,
+            let endpoints = Endpoints::new(count, Pacing::default(), !identity.seed, now);
+            let value = serde_json::json!({"v": 1, "address": identity.listen,
                 "version": env!("CARGO_PKG_VERSION"),
                 "pid": std::process::id()});
             Registration {
                 lease: Lease::new(endpoints, settings.lease_s.into(), settings.call_s),
-                key: format!("{prefix}/{}", who.name).into_bytes(),
+                key: format!("{prefix}/{}", identity.name).into_bytes(),
                 value: value.to_string().into_bytes(),
                 token: None,
                 current: None,
@@ -169,7 +169,7 @@
     }
 
     /// Returns the known state if the other settings mean the same registry.
-    pub fn into_known(self, settings: &Settings) -> KnownState {
+    pub fn into_known_state(self, settings: &Settings) -> KnownState {
         let same = self.settings.prefix == settings.prefix && self.settings.endpoints == settings.endpoints;
         if same {
             let (view, provisional) = (self.sync.view().clone(), BTreeSet::new());
--- a/crates/daemon/src/net/sessions/assignment.rs
+++ b/crates/daemon/src/net/sessions/assignment.rs
@@ -29,7 +29,8 @@
     pub(super) id: RequestId,
     pub(super) attempt: usize,
     pub(super) member: MemberId,
-    pub(super) give_up: f64,
+    /// When the attempt is abandoned unless the session is attached to a connection (seconds).
+    pub(super) attach_deadline: f64,
     pub(super) tenant: String,
     /// True if the session is attached to a connection, which may have run a statement.
     pub(super) attached: bool,
@@ -80,7 +81,7 @@
             id: id.clone(),
             attempt,
             member: member.clone(),
-            give_up: now + timeout,
+            attach_deadline: now + timeout,
             tenant,
             attached: false,
             busy_time: 0.0,
@@ -125,13 +126,16 @@
     }
 
     /// Returns a connection that is being opened for no session: for a probe for the primary, or for a
-    /// session that no longer wants it.
+    /// session that no longer waits for it.
     pub(super) fn unclaimed_connection(&self, key: &Key, address: SocketAddr) -> Option<Slot> {
         let opening = |state| {
             matches!(state, ServerState::Connecting | ServerState::NegotiatingTls | ServerState::Starting)
         };
-        let usable_for = |b: &ServerConnection| {
-            b.key == *key && b.address == address && b.client.is_none() && b.drain_until.is_none()
+        let usable_for = |server: &ServerConnection| {
+            server.key == *key
+                && server.address == address
+                && server.client.is_none()
+                && server.drain_until.is_none()
         };
         self.servers
             .iter()
--- a/crates/daemon/src/net/sessions/client.rs
+++ b/crates/daemon/src/net/sessions/client.rs
@@ -185,8 +185,10 @@
     /// Forwards data from the server as far as the client's buffer has room.
     pub(super) fn forward_from_server(&mut self, slot: Slot, context: &mut Context) -> Step {
         let Some(conn) = self.clients.get_mut(slot) else { return Step::Waiting };
-        let Some(server) =
-            conn.server.and_then(|slot| self.servers.get_mut(slot)).filter(|b| b.state == ServerState::InUse)
+        let Some(server) = conn
+            .server
+            .and_then(|slot| self.servers.get_mut(slot))
+            .filter(|server| server.state == ServerState::InUse)
         else {
             return Step::Waiting;
         };
--- a/crates/daemon/src/net/sessions/limits.rs
+++ b/crates/daemon/src/net/sessions/limits.rs
@@ -36,7 +36,7 @@
                     let drained = conn
                         .server
                         .and_then(|server_slot| self.servers.get(server_slot))
-                        .and_then(|b| b.drain_until);
+                        .and_then(|server| server.drain_until);
                     if drained.is_some_and(|until| now >= until) {
                         timed_out.push((slot, Some((DetachReason::Drained, Outcome::Ok))));
                     } else if idle {
@@ -65,14 +65,16 @@
         let expired_assignments = self.clients.iter().filter(|(_, conn)| {
             conn.assignment
                 .as_ref()
-                .is_some_and(|assignment| !assignment.attached && now > assignment.give_up)
+                .is_some_and(|assignment| !assignment.attached && now > assignment.attach_deadline)
         });
         let expired_assignments: Vec<Slot> = expired_assignments.map(|(slot, _)| slot).collect();
         expired_assignments.into_iter().for_each(|slot| self.abandon_attempt(slot, context));
         let expired_handshakes: Vec<(Slot, ServerState)> = self
             .servers
             .iter()
-            .filter(|(_, b)| now > b.deadline && !matches!(b.state, ServerState::Idle | ServerState::InUse))
+            .filter(|(_, server)| {
+                now > server.deadline && !matches!(server.state, ServerState::Idle | ServerState::InUse)
+            })
             .map(|(server_slot, server)| (server_slot, server.state))
             .collect();
         for (server_slot, state) in expired_handshakes {
--- a/crates/daemon/src/net/sessions/members.rs
+++ b/crates/daemon/src/net/sessions/members.rs
@@ -106,10 +106,10 @@
         let members: Vec<_> = members.map(|(name, member)| (name.clone(), member.address)).collect();
         for (member, address) in members {
             let key = Key { member: (*member).into(), user: user.clone(), database: database.clone() };
-            let already_opening = self.servers.iter().any(|(_, b)| {
-                b.key == key
+            let already_opening = self.servers.iter().any(|(_, server)| {
+                server.key == key
                     && matches!(
-                        b.state,
+                        server.state,
                         ServerState::Connecting | ServerState::NegotiatingTls | ServerState::Starting
                     )
             });
--- a/crates/daemon/src/net/sessions/server.rs
+++ b/crates/daemon/src/net/sessions/server.rs
@@ -189,7 +189,7 @@
             match &*server.transport.inbox.take(2) {
                 [] if fill == Fill::Drained => return Ok(()),
                 [b'S'] => {}
-                // TLS was refused, or plain text follows the reply, which somebody else may have inserted.
+                // TLS was refused, or plain text follows the reply, which an attacker may have inserted.
                 _ => return Err(tls_failure(&tls::TlsError::NotTls, server)),
             }
             let Some(client) = &self.server_tls else { return Err(Outcome::NotSent) };
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -18,5 +18,5 @@
 pub use successor::{Successor, SuccessorAction, SuccessorEvent, Trial};
 
 /// How long one side waits for the next message of the other, except during the trial (seconds). A successor
-/// that is not ready by then is given up.
+/// that is not ready by then has failed.
 pub const ANSWER_TIMEOUT: f64 = 10.0;
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -38,7 +38,7 @@
     /// The successor has passed its trial: the predecessor can shut down.
     #[serde(rename = "stands")]
     Confirmed,
-    /// The successor gives up: the predecessor accepts clients again.
+    /// The successor hands back: the predecessor accepts clients again.
     #[serde(rename = "back")]
     HandBack {
         /// The reason, as text.
--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -137,7 +137,7 @@
         out.push(PredecessorAction::Timer(deadline));
     }
 
-    /// Gives up the successor, whether or not it has accepted clients.
+    /// Ends the handover as failed, whether or not the successor has accepted clients.
     fn fail(&mut self, why: String, out: &mut Vec<PredecessorAction>) {
         *self = Predecessor::default();
         // Sent before disconnecting: a successor that sees only the disconnect regards this process as
--- a/crates/handover/src/snapshot.rs
+++ b/crates/handover/src/snapshot.rs
@@ -57,7 +57,8 @@
     /// Version of the list.
     pub index: u64,
     /// Entries of the list.
-    pub places: Vec<ListedMember>,
+    #[serde(rename = "places")]
+    pub listed: Vec<ListedMember>,
     /// Observed state of the members.
     pub members: Vec<Member>,
     /// Log position of each session's last write, by session name.
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -8,15 +8,15 @@
 pub struct Trial {
     /// Length of the trial (seconds).
     pub seconds: f64,
-    /// Minimum number of answers before the share of bad ones is evaluated.
+    /// Minimum number of answers before the share of unsuccessful ones is evaluated.
     pub min_answers: u64,
     /// Maximum share of answers that are refusals or failures.
-    pub bad_share: f64,
+    pub max_unsuccessful_share: f64,
 }
 
 impl Default for Trial {
     fn default() -> Self {
-        Trial { seconds: 3.0, min_answers: 20, bad_share: 0.5 }
+        Trial { seconds: 3.0, min_answers: 20, max_unsuccessful_share: 0.5 }
     }
 }
 
@@ -102,15 +102,21 @@
                 self.stage = Stage::TakenOver;
                 out.push(SuccessorAction::TakeOver);
             }
-            (Stage::Trial, SuccessorEvent::Time(answers, bad, waiting)) => {
-                let too_many_bad =
-                    answers >= self.trial.min_answers && bad as f64 > answers as f64 * self.trial.bad_share;
-                if too_many_bad {
-                    self.hand_back(format!("{bad} of {answers} answers are refusals or failures"), out);
-                } else if now >= self.deadline && waiting > answers - bad {
+            (Stage::Trial, SuccessorEvent::Time(answers, unsuccessful, waiting)) => {
+                let too_many_unsuccessful = answers >= self.trial.min_answers
+                    && unsuccessful as f64 > answers as f64 * self.trial.max_unsuccessful_share;
+                if too_many_unsuccessful {
+                    self.hand_back(
+                        format!("{unsuccessful} of {answers} answers are refusals or failures"),
+                        out,
+                    );
+                } else if now >= self.deadline && waiting > answers - unsuccessful {
                     // Requests are not refused yet, but more of them wait than were served.
                     self.hand_back(
-                        format!("{waiting} requests wait for a server, {} were served", answers - bad),
+                        format!(
+                            "{waiting} requests wait for a server, {} were served",
+                            answers - unsuccessful
+                        ),
                         out,
                     );
                 } else if now >= self.deadline {
@@ -120,7 +126,7 @@
                     out.push(SuccessorAction::TakeOver);
                     out.push(SuccessorAction::Send(Message::Confirmed));
                 } else {
-                    // Checked repeatedly, so that a bad trial ends early.
+                    // Checked repeatedly, so that a failed trial ends early.
                     out.push(SuccessorAction::Timer(self.deadline.min(now + 0.1)));
                 }
             }
--- a/crates/lifecycle/src/machine.rs
+++ b/crates/lifecycle/src/machine.rs
@@ -149,7 +149,7 @@
     stop_requests: u32,
     /// When the pooler stops accepting connections.
     stop_accepting_at: f64,
-    /// When pending requests are ended, or, in [`Stage::Cutting`], when writing their answers is given up.
+    /// When pending requests are ended, or, in [`Stage::Cutting`], until when their answers may be written.
     drain_deadline: f64,
     pending: Pending,
     /// When the last keep-alive was sent to the service manager.
@@ -161,7 +161,7 @@
 impl StateMachine {
     /// Starts the lifecycle of a new process at `now`.
     pub fn new(limits: Limits, now: f64, out: &mut Vec<Action>) -> StateMachine {
-        let mut machine = StateMachine {
+        let mut state_machine = StateMachine {
             limits,
             stage: Stage::Starting,
             listener_bound: false,
@@ -175,8 +175,8 @@
             keep_alive_sent_at: now,
             next_timer: f64::INFINITY,
         };
-        machine.schedule(now, out);
-        machine
+        state_machine.schedule(now, out);
+        state_machine
     }
 
     /// Current stage.
--- a/crates/transaction/benches/list.rs
+++ b/crates/transaction/benches/list.rs
@@ -49,7 +49,7 @@
         name: format!("m-{n}"),
         group: n as u32 / 5,
         serving: true,
-        warmth: 1.0,
+        capacity_share: 1.0,
         primary: n % 5 == 0,
     });
     let traffic = (0..MEMBERS as u32 / 5).map(|group| (("a".to_string(), group), 10));
--- a/crates/transaction/src/check.rs
+++ b/crates/transaction/src/check.rs
@@ -49,7 +49,7 @@
     /// Whether the member accepts new work according to the list, overrides aside.
     pub serving: bool,
     /// Share of its full capacity that the member has now, from 0 to 1; below 1 while it is cold.
-    pub warmth: f64,
+    pub capacity_share: f64,
     /// Whether routing regards the member as the primary of its group.
     pub primary: bool,
 }
@@ -136,7 +136,7 @@
 }
 
 impl Group<'_> {
-    fn warmth(&self, names: &BTreeSet<&str>) -> f64 {
+    fn capacity_share(&self, names: &BTreeSet<&str>) -> f64 {
         names.iter().map(|name| self.serving.get(name).copied().unwrap_or(1.0)).sum()
     }
 }
@@ -146,7 +146,7 @@
     for member in &live.members {
         let group = groups.entry(member.group).or_default();
         if member.serving {
-            group.serving.insert(&member.name, member.warmth);
+            group.serving.insert(&member.name, member.capacity_share);
             if old.member_override(&member.name).is_none() {
                 group.before.insert(&member.name);
             }
@@ -261,7 +261,7 @@
             );
             findings.add("capacity-share", Severity::Guarded, what);
         }
-        let (before, after) = (group.warmth(&group.before), group.warmth(&group.after));
+        let (before, after) = (group.capacity_share(&group.before), group.capacity_share(&group.after));
         let cold =
             group.after.iter().filter(|name| group.serving.get(*name).is_some_and(|w| *w < 1.0)).count();
         let limit = new.settings.overload_factor;
@@ -286,7 +286,7 @@
 fn lost_capacity_share(group: &Group) -> f64 {
     let all: f64 = group.serving.values().sum();
     let unused = group.serving.iter().filter(|(name, _)| !group.after.contains(*name));
-    unused.map(|(_, warmth)| warmth).sum::<f64>() / all.max(1e-9)
+    unused.map(|(_, capacity_share)| capacity_share).sum::<f64>() / all.max(1e-9)
 }
 
 fn requests(old: &EffectiveConfig, new: &EffectiveConfig, live: &LiveState, findings: &mut FindingList) {
--- a/crates/transaction/src/machine.rs
+++ b/crates/transaction/src/machine.rs
@@ -62,7 +62,7 @@
         /// Error if the step was not recorded.
         result: Result<(), String>,
     },
-    /// A generation has been put in force as a whole, or not at all.
+    /// A generation has been put in force completely, or not at all.
     Applied {
         /// Number of the generation.
         number: u64,
@@ -169,7 +169,7 @@
         /// Content of the step.
         record: Record,
     },
-    /// Put a generation in force, as a whole or not at all, and report the result by [`Input::Applied`].
+    /// Put a generation in force, completely or not at all, and report the result by [`Input::Applied`].
     Apply(Arc<Generation>),
     /// Start comparing health with the time before the change.
     Watch,
@@ -384,7 +384,7 @@
             Stage::Reverting(why) if self.base.number == number => {
                 let why = match result {
                     Ok(()) => why.clone(),
-                    // The old generation could not be restored completely: the reason says so.
+                    // The old generation could not be restored completely: the reason states this.
                     Err(error) => RollbackReason::RecordFailed(format!(
                         "{why}; and part of the old generation could not be restored: {error}"
                     )),
--- a/crates/transaction/tests/check.rs
+++ b/crates/transaction/tests/check.rs
@@ -18,7 +18,7 @@
 }
 
 fn member(name: &str, group: u32) -> LiveMember {
-    LiveMember { name: name.into(), group, serving: true, warmth: 1.0, primary: name.ends_with('1') }
+    LiveMember { name: name.into(), group, serving: true, capacity_share: 1.0, primary: name.ends_with('1') }
 }
 
 /// Two groups of three members, each with requests of both classes.
@@ -99,7 +99,7 @@
 #[test]
 fn group_is_not_left_to_cold_members() {
     let mut live = live();
-    live.members.iter_mut().filter(|m| m.name == "s-02").for_each(|m| m.warmth = 0.3);
+    live.members.iter_mut().filter(|m| m.name == "s-02").for_each(|m| m.capacity_share = 0.3);
     let only_cold_left = "[override]\ns-01 = \"drain\"\ns-03 = \"drain\"";
     let findings = findings_of("", only_cold_left, &live);
     let cold = findings
@@ -108,7 +108,7 @@
         .unwrap_or_else(|| panic!("{findings:?}"));
     // The group has the capacity of 2.3 members before, and of 0.3 after.
     assert!(cold.what.contains("7.7 times") && cold.severity == Severity::Error, "{}", cold.what);
-    live.members.iter_mut().for_each(|m| m.warmth = 1.0);
+    live.members.iter_mut().for_each(|m| m.capacity_share = 1.0);
     assert!(!codes(&findings_of("", only_cold_left, &live)).contains(&"cold-alone"));
 }
 
