--- a/crates/buffer/src/lines.rs
+++ b/crates/buffer/src/lines.rs
@@ -37,7 +37,7 @@
         line.pop();
         self.scanned = 0;
         if self.pending.is_empty() {
-            // Frees the memory: one long line must not occupy its size for ever.
+            // Frees the memory: one long line must not occupy its size forever.
             self.pending = Vec::new();
         }
         Some(line)
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -8,12 +8,12 @@
 
 /// The version of these messages; calls of other versions are rejected.
 pub const VERSION: u32 = 1;
-/// Longest line (bytes): an operator's file of the maximum size as a JSON string, and the other fields of the
-/// call.
+/// Maximum length of a line (bytes): an operator's file of the maximum size as a JSON string, and the other
+/// fields of the call.
 pub const MAX_LINE_BYTES: usize = operator::MAX_FILE_BYTES + operator::MAX_FILE_BYTES / 4;
-/// Most differences that a response lists; the rest are counted.
+/// Maximum number of differences that a response lists; the rest are counted.
 pub const MAX_CHANGES: usize = 200;
-/// Most sessions that a response lists; the rest are counted.
+/// Maximum number of sessions that a response lists; the rest are counted.
 pub const MAX_SESSIONS: usize = 1_000;
 
 /// A call.
--- a/crates/fleet/src/supervisor.rs
+++ b/crates/fleet/src/supervisor.rs
@@ -68,7 +68,7 @@
     Starting(f64),
     /// Ready since this time.
     Ready(f64),
-    /// Told to stop at this time.
+    /// Requested to stop at this time.
     Stopping(f64),
     /// Not restarted any more after too many consecutive crashes.
     Broken,
@@ -164,7 +164,7 @@
     release: Release,
     started_at: f64,
     crashes: u32,
-    /// The instance was told to stop in order to be replaced.
+    /// The instance was requested to stop in order to be replaced.
     replaced: bool,
     health: Health,
     /// Answers counted when the last rolling update, or its undo, began.
--- a/crates/operator/src/document.rs
+++ b/crates/operator/src/document.rs
@@ -30,7 +30,7 @@
     pub state: State,
     /// Startup and shutdown of the daemon.
     pub daemon: Daemon,
-    /// The exchange of state with other instances; none if no address is given.
+    /// The state exchange with other instances; none if no address is given.
     pub peers: Peers,
     /// The registry that provides the list; discovery provides it if no endpoints are given.
     pub registry: Registry,
@@ -196,7 +196,7 @@
     }
 }
 
-/// The exchange of state with other instances.
+/// The state exchange with other instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(missing_docs)]
--- a/crates/operator/src/peers.rs
+++ b/crates/operator/src/peers.rs
@@ -1,4 +1,4 @@
-//! Checks of the settings for the exchange of state between instances (`[peers]`).
+//! Checks of the settings for the state exchange between instances (`[peers]`).
 
 use routing::interface::{Consistency, Settings};
 
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -569,7 +569,7 @@
             loop {
                 let Ok((mut watch, _)) = self.0.accept() else { continue };
                 std::thread::sleep(each);
-                // A pooler that has given up or was killed meanwhile gets no answer.
+                // A pooler that has disconnected or was killed meanwhile gets no answer.
                 if watch.write_all(&answer).is_ok() {
                     watches.push(watch);
                 }
--- a/crates/pgwire/src/lib.rs
+++ b/crates/pgwire/src/lib.rs
@@ -90,7 +90,8 @@
 }
 
 /// Takes the next message of a member, if it is complete. A message that no member would send is rejected by
-/// its header where possible, so that nobody waits for the rest of a message that never completes.
+/// its header where possible, so that the pooler does not wait for the rest of a message that never
+/// completes.
 pub fn read_server_message(ring: &mut Ring) -> Result<Option<Message>, FrameError> {
     let first = ring.peek_up_to(1);
     let max_length = match first.first() {
@@ -294,7 +295,7 @@
     body.get(6..)
 }
 
-/// Checks that the header of a DataRow's body describes one column that fills the whole body.
+/// Checks that the header of a DataRow's body describes one column that fills the entire body.
 fn check_single_column(header: &[u8], body: usize) -> Result<(), FrameError> {
     match header.first_chunk() {
         Some([0, 1, a, b, c, d]) if u32::from_be_bytes([*a, *b, *c, *d]) as usize + 6 == body => Ok(()),
--- a/crates/registry/src/endpoints.rs
+++ b/crates/registry/src/endpoints.rs
@@ -5,7 +5,7 @@
 /// Limits the rate of calls.
 #[derive(Clone, Copy, Debug)]
 pub struct Pacing {
-    /// Longest delay before the first retry (seconds); doubles with each consecutive failure up to
+    /// Maximum delay before the first retry (seconds); doubles with each consecutive failure up to
     /// `max_delay`.
     pub first_delay: f64,
     /// Upper bound of the retry delay (seconds).
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,5 +1,5 @@
-//! Follows the member list in a key-value registry that speaks etcd v3's JSON form. No I/O: a driver carries
-//! out calls and reports how they end.
+//! Follows the member list in a key-value registry with the JSON form of etcd v3's API. No I/O: a driver
+//! carries out calls and reports how they end.
 //!
 //! [`wire`] encodes calls and decodes responses. [`RegistrySync`] keeps a view of all keys under a prefix
 //! that equals the registry's at some revision and never goes back. [`Endpoints`] selects the endpoint and
--- a/crates/registry/src/schema.rs
+++ b/crates/registry/src/schema.rs
@@ -16,9 +16,9 @@
 
 /// The supported version of the values.
 pub const VERSION: u32 = 1;
-/// Longest value that is parsed (bytes); a member's value has some hundred.
+/// Maximum length of a value that is parsed (bytes); a member's value has some hundred.
 pub const MAX_VALUE_BYTES: usize = 4 * 1024;
-/// Most malformed members that are stored with their errors.
+/// Maximum number of malformed members that are stored with their errors.
 const MAX_MALFORMED: usize = 1_000;
 
 #[derive(Deserialize)]
--- a/crates/registry/src/snapshot.rs
+++ b/crates/registry/src/snapshot.rs
@@ -12,7 +12,7 @@
 use crate::sync::{Entry, View, MAX_BYTES, MAX_KEYS};
 
 const HEADER: &[u8] = b"dewferry view 1\n";
-/// Longest snapshot (bytes).
+/// Maximum size of a snapshot (bytes).
 pub const MAX_SNAPSHOT_BYTES: usize = MAX_BYTES + MAX_KEYS * 32;
 
 /// Why bytes are not a usable snapshot.
--- a/crates/registry/src/sync.rs
+++ b/crates/registry/src/sync.rs
@@ -9,10 +9,11 @@
 
 /// Keys requested per page.
 const PAGE_KEYS: u64 = 1_000;
-/// Most keys, and most bytes of keys and values, in a view. Limits the memory of the process.
+/// Maximum number of keys, and maximum size of keys and values (bytes), in a view. Limits the memory of the
+/// process.
 pub(crate) const MAX_KEYS: usize = 100_000;
 pub(crate) const MAX_BYTES: usize = 64 * 1024 * 1024;
-/// Most changes of a fragmented watch message that are buffered until it is complete.
+/// Maximum number of changes of a fragmented watch message that are buffered until it is complete.
 const MAX_PENDING_CHANGES: usize = 200_000;
 
 /// One key of a view.
@@ -142,7 +143,7 @@
     Watch(u64, usize, Revision),
     /// Cancel the call or watch of this number.
     Close(u64),
-    /// The view has changed: these keys, or the whole view if none are given.
+    /// The view has changed: these keys, or the complete view if none are given.
     Changed(Option<Vec<Vec<u8>>>),
     /// Log this notice.
     Notice(Notice),
--- a/crates/registry/src/wire.rs
+++ b/crates/registry/src/wire.rs
@@ -31,7 +31,7 @@
 const TOKEN_ERROR_TEXTS: [&str; 3] =
     ["invalid auth token", "revision of auth store is old", "user name is empty"];
 
-/// Longest token (bytes); it is sent in the head of each request.
+/// Maximum length of a token (bytes); it is sent in the head of each request.
 const MAX_TOKEN_BYTES: usize = 8 * 1024;
 
 /// A revision of the registry; 0 for none.
@@ -227,7 +227,7 @@
     pub to: Vec<u8>,
     /// The revision to read at; 0 for the present one.
     pub revision: Revision,
-    /// Most keys in the response.
+    /// Maximum number of keys in the response.
     pub limit: u64,
     /// Whether an endpoint may answer from its own state, without a quorum.
     pub serializable: bool,
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -49,7 +49,7 @@
     /// The lag of the replica.
     pub replica_lag: Duration,
     pub probes: bool,
-    /// Number of control instances, which keep the session directory in place of an exchange of state among
+    /// Number of control instances, which keep the session directory in place of a state exchange among
     /// all instances. None where 0.
     pub control: usize,
 }
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -279,7 +279,7 @@
     write: bool,
 }
 
-/// The position of the last write that the client was told of.
+/// The position of the last write reported to the client.
 struct ClientSession {
     last_commit: Option<f64>,
 }
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,5 +1,5 @@
 //! Checks the recorded events of a run against the rules. Each rule states the cases that it excuses because
-//! they cannot be told apart from outside of the poolers.
+//! they cannot be distinguished from outside of the poolers.
 
 use std::collections::{BTreeMap, HashMap};
 
