--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -126,7 +126,8 @@
 }
 
 impl Code {
-    /// The exit code of a command with this result: 0 done, 1 refused, 2 usage or unreadable, 3 rolled back.
+    /// Returns the exit code of a command with this result: 0 done, 1 refused, 2 usage or unreadable, 3
+    /// rolled back.
     pub fn exit_code(self) -> u8 {
         match self {
             Code::Ok | Code::Applied | Code::Confirmed | Code::Unchanged => 0,
@@ -154,7 +155,7 @@
 }
 
 impl Found {
-    /// Whether the finding prevents the change unless it is allowed by its code.
+    /// Returns true if the finding prevents the change unless it is allowed by its code.
     pub fn is_guarded(&self) -> bool {
         self.severity == Severity::Guarded.to_string()
     }
@@ -322,7 +323,7 @@
         self
     }
 
-    /// The response as a line.
+    /// Returns the response as a line.
     pub fn to_line(&self) -> Vec<u8> {
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
@@ -336,7 +337,7 @@
         Request { v: VERSION, call }
     }
 
-    /// The request as a line.
+    /// Returns the request as a line.
     pub fn to_line(&self) -> Vec<u8> {
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
--- a/crates/daemon/src/net/change.rs
+++ b/crates/daemon/src/net/change.rs
@@ -315,7 +315,7 @@
         }
     }
 
-    /// The status of the daemon: the generation in force, the change in progress, and counters.
+    /// Returns the status of the daemon: the generation in force, the change in progress, and counters.
     pub fn status(
         &self,
         requests: usize,
@@ -356,7 +356,7 @@
     }
 }
 
-/// The answer to a control call for the outcome of a proposed change.
+/// Returns the answer to a control call for the outcome of a proposed change.
 pub(crate) fn outcome_response(outcome: &Outcome) -> Response {
     let with_generation = |code, number: u64, message: String| Response {
         generation: Some(number),
--- a/crates/daemon/src/net/event_loop.rs
+++ b/crates/daemon/src/net/event_loop.rs
@@ -28,12 +28,12 @@
 }
 
 impl Slot {
-    /// The slot as a number, for callers that only store it and pass it back.
+    /// Returns the slot as a number, for callers that only store it and pass it back.
     pub fn number(self) -> u64 {
         u64::from(self.generation) << 32 | u64::from(self.index)
     }
 
-    /// The slot for a number from [`Slot::number`].
+    /// Returns the slot for a number from [`Slot::number`].
     pub fn from_number(number: u64) -> Slot {
         Slot { index: number as u32, generation: (number >> 32) as u32 }
     }
--- a/crates/daemon/src/net/pooler.rs
+++ b/crates/daemon/src/net/pooler.rs
@@ -776,7 +776,7 @@
         self.carry_out(actions, context);
     }
 
-    /// The live state that a configuration change is checked against.
+    /// Returns the live state that a configuration change is checked against.
     fn live_state(&self) -> LiveState {
         let Some(changes) = &self.changes else { return LiveState::default() };
         let known: BTreeMap<&str, (f64, bool)> =
@@ -942,7 +942,7 @@
     InheritedState::request(&path, now)
 }
 
-/// Number of descriptors reserved for ordinary clients and their server connections.
+/// Returns the number of descriptors reserved for ordinary clients and their server connections.
 fn session_sockets(effective: &EffectiveConfig) -> usize {
     let pool = &effective.document.pool;
     pool.listen.map_or(0, |_| (pool.clients + pool.servers) as usize + super::sessions::MAX_CANCELS + 1)
--- a/crates/daemon/src/net/pooler/handover.rs
+++ b/crates/daemon/src/net/pooler/handover.rs
@@ -278,7 +278,7 @@
         self.carry_out(actions, context);
     }
 
-    /// The state of this daemon, for a successor.
+    /// Returns the state of this daemon, for a successor.
     fn known_state(&self) -> KnownState {
         let finite = |value: f64| value.is_finite().then_some(value);
         let (sessions, forgotten) = self.policy.export_session_writes();
@@ -513,7 +513,7 @@
     }
 }
 
-/// Number of final answers since the start, and of refusals and failures among them.
+/// Returns the number of final answers since the start, and of refusals and failures among them.
 fn count_answers(context: &Context) -> (u64, u64) {
     let counters = &context.counters;
     let failures = counters.refused + counters.failed;
--- a/crates/daemon/src/net/pooler/in_flight.rs
+++ b/crates/daemon/src/net/pooler/in_flight.rs
@@ -58,7 +58,7 @@
 }
 
 impl InFlight {
-    /// Number of connections with unanswered requests.
+    /// Returns the number of connections with unanswered requests.
     pub fn client_count(&self) -> usize {
         self.by_client.len()
     }
@@ -124,7 +124,7 @@
     }
 }
 
-/// The waiting requests of a connection that no longer have to wait for an earlier one.
+/// Returns the waiting requests of a connection that no longer have to wait for an earlier one.
 fn released(entries: &[Entry]) -> Vec<RequestId> {
     let is_free = |(index, entry): &(usize, &Entry)| {
         entry.waiting.is_some()
--- a/crates/daemon/src/net/pooler/process_lifecycle.rs
+++ b/crates/daemon/src/net/pooler/process_lifecycle.rs
@@ -166,7 +166,7 @@
         self.state_machine.set_limits(limits);
     }
 
-    /// The pid file, to be passed to a successor.
+    /// Returns the pid file, to be passed to a successor.
     pub fn pid_file(&self) -> Option<&File> {
         self.pid_file.as_ref().map(|pid_file| &pid_file.file)
     }
@@ -189,7 +189,7 @@
     }
 }
 
-/// The monotonic clock (microseconds), as service managers expect it.
+/// Returns the time of the monotonic clock (microseconds), as service managers expect it.
 pub(super) fn monotonic_us() -> u64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -143,7 +143,7 @@
         Ok(file)
     }
 
-    /// The stored view of a registry, encoded; none if no such file can be read.
+    /// Returns the stored view of a registry, encoded; none if no such file can be read.
     pub fn stored_view(&self) -> Option<Vec<u8>> {
         files::read(&self.folder.join(VIEW), registry::snapshot::MAX_SNAPSHOT_BYTES).ok()
     }
--- a/crates/directory/src/channel.rs
+++ b/crates/directory/src/channel.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The identity of this process.
+    /// Returns the identity of this process.
     pub fn process_id(&self) -> ProcessId {
         self.process
     }
@@ -149,7 +149,7 @@
         *self.faults.entry(fault).or_default() += 1;
     }
 
-    /// Number of dropped datagrams by fault.
+    /// Returns the number of dropped datagrams by fault.
     pub fn faults(&self) -> &BTreeMap<Fault, u64> {
         &self.faults
     }
--- a/crates/directory/src/client.rs
+++ b/crates/directory/src/client.rs
@@ -194,7 +194,8 @@
         Some(Ticket(self.last_ticket))
     }
 
-    /// Whether a write may be sent: its session is owned, or will be owned before the write's deadline.
+    /// Returns true if a write may be sent: its session is owned, or will be owned before the write's
+    /// deadline.
     pub fn may_send(&mut self, now: Millis, ticket: Ticket) -> bool {
         let Some(write) = self.writes.get(&ticket.0).copied() else { return false };
         let allowed = now < write.deadline
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Whether a committed write may be answered.
+    /// Returns true if a committed write may be answered.
     pub fn may_answer(&mut self, now: Millis, ticket: Ticket) -> bool {
         let Some(write) = self.writes.get(&ticket.0).copied() else { return false };
         now < write.deadline
@@ -233,7 +234,7 @@
         self.ensure_owned(now, session).err()
     }
 
-    /// When a write can no longer be answered; 0 if it is not known.
+    /// Returns when a write can no longer be answered; 0 if it is not known.
     pub fn deadline(&self, ticket: Ticket) -> Millis {
         self.writes.get(&ticket.0).map_or(0, |write| write.deadline)
     }
@@ -283,7 +284,7 @@
         self.release_idle(now);
     }
 
-    /// When [`Client::tick`] must be called at the latest.
+    /// Returns when [`Client::tick`] must be called at the latest.
     pub fn next_due(&self) -> Millis {
         let heartbeat = if self.has_left { Millis::MAX } else { self.next_heartbeat };
         let resend = self.claim_timers.first().map_or(Millis::MAX, |(at, _)| *at);
@@ -310,7 +311,7 @@
         true
     }
 
-    /// Whether this pooler owns a session.
+    /// Returns true if this pooler owns a session.
     pub fn is_owner(&self, now: Millis, session: SessionKey) -> bool {
         !self.has_left && self.sessions.get(&session).is_some_and(|session| self.owns(now, session))
     }
@@ -328,12 +329,12 @@
         }
     }
 
-    /// The counters.
+    /// Returns the counters.
     pub fn counts(&self) -> ClientCounts {
         self.counts
     }
 
-    /// Number of dropped datagrams by fault.
+    /// Returns the number of dropped datagrams by fault.
     pub fn faults(&self) -> &BTreeMap<Fault, u64> {
         self.channel.faults()
     }
@@ -372,7 +373,7 @@
         }
     }
 
-    /// Makes room for one more session. Returns whether there is room.
+    /// Makes room for one more session. Returns true if there is room.
     fn make_room(&mut self, now: Millis) -> bool {
         for _ in 0..bounds::ENTRIES_PER_DATAGRAM {
             if self.sessions.len() < bounds::SESSIONS {
--- a/crates/directory/src/client/claims.rs
+++ b/crates/directory/src/client/claims.rs
@@ -43,29 +43,29 @@
         }
     }
 
-    /// Whether a session that is not owned yet is certain to be owned before `deadline`.
+    /// Returns true if a session that is not owned yet is certain to be owned before `deadline`.
     pub(super) fn will_own_by(&self, now: Millis, key: SessionKey, deadline: Millis) -> bool {
         let Some(session) = self.sessions.get(&key) else { return false };
         let Some(claim) = &session.claim else { return false };
         self.valid_until(session.group, claim) > now && claim.resolved_at_latest() < deadline
     }
 
-    /// Whether this pooler owns a session.
+    /// Returns true if this pooler owns a session.
     pub(super) fn owns(&self, now: Millis, session: &Session) -> bool {
         session.claim.as_ref().is_some_and(|claim| {
             claim.completed && claim.all_resolved() && self.valid_until(session.group, claim) > now
         })
     }
 
-    /// Whether leases at a quorum of a group's members are valid.
+    /// Returns true if leases at a quorum of a group's members are valid.
     pub(super) fn has_quorum(&self, now: Millis, group: usize) -> bool {
         let members = self.placement.members(group).iter();
         let valid = members.filter(|instance| self.leases[**instance].ends_at(&self.timing) > now);
         valid.count() >= self.placement.quorum()
     }
 
-    /// The members of a group that hold a claim under their present lease: the end of the lease and the
-    /// member's floor.
+    /// Returns the members of a group that hold a claim under their present lease: the end of the lease and
+    /// the member's floor.
     fn holders(&self, group: usize, claim: &Claim) -> impl Iterator<Item = (Millis, Millis)> + '_ {
         let (recorded_under, floors) = (claim.recorded_under, claim.floors);
         let members = self.placement.members(group).iter().enumerate();
--- a/crates/directory/src/identity.rs
+++ b/crates/directory/src/identity.rs
@@ -56,7 +56,7 @@
     pub owner: ProcessId,
 }
 
-/// The first 64 bits of a SHA-256.
+/// Returns the first 64 bits of the SHA-256 of `bytes`.
 pub(crate) fn hash_of(bytes: &[u8]) -> u64 {
     let mut eight = [0; 8];
     eight.copy_from_slice(&Sha256::digest(bytes)[..8]);
--- a/crates/directory/src/lease.rs
+++ b/crates/directory/src/lease.rs
@@ -46,12 +46,12 @@
         }
     }
 
-    /// The identity of the lease, whether it has ended or not.
+    /// Returns the identity of the lease, whether it has ended or not.
     pub fn term(&self) -> Option<Term> {
         self.term
     }
 
-    /// When the lease ends; 0 if there is none.
+    /// Returns when the lease ends; 0 if there is none.
     pub fn ends_at(&self, timing: &Timing) -> Millis {
         match self.term {
             Some(_) if self.confirmed_sent_at > 0 => self.confirmed_sent_at + timing.lease,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The notices for the next heartbeat.
+    /// Returns the notices for the next heartbeat.
     pub fn notices(&self) -> Vec<Notice> {
         self.notices.iter().take(bounds::ENTRIES_PER_DATAGRAM).map(|(notice, _)| *notice).collect()
     }
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The first pending revocations, and whether these are all.
+    /// Returns the first pending revocations, and whether these are all.
     pub fn revocations(&self) -> (Vec<Revocation>, bool) {
         let first = self.revocations.iter().take(bounds::ENTRIES_PER_DATAGRAM).copied().collect();
         (first, self.revocations.len() <= bounds::ENTRIES_PER_DATAGRAM && !self.overflowed)
@@ -192,7 +192,7 @@
         self.by_time.push_back((now, key));
     }
 
-    /// The floor of an ended lease. None if it is not remembered, or has not ended.
+    /// Returns the floor of an ended lease. None if it is not remembered, or has not ended.
     pub fn floor(&self, pooler: ProcessId, term: u32) -> Option<Millis> {
         self.floors.get(&(pooler, term)).copied()
     }
@@ -217,27 +217,27 @@
 }
 
 impl LeaseTable {
-    /// The lease of a pooler.
+    /// Returns the lease of a pooler.
     pub fn get(&self, pooler: ProcessId) -> Option<&GrantedLease> {
         self.granted.get(&pooler)
     }
 
-    /// The lease of a pooler, for changes.
+    /// Returns the lease of a pooler, for changes.
     pub fn get_mut(&mut self, pooler: ProcessId) -> Option<&mut GrantedLease> {
         self.granted.get_mut(&pooler)
     }
 
-    /// Number of leases.
+    /// Returns the number of leases.
     pub fn len(&self) -> usize {
         self.granted.len()
     }
 
-    /// Whether there are no leases.
+    /// Returns true if there are no leases.
     pub fn is_empty(&self) -> bool {
         self.granted.is_empty()
     }
 
-    /// The lease of a pooler; a new one if it has none. None if there are too many leases.
+    /// Returns the lease of a pooler; a new one if it has none. None if there are too many leases.
     pub fn grant(
         &mut self,
         now: Millis,
@@ -285,7 +285,7 @@
         self.end(pooler)
     }
 
-    /// When the next lease expires.
+    /// Returns when the next lease expires.
     pub fn next_expiry(&self) -> Option<Millis> {
         self.by_expiry.first().map(|(expires_at, _)| *expires_at)
     }
--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -112,8 +112,8 @@
 }
 
 impl Purpose {
-    /// The purpose of a datagram, read from the variant number that follows its header. Nothing is verified.
-    /// None if there is no such number.
+    /// Returns the purpose of a datagram, read from the variant number that follows its header. Nothing is
+    /// verified. None if there is no such number.
     pub fn of_datagram(bytes: &[u8]) -> Option<Purpose> {
         let (_, rest) = postcard::take_from_bytes::<Header>(bytes).ok()?;
         Some(match rest.first()? {
--- a/crates/directory/src/placement.rs
+++ b/crates/directory/src/placement.rs
@@ -91,33 +91,33 @@
         Ok(Placement { instances, groups, seeds, digest })
     }
 
-    /// The control instances, sorted by name.
+    /// Returns the control instances, sorted by name.
     pub fn instances(&self) -> &[ControlInstance] {
         &self.instances
     }
 
-    /// Number of groups.
+    /// Returns the number of groups.
     pub fn groups(&self) -> usize {
         self.groups.len()
     }
 
-    /// The members of a group, as indices of [`Placement::instances`].
+    /// Returns the members of a group, as indices of [`Placement::instances`].
     pub fn members(&self, group: usize) -> &[usize] {
         &self.groups[group]
     }
 
-    /// Number of members that form a quorum of a group.
+    /// Returns the number of members that form a quorum of a group.
     pub fn quorum(&self) -> usize {
         self.groups[0].len() / 2 + 1
     }
 
-    /// The group of a session.
+    /// Returns the group of a session.
     pub fn group(&self, session: SessionKey) -> usize {
         let weight = |group: &usize| mixed(session.bits() ^ self.seeds[*group]);
         (0..self.groups.len()).max_by_key(weight).unwrap_or(0)
     }
 
-    /// The index of the control instance with the name hash of `process`.
+    /// Returns the index of the control instance with the name hash of `process`.
     pub fn instance_index(&self, process: ProcessId) -> Option<usize> {
         self.instances.iter().position(|instance| hash_of(instance.name.as_bytes()) == process.name)
     }
@@ -129,7 +129,7 @@
     }
 }
 
-/// The instances in an order in which neighbours are in different regions, as far as possible.
+/// Returns the instances in an order in which neighbours are in different regions, as far as possible.
 fn interleaved(instances: &[ControlInstance]) -> Vec<usize> {
     let mut remaining: Vec<usize> = (0..instances.len()).collect();
     let mut ring: Vec<usize> = Vec::new();
@@ -158,7 +158,7 @@
     hash.finalize()
 }
 
-/// The finalizer of SplitMix64.
+/// Applies the finalizer of SplitMix64.
 fn mixed(mut bits: u64) -> u64 {
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/directory/src/replica.rs
+++ b/crates/directory/src/replica.rs
@@ -160,7 +160,7 @@
         }
     }
 
-    /// When [`Replica::tick`] must be called at the latest.
+    /// Returns when [`Replica::tick`] must be called at the latest.
     pub fn next_due(&self) -> Millis {
         self.leases.next_expiry().map_or(Millis::MAX, |expiry| expiry + 1)
     }
@@ -175,22 +175,22 @@
         now < self.silent_until
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     pub fn records(&self) -> usize {
         self.records.len()
     }
 
-    /// Number of poolers with a lease.
+    /// Returns the number of poolers with a lease.
     pub fn poolers(&self) -> usize {
         self.leases.len()
     }
 
-    /// The counters.
+    /// Returns the counters.
     pub fn counts(&self) -> ReplicaCounts {
         self.counts
     }
 
-    /// Number of dropped datagrams by fault.
+    /// Returns the number of dropped datagrams by fault.
     pub fn faults(&self) -> &BTreeMap<Fault, u64> {
         self.channel.faults()
     }
@@ -295,7 +295,7 @@
         }
     }
 
-    /// The earlier claimants of a session, without the claimant itself.
+    /// Returns the earlier claimants of a session, without the claimant itself.
     fn former_owners(&self, now: Millis, session: SessionKey, claimant: ProcessId) -> Vec<FormerOwner> {
         let earlier = self.records.get(&session).map_or(&[][..], |record| &record.earlier);
         let others = earlier.iter().filter(|claim| claim.ballot.owner != claimant);
--- a/crates/directory/src/session.rs
+++ b/crates/directory/src/session.rs
@@ -20,7 +20,7 @@
 }
 
 impl WriteWatermark {
-    /// The position that reads require at the time `now`. None if they must go to the primary.
+    /// Returns the position that reads require at the time `now`. None if they must go to the primary.
     pub fn required_position(&mut self, now: Millis, timing: &Timing) -> Option<Millis> {
         if now < self.open_until {
             return None;
@@ -129,7 +129,7 @@
         self.former_owners.iter().all(|former| former.resolved)
     }
 
-    /// When all former owners will be resolved at the latest.
+    /// Returns when all former owners will be resolved at the latest.
     pub fn resolved_at_latest(&self) -> Millis {
         let unresolved = self.former_owners.iter().filter(|former| !former.resolved);
         unresolved.map(|former| former.lease_ends_at).max().unwrap_or(0)
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -36,7 +36,7 @@
         let _ = self.level.reload(filter(level));
     }
 
-    /// Number of lines suppressed by the rate limit.
+    /// Returns the number of lines suppressed by the rate limit.
     pub fn suppressed_lines(&self) -> u64 {
         self.suppressed.load(Ordering::Relaxed)
     }
--- a/crates/pgwire/src/lib.rs
+++ b/crates/pgwire/src/lib.rs
@@ -177,7 +177,7 @@
     out.push(0);
 }
 
-/// The startup message to a member.
+/// Returns the startup message to a member.
 pub fn startup_message(user: &str, database: &str) -> Vec<u8> {
     let mut out = vec![0; 4];
     out.extend(PROTOCOL_VERSION.to_be_bytes());
@@ -190,8 +190,8 @@
     out
 }
 
-/// The response to a client's startup message, up to and including ReadyForQuery; with `key` the client may
-/// request the cancellation of its query.
+/// Returns the response to a client's startup message, up to and including ReadyForQuery; with `key` the
+/// client may request the cancellation of its query.
 pub fn startup_response(key: (u32, u32)) -> Vec<u8> {
     let mut out = Vec::new();
     frame(&mut out, b'R', |out| out.extend([0; 4]));
--- a/crates/pgwire/src/session.rs
+++ b/crates/pgwire/src/session.rs
@@ -199,7 +199,7 @@
     [8, SSL_REQUEST].iter().flat_map(|word: &u32| word.to_be_bytes()).collect()
 }
 
-/// The startup message to a server, with options (names and values).
+/// Returns the startup message to a server, with options (names and values).
 pub fn startup_message(options: &[(&str, &str)]) -> Vec<u8> {
     let mut out = vec![0; 4];
     out.extend(PROTOCOL_VERSION.to_be_bytes());
@@ -218,7 +218,7 @@
     [16, CANCEL_REQUEST, number, secret].iter().flat_map(|word| word.to_be_bytes()).collect()
 }
 
-/// The key with which a connection's query can be cancelled.
+/// Returns the key with which a connection's query can be cancelled.
 pub fn backend_key_data((number, secret): (u32, u32)) -> Vec<u8> {
     build_message(b'K', |out| [number, secret].iter().for_each(|word| out.extend(word.to_be_bytes())))
 }
@@ -284,7 +284,7 @@
     )
 }
 
-/// The client's initial SASL response.
+/// Returns the client's initial SASL response.
 pub fn sasl_initial_response(mechanism: &str, step: &str) -> Vec<u8> {
     message_of_strings(
         b'p',
--- a/crates/registry/src/endpoints.rs
+++ b/crates/registry/src/endpoints.rs
@@ -52,12 +52,12 @@
         Endpoints { list, current, pacing, tokens: pacing.burst, refilled_at: now, rng }
     }
 
-    /// The endpoint in use.
+    /// Returns the endpoint in use.
     pub fn current(&self) -> usize {
         self.current
     }
 
-    /// The time of the next call, at the earliest `now`; consumes one call of the budget.
+    /// Returns the time of the next call, at the earliest `now`; consumes one call of the budget.
     pub fn next_call_at(&mut self, now: f64) -> f64 {
         self.tokens =
             (self.tokens + (now - self.refilled_at).max(0.0) * self.pacing.rate).min(self.pacing.burst);
--- a/crates/registry/src/lease.rs
+++ b/crates/registry/src/lease.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// When [`Input::Time`] is due next; never after the end.
+    /// Returns when [`Input::Time`] is due next; never after the end.
     pub fn next_due(&self) -> f64 {
         match self.stage {
             Stage::Waiting(until) => until,
--- a/crates/registry/src/schema.rs
+++ b/crates/registry/src/schema.rs
@@ -134,7 +134,7 @@
         self.effective.values()
     }
 
-    /// The malformed members by name, each with its error.
+    /// Returns the malformed members by name, each with its error.
     pub fn malformed(&self) -> impl Iterator<Item = (&str, &str)> {
         self.malformed.iter().map(|(name, error)| (name.as_str(), error.as_str()))
     }
--- a/crates/registry/src/sync.rs
+++ b/crates/registry/src/sync.rs
@@ -45,7 +45,7 @@
         View { cluster, revision, keys: keys.into_iter().collect() }
     }
 
-    /// The entry of a key.
+    /// Returns the entry of a key.
     pub fn get(&self, key: &[u8]) -> Option<&Entry> {
         self.keys.get(key)
     }
@@ -57,12 +57,12 @@
         self.keys.range::<Vec<u8>, _>((Bound::Included(prefix.to_vec()), end))
     }
 
-    /// Number of keys.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether there are no keys.
+    /// Returns true if there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
@@ -224,22 +224,22 @@
         }
     }
 
-    /// The view. It stays available whatever happens to the registry.
+    /// Returns the view. It stays available whatever happens to the registry.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Whether the registry is being followed.
+    /// Returns true if the registry is being followed.
     pub fn is_following(&self) -> bool {
         self.following
     }
 
-    /// The token for calls; none before the first login, or if no login is needed.
+    /// Returns the token for calls; none before the first login, or if no login is needed.
     pub fn token(&self) -> Option<&str> {
         self.token.as_deref()
     }
 
-    /// When [`Input::Time`] is due next.
+    /// Returns when [`Input::Time`] is due next.
     pub fn next_due(&self) -> f64 {
         match &self.stage {
             Stage::Waiting(until) => *until,
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Whether `number` is that of the current call.
+    /// Returns true if `number` is that of the current call.
     fn is_current_call(&self, number: u64) -> bool {
         match &self.stage {
             Stage::Waiting(_) => false,
@@ -438,7 +438,7 @@
         self.adopt(now, view, out);
     }
 
-    /// Whether the removal of so many keys at once requires confirmation.
+    /// Returns true if the removal of so many keys at once requires confirmation.
     fn removes_too_many(&self, removed: usize) -> bool {
         self.view.len() >= self.config.min_keys
             && removed as f64 > self.config.max_removed_share * self.view.len() as f64
--- a/crates/registry/src/wire.rs
+++ b/crates/registry/src/wire.rs
@@ -183,7 +183,7 @@
     }
 }
 
-/// Whether an error text means that a new token is needed.
+/// Returns true if an error text means that a new token is needed.
 pub fn needs_new_token(text: &str) -> bool {
     TOKEN_ERROR_TEXTS.iter().any(|error_text| text.contains(error_text))
 }
@@ -234,7 +234,7 @@
 }
 
 impl Range {
-    /// The request body.
+    /// Returns the request body.
     pub fn body(&self) -> Vec<u8> {
         #[derive(Serialize)]
         struct Body {
@@ -266,8 +266,8 @@
     pub value: Option<Vec<u8>>,
 }
 
-/// The request body of a transaction that makes all of these writes, or none if one of the keys has changed
-/// since its revision.
+/// Returns the request body of a transaction that makes all of these writes, or none if one of the keys has
+/// changed since its revision.
 pub fn transaction_body(writes: &[Write]) -> Vec<u8> {
     let compare = |write: &Write| {
         serde_json::json!({"key": STANDARD.encode(&write.key), "target": "MOD", "result": "EQUAL",
@@ -295,7 +295,7 @@
     decode::<TransactionResponse>(body, false).map(|response| response.succeeded)
 }
 
-/// The request body for a token.
+/// Returns the request body for a token.
 pub fn login_body(user: &str, password: &str) -> Vec<u8> {
     serde_json::to_vec(&serde_json::json!({"name": user, "password": password})).unwrap_or_default()
 }
@@ -326,17 +326,17 @@
     pub ttl: u64,
 }
 
-/// The request body for a lease of `ttl` seconds.
+/// Returns the request body for a lease of `ttl` seconds.
 pub fn grant_body(ttl: u64) -> Vec<u8> {
     serde_json::to_vec(&serde_json::json!({"TTL": ttl.to_string()})).unwrap_or_default()
 }
 
-/// The request body of a call about a lease.
+/// Returns the request body of a call about a lease.
 pub fn lease_body(id: u64) -> Vec<u8> {
     serde_json::to_vec(&serde_json::json!({"ID": id.to_string()})).unwrap_or_default()
 }
 
-/// The request body that puts a key under a lease.
+/// Returns the request body that puts a key under a lease.
 pub fn put_body(key: &[u8], value: &[u8], lease: u64) -> Vec<u8> {
     let body = serde_json::json!({"key": STANDARD.encode(key), "value": STANDARD.encode(value),
         "lease": lease.to_string()});
@@ -349,7 +349,7 @@
     decode(body, stream)
 }
 
-/// The request body of a watch on all keys from `from` to `to` (exclusive), starting with a revision.
+/// Returns the request body of a watch on all keys from `from` to `to` (exclusive), starting with a revision.
 pub fn watch_body(from: &[u8], to: &[u8], revision: Revision) -> Vec<u8> {
     let create = serde_json::json!({"create_request": {
         "key": STANDARD.encode(from),
@@ -361,7 +361,7 @@
     serde_json::to_vec(&create).unwrap_or_default()
 }
 
-/// The end of the range of all keys that begin with a prefix.
+/// Returns the end of the range of all keys that begin with a prefix.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -308,17 +308,17 @@
         Explanation { id, class, waited, reason, attempts }
     }
 
-    /// Number of member slots, including those of members that have left.
+    /// Returns the number of member slots, including those of members that have left.
     pub fn tracked_members(&self) -> usize {
         self.members.len()
     }
 
-    /// Number of tracked requests, including finished ones with attempts in flight.
+    /// Returns the number of tracked requests, including finished ones with attempts in flight.
     pub fn tracked_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Number of tracked groups.
+    /// Returns the number of tracked groups.
     pub fn tracked_groups(&self) -> usize {
         self.groups.len()
     }
--- a/crates/transaction/src/health.rs
+++ b/crates/transaction/src/health.rs
@@ -331,13 +331,13 @@
     }
 }
 
-/// Number of requests of a group, without repeats.
+/// Returns the number of requests of a group, without repeats.
 fn first_request_count(cells: &Cells, group: u32) -> u64 {
     cells.iter().filter(|((_, g), _)| *g == group).map(|(_, counts)| counts.first_requests).sum()
 }
 
-/// Number of standard deviations by which `new` exceeds the share of the total count that its period should
-/// have at a constant rate.
+/// Returns the number of standard deviations by which `new` exceeds the share of the total count that its
+/// period should have at a constant rate.
 fn deviation(old: u64, new: u64, (before, after): (f64, f64)) -> f64 {
     let (total, share) = ((old + new) as f64, after / (before + after));
     (new as f64 - total * share) / (total * share * (1.0 - share)).sqrt().max(1e-9)
--- a/crates/transaction/src/history.rs
+++ b/crates/transaction/src/history.rs
@@ -227,7 +227,7 @@
         self.entries.iter()
     }
 
-    /// The last confirmed generation, which a restart after a crash uses.
+    /// Returns the last confirmed generation, which a restart after a crash uses.
     pub fn confirmed(&self) -> Option<&Arc<Generation>> {
         self.confirmed.back()
     }
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Number of the next generation.
+    /// Returns the number of the next generation.
     pub fn next_number(&self) -> u64 {
         self.last + 1
     }
--- a/crates/transaction/src/machine.rs
+++ b/crates/transaction/src/machine.rs
@@ -232,7 +232,7 @@
         &self.stage
     }
 
-    /// The generation in force.
+    /// Returns the generation in force.
     pub fn current(&self) -> &Arc<Generation> {
         match (&self.stage, &self.candidate) {
             (Stage::Probation(_) | Stage::Confirming | Stage::Reverting(_), Some(c)) => &c.generation,
@@ -240,7 +240,7 @@
         }
     }
 
-    /// The last confirmed generation.
+    /// Returns the last confirmed generation.
     pub fn base(&self) -> &Arc<Generation> {
         &self.base
     }
