--- a/crates/directory/src/channel.rs
+++ b/crates/directory/src/channel.rs
@@ -68,7 +68,7 @@
         ReplayWindow { incarnation, highest: 0, seen: [0; WINDOW_WORDS], last_heard_at: 0 }
     }
 
-    /// Records a message number. Returns false if it was received before, or is too old to tell.
+    /// Records a message number. Returns false if it was received before, or is too old for the window.
     fn accept(&mut self, number: u64) -> bool {
         let slot = |number: u64| ((number / 64) as usize % WINDOW_WORDS, 1u64 << (number % 64));
         if number > self.highest {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The identity of this process.
+    /// Returns the identity of this process.
     pub fn process_id(&self) -> ProcessId {
         self.process
     }
@@ -149,7 +149,7 @@
         *self.faults.entry(fault).or_default() += 1;
     }
 
-    /// Number of dropped datagrams by fault.
+    /// Returns the number of dropped datagrams by fault.
     pub fn faults(&self) -> &BTreeMap<Fault, u64> {
         &self.faults
     }
--- a/crates/directory/src/message.rs
+++ b/crates/directory/src/message.rs
@@ -112,8 +112,8 @@
 }
 
 impl Purpose {
-    /// The purpose of a datagram, read from the variant number that follows its header. Nothing is verified.
-    /// None if there is no such number.
+    /// Returns the purpose of a datagram, read from the variant number that follows its header. Nothing is
+    /// verified. None if there is no such number.
     pub fn of_datagram(bytes: &[u8]) -> Option<Purpose> {
         let (_, rest) = postcard::take_from_bytes::<Header>(bytes).ok()?;
         Some(match rest.first()? {
@@ -139,7 +139,7 @@
         /// The counter of the claim.
         counter: u64,
     },
-    /// The pooler gives up the session; it need not be asked for a handover.
+    /// The pooler releases its claim to the session; no handover needs to be requested from it.
     Released {
         /// The session.
         session: SessionKey,
--- a/crates/directory/src/replica.rs
+++ b/crates/directory/src/replica.rs
@@ -18,11 +18,11 @@
 use crate::timing::{bounds, with_clock_margin, Millis, Timing};
 use crate::Datagram;
 
-/// Time between two sweeps, each of which checks a part of the records for claims whose lease has ended (ms),
+/// Time between two sweeps; each checks a part of the records for claims whose lease has ended (ms),
 /// and the time in which sweeps cover all records. Ended leases are remembered individually for that long.
 const SWEEP_INTERVAL: Millis = 10;
 const SWEEP_PERIOD: Millis = bounds::IDLE_RETENTION;
-/// Fewest records checked in one sweep.
+/// Minimum number of records checked in one sweep.
 const MIN_SWEEP_RECORDS: usize = 16;
 
 /// A recorded claim. It is valid as long as the claimant's lease of this number.
@@ -160,7 +160,7 @@
         }
     }
 
-    /// When [`Replica::tick`] must be called at the latest.
+    /// Returns when [`Replica::tick`] must be called at the latest.
     pub fn next_due(&self) -> Millis {
         self.leases.next_expiry().map_or(Millis::MAX, |expiry| expiry + 1)
     }
@@ -170,27 +170,27 @@
         std::mem::take(&mut self.outbox)
     }
 
-    /// Whether the control instance is still in its startup silence.
+    /// Returns true if the control instance is still in its startup silence.
     pub fn is_silent(&self, now: Millis) -> bool {
         now < self.silent_until
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     pub fn records(&self) -> usize {
         self.records.len()
     }
 
-    /// Number of poolers with a lease.
+    /// Returns the number of poolers with a lease.
     pub fn poolers(&self) -> usize {
         self.leases.len()
     }
 
-    /// The counters.
+    /// Returns the counters.
     pub fn counts(&self) -> ReplicaCounts {
         self.counts
     }
 
-    /// Number of dropped datagrams by fault.
+    /// Returns the number of dropped datagrams by fault.
     pub fn faults(&self) -> &BTreeMap<Fault, u64> {
         self.channel.faults()
     }
@@ -229,7 +229,7 @@
         let ballot = Ballot { counter, owner: pooler };
         let Entry::Occupied(mut entry) = self.records.entry(session) else { return };
         match *notice {
-            // The owner's own claim stays if a later claim has displaced it meanwhile.
+            // The owner's own claim stays if a later claim has replaced it meanwhile.
             Notice::ClaimCompleted { .. } => entry.get_mut().earlier.retain(|claim| claim.ballot >= ballot),
             Notice::Released { write_age, .. } => {
                 // A record that names other claimants as well is retained: they must be asked.
@@ -281,7 +281,7 @@
             }
             Entry::Occupied(mut entry) => {
                 entry.get_mut().drop_ended_claims(&self.leases, &self.ended);
-                if let Some(refusal) = displace(entry.get_mut(), &mut self.leases, session, claim) {
+                if let Some(refusal) = replace_claim(entry.get_mut(), &mut self.leases, session, claim) {
                     return refusal;
                 }
             }
@@ -295,7 +295,7 @@
         }
     }
 
-    /// The earlier claimants of a session, without the claimant itself.
+    /// Returns the earlier claimants of a session, without the claimant itself.
     fn former_owners(&self, now: Millis, session: SessionKey, claimant: ProcessId) -> Vec<FormerOwner> {
         let earlier = self.records.get(&session).map_or(&[][..], |record| &record.earlier);
         let others = earlier.iter().filter(|claim| claim.ballot.owner != claimant);
@@ -349,7 +349,7 @@
 
 /// Replaces the latest claim and queues a revocation for its owner; returns the refusal if the claim cannot
 /// be recorded.
-fn displace(
+fn replace_claim(
     record: &mut Record,
     leases: &mut LeaseTable,
     session: SessionKey,
@@ -377,7 +377,7 @@
     None
 }
 
-/// Whether the lease under which a claim was recorded is still valid.
+/// Returns true if the lease under which a claim was recorded is still valid.
 fn is_live(leases: &LeaseTable, claim: &RecordedClaim) -> bool {
     leases.get(claim.ballot.owner).is_some_and(|lease| lease.term == claim.term)
 }
--- a/crates/directory/src/session.rs
+++ b/crates/directory/src/session.rs
@@ -20,7 +20,7 @@
 }
 
 impl WriteWatermark {
-    /// The position that reads require at the time `now`. None if they must go to the primary.
+    /// Returns the position that reads require at the time `now`. None if they must go to the primary.
     pub fn required_position(&mut self, now: Millis, timing: &Timing) -> Option<Millis> {
         if now < self.open_until {
             return None;
@@ -124,12 +124,12 @@
         true
     }
 
-    /// Whether all former owners are resolved.
+    /// Returns true if all former owners are resolved.
     pub fn all_resolved(&self) -> bool {
         self.former_owners.iter().all(|former| former.resolved)
     }
 
-    /// When all former owners will be resolved at the latest.
+    /// Returns when all former owners will be resolved at the latest.
     pub fn resolved_at_latest(&self) -> Millis {
         let unresolved = self.former_owners.iter().filter(|former| !former.resolved);
         unresolved.map(|former| former.lease_ends_at).max().unwrap_or(0)
@@ -157,7 +157,7 @@
     pub group: usize,
     /// The highest ballot counter seen so far.
     pub highest_counter: u64,
-    /// The pooler's own claim; none if it was given up, revoked or handed over.
+    /// The pooler's own claim; none if it was released or abandoned, revoked or handed over.
     pub claim: Option<Claim>,
     /// No new claim is started before this time.
     pub retry_at: Millis,
@@ -183,7 +183,7 @@
 }
 
 impl Session {
-    /// A session of which nothing is known.
+    /// A session about which nothing is known.
     pub fn new(now: Millis, group: usize) -> Session {
         Session {
             group,
