--- a/crates/pooling/src/session.rs
+++ b/crates/pooling/src/session.rs
@@ -88,17 +88,17 @@
         match self {
             DetachReason::Lost => (
                 sqlstate::CONNECTION_FAILURE,
-                "connection to the server was lost; the transaction was rolled back",
+                "the server's connection was lost; what the transaction did is undone",
             ),
             DetachReason::Drained => {
-                (sqlstate::ADMIN_SHUTDOWN, "the server is being drained; the transaction was rolled back")
+                (sqlstate::ADMIN_SHUTDOWN, "the server is drained; what the transaction did is undone")
             }
             DetachReason::IdleInTransaction => (
                 sqlstate::IDLE_IN_TRANSACTION_TIMEOUT,
-                "the transaction was idle for too long and was rolled back",
+                "the transaction was idle for too long; what it did is undone",
             ),
             DetachReason::StatementTimeout => {
-                (sqlstate::QUERY_CANCELED, "the statement took too long; the transaction was rolled back")
+                (sqlstate::QUERY_CANCELED, "the statement took too long; what the transaction did is undone")
             }
         }
     }
@@ -566,9 +566,8 @@
         }
         if self.statements.len() >= MAX_STATEMENTS || self.statement_bytes + text.len() > MAX_STATEMENT_BYTES
         {
-            let text = format!(
-                "more than {MAX_STATEMENTS} prepared statements, or {MAX_STATEMENT_BYTES} bytes of statement text"
-            );
+            let text =
+                format!("over {MAX_STATEMENTS} prepared statements, or {MAX_STATEMENT_BYTES} bytes of them");
             return self.reply_error(sqlstate::CONFIGURATION_LIMIT_EXCEEDED, &text, out);
         }
         self.statement_bytes += text.len();
@@ -644,7 +643,7 @@
         if self.portals.len() >= MAX_STATEMENTS && !self.portals.contains_key(portal) {
             return self.reply_error(
                 sqlstate::CONFIGURATION_LIMIT_EXCEEDED,
-                &format!("more than {MAX_STATEMENTS} portals"),
+                &format!("over {MAX_STATEMENTS} portals"),
                 out,
             );
         }
@@ -865,7 +864,7 @@
         if unknown && reason != DetachReason::StatementTimeout {
             (code, text) = (
                 sqlstate::TRANSACTION_RESOLUTION_UNKNOWN,
-                "connection to the server was lost: it is unknown whether the request was executed",
+                "the server's connection was lost: what was asked may have run or not",
             );
         }
         let in_batch = self.in_batch && !self.skipping;
@@ -929,7 +928,7 @@
             kind => {
                 let aborted = (
                     sqlstate::IN_FAILED_TRANSACTION,
-                    "the transaction was lost with its server connection; end it with ROLLBACK",
+                    "the transaction was lost with its server: ROLLBACK ends it",
                 );
                 let (code, text) =
                     self.detach_reason.take().map_or(aborted, DetachReason::sqlstate_and_message);
@@ -948,7 +947,7 @@
     }
 }
 
-const NO_TRANSACTIONS: &str = "multi-statement transactions require pool.mode transaction or session";
+const NO_TRANSACTIONS: &str = "transactions of several statements need pool.mode transaction or session";
 
 fn no_transactions_error() -> Vec<u8> {
     error_response("ERROR", sqlstate::FEATURE_NOT_SUPPORTED, NO_TRANSACTIONS, None)
