--- a/crates/daemon/src/net/directory.rs
+++ b/crates/daemon/src/net/directory.rs
@@ -184,7 +184,7 @@
                 let requirement = match self.client.read_requirement(millis(now), SessionKey::new(name)) {
                     ReadRequirement::AtLeast(position) => {
                         format!(
-                            "a replica at position {:.3} or later",
+                            "a replica that has come to {:.3}",
                             position as f64 / settings::MILLIS_PER_SECOND
                         )
                     }
@@ -246,10 +246,10 @@
 fn describe(reason: PrimaryReason) -> &'static str {
     match reason {
         PrimaryReason::Claiming => "the session's group has not answered yet",
-        PrimaryReason::FormerOwner => "a former owner has not answered yet, and its lease has not ended",
-        PrimaryReason::OpenWrite => "a write that was sent may still commit",
+        PrimaryReason::FormerOwner => "a former owner has not answered yet, and its lease is not over",
+        PrimaryReason::OpenWrite => "a write that was sent may commit still",
         PrimaryReason::NoQuorum => "there is no quorum of the session's group",
-        PrimaryReason::LimitReached => "a limit of this pooler is reached",
-        PrimaryReason::Left => "this pooler shuts down",
+        PrimaryReason::LimitReached => "a bound is reached",
+        PrimaryReason::Left => "this pooler ends",
     }
 }
--- a/crates/daemon/src/net/peers.rs
+++ b/crates/daemon/src/net/peers.rs
@@ -265,7 +265,7 @@
             PeersQuery::Session(name) => {
                 let requirement = match self.node.read_requirement(now, name) {
                     ReadRequirement::AtLeast(position) => {
-                        format!("a replica at position {position:.3} or later")
+                        format!("a replica that has come to {position:.3}")
                     }
                     ReadRequirement::Primary(reason) => format!("the primary: {}", reason.description()),
                 };
--- a/crates/replication/src/node.rs
+++ b/crates/replication/src/node.rs
@@ -160,13 +160,13 @@
     /// Returns the description shown to operators.
     pub fn description(self) -> &'static str {
         match self {
-            PrimaryReason::WriteInFlight => "a write of the session is in progress through another instance",
+            PrimaryReason::WriteInFlight => "a write of the session is under way elsewhere",
             PrimaryReason::Unreachable => "an instance does not answer and may be answering writes",
             PrimaryReason::CatchingUp => {
-                "logs of other instances have not been read yet, or no session reads here"
+                "what others have stated has not been read yet, or no session reads here"
             }
             PrimaryReason::SeedUnanswered => "a seed has never answered",
-            PrimaryReason::SteppedDown => "another process runs under this instance's name",
+            PrimaryReason::SteppedDown => "another process runs under this one's name",
         }
     }
 }
