--- a/crates/transaction/src/history.rs
+++ b/crates/transaction/src/history.rs
@@ -284,7 +284,7 @@
                     self.entries.iter().rev().find(|entry| entry.digest == digest.to_string());
                 let number = confirmed.number;
                 let why = match entry_of_file.map(|entry| (entry.number, entry.fate)) {
-                    None => return new(document, "changed while the pooler was not running"),
+                    None => return new(document, "changed while the daemon was down"),
                     Some((n, GenerationStatus::Confirmed)) => {
                         format!("holds generation {n}, which generation {number} has replaced")
                     }
